--- a/cmd/cranelab/up.go
+++ b/cmd/cranelab/up.go
@@ -29,7 +29,7 @@
 		return err
 	}
 	defer clean()
-	var logs io.Writer = io.Discard
+	logs := io.Discard
 	if c.Logs != "" {
 		f, err := os.Create(c.Logs)
 		if err != nil {
--- a/internal/mysqlwire/packet.go
+++ b/internal/mysqlwire/packet.go
@@ -112,14 +112,26 @@
 	w.End()
 }
 
-// Byte, U16, U32, Int, Text and String append to the open packet: fixed-size numbers, a length-encoded number,
-// bytes as they are, and a length-encoded string.
-func (w *Writer) Byte(b byte)     { w.B = append(w.B, b) }
-func (w *Writer) U16(n uint16)    { w.B = binary.LittleEndian.AppendUint16(w.B, n) }
-func (w *Writer) U32(n uint32)    { w.B = binary.LittleEndian.AppendUint32(w.B, n) }
-func (w *Writer) Int(n uint64)    { w.B = AppendInt(w.B, n) }
-func (w *Writer) Text(s string)   { w.B = append(w.B, s...) }
-func (w *Writer) String(s string) { w.Int(uint64(len(s))); w.Text(s) }
+// Byte appends one byte to the open packet.
+func (w *Writer) Byte(b byte) { w.B = append(w.B, b) }
+
+// U16 appends a 2-byte number, little-endian.
+func (w *Writer) U16(n uint16) { w.B = binary.LittleEndian.AppendUint16(w.B, n) }
+
+// U32 appends a 4-byte number, little-endian.
+func (w *Writer) U32(n uint32) { w.B = binary.LittleEndian.AppendUint32(w.B, n) }
+
+// Int appends a length-encoded number.
+func (w *Writer) Int(n uint64) { w.B = AppendInt(w.B, n) }
+
+// Text appends the bytes of s without their length.
+func (w *Writer) Text(s string) { w.B = append(w.B, s...) }
+
+// String appends a length-encoded string.
+func (w *Writer) String(s string) {
+	w.Int(uint64(len(s)))
+	w.Text(s)
+}
 
 // AppendInt writes a length-encoded number.
 func AppendInt(b []byte, n uint64) []byte {
@@ -158,9 +170,13 @@
 	return x
 }
 
-// Byte, U16 and U32 return fixed-size numbers.
-func (c *Cursor) Byte() byte  { return byte(c.number(1)) }
+// Byte returns the next byte.
+func (c *Cursor) Byte() byte { return byte(c.number(1)) }
+
+// U16 returns a 2-byte number.
 func (c *Cursor) U16() uint16 { return uint16(c.number(2)) }
+
+// U32 returns a 4-byte number.
 func (c *Cursor) U32() uint32 { return uint32(c.number(4)) }
 
 // Int returns a length-encoded number.
