--- a/cmd/cranegate/second.go
+++ b/cmd/cranegate/second.go
@@ -16,7 +16,7 @@
 	"cranegate/internal/core"
 	"cranegate/internal/handover/inherit"
 	"cranegate/internal/handover/state"
-	"cranegate/internal/hands"
+	"cranegate/internal/override"
 )
 
 func listenTCP(address string) (net.Listener, error) { return net.Listen("tcp", address) }
@@ -126,7 +126,7 @@
 		known = known || k
 	}
 	if !known {
-		return hands.UnknownHost{ID: id}
+		return override.UnknownHost{ID: id}
 	}
 	if c.hand != nil {
 		return c.hand.Set(ctx, state.Change{Host: id, Out: out})
@@ -145,7 +145,7 @@
 
 // unknown says that it was a host that nobody has.
 func unknown(err error) bool {
-	var u hands.UnknownHost
+	var u override.UnknownHost
 	return errors.As(err, &u)
 }
 
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/goleak"
 
-	"cranegate/internal/hands"
+	"cranegate/internal/override"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -104,8 +104,8 @@
 		{"POST", "/_database-hosts/attach/" + long, nil, 200, "attach " + long, "yes\n"},
 		{"POST", "/_database-hosts/attach/" + long + "x", nil, 404, "", "no database host has"},
 		{"POST", "/_database-hosts/attach/%ff", nil, 400, "", "not valid UTF-8"},
-		{"POST", "/_database-hosts/attach/s-2", fmt.Errorf("host: %w", hands.UnknownHost{ID: "s-2"}), 404, "attach s-2", "look it up"},
-		{"POST", "/_database-hosts/detach/s-2", hands.TooMany{Out: 4096}, 409, "detach s-2", "call some back"},
+		{"POST", "/_database-hosts/attach/s-2", fmt.Errorf("host: %w", override.UnknownHost{ID: "s-2"}), 404, "attach s-2", "look it up"},
+		{"POST", "/_database-hosts/detach/s-2", override.TooMany{Out: 4096}, 409, "detach s-2", "call some back"},
 		{"POST", "/_database-hosts/detach/s-2", context.DeadlineExceeded, 503, "detach s-2", "may be made twice"},
 		{"POST", "/_lameduck/on", nil, 200, "lameduck true", "yes\n"},
 		{"POST", "/_lameduck/off", nil, 200, "lameduck false", "yes\n"},
--- a/internal/admin/answer.go
+++ b/internal/admin/answer.go
@@ -14,7 +14,7 @@
 	"time"
 	"unicode/utf8"
 
-	"cranegate/internal/hands"
+	"cranegate/internal/override"
 )
 
 // longestID is the most bytes of a database host's id.
@@ -55,11 +55,11 @@
 		return http.StatusOK
 	case is[BadID](err):
 		return http.StatusBadRequest
-	case is[NoSuchCall](err), is[hands.UnknownHost](err):
+	case is[NoSuchCall](err), is[override.UnknownHost](err):
 		return http.StatusNotFound
 	case is[WrongMethod](err):
 		return http.StatusMethodNotAllowed
-	case is[hands.TooMany](err):
+	case is[override.TooMany](err):
 		return http.StatusConflict
 	}
 	return http.StatusServiceUnavailable
@@ -103,7 +103,7 @@
 	case !utf8.ValidString(id):
 		return x, id, BadID{id}
 	case len(id) > longestID:
-		return x, id, hands.UnknownHost{ID: id}
+		return x, id, override.UnknownHost{ID: id}
 	}
 	return x, id, nil
 }
--- a/internal/admin/format_test.go
+++ b/internal/admin/format_test.go
@@ -5,7 +5,7 @@
 	"errors"
 	"testing"
 
-	"cranegate/internal/hands"
+	"cranegate/internal/override"
 )
 
 // TestBodies pins the bodies of answers, which staff's tools read.
@@ -25,9 +25,9 @@
 		{"POST", "/_ready", nil, "ask by GET, HEAD\n"},
 		{"POST", "/_database-hosts/detach/%ff", nil,
 			"the id \"\\xff\" is not valid UTF-8; give it as discovery's list has it, escaped for a URL\n"},
-		{"POST", "/_database-hosts/detach/a", hands.UnknownHost{ID: "a"},
+		{"POST", "/_database-hosts/detach/a", override.UnknownHost{ID: "a"},
 			"no database host has the id \"a\"; look it up in discovery's list\n"},
-		{"POST", "/_database-hosts/detach/a", hands.TooMany{Out: 4096},
+		{"POST", "/_database-hosts/detach/a", override.TooMany{Out: 4096},
 			"4096 database hosts are out already; call some back first\n"},
 		{"POST", "/_database-hosts/detach/a", context.DeadlineExceeded,
 			"not done within 800ms: it may or may not hold; ask again, the call may be made twice\n"},
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,9 +12,9 @@
 	"log/slog"
 	"time"
 
-	"cranegate/internal/hands"
 	"cranegate/internal/invariant"
 	"cranegate/internal/logging"
+	"cranegate/internal/override"
 	"cranegate/internal/stats"
 	"cranegate/rules"
 )
@@ -71,7 +71,7 @@
 	lastID   uint64
 	zonesAt  time.Duration   // when their reads are counted next
 	ctx      context.Context // of all attempts; ends with the actor
-	hands    hands.Hands     // which members are out by hand; the module's actor alone uses it
+	hands    override.Hands  // which members are out by hand; the module's actor alone uses it
 	ready    chan struct{}   // closed when the first list has come
 	done     chan struct{}
 }
--- a/internal/hands/hands.go
+++ b/internal/override/override.go
@@ -1,10 +1,10 @@
-// Package hands holds which database hosts staff have taken out of use, beside what discovery says of them. It is pure:
+// Package override holds which database hosts staff have taken out of use, beside what discovery says of them. It is pure:
 // lists and time are handed in, and what the module has to be told comes back as entries.
 //
 // A host that is out reaches the module as draining, so that the gate that keeps drains keeps this too. One that is
 // called back is taken as started at that moment, as staff restart hosts meanwhile: one that is taken for colder than it
 // is only earns a little less.
-package hands
+package override
 
 import (
 	"fmt"
--- a/internal/hands/hands_test.go
+++ b/internal/override/override_test.go
@@ -1,4 +1,4 @@
-package hands
+package override
 
 import (
 	"errors"
