--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -16,6 +16,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"cranegate/internal/admin"
+	"cranegate/internal/backoff"
 	"cranegate/internal/balancers"
 	"cranegate/internal/clients"
 	"cranegate/internal/clients/mysql"
@@ -27,7 +28,6 @@
 	"cranegate/internal/list"
 	"cranegate/internal/logging"
 	"cranegate/internal/netbuf"
-	"cranegate/internal/pace"
 	"cranegate/internal/peers"
 	"cranegate/internal/servers"
 	myservers "cranegate/internal/servers/mysql"
@@ -69,7 +69,7 @@
 	watch *list.Watcher
 	core  *core.Core
 	pool  *servers.Pool
-	pace  *pace.Caller
+	pace  *backoff.Caller
 	front *clients.Server
 	zone  string // the gateway's own
 }
@@ -298,7 +298,7 @@
 	if known, ok := g.inherited.Lists[f.name]; ok && known.Rev > f.known.Rev && len(known.Targets) > 0 {
 		f.known = known
 	}
-	calls := pace.New(f.settings.Rules.Gateways, f.seed)
+	calls := backoff.New(f.settings.Rules.Gateways, f.seed)
 	front := &clients.Server{Name: f.name, Front: f.front, Core: c, Room: g.room, Budget: g.budget, Counters: g.counters, Monitor: g.monitor}
 	if g.hand != nil {
 		front.Pass = g.pass(f.name)
--- a/internal/pace/pace.go
+++ b/internal/backoff/backoff.go
@@ -1,10 +1,10 @@
-// Package pace decides when a gateway calls a service that its whole fleet calls. It is free of I/O and clocks.
+// Package backoff decides when a gateway calls a service that its whole fleet calls. It is free of I/O and clocks.
 //
 // What is harmless for one gateway is not for all at once: a service that turns calls away when it has too many
 // never gets through them while each gateway that was turned away comes again at once. So one that was turned away
 // waits for a time that grows with the fleet and with its failures, at random. The first call is not held back, and no
 // wait is long: what discovery has counts as told 6 s after it could be reached, whatever became of the call before.
-package pace
+package backoff
 
 import (
 	"math/rand/v2"
--- a/internal/pace/pace_test.go
+++ b/internal/backoff/backoff_test.go
@@ -1,4 +1,4 @@
-package pace
+package backoff
 
 import (
 	"slices"
--- a/internal/list/end_test.go
+++ b/internal/list/end_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/backoff"
 	"cranegate/internal/core"
-	"cranegate/internal/pace"
 	"cranegate/internal/stats"
 )
 
@@ -105,7 +105,7 @@
 				for _, h := range l.Hosts {
 					told <- h.Entry.Member
 				}
-			}, pace.New(1, 1), &stats.Counters{})
+			}, backoff.New(1, 1), &stats.Counters{})
 			w.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				raw, err := (&net.Dialer{}).DialContext(ctx, network, address)
 				if err != nil {
@@ -191,7 +191,7 @@
 						close(told)
 					}
 				}
-			}, pace.New(300, 1), &stats.Counters{})
+			}, backoff.New(300, 1), &stats.Counters{})
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan error, 1)
 			go func() { ended <- w.Run(ctx) }()
--- a/internal/list/list.go
+++ b/internal/list/list.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
+	"cranegate/internal/backoff"
 	"cranegate/internal/core"
 	"cranegate/internal/netbuf"
-	"cranegate/internal/pace"
 	"cranegate/internal/stats"
 	"cranegate/rules"
 )
@@ -82,7 +82,7 @@
 	rev      int64
 	tell     func(core.List)
 	counters *stats.Counters
-	pace     *pace.Caller
+	pace     *backoff.Caller
 	moves    chan string // its mailbox; a newer address takes an older one's place
 	dial     func(ctx context.Context, network, address string) (net.Conn, error)
 	first    chan struct{} // closed once the first call has ended
@@ -126,7 +126,7 @@
 
 // NewWatcher makes the actor, which knows a list already, maybe none (of version -1); Run starts it. With no address there is nothing
 // to follow until Move names one.
-func NewWatcher(address string, known Snapshot, tell func(core.List), p *pace.Caller, counters *stats.Counters) *Watcher {
+func NewWatcher(address string, known Snapshot, tell func(core.List), p *backoff.Caller, counters *stats.Counters) *Watcher {
 	w := &Watcher{address: address, rev: known.Rev, tell: tell, pace: p, counters: counters, moves: make(chan string, 1),
 		dial: (&net.Dialer{}).DialContext, first: make(chan struct{})}
 	w.keep(known)
@@ -176,7 +176,7 @@
 			break
 		}
 		if glance = !errors.Is(err, errClosed); !glance { // all is known up to its answer: the watch goes on
-			wait = pace.Broke(1)
+			wait = backoff.Broke(1)
 			continue
 		}
 		w.counters.Add("list_calls_failed", 1)
--- a/internal/list/watch_test.go
+++ b/internal/list/watch_test.go
@@ -13,8 +13,8 @@
 	"testing/synctest"
 	"time"
 
+	"cranegate/internal/backoff"
 	"cranegate/internal/core"
-	"cranegate/internal/pace"
 	"cranegate/internal/stats"
 )
 
@@ -176,7 +176,7 @@
 					told[h.Entry.Member] = time.Since(start)
 				}
 			}
-		}, pace.New(300, seed), &stats.Counters{})
+		}, backoff.New(300, seed), &stats.Counters{})
 		w.dial = a.dial
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error)
@@ -356,7 +356,7 @@
 			t.Errorf("call %d: %s, want %s", i, q, want)
 		}
 	}
-	w := NewWatcher("", Snapshot{Rev: -1}, nil, pace.New(1, 1), &stats.Counters{})
+	w := NewWatcher("", Snapshot{Rev: -1}, nil, backoff.New(1, 1), &stats.Counters{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go w.Run(ctx)
@@ -367,21 +367,21 @@
 // the seeds. The third is answered at once.
 func TestCallsFit(t *testing.T) {
 	const again = 100 * time.Millisecond // pace's first wait, once a call was answered
-	first, later := pace.Broke(1), pace.Broke(1000)
-	second, glance, watch := pace.Broke(2), glanceFor+glancePatience, waitFor+patience
+	first, later := backoff.Broke(1), backoff.Broke(1000)
+	second, glance, watch := backoff.Broke(2), glanceFor+glancePatience, waitFor+patience
 	if first != again || patience > waitTold || glance > movedTold-again-dialFor-second {
 		t.Error("a call may be silent for longer than its wait and 2 s, or a move for longer than 4 s")
 	}
 	const busy = 100 * time.Millisecond // for the machine
 	for order, sum := range map[string]time.Duration{
 		"a silent watch, a silent connection":                        watch + first + dialFor + glance + second,
-		"a silent watch, a call turned away":                         watch + first + pace.Apart,
+		"a silent watch, a call turned away":                         watch + first + backoff.Apart,
 		"a silent watch, no connect":                                 watch + first + dialFor + second,
-		"turned away, a silent connection":                           pace.Apart + dialFor + glance + second,
-		"turned away, a call answered late":                          pace.Apart + dialFor + glance,
+		"turned away, a silent connection":                           backoff.Apart + dialFor + glance + second,
+		"turned away, a call answered late":                          backoff.Apart + dialFor + glance,
 		"an outage, its last call made too early, then a silent one": glance + later + dialFor + glance + later,
-		"turned away twice":                                          2*pace.Apart - 200*time.Millisecond, // pace.TestWaitsGrowUpToTheBound holds it
-		"an outage, then turned away":                                glance + later + pace.Apart,
+		"turned away twice":                                          2*backoff.Apart - 200*time.Millisecond, // pace.TestWaitsGrowUpToTheBound holds it
+		"an outage, then turned away":                                glance + later + backoff.Apart,
 		"a first list that goes silent":                              wholeFor + first + dialFor,
 	} {
 		t.Logf("%-60s %v", order, sum)
@@ -389,7 +389,7 @@
 			t.Errorf("%s: %v", order, sum)
 		}
 	}
-	if pace.Apart < glanceFor+2*time.Second+again {
+	if backoff.Apart < glanceFor+2*time.Second+again {
 		t.Error("a service that turns a call away after 2 s is asked again without a wait")
 	}
 }
