--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"cranegate/internal/keep"
+	"cranegate/internal/poolsize"
 	"cranegate/internal/zones"
 	"cranegate/rules"
 )
@@ -21,7 +21,7 @@
 	part     float64 // of the mean traffic
 	router   *rules.Router
 	cfg      rules.Config
-	keeper   *keep.Keeper
+	keeper   *poolsize.Keeper
 	down     bool // its process does not run, or takes no more clients
 	life     int  // of its process
 	arrivals *rand.Rand
@@ -38,7 +38,7 @@
 type pool struct {
 	idle   []open     // the one used last is at the end
 	out    []*attempt // begun, on open connections
-	asked  keep.Host
+	asked  poolsize.Host
 	trimAt time.Duration // the next look at the idle ones
 }
 
@@ -128,7 +128,7 @@
 	if f.KeepAs > 0 {
 		size = f.KeepAs
 	}
-	g.keeper = keep.New(size, idleFor, clock(f.now))
+	g.keeper = poolsize.New(size, idleFor, clock(f.now))
 	var err error
 	if g.router, err = rules.New(f.now, g.cfg, g.arrivals.Uint64(), g); err != nil {
 		panic(err) // the configuration is this package's own
--- a/internal/keep/keep.go
+++ b/internal/poolsize/poolsize.go
@@ -1,4 +1,4 @@
-// Package keep decides how many idle connections to a database host one gateway of a fleet keeps, and for how long.
+// Package poolsize decides how many idle connections to a database host one gateway of a fleet keeps, and for how long.
 // It is free of I/O and clocks.
 //
 // A kept connection saves a handshake if it is used again in time, and takes room at the host meanwhile. With few
@@ -12,7 +12,7 @@
 // What a host has room for nobody says. It shows where a host ends new connections without serving anything there;
 // the part is then halved at once. Without such signs it grows slowly, past what is counted on at the start, as a
 // kept connection that finds room is one handshake less.
-package keep
+package poolsize
 
 import (
 	"math"
--- a/internal/keep/keep_test.go
+++ b/internal/poolsize/poolsize_test.go
@@ -1,4 +1,4 @@
-package keep
+package poolsize
 
 import (
 	"math"
--- a/internal/servers/host.go
+++ b/internal/servers/host.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cranegate/internal/core"
-	"cranegate/internal/keep"
+	"cranegate/internal/poolsize"
 	"cranegate/rules"
 )
 
@@ -43,10 +43,10 @@
 
 	idle    []*link // the one used last is at the end
 	waiting []waiter
-	links   int       // connections open or being opened
-	opening int       // of those: not yet up
-	asked   keep.Host // how often attempts come
-	trimAt  time.Time // when idle connections are looked at next; zero: not planned
+	links   int           // connections open or being opened
+	opening int           // of those: not yet up
+	asked   poolsize.Host // how often attempts come
+	trimAt  time.Time     // when idle connections are looked at next; zero: not planned
 
 	loggedAt time.Time // when a failed connect was logged last
 }
--- a/internal/servers/keep.go
+++ b/internal/servers/keep.go
@@ -4,13 +4,13 @@
 	"sync"
 	"time"
 
-	"cranegate/internal/keep"
+	"cranegate/internal/poolsize"
 )
 
 // sharedKeeper is the rule on idle connections, as the hosts' actors and the connections share it.
 type sharedKeeper struct {
 	mu     sync.Mutex
-	keeper *keep.Keeper
+	keeper *poolsize.Keeper
 	hosts  int
 }
 
@@ -22,7 +22,7 @@
 }
 
 // asked notes an attempt that wants a connection to a host.
-func (s *sharedKeeper) asked(h *keep.Host) {
+func (s *sharedKeeper) asked(h *poolsize.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keeper.Asked(time.Now(), h, s.hosts)
@@ -51,7 +51,7 @@
 
 // left is how long a connection that has come free may still stand idle; later is how many of its host's idle ones
 // were used after it.
-func (s *sharedKeeper) left(h *keep.Host, freedAt, now time.Time, later int) time.Duration {
+func (s *sharedKeeper) left(h *poolsize.Host, freedAt, now time.Time, later int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.keeper.For(now, h, later) - now.Sub(freedAt)
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"cranegate/internal/core"
-	"cranegate/internal/keep"
 	"cranegate/internal/netbuf"
+	"cranegate/internal/poolsize"
 	"cranegate/internal/stats"
 	"cranegate/rules"
 )
@@ -97,7 +97,7 @@
 	opt.IdleFor = min(max(opt.IdleFor, leastIdle), mostIdle)
 	g, ctx := errgroup.WithContext(ctx)
 	return &Pool{opt: opt, hosts: map[string]*host{}, slots: make(chan struct{}, opt.MostOpen), group: g, ctx: ctx,
-		keep: sharedKeeper{keeper: keep.New(opt.Gateways, opt.IdleFor, time.Now())}}
+		keep: sharedKeeper{keeper: poolsize.New(opt.Gateways, opt.IdleFor, time.Now())}}
 }
 
 // Wait returns once the actors have ended, after the context.
