--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -27,12 +27,12 @@
 	"cranegate/internal/invariant"
 	"cranegate/internal/list"
 	"cranegate/internal/logging"
+	"cranegate/internal/metrics"
 	"cranegate/internal/netbuf"
 	"cranegate/internal/peers"
 	"cranegate/internal/servers"
 	myservers "cranegate/internal/servers/mysql"
 	pgservers "cranegate/internal/servers/postgres"
-	"cranegate/internal/stats"
 	"cranegate/rules"
 )
 
@@ -46,7 +46,7 @@
 
 // gateway is the running program.
 type gateway struct {
-	counters *stats.Counters
+	counters *metrics.Counters
 	monitor  *invariant.Monitor
 	status   *balancers.Status
 	room     *clients.Room  // descriptors for clients
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	g := &gateway{counters: &stats.Counters{}, status: &balancers.Status{}, room: clients.NewRoom(d.clients),
+	g := &gateway{counters: &metrics.Counters{}, status: &balancers.Status{}, room: clients.NewRoom(d.clients),
 		budget: netbuf.NewBudget(int64(limits.MemoryMB) << 20 / 4), servers: d.servers, staff: d.staff, stop: stop, work: work, fronts: &errgroup.Group{},
 		lists: map[string]followed{}, limits: limits, handed: handed{places: d.clients}}
 	logs.Count(g.counters)
--- a/internal/clients/accept_test.go
+++ b/internal/clients/accept_test.go
@@ -14,10 +14,10 @@
 	"cranegate/internal/clients/postgres"
 	"cranegate/internal/core"
 	"cranegate/internal/invariant"
+	"cranegate/internal/metrics"
 	"cranegate/internal/netbuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/standin"
-	"cranegate/internal/stats"
 )
 
 // busy is a listener whose accepts, once held, are held up until it is being closed, as those of a process are that has
@@ -71,7 +71,7 @@
 	}
 	l := &busy{TCPListener: tcp.(*net.TCPListener), held: make(chan struct{}), ends: make(chan struct{}), looks: make(chan struct{}, 1)}
 	s := &clients.Server{Name: "backlog", Front: postgres.Front{}, Core: rig.core, Room: clients.NewRoom(50),
-		Budget: netbuf.NewBudget(rigBudget), Counters: &stats.Counters{}}
+		Budget: netbuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(stopped, l) }()
@@ -244,7 +244,7 @@
 		t.Fatal(err)
 	}
 	s := &clients.Server{Name: "again", Front: postgres.Front{}, Core: rig.core, Room: clients.NewRoom(50),
-		Budget: netbuf.NewBudget(rigBudget), Counters: &stats.Counters{}}
+		Budget: netbuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(stopped, l) }()
@@ -290,7 +290,7 @@
 		t.Fatal(err)
 	}
 	s := &clients.Server{Name: "to", Front: postgres.Front{}, Core: rig.core, Room: clients.NewRoom(50),
-		Budget: netbuf.NewBudget(rigBudget), Counters: &stats.Counters{}}
+		Budget: netbuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(stopped, l) }()
@@ -340,7 +340,7 @@
 
 // TestStartGuard runs a server before its core has a list: that is counted as a violation of the rule on starts.
 func TestStartGuard(t *testing.T) {
-	counters := &stats.Counters{}
+	counters := &metrics.Counters{}
 	c, err := core.New(core.Options{Rules: testRules, Seed: 1, Counters: counters}, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -16,8 +16,8 @@
 	"cranegate/internal/clients/away"
 	"cranegate/internal/core"
 	"cranegate/internal/invariant"
+	"cranegate/internal/metrics"
 	"cranegate/internal/netbuf"
-	"cranegate/internal/stats"
 )
 
 const (
@@ -65,7 +65,7 @@
 	Core     *core.Core
 	Room     *Room          // a descriptor for each client; all fronts may share it
 	Budget   *netbuf.Budget // bytes for all that clients send; all fronts may share it
-	Counters *stats.Counters
+	Counters *metrics.Counters
 	Monitor  *invariant.Monitor // takes violations of the rules; nil: they are not counted
 	// Pass hands a connection with nothing under way to another process, once the room's plan says so: started says
 	// that the client has said who it is, asked that it has had an answer. From a true on it is the other's. Nil: none is
--- a/internal/clients/rig_test.go
+++ b/internal/clients/rig_test.go
@@ -17,13 +17,13 @@
 	"cranegate/internal/clients/postgres"
 	"cranegate/internal/core"
 	"cranegate/internal/invariant"
+	"cranegate/internal/metrics"
 	"cranegate/internal/mysqlwire"
 	"cranegate/internal/netbuf"
 	"cranegate/internal/servers"
 	myservers "cranegate/internal/servers/mysql"
 	pgservers "cranegate/internal/servers/postgres"
 	"cranegate/internal/standin"
-	"cranegate/internal/stats"
 	"cranegate/rules"
 )
 
@@ -71,7 +71,7 @@
 	opening  func()        // called as a connection to a host is asked for; nil does nothing
 	core     *core.Core
 	pool     *servers.Pool
-	counters *stats.Counters
+	counters *metrics.Counters
 	pipes    *pipes
 	room     *clients.Room
 	budget   *netbuf.Budget
@@ -86,7 +86,7 @@
 
 // newRigFor has places for a number of clients, and holds itself for one of so many gateways.
 func newRigFor(places, gateways int, mysqlFront bool, hosts ...*standin.Host) *rig {
-	r := &rig{mysql: mysqlFront, hosts: hosts, down: make([]atomic.Bool, len(hosts)), counters: &stats.Counters{},
+	r := &rig{mysql: mysqlFront, hosts: hosts, down: make([]atomic.Bool, len(hosts)), counters: &metrics.Counters{},
 		budget: netbuf.NewBudget(rigBudget), room: clients.NewRoom(places),
 		pipes: &pipes{conns: make(chan net.Conn), done: make(chan struct{})}, ended: make(chan error, 1)}
 	work, kill := context.WithCancel(context.Background())
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -2,8 +2,8 @@
 
 import (
 	"cranegate/internal/core"
+	"cranegate/internal/metrics"
 	"cranegate/internal/netbuf"
-	"cranegate/internal/stats"
 	"errors"
 	"io"
 	"net"
@@ -45,7 +45,7 @@
 func (x *Session) Budget() *netbuf.Budget { return x.server.Budget }
 
 // Counters are the program's counters.
-func (x *Session) Counters() *stats.Counters { return x.server.Counters }
+func (x *Session) Counters() *metrics.Counters { return x.server.Counters }
 
 // Resumes says that the client has started up in another process, and had its welcome there.
 func (x *Session) Resumes() bool { return x.resumes }
--- a/internal/clients/takeover_test.go
+++ b/internal/clients/takeover_test.go
@@ -15,10 +15,10 @@
 
 	"cranegate/internal/clients"
 	"cranegate/internal/clients/postgres"
+	"cranegate/internal/metrics"
 	"cranegate/internal/netbuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/standin"
-	"cranegate/internal/stats"
 )
 
 // TestTakenOverClientsFitTheRoom has another process pass on three times as many idle clients as there are places, with one
@@ -92,7 +92,7 @@
 	rig := newRig(false, &standin.Host{Primary: true})
 	defer rig.close()
 	s := &clients.Server{Name: "ends", Front: postgres.Front{}, Core: rig.core, Room: clients.NewRoom(50),
-		Budget: netbuf.NewBudget(rigBudget), Counters: &stats.Counters{}, Shared: true}
+		Budget: netbuf.NewBudget(rigBudget), Counters: &metrics.Counters{}, Shared: true}
 	l := hungListener{closing: make(chan struct{}, 10), free: make(chan struct{})}
 	stopped, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -14,8 +14,8 @@
 
 	"cranegate/internal/invariant"
 	"cranegate/internal/logging"
+	"cranegate/internal/metrics"
 	"cranegate/internal/override"
-	"cranegate/internal/stats"
 	"cranegate/rules"
 )
 
@@ -47,7 +47,7 @@
 	Seed         uint64
 	AnswerSlack  time.Duration // a final answer may come this much after the client's deadline
 	ProbeTimeout time.Duration
-	Counters     *stats.Counters
+	Counters     *metrics.Counters
 	Monitor      *invariant.Monitor // takes violations of the rules; nil: they are not counted
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 	"cranegate/rules"
 )
 
@@ -46,7 +46,7 @@
 					LateWorth: 0.5, Effect: rules.Once}}}
 		s := &fakeServers{take: take}
 		c, err := New(Options{Rules: cfg, Seed: 1, AnswerSlack: 20 * time.Millisecond, ProbeTimeout: 250 * time.Millisecond,
-			Counters: &stats.Counters{}}, s)
+			Counters: &metrics.Counters{}}, s)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 	"cranegate/rules"
 )
 
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var stopped []*Attempt // right before Begin
 		s := &fakeServers{take: func(a *Attempt) bool { stopped = append(stopped, a); return true }}
-		counters := &stats.Counters{}
+		counters := &metrics.Counters{}
 		c, err := New(Options{Rules: rules.Config{Gateways: 1, MaxAttempts: 6, MayCancel: true, MayDuplicate: true,
 			Classes: []rules.Class{{Name: "any", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1}}},
 			Counters: counters, ProbeTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond}, s)
@@ -128,7 +128,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				started := make(chan *Attempt, 100)
 				s := &fakeServers{take: func(a *Attempt) bool { started <- a; return true }}
-				counters := &stats.Counters{}
+				counters := &metrics.Counters{}
 				c, err := New(Options{Rules: rules.Config{Gateways: 1, MaxAttempts: 6, MayCancel: true, MayDuplicate: true,
 					Classes: []rules.Class{{Name: "any", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1},
 						{Name: "put", Need: rules.NeedWrite, Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1, LateWorth: 0.5}}},
@@ -193,7 +193,7 @@
 		s := &fakeServers{take: func(a *Attempt) bool { started <- a; return true }}
 		c, err := New(Options{Rules: rules.Config{Gateways: 1, MaxAttempts: 6, MayCancel: true, MayDuplicate: true,
 			Classes: []rules.Class{{Name: "any", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1}}},
-			Counters: &stats.Counters{}, ProbeTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond}, s)
+			Counters: &metrics.Counters{}, ProbeTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond}, s)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/window_test.go
+++ b/internal/core/window_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 	"cranegate/rules"
 )
 
@@ -70,7 +70,7 @@
 			}}
 			cfg := rules.Config{Gateways: 1, MaxAttempts: 2, Positions: true, MayProbe: true, MayCancel: true, Classes: []rules.Class{
 				{Name: "put", Need: rules.NeedWrite, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: rules.Keyed, KeyTTL: window}}}
-			counters := &stats.Counters{}
+			counters := &metrics.Counters{}
 			k, err := New(Options{Rules: cfg, Seed: 1, AnswerSlack: 20 * time.Millisecond, ProbeTimeout: 250 * time.Millisecond,
 				Counters: counters}, s)
 			if err != nil {
--- a/internal/handover/caps_test.go
+++ b/internal/handover/caps_test.go
@@ -18,7 +18,7 @@
 	"cranegate/internal/handover/state"
 	"cranegate/internal/handover/talk"
 	"cranegate/internal/logging"
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 )
 
 // crowd is many processes in one folder, as far as another one sees them: each takes connections, says who it is, and holds
@@ -124,7 +124,7 @@
 func TestAThousandProcesses(t *testing.T) {
 	dir, told := t.TempDir(), heard(t)
 	var lent, most atomic.Int64
-	counters := &stats.Counters{}
+	counters := &metrics.Counters{}
 	h := open(t, Options{Dir: dir, Counters: counters, Lend: func(context.Context) (func(), error) {
 		if n := lent.Add(1); n > most.Load() {
 			most.Store(n)
@@ -170,7 +170,7 @@
 	dir, told := t.TempDir(), heard(t)
 	full := errors.New("raise limits.sockets")
 	var free atomic.Bool
-	h := open(t, Options{Dir: dir, Counters: &stats.Counters{}, Lend: func(context.Context) (func(), error) {
+	h := open(t, Options{Dir: dir, Counters: &metrics.Counters{}, Lend: func(context.Context) (func(), error) {
 		if !free.Load() {
 			return nil, full
 		}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,8 +15,8 @@
 	"cranegate/internal/handover/record"
 	"cranegate/internal/handover/state"
 	"cranegate/internal/handover/talk"
+	"cranegate/internal/metrics"
 	"cranegate/internal/standin"
-	"cranegate/internal/stats"
 )
 
 // open gives a Handover that runs until the test ends.
@@ -50,7 +50,7 @@
 			} else if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			h := open(t, Options{Dir: dir, Counters: &stats.Counters{}})
+			h := open(t, Options{Dir: dir, Counters: &metrics.Counters{}})
 			var bad *record.BadFile
 			if doubts := h.Doubts(); len(doubts) != 1 || !errors.As(doubts[0], &bad) {
 				t.Fatal(doubts)
@@ -167,7 +167,7 @@
 func TestBlob(t *testing.T) {
 	for _, c := range []struct{ size, want int }{{talk.MostBlob, talk.MostBlob}, {talk.MostBlob + 1, 0}} {
 		dir := t.TempDir()
-		open(t, Options{Dir: dir, Export: func() []byte { return make([]byte, c.size) }, Counters: &stats.Counters{}})
+		open(t, Options{Dir: dir, Export: func() []byte { return make([]byte, c.size) }, Counters: &metrics.Counters{}})
 		if h := open(t, Options{Dir: dir}); len(h.Inherited()) != c.want || len(h.Doubts()) != 0 {
 			t.Fatal(len(h.Inherited()), h.Doubts())
 		}
@@ -246,7 +246,7 @@
 		}
 	}
 	defer func() { atStep = nil }()
-	h, openErr := Open(context.Background(), Options{Dir: dir, Counters: &stats.Counters{}, Apply: func(context.Context, state.State) error { return nil }})
+	h, openErr := Open(context.Background(), Options{Dir: dir, Counters: &metrics.Counters{}, Apply: func(context.Context, state.State) error { return nil }})
 	undo()
 	if openErr != nil {
 		t.Fatal(openErr)
--- a/internal/handover/options.go
+++ b/internal/handover/options.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"cranegate/internal/handover/state"
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 )
 
 const (
@@ -53,5 +53,5 @@
 	Restored func()
 	// Alone says that no older process is left. Called at most once, if there was one at Open. May be nil.
 	Alone    func()
-	Counters *stats.Counters
+	Counters *metrics.Counters
 }
--- a/internal/handover/rig_test.go
+++ b/internal/handover/rig_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/goleak"
 
 	"cranegate/internal/handover/state"
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 )
 
 const childDir = "HANDOVER_TEST_DIR"
@@ -58,7 +58,7 @@
 		atStep = stopAt(where, syscall.SIGSTOP)
 	}
 	began := time.Now()
-	h, err := Open(context.Background(), Options{Dir: dir, Counters: &stats.Counters{},
+	h, err := Open(context.Background(), Options{Dir: dir, Counters: &metrics.Counters{},
 		Apply: func(_ context.Context, s state.State) error {
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -11,7 +11,7 @@
 	"log/slog"
 	"time"
 
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 )
 
 // Rule names a guard.
@@ -65,7 +65,7 @@
 
 // Monitor counts and logs violations. A nil one does nothing; all calls are safe from any goroutine.
 type Monitor struct {
-	Counters *stats.Counters
+	Counters *metrics.Counters
 }
 
 // Report takes a violation; one without a reason is none.
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 	"cranegate/rules"
 )
 
@@ -84,7 +84,7 @@
 
 // TestViolationsAreCounted counts by rule, and leaves alone what is no violation.
 func TestViolationsAreCounted(t *testing.T) {
-	m := &Monitor{Counters: &stats.Counters{}}
+	m := &Monitor{Counters: &metrics.Counters{}}
 	m.Report(Violation{Rule: Send, Reason: None})
 	m.Report(Violation{Rule: Send, Reason: ClientGone, Request: "a"})
 	m.Report(Violation{Rule: Close, Reason: Unanswered, Request: "b"})
--- a/internal/list/caps_test.go
+++ b/internal/list/caps_test.go
@@ -10,7 +10,7 @@
 
 	"cranegate/internal/backoff"
 	"cranegate/internal/core"
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 	"cranegate/rules"
 )
 
@@ -42,7 +42,7 @@
 				"in chunks": chunked(body, 4000)} {
 				synctest.Test(t, func(t *testing.T) {
 					var told core.List
-					w := NewWatcher("agent:1", Snapshot{Rev: -1}, func(l core.List) { told = l }, backoff.New(1, 1), &stats.Counters{})
+					w := NewWatcher("agent:1", Snapshot{Rev: -1}, func(l core.List) { told = l }, backoff.New(1, 1), &metrics.Counters{})
 					w.dial = host(func(query string) string {
 						if strings.Contains(query, "after") {
 							return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
--- a/internal/list/end_test.go
+++ b/internal/list/end_test.go
@@ -13,7 +13,7 @@
 
 	"cranegate/internal/backoff"
 	"cranegate/internal/core"
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 )
 
 const mostWait = 20 * time.Second // for what must come; a busy machine may take its time
@@ -105,7 +105,7 @@
 				for _, h := range l.Hosts {
 					told <- h.Entry.Member
 				}
-			}, backoff.New(1, 1), &stats.Counters{})
+			}, backoff.New(1, 1), &metrics.Counters{})
 			w.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				raw, err := (&net.Dialer{}).DialContext(ctx, network, address)
 				if err != nil {
@@ -191,7 +191,7 @@
 						close(told)
 					}
 				}
-			}, backoff.New(300, 1), &stats.Counters{})
+			}, backoff.New(300, 1), &metrics.Counters{})
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan error, 1)
 			go func() { ended <- w.Run(ctx) }()
--- a/internal/list/list.go
+++ b/internal/list/list.go
@@ -17,8 +17,8 @@
 
 	"cranegate/internal/backoff"
 	"cranegate/internal/core"
+	"cranegate/internal/metrics"
 	"cranegate/internal/netbuf"
-	"cranegate/internal/stats"
 	"cranegate/rules"
 )
 
@@ -81,7 +81,7 @@
 	address  string
 	rev      int64
 	tell     func(core.List)
-	counters *stats.Counters
+	counters *metrics.Counters
 	pace     *backoff.Caller
 	moves    chan string // its mailbox; a newer address takes an older one's place
 	dial     func(ctx context.Context, network, address string) (net.Conn, error)
@@ -126,7 +126,7 @@
 
 // NewWatcher makes the actor, which knows a list already, maybe none (of version -1); Run starts it. With no address there is nothing
 // to follow until Move names one.
-func NewWatcher(address string, known Snapshot, tell func(core.List), p *backoff.Caller, counters *stats.Counters) *Watcher {
+func NewWatcher(address string, known Snapshot, tell func(core.List), p *backoff.Caller, counters *metrics.Counters) *Watcher {
 	w := &Watcher{address: address, rev: known.Rev, tell: tell, pace: p, counters: counters, moves: make(chan string, 1),
 		dial: (&net.Dialer{}).DialContext, first: make(chan struct{})}
 	w.keep(known)
--- a/internal/list/list_test.go
+++ b/internal/list/list_test.go
@@ -17,8 +17,8 @@
 
 	"cranegate/internal/backoff"
 	"cranegate/internal/core"
+	"cranegate/internal/metrics"
 	"cranegate/internal/netbuf"
-	"cranegate/internal/stats"
 	"cranegate/rules"
 )
 
@@ -118,7 +118,7 @@
 			"chunked": chunked(body, 4000)} {
 			synctest.Test(t, func(t *testing.T) {
 				told := 0
-				w := NewWatcher("agent:1", Snapshot{Rev: -1}, func(l core.List) { told = len(l.Hosts) }, backoff.New(1, 1), &stats.Counters{})
+				w := NewWatcher("agent:1", Snapshot{Rev: -1}, func(l core.List) { told = len(l.Hosts) }, backoff.New(1, 1), &metrics.Counters{})
 				w.dial = host(func(query string) string {
 					if strings.Contains(query, "after") {
 						return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
--- a/internal/list/watch_test.go
+++ b/internal/list/watch_test.go
@@ -15,7 +15,7 @@
 
 	"cranegate/internal/backoff"
 	"cranegate/internal/core"
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 )
 
 // The page's clocks. A change is told this long after a watch fell silent, after the wait of a call, and after SIGHUP.
@@ -176,7 +176,7 @@
 					told[h.Entry.Member] = time.Since(start)
 				}
 			}
-		}, backoff.New(300, seed), &stats.Counters{})
+		}, backoff.New(300, seed), &metrics.Counters{})
 		w.dial = a.dial
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error)
@@ -356,7 +356,7 @@
 			t.Errorf("call %d: %s, want %s", i, q, want)
 		}
 	}
-	w := NewWatcher("", Snapshot{Rev: -1}, nil, backoff.New(1, 1), &stats.Counters{})
+	w := NewWatcher("", Snapshot{Rev: -1}, nil, backoff.New(1, 1), &metrics.Counters{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go w.Run(ctx)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 )
 
 // TestLines holds the form of a line, which operators and cranelab read, and the levels.
@@ -67,7 +67,7 @@
 		"larger lines": {strings.Repeat("x", 1023) + "\n", mostBytes >> 10},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, counters := newGate(), &stats.Counters{}
+			g, counters := newGate(), &metrics.Counters{}
 			s := NewSink(g)
 			s.Count(counters)
 			g.set(true)
--- a/internal/logging/sink.go
+++ b/internal/logging/sink.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 )
 
 // What may wait to be written. Past it lines are dropped and counted: whoever logs holds the program's actors and locks, and must
@@ -31,7 +31,7 @@
 	lines    [][]byte // that wait
 	bytes    int      // of these
 	dropped  int64    // since the last line that told of it
-	counters *stats.Counters
+	counters *metrics.Counters
 	writing  bool          // the goroutine has a line in hand
 	wake     chan struct{} // holds one: there is something to write
 	idle     chan struct{} // closed once all is written; nil while nobody waits for that
@@ -49,7 +49,7 @@
 func Survive() { signal.Ignore(syscall.SIGPIPE) }
 
 // Count has dropped lines counted from now on.
-func (s *Sink) Count(c *stats.Counters) {
+func (s *Sink) Count(c *metrics.Counters) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counters = c
--- a/internal/stats/stats.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package stats counts what the gateway takes in, sends and answers.
-package stats
+// Package metrics counts what the gateway takes in, sends and answers.
+package metrics
 
 import (
 	"context"
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -20,7 +20,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"cranegate/internal/members"
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 )
 
 const (
@@ -42,7 +42,7 @@
 	Members  members.Options // Fleet, Name, Zone, Addr (where the others reach this one), Join, Gateways, Seed
 	Listen   string          // the address for datagrams and streams
 	Keys     Keys            // none: nothing is sealed
-	Counters *stats.Counters
+	Counters *metrics.Counters
 	// Counted is told of the number of gateways to count on, and of the part of a common budget that this one may use
 	// (see members.Node), when either has changed. The actor calls it; it must not block.
 	Counted func(gateways int, part float64)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"cranegate/internal/members"
-	"cranegate/internal/stats"
+	"cranegate/internal/metrics"
 )
 
 const patience = 20 * time.Second
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	p, err := Listen(Options{Listen: l.Addr().String(), Keys: keys, Counters: &stats.Counters{},
+	p, err := Listen(Options{Listen: l.Addr().String(), Keys: keys, Counters: &metrics.Counters{},
 		Members: members.Options{Fleet: "f", Name: name, Addr: l.Addr().String(), Join: join, Seed: uint64(len(name)) + uint64(name[0])}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/servers/rig_test.go
+++ b/internal/servers/rig_test.go
@@ -12,6 +12,7 @@
 
 	"cranegate/internal/core"
 	"cranegate/internal/invariant"
+	"cranegate/internal/metrics"
 	"cranegate/internal/mysqlwire"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/servers"
@@ -19,7 +20,6 @@
 	"cranegate/internal/servers/postgres"
 	"cranegate/internal/standin"
 	"cranegate/internal/statement"
-	"cranegate/internal/stats"
 	"cranegate/rules"
 )
 
@@ -38,7 +38,7 @@
 	host     *standin.Host
 	listener net.Listener
 	core     *core.Core
-	counters *stats.Counters
+	counters *metrics.Counters
 	serve    func(net.Conn) // in place of the host
 
 	mu    sync.Mutex
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	host.Primary = true
-	r := &rig{t: t, form: form, host: host, listener: l, counters: &stats.Counters{},
+	r := &rig{t: t, form: form, host: host, listener: l, counters: &metrics.Counters{},
 		prepared: map[string]*mysqlwire.Statement{}}
 	opt := servers.Options{Start: postgres.Start, ConnectTimeout: soon, IdleFor: soon, MostOpen: 50, Gateways: 1, Counters: r.counters}
 	if form != "postgres" {
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"cranegate/internal/core"
+	"cranegate/internal/metrics"
 	"cranegate/internal/netbuf"
 	"cranegate/internal/poolsize"
-	"cranegate/internal/stats"
 	"cranegate/rules"
 )
 
@@ -63,7 +63,7 @@
 	IdleFor        time.Duration // an idle connection is closed after this, well before the host would
 	MostOpen       int           // connections to all hosts together
 	Gateways       int           // in the fleet, this one included; what each may keep follows from it
-	Counters       *stats.Counters
+	Counters       *metrics.Counters
 }
 
 // The bounds on how long a connection may stand idle, whatever the settings say: one that has come up is handed to its
