--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -16,8 +16,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"cranegate/internal/admin"
+	"cranegate/internal/agentcheck"
 	"cranegate/internal/backoff"
-	"cranegate/internal/balancers"
 	"cranegate/internal/clients"
 	"cranegate/internal/clients/mysql"
 	"cranegate/internal/clients/postgres"
@@ -48,7 +48,7 @@
 type gateway struct {
 	counters *metrics.Counters
 	monitor  *invariant.Monitor
-	status   *balancers.Status
+	status   *agentcheck.Status
 	room     *clients.Room  // descriptors for clients
 	budget   *netbuf.Budget // bytes for what clients send
 	servers  int            // descriptors for the database hosts of each protocol
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	g := &gateway{counters: &metrics.Counters{}, status: &balancers.Status{}, room: clients.NewRoom(d.clients),
+	g := &gateway{counters: &metrics.Counters{}, status: &agentcheck.Status{}, room: clients.NewRoom(d.clients),
 		budget: netbuf.NewBudget(int64(limits.MemoryMB) << 20 / 4), servers: d.servers, staff: d.staff, stop: stop, work: work, fronts: &errgroup.Group{},
 		lists: map[string]followed{}, limits: limits, handed: handed{places: d.clients}}
 	logs.Count(g.counters)
@@ -182,12 +182,12 @@
 	}
 	g.actors.Go(func() error { g.reloads(changed, reread); return nil })
 	if stop.Err() == nil { // else a front may not have begun, and what another process left to this one would end with it
-		g.status.Set(balancers.Ready)
+		g.status.Set(agentcheck.Ready)
 		g.passOn()
 		slog.Info("serving", "fronts", len(fleets), "memory_mb", limits.MemoryMB, "sockets", d.limit, "clients", d.clients, "servers", d.servers)
 	}
 	<-stop.Done()
-	g.status.Set(balancers.Draining)
+	g.status.Set(agentcheck.Draining)
 	slog.Info("stopping")
 	if g.peers != nil {
 		g.peers.Drain()
--- a/cmd/cranegate/second.go
+++ b/cmd/cranegate/second.go
@@ -11,7 +11,7 @@
 	"strings"
 
 	"cranegate/internal/admin"
-	"cranegate/internal/balancers"
+	"cranegate/internal/agentcheck"
 	"cranegate/internal/config"
 	"cranegate/internal/core"
 	"cranegate/internal/handover/inherit"
@@ -75,7 +75,7 @@
 		serve        func(net.Listener) error
 	}{
 		{"agent_check", o.AgentCheck.Listen, func(l net.Listener) error {
-			return balancers.ServeAgent(g.work, l, g.status)
+			return agentcheck.ServeAgent(g.work, l, g.status)
 		}},
 		{"health", o.Health.Listen, func(l net.Listener) error {
 			health := func(context.Context) (string, error) { return g.status.Health() }
@@ -101,9 +101,9 @@
 // Ready says whether the gateway can serve.
 func (c *control) Ready() error {
 	switch c.status.State() {
-	case balancers.Ready:
+	case agentcheck.Ready:
 		return nil
-	case balancers.Draining:
+	case agentcheck.Draining:
 		return errors.New("stopping: ask the process that takes its place")
 	}
 	return errors.New("starting: ask again")
--- a/internal/balancers/balancers.go
+++ b/internal/agentcheck/agentcheck.go
@@ -1,5 +1,5 @@
-// Package balancers tells load balancers how this gateway is: its state, and HAProxy's agent-check over TCP.
-package balancers
+// Package agentcheck tells load balancers how this gateway is: its state, and HAProxy's agent-check over TCP.
+package agentcheck
 
 import (
 	"context"
--- a/internal/balancers/balancers_test.go
+++ b/internal/agentcheck/agentcheck_test.go
@@ -1,4 +1,4 @@
-package balancers
+package agentcheck
 
 import (
 	"context"
