--- a/cmd/cranegate/unchecked_test.go
+++ b/cmd/cranegate/unchecked_test.go
@@ -10,8 +10,8 @@
 
 	"cranegate/internal/list"
 	"cranegate/internal/pgwire"
+	"cranegate/internal/sqlcomment"
 	"cranegate/internal/standin"
-	"cranegate/internal/statement"
 )
 
 // What the settings of unchecked say, and how much later than it was sent a busy machine may hand a statement to its host.
@@ -38,7 +38,7 @@
 // unchecked starts the program as a deployment would whose list shows no roles, whose hosts check no read and tell positions in
 // reports alone, and whose writes carry a key that is good for a second. The last of its three hosts is the primary. What each
 // statement meets at its host is judged by the test.
-func unchecked(t *testing.T, meets func(h *copyHost, s *statement.Statement) standin.Act) (*world, []*copyHost) {
+func unchecked(t *testing.T, meets func(h *copyHost, s *sqlcomment.Statement) standin.Act) (*world, []*copyHost) {
 	w := start(t, nil)
 	var hosts []*copyHost
 	w.targets = nil
@@ -48,7 +48,7 @@
 		h.Reports = true
 		h.Tell = func(bool) (bool, int64) { return h.primary.Load(), h.position() }
 		h.Act = func(_, text string, _ bool) standin.Act {
-			s, err := statement.Parse([]byte(text))
+			s, err := sqlcomment.Parse([]byte(text))
 			if err != nil {
 				return standin.Reject
 			}
@@ -93,7 +93,7 @@
 	var hosts []*copyHost
 	var known sync.WaitGroup // hosts are known
 	known.Add(1)
-	w, made := unchecked(t, func(h *copyHost, s *statement.Statement) standin.Act {
+	w, made := unchecked(t, func(h *copyHost, s *sqlcomment.Statement) standin.Act {
 		known.Wait()
 		at := time.Now()
 		for i, x := range hosts {
@@ -175,7 +175,7 @@
 func TestUncheckedWrites(t *testing.T) {
 	var mu sync.Mutex
 	calls, replicas := map[string]int{}, 0
-	w, hosts := unchecked(t, func(h *copyHost, s *statement.Statement) standin.Act {
+	w, hosts := unchecked(t, func(h *copyHost, s *sqlcomment.Statement) standin.Act {
 		mu.Lock()
 		if !h.primary.Load() {
 			replicas++
--- a/internal/clients/mysql/mysql.go
+++ b/internal/clients/mysql/mysql.go
@@ -19,7 +19,7 @@
 	"cranegate/internal/core"
 	"cranegate/internal/mysqlwire"
 	"cranegate/internal/netbuf"
-	"cranegate/internal/statement"
+	"cranegate/internal/sqlcomment"
 )
 
 // PrepareClass is the class of the prepares themselves: any member may answer one, as often as need be.
@@ -264,7 +264,7 @@
 		c.Good()
 		return nil
 	}
-	meta, err := statement.Parse(text)
+	meta, err := sqlcomment.Parse(text)
 	if err != nil {
 		c.err(errSyntax, err.Error())
 		return nil
@@ -279,7 +279,7 @@
 		c.err(errPrepared, "")
 		return nil
 	}
-	meta, err := statement.Parse(text)
+	meta, err := sqlcomment.Parse(text)
 	if err == nil && !c.known(meta.Class) {
 		err = errors.New("unknown class")
 	}
@@ -359,7 +359,7 @@
 func (c *client) known(class string) bool { return class != PrepareClass && c.Core().HasClass(class) }
 
 // ask puts a request of about so many bytes to the core and writes its answer.
-func (c *client) ask(meta *statement.Statement, command *mysqlwire.Command, size int) error {
+func (c *client) ask(meta *sqlcomment.Statement, command *mysqlwire.Command, size int) error {
 	for _, p := range command.Attributes {
 		if p.Name == "k" {
 			meta.Key = p.Text()
--- a/internal/clients/pipelined_test.go
+++ b/internal/clients/pipelined_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 
 	"cranegate/internal/pgwire"
+	"cranegate/internal/sqlcomment"
 	"cranegate/internal/standin"
-	"cranegate/internal/statement"
 )
 
 // answerLate is how much later than a request's time its answer may be written: the core's slack in these tests.
@@ -37,7 +37,7 @@
 			told := map[string]time.Duration{}
 			host := &standin.Host{Primary: true}
 			host.Act = func(id, text string, _ bool) standin.Act {
-				s, _ := statement.Parse([]byte(text))
+				s, _ := sqlcomment.Parse([]byte(text))
 				mu.Lock()
 				told[id] = s.Wait
 				mu.Unlock()
@@ -123,7 +123,7 @@
 		h.Act = func(id, text string, _ bool) standin.Act {
 			var i int
 			fmt.Sscanf(id, "q%d", &i)
-			s, e := statement.Parse([]byte(text))
+			s, e := sqlcomment.Parse([]byte(text))
 			mu.Lock()
 			left := time.Until(written[i].Add(plan[i].Wait))
 			if e != nil || left < 0 || s.Wait > left+time.Millisecond {
--- a/internal/clients/postgres/postgres.go
+++ b/internal/clients/postgres/postgres.go
@@ -14,7 +14,7 @@
 	"cranegate/internal/core"
 	"cranegate/internal/netbuf"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/statement"
+	"cranegate/internal/sqlcomment"
 )
 
 // The SQLSTATE codes of our own answers.
@@ -156,7 +156,7 @@
 		c.out = pgwire.AppendReady(c.out)
 		return nil
 	}
-	s, err := statement.Parse(text)
+	s, err := sqlcomment.Parse(text)
 	if err == nil && !c.Core().HasClass(s.Class) {
 		err = errors.New("unknown class")
 	} else if err == nil && s.ID == "" { // database hosts close on it, whatever else they hold
--- a/internal/servers/postgres/postgres.go
+++ b/internal/servers/postgres/postgres.go
@@ -14,7 +14,7 @@
 	"cranegate/internal/netbuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/servers"
-	"cranegate/internal/statement"
+	"cranegate/internal/sqlcomment"
 	"cranegate/rules"
 )
 
@@ -73,7 +73,7 @@
 	if a.Request == nil {
 		c.out = pgwire.Append(c.out[:0], 'Q', probeText, "\x00")
 	} else {
-		s := a.Request.Payload.(*statement.Statement)
+		s := a.Request.Payload.(*sqlcomment.Statement)
 		text := s.Append(make([]byte, 0, s.Len()), time.Until(a.Until))
 		c.out = pgwire.Append(c.out[:0], 'Q', string(text), "\x00")
 	}
--- a/internal/servers/rig_test.go
+++ b/internal/servers/rig_test.go
@@ -18,8 +18,8 @@
 	"cranegate/internal/servers"
 	"cranegate/internal/servers/mysql"
 	"cranegate/internal/servers/postgres"
+	"cranegate/internal/sqlcomment"
 	"cranegate/internal/standin"
-	"cranegate/internal/statement"
 	"cranegate/rules"
 )
 
@@ -150,7 +150,7 @@
 func (r *rig) send(class, id string, reply func(core.Answer)) *core.Request {
 	r.t.Helper()
 	text := "/* id=" + id + ",c=" + class + ",d=60000,cluster=4 */ SELECT v FROM records WHERE k = '" + id + "'"
-	s, err := statement.Parse([]byte(text))
+	s, err := sqlcomment.Parse([]byte(text))
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/internal/statement/statement.go
+++ b/internal/sqlcomment/sqlcomment.go
@@ -1,9 +1,9 @@
-// Package statement reads the comment that opens each statement of the platform:
+// Package sqlcomment reads the comment that opens each statement of the platform:
 //
 //	/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT v FROM records WHERE k = '7f3a'
 //
 // Both fronts use it. It knows no wire protocol.
-package statement
+package sqlcomment
 
 import (
 	"bytes"
--- a/internal/statement/statement_test.go
+++ b/internal/sqlcomment/sqlcomment_test.go
@@ -1,4 +1,4 @@
-package statement
+package sqlcomment
 
 import (
 	"flag"
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -12,7 +12,7 @@
 	"cranegate/internal/mysqlwire"
 	"cranegate/internal/netbuf"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/statement"
+	"cranegate/internal/sqlcomment"
 )
 
 // Act is what a host makes of a statement.
@@ -197,7 +197,7 @@
 			out = pgwire.AppendReady(pgRow(out, "pressure", h.report()))
 			continue
 		}
-		s, err := statement.Parse(text)
+		s, err := sqlcomment.Parse(text)
 		if err != nil {
 			out = pgwire.AppendReady(pgwire.AppendError(out, "ERROR", "08P01", err.Error(), ""))
 			continue
@@ -396,7 +396,7 @@
 
 // run answers a statement.
 func (c *myConn) run(text string, attributes []mysqlwire.Param, binary bool) bool {
-	s, err := statement.Parse([]byte(text))
+	s, err := sqlcomment.Parse([]byte(text))
 	if err != nil {
 		c.w.Err(mysqlwire.Error{Code: 1064, State: "42000", Text: err.Error()}, c.caps)
 		return true
