--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -23,12 +23,12 @@
 	"cranegate/internal/clients/postgres"
 	"cranegate/internal/config"
 	"cranegate/internal/core"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/handover/inherit"
 	"cranegate/internal/invariant"
 	"cranegate/internal/list"
 	"cranegate/internal/logging"
 	"cranegate/internal/metrics"
-	"cranegate/internal/netbuf"
 	"cranegate/internal/peers"
 	"cranegate/internal/servers"
 	myservers "cranegate/internal/servers/mysql"
@@ -49,10 +49,10 @@
 	counters *metrics.Counters
 	monitor  *invariant.Monitor
 	status   *agentcheck.Status
-	room     *clients.Room  // descriptors for clients
-	budget   *netbuf.Budget // bytes for what clients send
-	servers  int            // descriptors for the database hosts of each protocol
-	staff    int            // callers at the second address at once
+	room     *clients.Room    // descriptors for clients
+	budget   *framebuf.Budget // bytes for what clients send
+	servers  int              // descriptors for the database hosts of each protocol
+	staff    int              // callers at the second address at once
 	stop     context.Context
 	work     context.Context     // outlives stop: what was taken is still answered
 	actors   *errgroup.Group     // live as long as work
@@ -113,7 +113,7 @@
 		return err
 	}
 	g := &gateway{counters: &metrics.Counters{}, status: &agentcheck.Status{}, room: clients.NewRoom(d.clients),
-		budget: netbuf.NewBudget(int64(limits.MemoryMB) << 20 / 4), servers: d.servers, staff: d.staff, stop: stop, work: work, fronts: &errgroup.Group{},
+		budget: framebuf.NewBudget(int64(limits.MemoryMB) << 20 / 4), servers: d.servers, staff: d.staff, stop: stop, work: work, fronts: &errgroup.Group{},
 		lists: map[string]followed{}, limits: limits, handed: handed{places: d.clients}}
 	logs.Count(g.counters)
 	g.monitor = &invariant.Monitor{Counters: g.counters}
--- a/internal/clients/accept_test.go
+++ b/internal/clients/accept_test.go
@@ -13,9 +13,9 @@
 	"cranegate/internal/clients"
 	"cranegate/internal/clients/postgres"
 	"cranegate/internal/core"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/invariant"
 	"cranegate/internal/metrics"
-	"cranegate/internal/netbuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/standin"
 )
@@ -71,7 +71,7 @@
 	}
 	l := &busy{TCPListener: tcp.(*net.TCPListener), held: make(chan struct{}), ends: make(chan struct{}), looks: make(chan struct{}, 1)}
 	s := &clients.Server{Name: "backlog", Front: postgres.Front{}, Core: rig.core, Room: clients.NewRoom(50),
-		Budget: netbuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
+		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(stopped, l) }()
@@ -174,7 +174,7 @@
 				c := rig.connect()
 				defer c.Close()
 				go c.Write(greeting(fmt.Sprint("n", i)))
-				buf := netbuf.New(c, pgwire.MaxMessage)
+				buf := framebuf.New(c, pgwire.MaxMessage)
 				for {
 					kind, body, err := pgwire.ReadMessage(buf)
 					if kind == 'D' {
@@ -221,7 +221,7 @@
 			came, c := time.Now(), rig.connect()
 			defer c.Close()
 			go c.Write(greeting("b"))
-			buf := netbuf.New(c, pgwire.MaxMessage)
+			buf := framebuf.New(c, pgwire.MaxMessage)
 			kind := byte(0)
 			for err == nil && kind != 'D' && kind != 'E' {
 				kind, _, err = pgwire.ReadMessage(buf)
@@ -244,7 +244,7 @@
 		t.Fatal(err)
 	}
 	s := &clients.Server{Name: "again", Front: postgres.Front{}, Core: rig.core, Room: clients.NewRoom(50),
-		Budget: netbuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
+		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(stopped, l) }()
@@ -290,7 +290,7 @@
 		t.Fatal(err)
 	}
 	s := &clients.Server{Name: "to", Front: postgres.Front{}, Core: rig.core, Room: clients.NewRoom(50),
-		Budget: netbuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
+		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(stopped, l) }()
--- a/internal/clients/ask.go
+++ b/internal/clients/ask.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"cranegate/internal/core"
-	"cranegate/internal/netbuf"
+	"cranegate/internal/framebuf"
 )
 
 // lookEvery is how often a client is looked at that has sent so much more that its close can't be read. From its close on no
@@ -55,7 +55,7 @@
 			return a, nil
 		default:
 		}
-		if errors.Is(err, netbuf.ErrTooLarge) || errors.Is(err, netbuf.ErrNoRoom) {
+		if errors.Is(err, framebuf.ErrTooLarge) || errors.Is(err, framebuf.ErrNoRoom) {
 			if a, ok := x.unread(answers); ok {
 				return a, nil
 			} else if !x.Left() {
--- a/internal/clients/bad_test.go
+++ b/internal/clients/bad_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/netbuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/standin"
 )
@@ -111,7 +111,7 @@
 // playBad sends and reads at full speed for 3 s at most, or till it is told.
 func playBad(raw net.Conn, form string, login bool, text string, endless, toTheEnd bool) (heard, ended bool, err error) {
 	defer raw.Close()
-	c := netbuf.New(raw, pgwire.MaxMessage)
+	c := framebuf.New(raw, pgwire.MaxMessage)
 	if login && form == "postgres" {
 		_, err = standin.DialPostgres(raw, "")
 	} else if login {
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -15,9 +15,9 @@
 
 	"cranegate/internal/clients/away"
 	"cranegate/internal/core"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/invariant"
 	"cranegate/internal/metrics"
-	"cranegate/internal/netbuf"
 )
 
 const (
@@ -63,8 +63,8 @@
 	Name     string
 	Front    Front
 	Core     *core.Core
-	Room     *Room          // a descriptor for each client; all fronts may share it
-	Budget   *netbuf.Budget // bytes for all that clients send; all fronts may share it
+	Room     *Room            // a descriptor for each client; all fronts may share it
+	Budget   *framebuf.Budget // bytes for all that clients send; all fronts may share it
 	Counters *metrics.Counters
 	Monitor  *invariant.Monitor // takes violations of the rules; nil: they are not counted
 	// Pass hands a connection with nothing under way to another process, once the room's plan says so: started says
@@ -108,7 +108,7 @@
 
 // session makes a session of a new connection.
 func (s *Server) session(conn net.Conn) *Session {
-	x := &Session{Conn: netbuf.New(conn, s.Front.Limit()), server: s, born: time.Now(), slot: rand.IntN(away.Slots)}
+	x := &Session{Conn: framebuf.New(conn, s.Front.Limit()), server: s, born: time.Now(), slot: rand.IntN(away.Slots)}
 	x.starts = x.born.Add(startFor)
 	x.proves = x.starts
 	return x
--- a/internal/clients/ending.go
+++ b/internal/clients/ending.go
@@ -5,9 +5,9 @@
 	"log/slog"
 	"os"
 
+	"cranegate/internal/framebuf"
 	"cranegate/internal/invariant"
 	"cranegate/internal/logging"
-	"cranegate/internal/netbuf"
 )
 
 // ending says why a connection ends, in the counters and the log.
@@ -48,9 +48,9 @@
 		return endedLate
 	case errors.Is(err, ErrFaults):
 		return endedFaults
-	case errors.Is(err, netbuf.ErrTooLarge):
+	case errors.Is(err, framebuf.ErrTooLarge):
 		return endedTooLarge
-	case errors.Is(err, netbuf.ErrNoRoom):
+	case errors.Is(err, framebuf.ErrNoRoom):
 		return endedNoMemory
 	case errors.Is(err, errPanic):
 		return endedPanic
--- a/internal/clients/gone_test.go
+++ b/internal/clients/gone_test.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/netbuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/standin"
 )
@@ -313,7 +313,7 @@
 	within(t, "the first attempt", begun)
 	holds(t, "unread bytes", func() bool { return r.counters.Get("test_looks_past_unread") > 1 })
 	close(release)
-	c := standin.PostgresClient{Conn: netbuf.New(client, pgwire.MaxMessage)}
+	c := standin.PostgresClient{Conn: framebuf.New(client, pgwire.MaxMessage)}
 	client.SetReadDeadline(time.Now().Add(20 * time.Second))
 	for i := range more + 1 {
 		if a, err := c.Read(); err != nil || a.Value != fmt.Sprint("value of q", i) {
--- a/internal/clients/model_test.go
+++ b/internal/clients/model_test.go
@@ -12,8 +12,8 @@
 
 	"pgregory.net/rapid"
 
+	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/netbuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/standin"
 	"cranegate/rules"
@@ -225,7 +225,7 @@
 				}
 			}
 		}()
-		c := netbuf.New(raw, pgwire.MaxMessage)
+		c := framebuf.New(raw, pgwire.MaxMessage)
 		got := ""
 		if b, err := c.Need(1); err != nil || b[0] != 'N' {
 			return fmt.Errorf("SSLRequest: %q, %v", b, err)
--- a/internal/clients/mysql/mysql.go
+++ b/internal/clients/mysql/mysql.go
@@ -17,8 +17,8 @@
 
 	"cranegate/internal/clients"
 	"cranegate/internal/core"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/netbuf"
 	"cranegate/internal/sqlcomment"
 )
 
@@ -142,11 +142,11 @@
 // fatal tells the client why its connection ends, where that is its doing.
 func (c *client) fatal(err error) error {
 	switch {
-	case errors.Is(err, netbuf.ErrTooLarge):
+	case errors.Is(err, framebuf.ErrTooLarge):
 		c.w.Reset(c.w.Seq)
 		c.w.Err(errTooLarge, c.caps)
 		c.Send(c.w.B)
-	case errors.Is(err, netbuf.ErrNoRoom): // nothing of it was taken
+	case errors.Is(err, framebuf.ErrNoRoom): // nothing of it was taken
 		c.w.Reset(c.w.Seq)
 		c.w.Err(errMemory, c.caps)
 		c.Send(c.w.B)
--- a/internal/clients/postgres/postgres.go
+++ b/internal/clients/postgres/postgres.go
@@ -12,7 +12,7 @@
 
 	"cranegate/internal/clients"
 	"cranegate/internal/core"
-	"cranegate/internal/netbuf"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/sqlcomment"
 )
@@ -128,9 +128,9 @@
 // fatal tells the client why its connection ends, where that is its doing.
 func (c *client) fatal(err error) error {
 	switch {
-	case errors.Is(err, netbuf.ErrTooLarge):
+	case errors.Is(err, framebuf.ErrTooLarge):
 		c.Send(pgwire.AppendError(nil, "FATAL", codeTooLarge, "message too large", ""))
-	case errors.Is(err, netbuf.ErrNoRoom): // nothing of it was taken
+	case errors.Is(err, framebuf.ErrNoRoom): // nothing of it was taken
 		c.Send(pgwire.AppendError(nil, "FATAL", codeRefused, "no memory for a message", ""))
 	case errors.Is(err, clients.ErrFaults):
 		c.Send(pgwire.AppendError(nil, "FATAL", codeSyntax, "too many messages at fault", ""))
--- a/internal/clients/rig_test.go
+++ b/internal/clients/rig_test.go
@@ -16,10 +16,10 @@
 	"cranegate/internal/clients/mysql"
 	"cranegate/internal/clients/postgres"
 	"cranegate/internal/core"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/invariant"
 	"cranegate/internal/metrics"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/netbuf"
 	"cranegate/internal/servers"
 	myservers "cranegate/internal/servers/mysql"
 	pgservers "cranegate/internal/servers/postgres"
@@ -74,7 +74,7 @@
 	counters *metrics.Counters
 	pipes    *pipes
 	room     *clients.Room
-	budget   *netbuf.Budget
+	budget   *framebuf.Budget
 	stop     context.CancelFunc // as SIGTERM does
 	kill     context.CancelFunc
 	ended    chan error
@@ -87,7 +87,7 @@
 // newRigFor has places for a number of clients, and holds itself for one of so many gateways.
 func newRigFor(places, gateways int, mysqlFront bool, hosts ...*standin.Host) *rig {
 	r := &rig{mysql: mysqlFront, hosts: hosts, down: make([]atomic.Bool, len(hosts)), counters: &metrics.Counters{},
-		budget: netbuf.NewBudget(rigBudget), room: clients.NewRoom(places),
+		budget: framebuf.NewBudget(rigBudget), room: clients.NewRoom(places),
 		pipes: &pipes{conns: make(chan net.Conn), done: make(chan struct{})}, ended: make(chan error, 1)}
 	work, kill := context.WithCancel(context.Background())
 	stopped, stop := context.WithCancel(context.Background())
@@ -226,7 +226,7 @@
 }
 
 // conn is the client's connection.
-func (a *asker) conn() *netbuf.Conn {
+func (a *asker) conn() *framebuf.Conn {
 	if a.pg != nil {
 		return a.pg.Conn
 	}
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -2,8 +2,8 @@
 
 import (
 	"cranegate/internal/core"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/metrics"
-	"cranegate/internal/netbuf"
 	"errors"
 	"io"
 	"net"
@@ -15,7 +15,7 @@
 // Session is one client's connection. Its goroutine is the client's actor; Conn.Wake with an answer or a stop
 // is its mailbox.
 type Session struct {
-	*netbuf.Conn
+	*framebuf.Conn
 	server  *Server
 	born    time.Time // when it was taken
 	slot    int       // spreads what many sessions do at one time
@@ -42,7 +42,7 @@
 func (x *Session) Core() *core.Core { return x.server.Core }
 
 // Budget pays for what the session keeps beside its buffer.
-func (x *Session) Budget() *netbuf.Budget { return x.server.Budget }
+func (x *Session) Budget() *framebuf.Budget { return x.server.Budget }
 
 // Counters are the program's counters.
 func (x *Session) Counters() *metrics.Counters { return x.server.Counters }
@@ -161,7 +161,7 @@
 
 // gone names an error that only says that the client has left.
 func (x *Session) gone(err error) error {
-	if errors.Is(err, netbuf.ErrTooLarge) || errors.Is(err, netbuf.ErrNoRoom) || errors.Is(err, os.ErrDeadlineExceeded) {
+	if errors.Is(err, framebuf.ErrTooLarge) || errors.Is(err, framebuf.ErrNoRoom) || errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
 	var op *net.OpError
--- a/internal/clients/takeover_test.go
+++ b/internal/clients/takeover_test.go
@@ -15,8 +15,8 @@
 
 	"cranegate/internal/clients"
 	"cranegate/internal/clients/postgres"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/metrics"
-	"cranegate/internal/netbuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/standin"
 )
@@ -92,7 +92,7 @@
 	rig := newRig(false, &standin.Host{Primary: true})
 	defer rig.close()
 	s := &clients.Server{Name: "ends", Front: postgres.Front{}, Core: rig.core, Room: clients.NewRoom(50),
-		Budget: netbuf.NewBudget(rigBudget), Counters: &metrics.Counters{}, Shared: true}
+		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}, Shared: true}
 	l := hungListener{closing: make(chan struct{}, 10), free: make(chan struct{})}
 	stopped, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -108,7 +108,7 @@
 	go func() { s.Retire(); close(retired) }()
 	time.Sleep(50 * time.Millisecond)
 	near.SetDeadline(time.Now().Add(10 * time.Second))
-	c := &standin.PostgresClient{Conn: netbuf.New(near, pgwire.MaxMessage)}
+	c := &standin.PostgresClient{Conn: framebuf.New(near, pgwire.MaxMessage)}
 	if r, err := c.Ask(fmt.Sprintf(look, "meanwhile")); err != nil || r.Outcome != "served" {
 		t.Errorf("%+v, %v", r, err)
 	}
--- a/internal/netbuf/arrivals_test.go
+++ b/internal/framebuf/arrivals_test.go
@@ -1,4 +1,4 @@
-package netbuf
+package framebuf
 
 import (
 	"math/rand/v2"
--- a/internal/netbuf/netbuf.go
+++ b/internal/framebuf/framebuf.go
@@ -1,6 +1,6 @@
-// Package netbuf reads framed messages from a connection into one buffer that grows up to a bound, and lets
+// Package framebuf reads framed messages from a connection into one buffer that grows up to a bound, and lets
 // the goroutine that owns the connection wait for its peer and for its own mailbox at once.
-package netbuf
+package framebuf
 
 import (
 	"bytes"
--- a/internal/netbuf/left_test.go
+++ b/internal/framebuf/left_test.go
@@ -1,4 +1,4 @@
-package netbuf
+package framebuf
 
 import (
 	"net"
--- a/internal/list/call.go
+++ b/internal/list/call.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"cranegate/internal/netbuf"
+	"cranegate/internal/framebuf"
 )
 
 // Silent says that discovery has not given a whole answer in time. See whether its agent runs at the address; the old list
@@ -45,7 +45,7 @@
 // get makes one HTTP/1.1 call. The body holds until the connection's next read; the second result says whether
 // the connection can be used again. An answer may have no length: then the end of the connection is its own. A reset is no
 // end, and nor is one before a body has begun.
-func get(c *netbuf.Conn, host, target string) (body []byte, again bool, err error) {
+func get(c *framebuf.Conn, host, target string) (body []byte, again bool, err error) {
 	if _, err := c.Write([]byte("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")); err != nil {
 		return nil, false, err
 	}
@@ -87,7 +87,7 @@
 	}
 	switch {
 	case chunked:
-		if body, err = chunks(c); errors.Is(err, netbuf.ErrTooLarge) {
+		if body, err = chunks(c); errors.Is(err, framebuf.ErrTooLarge) {
 			err = TooLong{host}
 		}
 	case size >= 0:
@@ -99,7 +99,7 @@
 		again = false // whatever follows, it is no list
 	default:
 		again = false
-		if body, err = rest(c); errors.Is(err, netbuf.ErrTooLarge) {
+		if body, err = rest(c); errors.Is(err, framebuf.ErrTooLarge) {
 			err = TooLong{host}
 		}
 	}
@@ -112,7 +112,7 @@
 }
 
 // rest reads a body up to the end of the connection.
-func rest(c *netbuf.Conn) ([]byte, error) {
+func rest(c *framebuf.Conn) ([]byte, error) {
 	var body []byte
 	for {
 		b, err := c.Need(1)
@@ -122,7 +122,7 @@
 			return nil, err
 		}
 		if len(body)+len(b) > mostTold {
-			return nil, netbuf.ErrTooLarge
+			return nil, framebuf.ErrTooLarge
 		}
 		body = append(body, b...)
 		c.Skip(len(b))
@@ -130,7 +130,7 @@
 }
 
 // chunks reads a chunked body.
-func chunks(c *netbuf.Conn) ([]byte, error) {
+func chunks(c *framebuf.Conn) ([]byte, error) {
 	var body []byte
 	for {
 		head, err := c.Line()
@@ -143,7 +143,7 @@
 			return nil, fmt.Errorf("chunk: %w", err)
 		}
 		if len(body)+int(n) > mostTold {
-			return nil, netbuf.ErrTooLarge
+			return nil, framebuf.ErrTooLarge
 		}
 		if n == 0 {
 			for { // trailers
--- a/internal/list/list.go
+++ b/internal/list/list.go
@@ -17,8 +17,8 @@
 
 	"cranegate/internal/backoff"
 	"cranegate/internal/core"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/metrics"
-	"cranegate/internal/netbuf"
 	"cranegate/rules"
 )
 
@@ -219,7 +219,7 @@
 	}
 	defer raw.Close()
 	defer context.AfterFunc(ctx, func() { raw.Close() })()
-	c := netbuf.New(raw, mostTold)
+	c := framebuf.New(raw, mostTold)
 	for ; ; glance = false {
 		query, within := "", glanceFor+glancePatience
 		if w.rev >= 0 {
--- a/internal/list/list_test.go
+++ b/internal/list/list_test.go
@@ -17,8 +17,8 @@
 
 	"cranegate/internal/backoff"
 	"cranegate/internal/core"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/metrics"
-	"cranegate/internal/netbuf"
 	"cranegate/rules"
 )
 
@@ -59,7 +59,7 @@
 				io.WriteString(far, s[:min(cut, len(s))])
 			}
 		}()
-		c := netbuf.New(near, mostTold)
+		c := framebuf.New(near, mostTold)
 		for _, want := range bodies {
 			got, again, err := get(c, "x", "/")
 			if err != nil || !again || string(got) != want {
@@ -145,7 +145,7 @@
 		near, far := net.Pipe()
 		go io.Copy(io.Discard, far)
 		go func() { io.WriteString(far, s); far.Close() }()
-		if body, _, err := get(netbuf.New(near, mostTold), "x", "/"); err == nil {
+		if body, _, err := get(framebuf.New(near, mostTold), "x", "/"); err == nil {
 			t.Errorf("%q: read %q", s, body)
 		}
 		near.Close()
@@ -160,7 +160,7 @@
 		go io.Copy(io.Discard, far)
 		go func() { io.WriteString(far, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n"+header+"\r\n") }()
 		var away turnedAway
-		if _, _, err := get(netbuf.New(near, mostTold), "x", "/"); !errors.As(err, &away) || away.after != want {
+		if _, _, err := get(framebuf.New(near, mostTold), "x", "/"); !errors.As(err, &away) || away.after != want {
 			t.Errorf("%q: %v, wait %v", header, err, away.after)
 		}
 		near.Close()
--- a/internal/mysqlwire/packet.go
+++ b/internal/mysqlwire/packet.go
@@ -8,7 +8,7 @@
 	"errors"
 	"fmt"
 
-	"cranegate/internal/netbuf"
+	"cranegate/internal/framebuf"
 )
 
 // MaxPacket bounds a packet: a value of 64 KiB, escaped, and what stands round it.
@@ -61,14 +61,14 @@
 )
 
 // ReadPacket reads one packet.
-func ReadPacket(c *netbuf.Conn) (seq byte, payload []byte, err error) {
+func ReadPacket(c *framebuf.Conn) (seq byte, payload []byte, err error) {
 	b, err := c.Need(4)
 	if err != nil {
 		return 0, nil, err
 	}
 	n := int(b[0]) | int(b[1])<<8 | int(b[2])<<16
 	if n > MaxPacket {
-		return 0, nil, fmt.Errorf("packet of %d bytes: %w", n, netbuf.ErrTooLarge)
+		return 0, nil, fmt.Errorf("packet of %d bytes: %w", n, framebuf.ErrTooLarge)
 	}
 	if b, err = c.Need(4 + n); err != nil {
 		return 0, nil, err
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -8,7 +8,7 @@
 	"errors"
 	"fmt"
 
-	"cranegate/internal/netbuf"
+	"cranegate/internal/framebuf"
 )
 
 // Limits of what is read.
@@ -29,7 +29,7 @@
 var ErrMalformed = errors.New("malformed message")
 
 // ReadStartup reads the message that opens a connection.
-func ReadStartup(c *netbuf.Conn) (code uint32, body []byte, err error) {
+func ReadStartup(c *framebuf.Conn) (code uint32, body []byte, err error) {
 	b, err := c.Need(8)
 	if err != nil {
 		return 0, nil, err
@@ -46,7 +46,7 @@
 }
 
 // ReadMessage reads one message.
-func ReadMessage(c *netbuf.Conn) (kind byte, body []byte, err error) {
+func ReadMessage(c *framebuf.Conn) (kind byte, body []byte, err error) {
 	b, err := c.Need(5)
 	if err != nil {
 		return 0, nil, err
@@ -56,7 +56,7 @@
 		return 0, nil, fmt.Errorf("message of %d bytes: %w", n, ErrMalformed)
 	}
 	if n > MaxMessage {
-		return 0, nil, fmt.Errorf("message of %d bytes: %w", n, netbuf.ErrTooLarge)
+		return 0, nil, fmt.Errorf("message of %d bytes: %w", n, framebuf.ErrTooLarge)
 	}
 	if b, err = c.Need(n); err != nil {
 		return 0, nil, err
--- a/internal/servers/connect_test.go
+++ b/internal/servers/connect_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cranegate/internal/core"
-	"cranegate/internal/netbuf"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/servers"
 	"cranegate/internal/standin"
@@ -206,7 +206,7 @@
 				wait = 50 * time.Millisecond
 			}
 			r := newRig(t, "postgres", &standin.Host{}, func(opt *servers.Options) { opt.ConnectTimeout = wait }, func(raw net.Conn) {
-				b := netbuf.New(raw, pgwire.MaxMessage)
+				b := framebuf.New(raw, pgwire.MaxMessage)
 				if _, _, err := pgwire.ReadStartup(b); err == nil {
 					raw.Write(c.say)
 				}
--- a/internal/servers/crossing_test.go
+++ b/internal/servers/crossing_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"cranegate/internal/core"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/netbuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/servers"
 	"cranegate/internal/standin"
@@ -136,7 +136,7 @@
 // one to the next for all its time; it never ran.
 func TestSpoiltFromTheStart(t *testing.T) {
 	r := newRig(t, "postgres", &standin.Host{}, nil, func(c net.Conn) {
-		b := netbuf.New(c, pgwire.MaxMessage)
+		b := framebuf.New(c, pgwire.MaxMessage)
 		if _, _, err := pgwire.ReadStartup(b); err == nil {
 			c.Write(append(pgwire.AppendReady(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")), 'x'))
 			b.Need(1)
--- a/internal/servers/mysql/mysql.go
+++ b/internal/servers/mysql/mysql.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"cranegate/internal/core"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/netbuf"
 	"cranegate/internal/servers"
 	"cranegate/rules"
 )
@@ -64,7 +64,7 @@
 
 // Conn is one connection to a database host.
 type Conn struct {
-	*netbuf.Conn
+	*framebuf.Conn
 	account    Account
 	caps       uint32
 	w          mysqlwire.Writer
@@ -99,7 +99,7 @@
 
 // Start answers the handshake of a fresh connection and makes it ready for a command.
 func (d Account) Start(raw net.Conn) (servers.Conn, error) {
-	c := &Conn{Conn: netbuf.New(raw, mysqlwire.MaxPacket+4), account: d,
+	c := &Conn{Conn: framebuf.New(raw, mysqlwire.MaxPacket+4), account: d,
 		statements: map[*mysqlwire.Statement]prepared{}}
 	seq, b, err := mysqlwire.ReadPacket(c.Conn)
 	if err != nil {
@@ -348,7 +348,7 @@
 			return nil, err
 		}
 		if *left -= len(b); *left < 0 {
-			return nil, netbuf.ErrTooLarge
+			return nil, framebuf.ErrTooLarge
 		}
 		out = append(out, append([]byte(nil), b...))
 	}
@@ -410,7 +410,7 @@
 			return r, nil, err
 		}
 		if left -= len(b); left < 0 {
-			return nil, nil, netbuf.ErrTooLarge
+			return nil, nil, framebuf.ErrTooLarge
 		}
 		if !mysqlwire.RowFits(b, int(n), binary) {
 			return nil, nil, fmt.Errorf("row: %w", mysqlwire.ErrMalformed)
--- a/internal/servers/postgres/postgres.go
+++ b/internal/servers/postgres/postgres.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"cranegate/internal/core"
-	"cranegate/internal/netbuf"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/servers"
 	"cranegate/internal/sqlcomment"
@@ -35,13 +35,13 @@
 
 // Conn is one connection to a database host.
 type Conn struct {
-	*netbuf.Conn
+	*framebuf.Conn
 	out []byte
 }
 
 // Start makes a fresh connection ready for a query.
 func Start(raw net.Conn) (servers.Conn, error) {
-	c := &Conn{Conn: netbuf.New(raw, pgwire.MaxMessage)}
+	c := &Conn{Conn: framebuf.New(raw, pgwire.MaxMessage)}
 	return c, c.start()
 }
 
@@ -116,7 +116,7 @@
 		}
 		if err != nil {
 			stop()
-			if r.code != "" && !errors.Is(err, pgwire.ErrMalformed) && !errors.Is(err, netbuf.ErrTooLarge) {
+			if r.code != "" && !errors.Is(err, pgwire.ErrMalformed) && !errors.Is(err, framebuf.ErrTooLarge) {
 				return r.outcome(a), false // a fatal error needs no Ready
 			}
 			if servers.Spoilt(err, pgwire.ErrMalformed) {
@@ -146,7 +146,7 @@
 		return 0, nil, err
 	}
 	if n := binary.BigEndian.Uint32(b[1:]); int64(n) > int64(most) {
-		return 0, nil, fmt.Errorf("message %q of %d bytes: %w", b[0], n, netbuf.ErrTooLarge)
+		return 0, nil, fmt.Errorf("message %q of %d bytes: %w", b[0], n, framebuf.ErrTooLarge)
 	}
 	return pgwire.ReadMessage(c.Conn)
 }
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"cranegate/internal/core"
+	"cranegate/internal/framebuf"
 	"cranegate/internal/metrics"
-	"cranegate/internal/netbuf"
 	"cranegate/internal/poolsize"
 	"cranegate/rules"
 )
@@ -49,7 +49,7 @@
 // Spoilt tells an answer that can't be read, or does not end, from a connection that broke under it. Malformed is
 // what the protocol's parser says of the first.
 func Spoilt(err, malformed error) bool {
-	return errors.Is(err, malformed) || errors.Is(err, netbuf.ErrTooLarge) || errors.Is(err, os.ErrDeadlineExceeded)
+	return errors.Is(err, malformed) || errors.Is(err, framebuf.ErrTooLarge) || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
 // ErrTurnedAway is what a Starter returns where the host itself turned the connection away.
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"net"
 
+	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/netbuf"
 	"cranegate/internal/pgwire"
 )
 
@@ -17,11 +17,11 @@
 }
 
 // PostgresClient is a client of the platform's protocol.
-type PostgresClient struct{ *netbuf.Conn }
+type PostgresClient struct{ *framebuf.Conn }
 
 // DialPostgres starts up on a connection. Text is a first query that is written right behind, or empty.
 func DialPostgres(raw net.Conn, text string) (*PostgresClient, error) {
-	c := &PostgresClient{netbuf.New(raw, pgwire.MaxMessage)}
+	c := &PostgresClient{framebuf.New(raw, pgwire.MaxMessage)}
 	b := pgwire.AppendStartup(nil, "svc", "main")
 	if text != "" {
 		b = pgwire.Append(b, 'Q', text, "\x00")
@@ -70,14 +70,14 @@
 
 // MySQLClient is a client of the MySQL protocol.
 type MySQLClient struct {
-	*netbuf.Conn
+	*framebuf.Conn
 	caps uint32
 	w    mysqlwire.Writer
 }
 
 // DialMySQL logs in on a connection. Caps are what the client can do beside the least.
 func DialMySQL(raw net.Conn, caps uint32) (*MySQLClient, error) {
-	c := &MySQLClient{Conn: netbuf.New(raw, mysqlwire.MaxPacket+4)}
+	c := &MySQLClient{Conn: framebuf.New(raw, mysqlwire.MaxPacket+4)}
 	seq, b, err := mysqlwire.ReadPacket(c.Conn)
 	if err != nil {
 		return nil, err
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
+	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/netbuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/sqlcomment"
 )
@@ -64,7 +64,7 @@
 }
 
 // send writes an answer as it is to be spoilt. False says that the connection has ended.
-func (h *Host) send(c *netbuf.Conn, id string, answer []byte) bool {
+func (h *Host) send(c *framebuf.Conn, id string, answer []byte) bool {
 	x := Spoilt{Answer: answer}
 	if h.Spoil != nil && id != "" {
 		x = h.Spoil(id, answer)
@@ -177,7 +177,7 @@
 // ServePostgres talks to one connection until it ends.
 func (h *Host) ServePostgres(raw net.Conn) {
 	defer h.enter(raw)()
-	c := netbuf.New(raw, pgwire.MaxMessage)
+	c := framebuf.New(raw, pgwire.MaxMessage)
 	if _, _, err := pgwire.ReadStartup(c); err != nil {
 		return
 	}
@@ -242,7 +242,7 @@
 
 // myConn is one connection to a host that speaks the MySQL protocol.
 type myConn struct {
-	*netbuf.Conn
+	*framebuf.Conn
 	h          *Host
 	w          mysqlwire.Writer
 	caps       uint32
@@ -255,7 +255,7 @@
 // ServeMySQL talks to one connection until it ends.
 func (h *Host) ServeMySQL(raw net.Conn) {
 	defer h.enter(raw)()
-	c := &myConn{Conn: netbuf.New(raw, mysqlwire.MaxPacket+4), h: h, statements: map[uint32]*mysqlwire.Statement{},
+	c := &myConn{Conn: framebuf.New(raw, mysqlwire.MaxPacket+4), h: h, statements: map[uint32]*mysqlwire.Statement{},
 		long: map[uint32]map[int][]byte{}}
 	defer func() {
 		h.mu.Lock()
