--- a/internal/optest/files_test.go
+++ b/internal/processtest/files_test.go
@@ -1,4 +1,4 @@
-package optest
+package processtest
 
 import (
 	"os"
--- a/internal/optest/rig_test.go
+++ b/internal/processtest/rig_test.go
@@ -1,7 +1,7 @@
-// Package optest plays day-to-day service with real processes of the program on loopback, and with faults: upgrades,
+// Package processtest plays day-to-day service with real processes of the program on loopback, and with faults: upgrades,
 // kills and stops at each step, calls of staff, and faulty files. What may never happen is judged strictly; what has to
 // happen has a wide bound in time, so that a busy machine changes no verdict.
-package optest
+package processtest
 
 import (
 	"encoding/json"
