--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"cranegate/internal/wire"
+	"cranegate/internal/simwire"
 	"cranegate/rules"
 )
 
@@ -21,7 +21,7 @@
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), wire.NewWriter(out)
+	r, w := simwire.NewReader(in), simwire.NewWriter(out)
 	instances := map[string]*rules.Router{}
 	for {
 		b, err := r.Batch()
@@ -43,14 +43,14 @@
 }
 
 // deliver hands one event to its instance; a panic there becomes a bug with its text.
-func deliver(instances map[string]*rules.Router, w *wire.Writer, now time.Duration, e wire.Event) (err error) {
+func deliver(instances map[string]*rules.Router, w *simwire.Writer, now time.Duration, e simwire.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			w.Bug(e.Instance, fmt.Sprint(p))
 		}
 	}()
-	if o, ok := e.What.(wire.Open); ok {
-		m, err := rules.New(now, o.Config, o.Seed, &wire.Actions{Writer: w, Instance: e.Instance})
+	if o, ok := e.What.(simwire.Open); ok {
+		m, err := rules.New(now, o.Config, o.Seed, &simwire.Actions{Writer: w, Instance: e.Instance})
 		if err != nil {
 			return fmt.Errorf("opening %s: %w", e.Instance, err)
 		}
@@ -62,7 +62,7 @@
 		return nil
 	}
 	switch x := e.What.(type) {
-	case wire.Detach:
+	case simwire.Detach:
 		delete(instances, e.Instance)
 	case rules.MemberList:
 		m.Members(now, x)
@@ -72,11 +72,11 @@
 		m.Outcome(now, x)
 	case rules.ProbeResult:
 		m.Probed(now, x)
-	case wire.ClientGone:
+	case simwire.ClientGone:
 		m.ClientGone(now, x.Request)
-	case wire.TimerDue:
+	case simwire.TimerDue:
 		m.Timer(now, x.Name)
-	case wire.Started:
+	case simwire.Started:
 		m.Started(now, x.Request, x.Attempt)
 	}
 	return nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"cranegate/internal/list"
-	"cranegate/internal/wire"
+	"cranegate/internal/simwire"
 	"cranegate/rules"
 )
 
@@ -122,7 +122,7 @@
 		n    float64
 	}{{"limits.cores", l.Cores}, {"limits.memory_mb", float64(l.MemoryMB)}, {"limits.sockets", float64(l.Sockets)}} {
 		if !(x.n >= 0 && x.n <= 1e9) {
-			return &wire.SettingError{Path: x.path, Value: fmt.Sprint(x.n), Needs: "0 for none, or a number up to a billion"}
+			return &simwire.SettingError{Path: x.path, Value: fmt.Sprint(x.n), Needs: "0 for none, or a number up to a billion"}
 		}
 	}
 	return nil
@@ -134,14 +134,14 @@
 	flatten(pairs, "", in)
 	var s Settings
 	var err error
-	if s.Rules, err = wire.Config(pairs); err != nil {
+	if s.Rules, err = simwire.Config(pairs); err != nil {
 		return s, err
 	}
 	for path, to := range map[string]*time.Duration{"policyLimits.connectTimeoutS": &s.ConnectTimeout,
 		"policyLimits.idleCloseS": &s.IdleClose, "rules.answerSlackS": &s.AnswerSlack} {
 		x, err := strconv.ParseFloat(pairs[path], 64)
 		if err != nil || !(x > 0 && x <= mostWait) { // NaN is neither
-			return s, &wire.SettingError{Path: path, Value: pairs[path], Needs: fmt.Sprintf("more than 0 and at most %g s", mostWait)}
+			return s, &simwire.SettingError{Path: path, Value: pairs[path], Needs: fmt.Sprintf("more than 0 and at most %g s", mostWait)}
 		}
 		*to = time.Duration(x * float64(time.Second))
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/wire"
+	"cranegate/internal/simwire"
 	"cranegate/rules"
 )
 
@@ -179,7 +179,7 @@
 				t.Fatal(err)
 			}
 			_, err = parse(spoilt, noEnv)
-			if fault := new(wire.SettingError); err == nil || at != "limits" && !errors.As(err, &fault) {
+			if fault := new(simwire.SettingError); err == nil || at != "limits" && !errors.As(err, &fault) {
 				t.Errorf("%s = %v: %v", path, v, err)
 			}
 		}
--- a/internal/wire/wire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the simulator's text protocol. It knows the protocol's words and turns them
+// Package simwire reads and writes the simulator's text protocol. It knows the protocol's words and turns them
 // into the module's types; it decides nothing.
-package wire
+package simwire
 
 import (
 	"bufio"
