--- a/cmd/cranegate/descriptors_test.go
+++ b/cmd/cranegate/descriptors_test.go
@@ -18,7 +18,7 @@
 
 	"cranegate/internal/clients"
 	"cranegate/internal/config"
-	"cranegate/internal/standin"
+	"cranegate/internal/fake"
 )
 
 // relaunch starts the program anew, with the configuration as it is now and the platform's front alone, under a limit on open
@@ -81,7 +81,7 @@
 						if i%8 == 7 {
 							io.WriteString(c, "GET /counters HTTP/1.1\r\n")
 						} else if i%3 > 0 {
-							p, err := standin.DialPostgres(c, "")
+							p, err := fake.DialPostgres(c, "")
 							if id := fmt.Sprint("c", i, "-", n); err == nil && i%3 > 1 {
 								if r, err := p.Ask(fmt.Sprintf(read, id, id)); err == nil && r.Outcome == "served" {
 									served.Add(1)
@@ -127,7 +127,7 @@
 				}
 				defer c.Close()
 				c.SetDeadline(time.Now().Add(patience))
-				p, err := standin.DialPostgres(c, "")
+				p, err := fake.DialPostgres(c, "")
 				if err != nil {
 					return false
 				}
--- a/cmd/cranegate/main_test.go
+++ b/cmd/cranegate/main_test.go
@@ -16,9 +16,9 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/list"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/standin"
 )
 
 // These tests start the program and speak to it over sockets on loopback. Waiting is bounded but never timed
@@ -59,9 +59,9 @@
 // world is a running program with its surroundings.
 type world struct {
 	t                     *testing.T
-	hosts                 []*standin.Host
+	hosts                 []*fake.Host
 	targets               []list.Target
-	discovery             *standin.Discovery
+	discovery             *fake.Discovery
 	pg, my, agent, health string
 	admin                 string
 	passed                net.Listener   // nil: the program makes its own
@@ -94,7 +94,7 @@
 // free gives an address on which nothing listens.
 func free(t *testing.T) string {
 	t.Helper()
-	address, err := standin.FreeAddress()
+	address, err := fake.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,21 +102,21 @@
 }
 
 // start runs the program beside two hosts of each protocol.
-func start(t *testing.T, act func(id, text string, prepare bool) standin.Act) *world {
+func start(t *testing.T, act func(id, text string, prepare bool) fake.Act) *world {
 	return startAt(t, nil, act)
 }
 
 // startAt hands the program a listening socket for clients; nil: it makes its own.
-func startAt(t *testing.T, passed net.Listener, act func(id, text string, prepare bool) standin.Act) *world {
-	w := &world{t: t, passed: passed, admin: free(t), discovery: &standin.Discovery{}, pg: free(t), my: free(t), agent: free(t), health: free(t), out: &output{}}
+func startAt(t *testing.T, passed net.Listener, act func(id, text string, prepare bool) fake.Act) *world {
+	w := &world{t: t, passed: passed, admin: free(t), discovery: &fake.Discovery{}, pg: free(t), my: free(t), agent: free(t), health: free(t), out: &output{}}
 	var mysqlHosts strings.Builder
 	for i := range 2 {
-		h := &standin.Host{Primary: i == 0, Act: act}
+		h := &fake.Host{Primary: i == 0, Act: act}
 		w.hosts = append(w.hosts, h)
 		role := []string{"primary", "standby"}[i]
 		pg, my := listen(t), listen(t)
-		go standin.Accept(pg, h.ServePostgres)
-		go standin.Accept(my, h.ServeMySQL)
+		go fake.Accept(pg, h.ServePostgres)
+		go fake.Accept(my, h.ServeMySQL)
 		w.targets = append(w.targets, list.Target{UID: fmt.Sprint("db-", i), Endpoint: pg.Addr().String(), State: "SERVING",
 			Capacity: 1, Replication: role})
 		fmt.Fprintf(&mysqlHosts, "[[mysql.host]]\nuid = \"db-%d\"\nendpoint = %q\nreplication = %q\n", i, my.Addr(), role)
@@ -225,18 +225,18 @@
 
 func TestBothFronts(t *testing.T) {
 	w := start(t, nil)
-	p, err := standin.DialPostgres(w.dial(w.pg), "")
+	p, err := fake.DialPostgres(w.dial(w.pg), "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if r, err := p.Ask(";"); err != nil || r.Outcome != "empty" {
 		t.Fatalf("empty query: %+v, %v", r, err)
 	}
-	m, err := standin.DialMySQL(w.dial(w.my), mysqlwire.CapQueryAttributes|mysqlwire.CapDeprecateEOF)
+	m, err := fake.DialMySQL(w.dial(w.my), mysqlwire.CapQueryAttributes|mysqlwire.CapDeprecateEOF)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, ask := range []func(string) (standin.Reply, error){p.Ask, func(s string) (standin.Reply, error) { return m.Query(s) }} {
+	for i, ask := range []func(string) (fake.Reply, error){p.Ask, func(s string) (fake.Reply, error) { return m.Query(s) }} {
 		for _, form := range []string{read, write} {
 			id := fmt.Sprint("q", i, len(form))
 			r, err := ask(fmt.Sprintf(form, id, id))
@@ -286,7 +286,7 @@
 // TestDrainIsFollowed guards the watch on discovery: a host that drains gets nothing new.
 func TestDrainIsFollowed(t *testing.T) {
 	w := start(t, nil)
-	p, err := standin.DialPostgres(w.dial(w.pg), "")
+	p, err := fake.DialPostgres(w.dial(w.pg), "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -310,7 +310,7 @@
 }
 
 // onlyFirst checks that reads are served, and none by the second host.
-func (w *world) onlyFirst(p *standin.PostgresClient, prefix string) {
+func (w *world) onlyFirst(p *fake.PostgresClient, prefix string) {
 	w.t.Helper()
 	for i := range 20 {
 		id := fmt.Sprint(prefix, i)
@@ -356,7 +356,7 @@
 		} else if strings.Contains(w.out.String(), "event=zones_refused") {
 			t.Error("new tiers were refused")
 		}
-		p, err := standin.DialPostgres(w.dial(w.pg), "")
+		p, err := fake.DialPostgres(w.dial(w.pg), "")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -371,12 +371,12 @@
 // SIGTERM right behind a SIGHUP still ends it in order.
 func TestReload(t *testing.T) {
 	w := start(t, nil)
-	p, err := standin.DialPostgres(w.dial(w.pg), "")
+	p, err := fake.DialPostgres(w.dial(w.pg), "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.until("the first list", func() bool { return strings.Contains(w.counts(), "list_changes=1") })
-	next := &standin.Discovery{}
+	next := &fake.Discovery{}
 	next.Set(w.targets)
 	var mu sync.Mutex
 	var asked []string
@@ -423,22 +423,22 @@
 func TestStop(t *testing.T) {
 	hold := make(chan struct{})
 	arrived := make(chan struct{})
-	w := start(t, func(id, _ string, _ bool) standin.Act {
+	w := start(t, func(id, _ string, _ bool) fake.Act {
 		if id == "slow" {
 			close(arrived)
 			<-hold
 		}
-		return standin.Serve
+		return fake.Serve
 	})
-	idle, err := standin.DialPostgres(w.dial(w.pg), "")
+	idle, err := fake.DialPostgres(w.dial(w.pg), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	busy, err := standin.DialPostgres(w.dial(w.pg), "")
+	busy, err := fake.DialPostgres(w.dial(w.pg), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer := make(chan standin.Reply, 1)
+	answer := make(chan fake.Reply, 1)
 	go func() {
 		r, _ := busy.Ask(fmt.Sprintf(write, "slow", "slow"))
 		answer <- r
@@ -446,7 +446,7 @@
 	<-arrived
 	w.cmd.Process.Signal(syscall.SIGTERM)
 	w.until("the stop", func() bool { return strings.Contains(w.out.String(), "event=stopping") })
-	if late, err := standin.DialPostgres(w.dial(w.pg), fmt.Sprintf(read, "late", "late")); err != nil {
+	if late, err := fake.DialPostgres(w.dial(w.pg), fmt.Sprintf(read, "late", "late")); err != nil {
 		t.Errorf("a client that comes after the stop: %v", err)
 	} else if r, err := late.Read(); err != nil || r.Outcome != "served" {
 		t.Errorf("its request: %+v, %v", r, err)
--- a/cmd/cranegate/ready_test.go
+++ b/cmd/cranegate/ready_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/list"
-	"cranegate/internal/standin"
 )
 
 const readyIn = 10 * time.Second // from the start of the process to the first empty query that is answered
@@ -36,7 +36,7 @@
 			for time.Since(since) < patience {
 				if c, err := net.Dial("tcp", at); err == nil {
 					c.SetDeadline(time.Now().Add(patience))
-					p, err := standin.DialPostgres(c, "")
+					p, err := fake.DialPostgres(c, "")
 					if err == nil {
 						if r, err := p.Ask(";"); err == nil && r.Outcome == "empty" {
 							c.Close()
@@ -142,7 +142,7 @@
 				}
 				defer c.Close()
 				c.SetDeadline(time.Now().Add(patience))
-				p, err := standin.DialPostgres(c, "")
+				p, err := fake.DialPostgres(c, "")
 				if err != nil {
 					return false
 				}
@@ -175,7 +175,7 @@
 		}
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(patience))
-		m, err := standin.DialMySQL(c, 0)
+		m, err := fake.DialMySQL(c, 0)
 		if err != nil {
 			return false
 		}
--- a/cmd/cranegate/second_test.go
+++ b/cmd/cranegate/second_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/standin"
+	"cranegate/internal/fake"
 )
 
 // call makes a call at a second address and returns its status; 0: nobody answers there.
@@ -40,9 +40,9 @@
 }
 
 // client starts up a connection of the platform's front.
-func (w *world) client() *standin.PostgresClient {
+func (w *world) client() *fake.PostgresClient {
 	w.t.Helper()
-	c, err := standin.DialPostgres(w.dial(w.pg), "")
+	c, err := fake.DialPostgres(w.dial(w.pg), "")
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -139,7 +139,7 @@
 	defer end()
 	for i := range 8 {
 		group.Go(func() {
-			var c *standin.PostgresClient
+			var c *fake.PostgresClient
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -152,7 +152,7 @@
 						raw, err := net.Dial("tcp", w.pg)
 						if err == nil {
 							raw.SetDeadline(time.Now().Add(patience))
-							c, err = standin.DialPostgres(raw, "")
+							c, err = fake.DialPostgres(raw, "")
 						}
 						if err != nil {
 							t.Errorf("%s: %v", id, err)
@@ -241,7 +241,7 @@
 		}
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(patience))
-		m, err := standin.DialMySQL(c, 0)
+		m, err := fake.DialMySQL(c, 0)
 		if err != nil {
 			return false
 		}
--- a/cmd/cranegate/standing_test.go
+++ b/cmd/cranegate/standing_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/standin"
+	"cranegate/internal/fake"
 )
 
 // TestToldFromTheFirstMoment starts the program with a file that lists a host as serving, beside an agent that holds its drain
@@ -44,7 +44,7 @@
 		var c net.Conn
 		w.until("a listener", func() bool { var err error; c, err = net.Dial("tcp", w.pg); return err == nil })
 		defer c.Close()
-		p, err := standin.DialPostgres(c, "")
+		p, err := fake.DialPostgres(c, "")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/cranegate/stop_test.go
+++ b/cmd/cranegate/stop_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/standin"
 )
 
 // again ends the program at once, and starts it with its configuration changed, alone in a folder of its own.
@@ -54,18 +54,18 @@
 // TestSecondSignal: a program that ends already is told so again, in each way, and still answers what it has taken.
 func TestSecondSignal(t *testing.T) {
 	hold, arrived := make(chan struct{}), make(chan struct{})
-	w := start(t, func(id, _ string, _ bool) standin.Act {
+	w := start(t, func(id, _ string, _ bool) fake.Act {
 		if id == "slow" {
 			close(arrived)
 			<-hold
 		}
-		return standin.Serve
+		return fake.Serve
 	})
-	p, err := standin.DialPostgres(w.dial(w.pg), "")
+	p, err := fake.DialPostgres(w.dial(w.pg), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer := make(chan standin.Reply, 1)
+	answer := make(chan fake.Reply, 1)
 	go func() {
 		r, _ := p.Ask(fmt.Sprintf(write, "slow", "slow"))
 		answer <- r
@@ -120,12 +120,12 @@
 		t.Run(fmt.Sprint(deadline, " s"), func(t *testing.T) {
 			hold, out := make(chan struct{}), make(chan string, 100)
 			defer close(hold)
-			w := start(t, func(id, text string, _ bool) standin.Act {
+			w := start(t, func(id, text string, _ bool) fake.Act {
 				if strings.Contains(text, "INSERT") {
 					out <- id
 				}
 				<-hold
-				return standin.Serve
+				return fake.Serve
 			})
 			w.again(func(c map[string]any) {
 				for _, k := range c["settings"].(map[string]any)["classes"].([]any) {
@@ -134,9 +134,9 @@
 				}
 			})
 			w.serving()
-			var clients []*standin.PostgresClient
+			var clients []*fake.PostgresClient
 			for range 4 {
-				p, err := standin.DialPostgres(w.dial(w.pg), "")
+				p, err := fake.DialPostgres(w.dial(w.pg), "")
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/cmd/cranegate/unchecked_test.go
+++ b/cmd/cranegate/unchecked_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/list"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/sqlcomment"
-	"cranegate/internal/standin"
 )
 
 // What the settings of unchecked say, and how much later than it was sent a busy machine may hand a statement to its host.
@@ -23,7 +23,7 @@
 
 // copyHost is a member of a group whose hosts check no read: it answers from what it has, and tells its position in reports alone.
 type copyHost struct {
-	standin.Host
+	fake.Host
 	primary atomic.Bool
 	stuck   atomic.Int64 // applied up to this, in Unix ms; 0: all
 }
@@ -38,7 +38,7 @@
 // unchecked starts the program as a deployment would whose list shows no roles, whose hosts check no read and tell positions in
 // reports alone, and whose writes carry a key that is good for a second. The last of its three hosts is the primary. What each
 // statement meets at its host is judged by the test.
-func unchecked(t *testing.T, meets func(h *copyHost, s *sqlcomment.Statement) standin.Act) (*world, []*copyHost) {
+func unchecked(t *testing.T, meets func(h *copyHost, s *sqlcomment.Statement) fake.Act) (*world, []*copyHost) {
 	w := start(t, nil)
 	var hosts []*copyHost
 	w.targets = nil
@@ -47,15 +47,15 @@
 		h.primary.Store(i == 2)
 		h.Reports = true
 		h.Tell = func(bool) (bool, int64) { return h.primary.Load(), h.position() }
-		h.Act = func(_, text string, _ bool) standin.Act {
+		h.Act = func(_, text string, _ bool) fake.Act {
 			s, err := sqlcomment.Parse([]byte(text))
 			if err != nil {
-				return standin.Reject
+				return fake.Reject
 			}
 			return meets(h, s)
 		}
 		l := listen(t)
-		go standin.Accept(l, h.ServePostgres)
+		go fake.Accept(l, h.ServePostgres)
 		hosts = append(hosts, h)
 		w.targets = append(w.targets, list.Target{UID: fmt.Sprint("box-", i), Endpoint: l.Addr().String(), State: "SERVING", Capacity: 1})
 	}
@@ -93,7 +93,7 @@
 	var hosts []*copyHost
 	var known sync.WaitGroup // hosts are known
 	known.Add(1)
-	w, made := unchecked(t, func(h *copyHost, s *sqlcomment.Statement) standin.Act {
+	w, made := unchecked(t, func(h *copyHost, s *sqlcomment.Statement) fake.Act {
 		known.Wait()
 		at := time.Now()
 		for i, x := range hosts {
@@ -108,7 +108,7 @@
 				faults.Store(s.ID, fmt.Sprintf("%s at box-%d, %v old, wanted %d", s.Class, i, old, s.After))
 			}
 		}
-		return standin.Serve
+		return fake.Serve
 	})
 	hosts = made
 	known.Done()
@@ -116,7 +116,7 @@
 	var group sync.WaitGroup
 	var served, others atomic.Int64
 	for i, class := range []string{"bounded", "session", "any"} {
-		p, err := standin.DialPostgres(w.dial(w.pg), "")
+		p, err := fake.DialPostgres(w.dial(w.pg), "")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -175,30 +175,30 @@
 func TestUncheckedWrites(t *testing.T) {
 	var mu sync.Mutex
 	calls, replicas := map[string]int{}, 0
-	w, hosts := unchecked(t, func(h *copyHost, s *sqlcomment.Statement) standin.Act {
+	w, hosts := unchecked(t, func(h *copyHost, s *sqlcomment.Statement) fake.Act {
 		mu.Lock()
 		if !h.primary.Load() {
 			replicas++
 			mu.Unlock()
-			return standin.Miss
+			return fake.Miss
 		}
 		calls[s.ID]++
 		first := calls[s.ID] == 1
 		mu.Unlock()
 		switch {
 		case first && strings.HasPrefix(s.ID, "soon"):
-			return standin.Reset
+			return fake.Reset
 		case first && strings.HasPrefix(s.ID, "late"):
 			time.Sleep(uncheckedWindow + 200*time.Millisecond)
-			return standin.Reset
+			return fake.Reset
 		}
-		return standin.Serve
+		return fake.Serve
 	})
-	p, err := standin.DialPostgres(w.dial(w.pg), "")
+	p, err := fake.DialPostgres(w.dial(w.pg), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	write := func(id string) standin.Reply {
+	write := func(id string) fake.Reply {
 		t.Helper()
 		r, err := p.Ask(fmt.Sprintf("/* id=%s,c=order,d=5000,k=key%s,cluster=0 */ INSERT INTO records (k, v) VALUES ('%s', '\\x01') RETURNING v", id, id, id))
 		if err != nil {
--- a/examples/ask/main.go
+++ b/examples/ask/main.go
@@ -8,8 +8,8 @@
 	"net"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/standin"
 )
 
 func main() {
@@ -22,7 +22,7 @@
 
 	raw, err := net.Dial("tcp", *pg)
 	check(err)
-	p, err := standin.DialPostgres(raw, "")
+	p, err := fake.DialPostgres(raw, "")
 	check(err)
 	for _, text := range []string{read, write} {
 		r, err := p.Ask(text)
@@ -32,7 +32,7 @@
 
 	raw, err = net.Dial("tcp", *my)
 	check(err)
-	m, err := standin.DialMySQL(raw, mysqlwire.CapQueryAttributes)
+	m, err := fake.DialMySQL(raw, mysqlwire.CapQueryAttributes)
 	check(err)
 	r, err := m.Query(write)
 	check(err)
--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -8,15 +8,15 @@
 	"net"
 	"net/http"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/list"
-	"cranegate/internal/standin"
 )
 
 func main() {
-	discovery := &standin.Discovery{}
+	discovery := &fake.Discovery{}
 	var targets []list.Target
 	for i := range 3 {
-		h := &standin.Host{Primary: i == 0}
+		h := &fake.Host{Primary: i == 0}
 		role := "standby"
 		if h.Primary {
 			role = "primary"
@@ -40,5 +40,5 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	go standin.Accept(l, f)
+	go fake.Accept(l, f)
 }
--- a/internal/clients/accept_test.go
+++ b/internal/clients/accept_test.go
@@ -13,11 +13,11 @@
 	"cranegate/internal/clients"
 	"cranegate/internal/clients/postgres"
 	"cranegate/internal/core"
+	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/invariant"
 	"cranegate/internal/metrics"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/standin"
 )
 
 // busy is a listener whose accepts, once held, are held up until it is being closed, as those of a process are that has
@@ -63,7 +63,7 @@
 // TestBacklogIsTakenBeforeTheClose: clients that wait in the listener's backlog as it is closed have a connection, and have
 // asked; all of them are served.
 func TestBacklogIsTakenBeforeTheClose(t *testing.T) {
-	rig := newRig(false, &standin.Host{Primary: true})
+	rig := newRig(false, &fake.Host{Primary: true})
 	defer rig.close()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,12 +107,12 @@
 // and none is cut off by what it has sent.
 func TestAllAreTurnedAwayWithAWord(t *testing.T) {
 	hold := make(chan struct{})
-	rig := newRigFor(1, 1, false, &standin.Host{Primary: true, Act: func(string, string, bool) standin.Act { <-hold; return standin.Serve }})
+	rig := newRigFor(1, 1, false, &fake.Host{Primary: true, Act: func(string, string, bool) fake.Act { <-hold; return fake.Serve }})
 	defer rig.close()
 	defer close(hold)
 	busy, far := loopback(t)
 	rig.pipes.conns <- far
-	p, err := standin.DialPostgres(busy, "")
+	p, err := fake.DialPostgres(busy, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 // theirs or a no within 0.4 s. One behind the other the fourth is told 0.49 s after it came, the fifth later.
 func TestNewcomersWaitSideBySide(t *testing.T) {
 	inBubble(t, func() error {
-		rig := newRigFor(32, 1, false, &standin.Host{Primary: true}) // a room so large has eight wait
+		rig := newRigFor(32, 1, false, &fake.Host{Primary: true}) // a room so large has eight wait
 		defer rig.close()
 		rig.room.Resize(2)
 		for i, pause := range []time.Duration{200 * time.Millisecond, 10 * time.Millisecond} {
@@ -205,7 +205,7 @@
 func TestNewcomerWaitsHalfOfTheShortestDeadline(t *testing.T) {
 	for deadline, want := range map[time.Duration]bool{time.Second: true, 200 * time.Millisecond: false} {
 		inBubble(t, func() error {
-			rig := newRigFor(1, 1, false, &standin.Host{Primary: true})
+			rig := newRigFor(1, 1, false, &fake.Host{Primary: true})
 			defer rig.close()
 			rig.room.Waits(5 * time.Second)
 			rig.room.Waits(deadline)
@@ -237,7 +237,7 @@
 // TestListensAgainAtOnce has a server leave its clients to another process and take them again at once, twenty times: it listens
 // at its address again, where the listener before is closed behind its backlog, and serves.
 func TestListensAgainAtOnce(t *testing.T) {
-	rig := newRig(false, &standin.Host{Primary: true})
+	rig := newRig(false, &fake.Host{Primary: true})
 	defer rig.close()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -254,7 +254,7 @@
 			t.Fatal(err)
 		}
 		c.SetDeadline(time.Now().Add(20 * time.Second))
-		p, err := standin.DialPostgres(c, "")
+		p, err := fake.DialPostgres(c, "")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -278,11 +278,11 @@
 // clients is said only then.
 func TestTakesOverToTheEnd(t *testing.T) {
 	hold := make(chan struct{})
-	rig := newRig(false, &standin.Host{Primary: true, Act: func(id, _ string, _ bool) standin.Act {
+	rig := newRig(false, &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act {
 		if id == "held" {
 			<-hold
 		}
-		return standin.Serve
+		return fake.Serve
 	}})
 	defer rig.close()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -299,7 +299,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	p, err := standin.DialPostgres(c, "")
+	p, err := fake.DialPostgres(c, "")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/clients/bad_test.go
+++ b/internal/clients/bad_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/standin"
 )
 
 // packet frames a MySQL command.
@@ -64,11 +64,11 @@
 			t.Run(name+" "+form, func(t *testing.T) {
 				inBubble(t, func() error {
 					hold := make(chan struct{})
-					h := &standin.Host{Primary: true, Act: func(id, _ string, _ bool) standin.Act {
+					h := &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act {
 						if id == "open" {
 							<-hold
 						}
-						return standin.Serve
+						return fake.Serve
 					}}
 					rig := newRig(form != "postgres", h)
 					defer rig.close()
@@ -77,7 +77,7 @@
 						return err
 					}
 					defer first.leave()
-					answer := make(chan standin.Reply, 1)
+					answer := make(chan fake.Reply, 1)
 					if name == "another's id" {
 						go func() { r, _ := first.say(open); answer <- r }()
 						time.Sleep(10 * time.Millisecond)
@@ -113,10 +113,10 @@
 	defer raw.Close()
 	c := framebuf.New(raw, pgwire.MaxMessage)
 	if login && form == "postgres" {
-		_, err = standin.DialPostgres(raw, "")
+		_, err = fake.DialPostgres(raw, "")
 	} else if login {
-		var m *standin.MySQLClient
-		if m, err = standin.DialMySQL(raw, 0); err == nil {
+		var m *fake.MySQLClient
+		if m, err = fake.DialMySQL(raw, 0); err == nil {
 			c = m.Conn
 		}
 	}
@@ -150,10 +150,10 @@
 // TestPoorLink guards a device on a poor link, which has asked before and needs some seconds for its next message.
 func TestPoorLink(t *testing.T) {
 	inBubble(t, func() error {
-		rig := newRig(false, &standin.Host{Primary: true})
+		rig := newRig(false, &fake.Host{Primary: true})
 		defer rig.close()
 		raw := rig.connect()
-		c, err := standin.DialPostgres(raw, "")
+		c, err := fake.DialPostgres(raw, "")
 		if err != nil {
 			return err
 		}
@@ -180,7 +180,7 @@
 		for _, part := range []int{1, 5, len(text) - 1} {
 			t.Run(fmt.Sprint(form, " ", part), func(t *testing.T) {
 				inBubble(t, func() error {
-					rig := newRig(form != "postgres", &standin.Host{Primary: true})
+					rig := newRig(form != "postgres", &fake.Host{Primary: true})
 					defer rig.close()
 					a, err := rig.asker(form)
 					if err != nil {
--- a/internal/clients/end_test.go
+++ b/internal/clients/end_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/standin"
+	"cranegate/internal/fake"
 )
 
 // crossing is the gateway's end of a connection on whose shutdown, or close where that comes first, something is made
@@ -73,7 +73,7 @@
 }
 
 // crosser gives a client of the platform's protocol that sends a text in the instant in which its connection ends.
-func (r *rig) crosser(t *testing.T, text string) (*standin.PostgresClient, *crossing) {
+func (r *rig) crosser(t *testing.T, text string) (*fake.PostgresClient, *crossing) {
 	t.Helper()
 	near, far := loopback(t)
 	c := &crossing{TCPConn: far}
@@ -84,7 +84,7 @@
 		c.arrived()
 	}
 	r.pipes.conns <- c
-	p, err := standin.DialPostgres(near, "")
+	p, err := fake.DialPostgres(near, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 	for _, name := range []string{"idle", "behind", "let go", "half"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			host := &standin.Host{Primary: true}
+			host := &fake.Host{Primary: true}
 			rig := newRigFor(1, 1, false, host)
 			defer rig.close()
 			text := pgQuery(fmt.Sprintf(look, "crossed"))
@@ -125,7 +125,7 @@
 				ask("last")
 			case "let go":
 				for try := 0; ; try++ { // turned away where the answer has gone out and the place is not seen at rest yet
-					next, err := standin.DialPostgres(rig.connect(), "")
+					next, err := fake.DialPostgres(rig.connect(), "")
 					if err == nil {
 						defer next.Close()
 						break
@@ -156,19 +156,19 @@
 
 // TestOneIsLetGoForEach: clients that are slow to close, once let go, do not have others let go in their stead.
 func TestOneIsLetGoForEach(t *testing.T) {
-	rig := newRigFor(3, 1, false, &standin.Host{Primary: true})
+	rig := newRigFor(3, 1, false, &fake.Host{Primary: true})
 	defer rig.close()
 	for range 3 { // that have asked nothing, and do not look at their connection
 		near, far := loopback(t)
 		rig.pipes.conns <- far
-		if _, err := standin.DialPostgres(near, ""); err != nil {
+		if _, err := fake.DialPostgres(near, ""); err != nil {
 			t.Fatal(err)
 		}
 	}
 	time.Sleep(150 * time.Millisecond) // each may be let go from 0.1 s on
 	near, far := loopback(t)
 	rig.pipes.conns <- far
-	p, err := standin.DialPostgres(near, "")
+	p, err := fake.DialPostgres(near, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,12 +183,12 @@
 // TestSlowReaderHasItAll: a client that reads nothing until the gateway has ended its connection, behind an answer longer than
 // both ends hold in hand, has the whole of it then, and a plain end.
 func TestSlowReaderHasItAll(t *testing.T) {
-	rig := newRig(false, &standin.Host{Primary: true})
+	rig := newRig(false, &fake.Host{Primary: true})
 	defer rig.close()
 	near, far := loopback(t)
 	near.SetReadBuffer(4 << 10)
 	rig.pipes.conns <- far
-	p, err := standin.DialPostgres(near, "")
+	p, err := fake.DialPostgres(near, "")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/clients/gone_test.go
+++ b/internal/clients/gone_test.go
@@ -13,10 +13,10 @@
 
 	"golang.org/x/sys/unix"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/standin"
 )
 
 // stepped is the gateway's side of a client's connection, a real socket. Once it is held, what a read has brought reaches
@@ -149,9 +149,9 @@
 	r.pipes.conns <- gateway
 	var err error
 	if r.mysql {
-		_, err = standin.DialMySQL(client, 0)
+		_, err = fake.DialMySQL(client, 0)
 	} else {
-		_, err = standin.DialPostgres(client, "")
+		_, err = fake.DialPostgres(client, "")
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -190,7 +190,7 @@
 func TestCloseBehindWhatIsReadLate(t *testing.T) {
 	onSockets(t, func(t *testing.T, mysqlFront bool, end func(*net.TCPConn)) {
 		began := make(chan string, 10)
-		host := &standin.Host{Primary: true, Act: func(id, _ string, _ bool) standin.Act { began <- id; return standin.Serve }}
+		host := &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act { began <- id; return fake.Serve }}
 		r := newRig(mysqlFront, host)
 		t.Cleanup(r.end) // after the connections were closed
 		client, gateway := r.login(t)
@@ -209,7 +209,7 @@
 func TestCloseWhileTheAnswerGoesOut(t *testing.T) {
 	onSockets(t, func(t *testing.T, mysqlFront bool, end func(*net.TCPConn)) {
 		began := make(chan string, 10)
-		host := &standin.Host{Primary: true, Act: func(id, _ string, _ bool) standin.Act { began <- id; return standin.Serve }}
+		host := &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act { began <- id; return fake.Serve }}
 		r := newRig(mysqlFront, host)
 		t.Cleanup(r.end) // after the connections were closed
 		client, gateway := r.login(t)
@@ -252,10 +252,10 @@
 	for _, budget := range []bool{false, true} {
 		onSockets(t, func(t *testing.T, mysqlFront bool, end func(*net.TCPConn)) {
 			began, release := make(chan string, 10), make(chan struct{})
-			host := &standin.Host{Primary: true, Act: func(id, _ string, _ bool) standin.Act {
+			host := &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act {
 				began <- id
 				<-release
-				return standin.Full // another attempt may follow
+				return fake.Full // another attempt may follow
 			}}
 			r := newRig(mysqlFront, host)
 			t.Cleanup(r.end)
@@ -296,10 +296,10 @@
 func TestPipelinedPastTheBuffer(t *testing.T) {
 	const more = 12
 	release, begun := make(chan struct{}), make(chan struct{}, more+1)
-	host := &standin.Host{Primary: true, Act: func(string, string, bool) standin.Act {
+	host := &fake.Host{Primary: true, Act: func(string, string, bool) fake.Act {
 		begun <- struct{}{}
 		<-release
-		return standin.Serve
+		return fake.Serve
 	}}
 	r := newRig(false, host)
 	t.Cleanup(r.end)
@@ -313,7 +313,7 @@
 	within(t, "the first attempt", begun)
 	holds(t, "unread bytes", func() bool { return r.counters.Get("test_looks_past_unread") > 1 })
 	close(release)
-	c := standin.PostgresClient{Conn: framebuf.New(client, pgwire.MaxMessage)}
+	c := fake.PostgresClient{Conn: framebuf.New(client, pgwire.MaxMessage)}
 	client.SetReadDeadline(time.Now().Add(20 * time.Second))
 	for i := range more + 1 {
 		if a, err := c.Read(); err != nil || a.Value != fmt.Sprint("value of q", i) {
@@ -327,7 +327,7 @@
 func TestCloseBeforeTheLastGate(t *testing.T) {
 	onSockets(t, func(t *testing.T, mysqlFront bool, end func(*net.TCPConn)) {
 		began := make(chan string, 10)
-		host := &standin.Host{Primary: true, Act: func(id, _ string, _ bool) standin.Act { began <- id; return standin.Serve }}
+		host := &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act { began <- id; return fake.Serve }}
 		r := newRig(mysqlFront, host)
 		t.Cleanup(r.end)
 		opening, open := make(chan struct{}, 100), make(chan struct{})
@@ -355,7 +355,7 @@
 func TestManyCloseAtOnce(t *testing.T) {
 	const clients = 100
 	var began atomic.Int64
-	host := &standin.Host{Primary: true, Act: func(string, string, bool) standin.Act { began.Add(1); return standin.Serve }}
+	host := &fake.Host{Primary: true, Act: func(string, string, bool) fake.Act { began.Add(1); return fake.Serve }}
 	r := newRigFor(2*clients, 1, false, host)
 	t.Cleanup(r.end)
 	open := make(chan struct{})
@@ -389,10 +389,10 @@
 func TestCloseBehindPipelined(t *testing.T) {
 	onSockets(t, func(t *testing.T, mysqlFront bool, end func(*net.TCPConn)) {
 		began, release := make(chan string, 10), make(chan struct{})
-		host := &standin.Host{Primary: true, Act: func(id, _ string, _ bool) standin.Act {
+		host := &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act {
 			began <- id
 			<-release
-			return standin.Full // another attempt may follow
+			return fake.Full // another attempt may follow
 		}}
 		r := newRig(mysqlFront, host)
 		t.Cleanup(r.end)
@@ -424,18 +424,18 @@
 			t.Parallel()
 			preparing, release := make(chan struct{}, 10), make(chan struct{})
 			var held atomic.Bool
-			host := &standin.Host{Primary: true, Act: func(_, _ string, prepare bool) standin.Act {
+			host := &fake.Host{Primary: true, Act: func(_, _ string, prepare bool) fake.Act {
 				if prepare && held.Load() {
 					preparing <- struct{}{}
 					<-release
 				}
-				return standin.Serve
+				return fake.Serve
 			}}
 			r := newRig(true, host)
 			t.Cleanup(r.end)
 			client, gateway := sockets(t)
 			r.pipes.conns <- gateway
-			c, err := standin.DialMySQL(client, mysqlwire.CapQueryAttributes)
+			c, err := fake.DialMySQL(client, mysqlwire.CapQueryAttributes)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -477,7 +477,7 @@
 		inBubble(t, func() (err error) {
 			hold := make(chan struct{})
 			release := sync.OnceFunc(func() { close(hold) })
-			host := &standin.Host{Primary: true, Act: func(string, string, bool) standin.Act { <-hold; return standin.Serve }}
+			host := &fake.Host{Primary: true, Act: func(string, string, bool) fake.Act { <-hold; return fake.Serve }}
 			r := newRig(form != "postgres", host)
 			defer func() { err = cmp.Or(err, r.close()) }()
 			defer release()
--- a/internal/clients/idle_test.go
+++ b/internal/clients/idle_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"cranegate/internal/standin"
+	"cranegate/internal/fake"
 )
 
 // TestManyGatewaysLeaveRoom holds what a gateway keeps against the size of its fleet: the only one keeps a connection
@@ -15,7 +15,7 @@
 	for _, form := range []string{"postgres", "mysql"} {
 		for gateways, kept := range map[int]int{1: 1, 1000: 0} {
 			synctest.Test(t, func(t *testing.T) {
-				host := &standin.Host{Primary: true}
+				host := &fake.Host{Primary: true}
 				rig := newRigFor(5, gateways, form == "mysql", host)
 				defer rig.close()
 				a, err := rig.asker(form)
@@ -40,13 +40,13 @@
 // TestNoRoomForConnections lets a host end new connections with a refusal: that shows that its room is short. Where it
 // turns requests away and leaves connections open, it is the queue that is full.
 func TestNoRoomForConnections(t *testing.T) {
-	for act, want := range map[standin.Act]bool{standin.NoRoom: true, standin.Full: false} {
+	for act, want := range map[fake.Act]bool{fake.NoRoom: true, fake.Full: false} {
 		synctest.Test(t, func(t *testing.T) {
-			host := &standin.Host{Primary: true, Act: func(id, _ string, _ bool) standin.Act {
+			host := &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act {
 				if id[0] == 'n' {
 					return act
 				}
-				return standin.Serve
+				return fake.Serve
 			}}
 			rig := newRig(false, host)
 			defer rig.close()
--- a/internal/clients/lend_test.go
+++ b/internal/clients/lend_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cranegate/internal/clients"
-	"cranegate/internal/standin"
+	"cranegate/internal/fake"
 )
 
 // TestLentPlaces lends half of the places of a full room, one after the other: idle clients give way, never is more held and
@@ -17,10 +17,10 @@
 func TestLentPlaces(t *testing.T) {
 	const places = 8
 	inBubble(t, func() error {
-		rig := newRigFor(places, 1, false, &standin.Host{Primary: true})
+		rig := newRigFor(places, 1, false, &fake.Host{Primary: true})
 		defer rig.close()
 		for i := range places {
-			c, err := standin.DialPostgres(rig.connect(), "")
+			c, err := fake.DialPostgres(rig.connect(), "")
 			if err != nil {
 				return fmt.Errorf("client %d: %w", i, err)
 			}
@@ -47,7 +47,7 @@
 			return fmt.Errorf("past the half: %v", err)
 		}
 		for i := range 2 { // newcomers take idle clients' places, not lent ones
-			c, err := standin.DialPostgres(rig.connect(), "")
+			c, err := fake.DialPostgres(rig.connect(), "")
 			if err != nil {
 				return fmt.Errorf("client %d meanwhile: %w", i, err)
 			}
@@ -60,7 +60,7 @@
 			f()
 		}
 		for i := range places / 2 {
-			c, err := standin.DialPostgres(rig.connect(), "")
+			c, err := fake.DialPostgres(rig.connect(), "")
 			if err != nil {
 				return fmt.Errorf("client %d after: %w", i, err)
 			}
--- a/internal/clients/model_test.go
+++ b/internal/clients/model_test.go
@@ -12,10 +12,10 @@
 
 	"pgregory.net/rapid"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/standin"
 	"cranegate/rules"
 )
 
@@ -37,7 +37,7 @@
 	Kind  string
 	Form  string
 	Class string
-	Acts  []standin.Act // what hosts make of a request's attempts in order; the last goes on
+	Acts  []fake.Act    // what hosts make of a request's attempts in order; the last goes on
 	Stays time.Duration // how long the client waits before it leaves
 }
 
@@ -49,7 +49,7 @@
 		Kind:  rapid.SampledFrom([]string{"ask", "ask", "ask", "ask", "leave", "die", "drain", "cut"}).Draw(t, "kind"),
 		Form:  rapid.SampledFrom(forms[1:]).Draw(t, "form"),
 		Class: rapid.SampledFrom([]string{"look", "put"}).Draw(t, "class"),
-		Acts:  rapid.SliceOfN(rapid.Custom(func(t *rapid.T) standin.Act { return standin.Act(rapid.IntRange(0, 6).Draw(t, "act")) }), 1, 4).Draw(t, "acts"),
+		Acts:  rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fake.Act { return fake.Act(rapid.IntRange(0, 6).Draw(t, "act")) }), 1, 4).Draw(t, "acts"),
 		Stays: ms("stays", 900)}
 }), 1, 25)
 
@@ -65,17 +65,17 @@
 	var mu sync.Mutex
 	calls := map[string]int{}
 	plans := map[string]event{}
-	act := func(id, _ string, prepare bool) standin.Act {
+	act := func(id, _ string, prepare bool) fake.Act {
 		mu.Lock()
 		defer mu.Unlock()
 		e := plans[id]
 		if prepare || len(e.Acts) == 0 {
-			return standin.Serve
+			return fake.Serve
 		}
 		calls[id]++
 		return e.Acts[min(calls[id], len(e.Acts))-1]
 	}
-	rig := newRig(mysqlFront, &standin.Host{Primary: true, Act: act}, &standin.Host{Act: act}, &standin.Host{Act: act})
+	rig := newRig(mysqlFront, &fake.Host{Primary: true, Act: act}, &fake.Host{Act: act}, &fake.Host{Act: act})
 	ran := func(id string) (n int) {
 		for _, h := range rig.hosts {
 			n += h.Ran(id)
@@ -182,7 +182,7 @@
 			rapid.IntRange(1, 300).Draw(t, "cut"), rapid.SampledFrom([]string{"quit", "oversize", "unknown"}).Draw(t, "end")}
 	})
 	check(t, plans, func(p plan) error {
-		rig := newRig(false, &standin.Host{Primary: true})
+		rig := newRig(false, &fake.Host{Primary: true})
 		defer rig.close()
 		var out []byte
 		out = append(out, 0, 0, 0, 8, 4, 210, 22, 47) // SSLRequest
@@ -269,16 +269,16 @@
 	}), 1, 30)
 	for _, caps := range []uint32{0, mysqlwire.CapDeprecateEOF | mysqlwire.CapQueryAttributes | mysqlwire.CapSessionTrack} {
 		check(t, plans, func(plan []step) (err error) {
-			rig := newRig(true, &standin.Host{Primary: true})
+			rig := newRig(true, &fake.Host{Primary: true})
 			defer func() { err = cmp.Or(err, rig.close()) }()
-			c, err := standin.DialMySQL(rig.connect(), caps)
+			c, err := fake.DialMySQL(rig.connect(), caps)
 			if err != nil {
 				return err
 			}
 			defer c.Close()
 			live := map[uint32]bool{}
 			for i, s := range plan {
-				id, want, got := uint32(s.Which), "", standin.Reply{}
+				id, want, got := uint32(s.Which), "", fake.Reply{}
 				known := live[id]
 				key := fmt.Sprint("k", i)
 				switch s.Op {
@@ -341,9 +341,9 @@
 // in the middle of one.
 func TestOversizeAndHalfMessages(t *testing.T) {
 	inBubble(t, func() error {
-		rig := newRig(true, &standin.Host{Primary: true})
+		rig := newRig(true, &fake.Host{Primary: true})
 		defer rig.close()
-		c, err := standin.DialMySQL(rig.connect(), 0)
+		c, err := fake.DialMySQL(rig.connect(), 0)
 		if err != nil {
 			return err
 		}
--- a/internal/clients/outcomes_test.go
+++ b/internal/clients/outcomes_test.go
@@ -9,51 +9,51 @@
 	"testing/synctest"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/standin"
 	"cranegate/rules"
 )
 
 // TestOutcomesAreAlike guards the promise that both protocols, and both ways to send a MySQL statement, turn what
 // a host does into the same answer, and run a statement the same number of times.
 func TestOutcomesAreAlike(t *testing.T) {
-	const s, m, f, e, r, x, j = standin.Serve, standin.Miss, standin.Full, standin.Error, standin.Reset, standin.Silent, standin.Reject
+	const s, m, f, e, r, x, j = fake.Serve, fake.Miss, fake.Full, fake.Error, fake.Reset, fake.Silent, fake.Reject
 	for _, c := range []struct {
 		class string
-		acts  []standin.Act // of the attempts in order; the last goes on
-		down  bool          // no host can be reached
+		acts  []fake.Act // of the attempts in order; the last goes on
+		down  bool       // no host can be reached
 		want  string
 		ran   int
 	}{
-		{"look", []standin.Act{s}, false, "served", 1},
-		{"look", []standin.Act{m, s}, false, "served", 1},
-		{"look", []standin.Act{f, s}, false, "served", 1},
-		{"look", []standin.Act{e, s}, false, "served", 2},
-		{"look", []standin.Act{r, s}, false, "served", 2},
-		{"look", []standin.Act{j, s}, false, "failed", 0}, // no other member would do better
-		{"put", []standin.Act{j, s}, false, "failed", 0},
-		{"look", []standin.Act{f}, false, "refused", 0},
+		{"look", []fake.Act{s}, false, "served", 1},
+		{"look", []fake.Act{m, s}, false, "served", 1},
+		{"look", []fake.Act{f, s}, false, "served", 1},
+		{"look", []fake.Act{e, s}, false, "served", 2},
+		{"look", []fake.Act{r, s}, false, "served", 2},
+		{"look", []fake.Act{j, s}, false, "failed", 0}, // no other member would do better
+		{"put", []fake.Act{j, s}, false, "failed", 0},
+		{"look", []fake.Act{f}, false, "refused", 0},
 		{"look", nil, true, "refused", 0},
-		{"put", []standin.Act{s}, false, "served", 1},
-		{"put", []standin.Act{m, s}, false, "served", 1},
-		{"put", []standin.Act{f, s}, false, "served", 1},
-		{"put", []standin.Act{e, s}, false, "failed", 1}, // it may have run: no second time
-		{"put", []standin.Act{r, s}, false, "failed", 1},
-		{"put", []standin.Act{x, s}, false, "failed", 1},
-		{"put", []standin.Act{f}, false, "refused", 0},
+		{"put", []fake.Act{s}, false, "served", 1},
+		{"put", []fake.Act{m, s}, false, "served", 1},
+		{"put", []fake.Act{f, s}, false, "served", 1},
+		{"put", []fake.Act{e, s}, false, "failed", 1}, // it may have run: no second time
+		{"put", []fake.Act{r, s}, false, "failed", 1},
+		{"put", []fake.Act{x, s}, false, "failed", 1},
+		{"put", []fake.Act{f}, false, "refused", 0},
 		{"put", nil, true, "refused", 0},
 	} {
 		for _, form := range forms {
 			t.Run(fmt.Sprint(c.class, c.acts, c.down, form), func(t *testing.T) {
 				inBubble(t, func() error {
 					var calls atomic.Int32
-					act := func(_, _ string, prepare bool) standin.Act {
+					act := func(_, _ string, prepare bool) fake.Act {
 						if prepare || len(c.acts) == 0 {
 							return s
 						}
 						return c.acts[min(int(calls.Add(1)), len(c.acts))-1]
 					}
-					rig := newRig(form != "postgres", &standin.Host{Primary: true, Act: act}, &standin.Host{Act: act})
+					rig := newRig(form != "postgres", &fake.Host{Primary: true, Act: act}, &fake.Host{Act: act})
 					defer rig.close()
 					a, err := rig.asker(form)
 					if err != nil {
@@ -83,20 +83,20 @@
 func TestStatementOutlivesItsMember(t *testing.T) {
 	inBubble(t, func() error {
 		reset := false
-		act := func(_, text string, prepare bool) standin.Act {
+		act := func(_, text string, prepare bool) fake.Act {
 			if reset && !prepare {
-				return standin.Reset
+				return fake.Reset
 			}
-			return standin.Serve
+			return fake.Serve
 		}
-		rig := newRig(true, &standin.Host{Primary: true, Act: act}, &standin.Host{}, &standin.Host{})
+		rig := newRig(true, &fake.Host{Primary: true, Act: act}, &fake.Host{}, &fake.Host{})
 		defer rig.close()
 		a, err := rig.asker("prepared")
 		if err != nil {
 			return err
 		}
 		defer a.leave()
-		run := func(id uint32, key string) (standin.Reply, error) {
+		run := func(id uint32, key string) (fake.Reply, error) {
 			return a.my.Execute(id, []mysqlwire.Param{mysqlwire.Attribute("", key)}, mysqlwire.Attribute("id", key))
 		}
 		_, read, _, err := a.my.Prepare("/* c=look,cluster=4 */ SELECT v FROM records WHERE k = ?")
@@ -130,7 +130,7 @@
 // in step for others, and no statement stays open at the host.
 func TestLatePrepareLeavesNothing(t *testing.T) {
 	inBubble(t, func() error {
-		h := &standin.Host{Primary: true, PrepareFor: 400 * time.Millisecond}
+		h := &fake.Host{Primary: true, PrepareFor: 400 * time.Millisecond}
 		rig := newRig(true, h)
 		defer rig.close()
 		a, err := rig.asker("prepared")
@@ -161,7 +161,7 @@
 // TestLongDataAndBoundTypes guards values that come ahead of an execute: they reach whichever member runs it.
 func TestLongDataAndBoundTypes(t *testing.T) {
 	inBubble(t, func() error {
-		rig := newRig(true, &standin.Host{Primary: true})
+		rig := newRig(true, &fake.Host{Primary: true})
 		defer rig.close()
 		a, err := rig.asker("prepared")
 		if err != nil {
@@ -197,7 +197,7 @@
 func TestNothingNewAfterADrain(t *testing.T) {
 	for _, form := range forms {
 		inBubble(t, func() error {
-			rig := newRig(form != "postgres", &standin.Host{Primary: true})
+			rig := newRig(form != "postgres", &fake.Host{Primary: true})
 			defer rig.close()
 			a, err := rig.asker(form)
 			if err != nil {
@@ -221,13 +221,13 @@
 	for _, form := range forms {
 		inBubble(t, func() error {
 			hold := make(chan struct{})
-			act := func(_, _ string, prepare bool) standin.Act {
+			act := func(_, _ string, prepare bool) fake.Act {
 				if !prepare {
 					<-hold
 				}
-				return standin.Serve
+				return fake.Serve
 			}
-			rig := newRig(form != "postgres", &standin.Host{Primary: true, Act: act})
+			rig := newRig(form != "postgres", &fake.Host{Primary: true, Act: act})
 			a, err := rig.asker(form)
 			if err != nil {
 				return err
@@ -248,7 +248,7 @@
 	for _, c := range []struct{ password, plugin, want string }{{"geheim", "", "served"}, {"falsch", "", "refused"},
 		{"geheim", mysqlwire.CachingSHA2Password, "served"}, {"falsch", mysqlwire.CachingSHA2Password, "refused"}} {
 		inBubble(t, func() error {
-			rig := newRig(true, &standin.Host{Primary: true, Password: c.password, Plugin: c.plugin})
+			rig := newRig(true, &fake.Host{Primary: true, Password: c.password, Plugin: c.plugin})
 			defer rig.close()
 			a, err := rig.asker("mysql")
 			if err != nil {
@@ -269,13 +269,13 @@
 	for _, form := range forms[:2] {
 		inBubble(t, func() (err error) {
 			hold := make(chan struct{})
-			act := func(id, _ string, _ bool) standin.Act {
+			act := func(id, _ string, _ bool) fake.Act {
 				if strings.HasPrefix(id, "big") {
 					<-hold
 				}
-				return standin.Serve
+				return fake.Serve
 			}
-			rig := newRig(form != "postgres", &standin.Host{Primary: true, Act: act})
+			rig := newRig(form != "postgres", &fake.Host{Primary: true, Act: act})
 			defer func() { err = cmp.Or(err, rig.close()) }()
 			outcomes := map[string]int{}
 			answers := make(chan string)
--- a/internal/clients/pipelined_test.go
+++ b/internal/clients/pipelined_test.go
@@ -11,9 +11,9 @@
 
 	"pgregory.net/rapid"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/sqlcomment"
-	"cranegate/internal/standin"
 )
 
 // answerLate is how much later than a request's time its answer may be written: the core's slack in these tests.
@@ -35,8 +35,8 @@
 			t.Parallel()
 			var mu sync.Mutex
 			told := map[string]time.Duration{}
-			host := &standin.Host{Primary: true}
-			host.Act = func(id, text string, _ bool) standin.Act {
+			host := &fake.Host{Primary: true}
+			host.Act = func(id, text string, _ bool) fake.Act {
 				s, _ := sqlcomment.Parse([]byte(text))
 				mu.Lock()
 				told[id] = s.Wait
@@ -44,11 +44,11 @@
 				if id == "slow" {
 					time.Sleep(300 * time.Millisecond)
 				}
-				return standin.Serve
+				return fake.Serve
 			}
 			rig := newRig(false, host)
 			defer rig.close()
-			c, err := standin.DialPostgres(connect(t, rig), "")
+			c, err := fake.DialPostgres(connect(t, rig), "")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -85,7 +85,7 @@
 	After time.Duration // since the one before was written
 	Wait  time.Duration
 	Class string
-	Acts  []standin.Act
+	Acts  []fake.Act
 	Takes time.Duration // that its host works on it
 	Cut   int           // it is written in pieces of so many bytes, and the writer rests between them
 	Rest  time.Duration
@@ -98,8 +98,8 @@
 	}
 	return piped{After: ms("after", 0, 60), Wait: ms("wait", 20, 1000),
 		Class: rapid.SampledFrom([]string{"look", "look", "put"}).Draw(t, "class"),
-		Acts: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) standin.Act {
-			return standin.Act(rapid.SampledFrom([]int{0, 0, 0, 1, 2, 3, 4, 5, 6}).Draw(t, "act"))
+		Acts: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fake.Act {
+			return fake.Act(rapid.SampledFrom([]int{0, 0, 0, 1, 2, 3, 4, 5, 6}).Draw(t, "act"))
 		}), 1, 3).Draw(t, "acts"),
 		Takes: ms("takes", 0, 250), Cut: rapid.IntRange(1, 400).Draw(t, "cut"), Rest: ms("rest", 0, 3),
 		Form: rapid.SampledFrom([]string{"", "", "", "empty", "faulty", "extended"}).Draw(t, "form")}
@@ -118,9 +118,9 @@
 	written := make([]time.Time, len(plan))
 	var fault error
 	calls := map[string]int{}
-	rig := newRig(false, &standin.Host{Primary: true}, &standin.Host{}, &standin.Host{})
+	rig := newRig(false, &fake.Host{Primary: true}, &fake.Host{}, &fake.Host{})
 	for _, h := range rig.hosts {
-		h.Act = func(id, text string, _ bool) standin.Act {
+		h.Act = func(id, text string, _ bool) fake.Act {
 			var i int
 			fmt.Sscanf(id, "q%d", &i)
 			s, e := sqlcomment.Parse([]byte(text))
@@ -137,7 +137,7 @@
 		}
 	}
 	defer func() { err = cmp.Or(err, rig.close()) }()
-	c, err := standin.DialPostgres(rig.connect(), "")
+	c, err := fake.DialPostgres(rig.connect(), "")
 	if err != nil {
 		return err
 	}
--- a/internal/clients/rig_test.go
+++ b/internal/clients/rig_test.go
@@ -16,6 +16,7 @@
 	"cranegate/internal/clients/mysql"
 	"cranegate/internal/clients/postgres"
 	"cranegate/internal/core"
+	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/invariant"
 	"cranegate/internal/metrics"
@@ -23,7 +24,6 @@
 	"cranegate/internal/servers"
 	myservers "cranegate/internal/servers/mysql"
 	pgservers "cranegate/internal/servers/postgres"
-	"cranegate/internal/standin"
 	"cranegate/rules"
 )
 
@@ -66,7 +66,7 @@
 // rig is one front with its core and stand-in hosts: db-0 is the primary of group 4.
 type rig struct {
 	mysql    bool
-	hosts    []*standin.Host
+	hosts    []*fake.Host
 	down     []atomic.Bool // refuses connections
 	opening  func()        // called as a connection to a host is asked for; nil does nothing
 	core     *core.Core
@@ -80,12 +80,12 @@
 	ended    chan error
 }
 
-func newRig(mysqlFront bool, hosts ...*standin.Host) *rig {
+func newRig(mysqlFront bool, hosts ...*fake.Host) *rig {
 	return newRigFor(50, 1, mysqlFront, hosts...)
 }
 
 // newRigFor has places for a number of clients, and holds itself for one of so many gateways.
-func newRigFor(places, gateways int, mysqlFront bool, hosts ...*standin.Host) *rig {
+func newRigFor(places, gateways int, mysqlFront bool, hosts ...*fake.Host) *rig {
 	r := &rig{mysql: mysqlFront, hosts: hosts, down: make([]atomic.Bool, len(hosts)), counters: &metrics.Counters{},
 		budget: framebuf.NewBudget(rigBudget), room: clients.NewRoom(places),
 		pipes: &pipes{conns: make(chan net.Conn), done: make(chan struct{})}, ended: make(chan error, 1)}
@@ -118,7 +118,7 @@
 }
 
 // rigPassword is the gateway's password, which is wrong at hosts that want another; none where none is wanted.
-func rigPassword(hosts []*standin.Host) string {
+func rigPassword(hosts []*fake.Host) string {
 	if hosts[0].Password == "" {
 		return ""
 	}
@@ -183,8 +183,8 @@
 // asker is a client of either protocol. Form says how it asks.
 type asker struct {
 	form string // "postgres", "mysql" or "prepared"
-	pg   *standin.PostgresClient
-	my   *standin.MySQLClient
+	pg   *fake.PostgresClient
+	my   *fake.MySQLClient
 }
 
 var forms = []string{"postgres", "mysql", "prepared"}
@@ -192,9 +192,9 @@
 func (r *rig) asker(form string) (*asker, error) {
 	a, err := &asker{form: form}, error(nil)
 	if form == "postgres" {
-		a.pg, err = standin.DialPostgres(r.connect(), "")
+		a.pg, err = fake.DialPostgres(r.connect(), "")
 	} else {
-		a.my, err = standin.DialMySQL(r.connect(), mysqlwire.CapQueryAttributes|mysqlwire.CapSessionTrack)
+		a.my, err = fake.DialMySQL(r.connect(), mysqlwire.CapQueryAttributes|mysqlwire.CapSessionTrack)
 	}
 	return a, err
 }
@@ -202,7 +202,7 @@
 var verbs = map[string]string{"look": "SELECT v FROM records WHERE k = ", "put": "INSERT INTO records (k) VALUES "}
 
 // ask sends one request; its key is its id, so a value shows whom it was made for.
-func (a *asker) ask(class, id string) (standin.Reply, error) {
+func (a *asker) ask(class, id string) (fake.Reply, error) {
 	comment := "/* id=" + id + ",c=" + class + ",d=1000,cluster=4 */ "
 	if a.form != "prepared" {
 		return a.say(comment + verbs[class] + "'" + id + "'")
@@ -218,7 +218,7 @@
 }
 
 // say sends a text query.
-func (a *asker) say(text string) (standin.Reply, error) {
+func (a *asker) say(text string) (fake.Reply, error) {
 	if a.pg != nil {
 		return a.pg.Ask(text)
 	}
--- a/internal/clients/room_test.go
+++ b/internal/clients/room_test.go
@@ -11,8 +11,8 @@
 
 	"pgregory.net/rapid"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/standin"
 )
 
 // guest is a client as the model of a full room sees it.
@@ -61,11 +61,11 @@
 	sure, fulls := 0, 0
 	check(t, steps, func(plan []step) error {
 		hold := make(chan struct{})
-		rig := newRigFor(4, 1, false, &standin.Host{Primary: true, Act: func(id, _ string, _ bool) standin.Act {
+		rig := newRigFor(4, 1, false, &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act {
 			if strings.HasPrefix(id, "open") {
 				<-hold
 			}
-			return standin.Serve
+			return fake.Serve
 		}})
 		defer rig.close()
 		defer close(hold)
@@ -140,9 +140,9 @@
 
 // play does what its kind does, and tells whether it has a place.
 func (g *guest) play(wait time.Duration) (bool, error) {
-	c, err := (*standin.PostgresClient)(nil), error(nil)
+	c, err := (*fake.PostgresClient)(nil), error(nil)
 	if g.kind != "silent" {
-		if c, err = standin.DialPostgres(g.conn, ""); err != nil {
+		if c, err = fake.DialPostgres(g.conn, ""); err != nil {
 			return false, nil // turned away
 		}
 	}
--- a/internal/clients/stream_test.go
+++ b/internal/clients/stream_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/standin"
 )
 
 const longValue = 4 << 20
@@ -41,11 +41,11 @@
 func TestLongValues(t *testing.T) {
 	want := longAnswer(longValue)
 	inBubble(t, func() error {
-		host := &standin.Host{Primary: true, Spoil: func(id string, b []byte) standin.Spoilt {
+		host := &fake.Host{Primary: true, Spoil: func(id string, b []byte) fake.Spoilt {
 			if id == "long" { // what follows a pause counts as surplus here: it belongs to the answer
-				return standin.Spoilt{Answer: want[:longValue/2], After: 3 * time.Second, Surplus: want[longValue/2:]}
+				return fake.Spoilt{Answer: want[:longValue/2], After: 3 * time.Second, Surplus: want[longValue/2:]}
 			}
-			return standin.Spoilt{Answer: b}
+			return fake.Spoilt{Answer: b}
 		}}
 		rig := newRig(false, host)
 		a, err := rig.long("long")
@@ -102,17 +102,17 @@
 	want := longAnswer(longValue)
 	for _, who := range []string{"host", "client", "client before it begins"} {
 		inBubble(t, func() error {
-			host := &standin.Host{Primary: true}
-			host.Spoil = func(id string, b []byte) standin.Spoilt {
+			host := &fake.Host{Primary: true}
+			host.Spoil = func(id string, b []byte) fake.Spoilt {
 				if id != "long" {
-					return standin.Spoilt{Answer: b}
+					return fake.Spoilt{Answer: b}
 				}
 				if who == "host" {
 					go func() { time.Sleep(200 * time.Millisecond); host.Die() }()
-					return standin.Spoilt{Answer: want[:longValue/2], Dead: true}
+					return fake.Spoilt{Answer: want[:longValue/2], Dead: true}
 				}
 				time.Sleep(50 * time.Millisecond)
-				return standin.Spoilt{Answer: want}
+				return fake.Spoilt{Answer: want}
 			}
 			rig := newRig(false, host)
 			a, err := rig.long("long")
@@ -143,8 +143,8 @@
 func TestLongValueAtAStop(t *testing.T) {
 	want := longAnswer(longValue)
 	inBubble(t, func() error {
-		rig := newRig(false, &standin.Host{Primary: true, Spoil: func(string, []byte) standin.Spoilt {
-			return standin.Spoilt{Answer: want[:longValue/2], After: 2500 * time.Millisecond, Surplus: want[longValue/2:]}
+		rig := newRig(false, &fake.Host{Primary: true, Spoil: func(string, []byte) fake.Spoilt {
+			return fake.Spoilt{Answer: want[:longValue/2], After: 2500 * time.Millisecond, Surplus: want[longValue/2:]}
 		}})
 		a, err := rig.long("long")
 		if err != nil {
--- a/internal/clients/taken_test.go
+++ b/internal/clients/taken_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/standin"
+	"cranegate/internal/fake"
 )
 
 // looked is the gateway's end of a connection on whose last look something is made to happen right before: the first one
@@ -49,7 +49,7 @@
 		for _, behind := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", behind an answer: ", behind), func(t *testing.T) {
 				t.Parallel()
-				host := &standin.Host{Primary: true}
+				host := &fake.Host{Primary: true}
 				rig := newRig(false, host)
 				defer rig.close()
 				near, far := loopback(t)
@@ -64,7 +64,7 @@
 					close(came)
 				}
 				rig.pipes.conns <- c
-				p, err := standin.DialPostgres(near, "")
+				p, err := fake.DialPostgres(near, "")
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -131,7 +131,7 @@
 // TestMessageThatCameInTime: the rest of a request that was there before the time for it had passed, but was not read by
 // then, is read, and the request answered.
 func TestMessageThatCameInTime(t *testing.T) {
-	rig := newRig(false, &standin.Host{Primary: true})
+	rig := newRig(false, &fake.Host{Primary: true})
 	defer rig.close()
 	near, far := loopback(t)
 	text := pgQuery(fmt.Sprintf(look, "a"))
@@ -141,7 +141,7 @@
 		(&crossing{TCPConn: far}).arrived()
 	}
 	rig.pipes.conns <- c
-	p, err := standin.DialPostgres(near, "")
+	p, err := fake.DialPostgres(near, "")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/clients/takeover_test.go
+++ b/internal/clients/takeover_test.go
@@ -15,10 +15,10 @@
 
 	"cranegate/internal/clients"
 	"cranegate/internal/clients/postgres"
+	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/metrics"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/standin"
 )
 
 // TestTakenOverClientsFitTheRoom has another process pass on three times as many idle clients as there are places, with one
@@ -27,7 +27,7 @@
 	const places, passed = 4, 12
 	inBubble(t, func() error {
 		hold := make(chan struct{})
-		rig := newRig(false, &standin.Host{Primary: true, Act: func(string, string, bool) standin.Act { <-hold; return standin.Serve }})
+		rig := newRig(false, &fake.Host{Primary: true, Act: func(string, string, bool) fake.Act { <-hold; return fake.Serve }})
 		defer rig.close()
 		answer := sync.OnceFunc(func() { close(hold) })
 		defer answer()
@@ -89,7 +89,7 @@
 // TestNewerServesWhileTheListenerCloses has a newer process take the clients over while this one, which ends, waits for its listener
 // to close: who has a connection here is answered meanwhile.
 func TestNewerServesWhileTheListenerCloses(t *testing.T) {
-	rig := newRig(false, &standin.Host{Primary: true})
+	rig := newRig(false, &fake.Host{Primary: true})
 	defer rig.close()
 	s := &clients.Server{Name: "ends", Front: postgres.Front{}, Core: rig.core, Room: clients.NewRoom(50),
 		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}, Shared: true}
@@ -108,7 +108,7 @@
 	go func() { s.Retire(); close(retired) }()
 	time.Sleep(50 * time.Millisecond)
 	near.SetDeadline(time.Now().Add(10 * time.Second))
-	c := &standin.PostgresClient{Conn: framebuf.New(near, pgwire.MaxMessage)}
+	c := &fake.PostgresClient{Conn: framebuf.New(near, pgwire.MaxMessage)}
 	if r, err := c.Ask(fmt.Sprintf(look, "meanwhile")); err != nil || r.Outcome != "served" {
 		t.Errorf("%+v, %v", r, err)
 	}
--- a/internal/standin/host.go
+++ b/internal/fake/host.go
@@ -1,6 +1,6 @@
-// Package standin has small database hosts and clients of both protocols, for tests and for trying the gateway
+// Package fake has small database hosts and clients of both protocols, for tests and for trying the gateway
 // out. They follow the public specifications as far as the gateway needs them.
-package standin
+package fake
 
 import (
 	"net"
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -11,12 +11,12 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/handover/place"
 	"cranegate/internal/handover/record"
 	"cranegate/internal/handover/state"
 	"cranegate/internal/handover/talk"
 	"cranegate/internal/metrics"
-	"cranegate/internal/standin"
 )
 
 // open gives a Handover that runs until the test ends.
@@ -240,7 +240,7 @@
 	undo := func() {}
 	atStep = func(step string) {
 		if undo(); step == "read" {
-			if undo, err = standin.LeaveFiles(0); err != nil {
+			if undo, err = fake.LeaveFiles(0); err != nil {
 				t.Error(err)
 			}
 		}
--- a/internal/handover/record/record_test.go
+++ b/internal/handover/record/record_test.go
@@ -6,8 +6,8 @@
 	"path/filepath"
 	"testing"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/handover/state"
-	"cranegate/internal/standin"
 )
 
 // TestNothingToSay: where nothing was ever said no file is made. Its write would hold the lock, on a slow disk for longer
@@ -51,7 +51,7 @@
 		if _, err := In(dir).Update(context.Background(), ban(t, "db-0")); err != nil {
 			t.Fatal(err)
 		}
-		undo, err := standin.LeaveFiles(files)
+		undo, err := fake.LeaveFiles(files)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/list"
-	"cranegate/internal/standin"
 	"cranegate/rules"
 )
 
@@ -36,7 +36,7 @@
 	calls     chan func()
 	ctx       context.Context
 	doors     map[*host]*door
-	discovery [2]*standin.Discovery // of the PostgreSQL and the MySQL hosts
+	discovery [2]*fake.Discovery // of the PostgreSQL and the MySQL hosts
 	targets   [2]map[*host]list.Target
 	fronts    []front // of each gateway
 	open      map[string]*request
@@ -53,16 +53,16 @@
 // client is a client's connection of either protocol.
 type client interface {
 	io.Closer
-	ask(text string) (standin.Reply, error)
+	ask(text string) (fake.Reply, error)
 }
 
-type pgClient struct{ *standin.PostgresClient }
+type pgClient struct{ *fake.PostgresClient }
 
-func (c pgClient) ask(text string) (standin.Reply, error) { return c.Ask(text) }
+func (c pgClient) ask(text string) (fake.Reply, error) { return c.Ask(text) }
 
-type myClient struct{ *standin.MySQLClient }
+type myClient struct{ *fake.MySQLClient }
 
-func (c myClient) ask(text string) (standin.Reply, error) { return c.Query(text) }
+func (c myClient) ask(text string) (fake.Reply, error) { return c.Query(text) }
 
 // door is a host's side of the network. While it is shut nothing passes: bytes wait, as on a link that comes back, and
 // are lost with their connection if the process has died meanwhile.
@@ -70,7 +70,7 @@
 	l       *live
 	h       *host
 	address [2]string
-	server  *standin.Host
+	server  *fake.Host
 
 	mu     sync.Mutex
 	shut   chan struct{} // closed when the door opens; nil while it is open
@@ -163,9 +163,9 @@
 }
 
 // act is a host's part in a statement: the model's, in its time.
-func (d *door) act(id, text string, prepare bool) standin.Act {
+func (d *door) act(id, text string, prepare bool) fake.Act {
 	if prepare {
-		return standin.Serve
+		return fake.Serve
 	}
 	d.mu.Lock()
 	life := d.life
@@ -174,12 +174,12 @@
 	d.l.post(func() { d.l.arrived(d.h, id, out) })
 	select {
 	case r := <-out:
-		return map[rules.Result]standin.Act{rules.ResultOK: standin.Serve, rules.ResultMiss: standin.Miss,
-			rules.ResultFull: standin.Full, rules.ResultTimeout: standin.Silent, rules.ResultError: standin.Error}[r]
+		return map[rules.Result]fake.Act{rules.ResultOK: fake.Serve, rules.ResultMiss: fake.Miss,
+			rules.ResultFull: fake.Full, rules.ResultTimeout: fake.Silent, rules.ResultError: fake.Error}[r]
 	case <-life.Done():
 	case <-d.l.ctx.Done():
 	}
-	return standin.Reset
+	return fake.Reset
 }
 
 // attempt makes an attempt of a request at a host, as the host sees it.
@@ -264,7 +264,7 @@
 				continue
 			}
 			d.listen[i], d.address[i] = x, x.Addr().String()
-			go standin.Accept(x, func(c net.Conn) { d.greet(c, i) })
+			go fake.Accept(x, func(c net.Conn) { d.greet(c, i) })
 		}
 	}
 }
@@ -346,7 +346,7 @@
 
 // ask uses an idle connection or a new one. A connection that ends before an answer is taken for one that the gateway
 // closed between requests, once.
-func (l *live) ask(gateway, protocol int, text string) (r standin.Reply, err error) {
+func (l *live) ask(gateway, protocol int, text string) (r fake.Reply, err error) {
 	for try := range 2 {
 		var c client
 		if c, err = l.dial(gateway, protocol, try > 0); err != nil {
@@ -383,10 +383,10 @@
 	}
 	raw.SetDeadline(time.Now().Add(time.Minute)) // bounds a day, not an answer
 	if protocol == 0 {
-		c, err := standin.DialPostgres(raw, "")
+		c, err := fake.DialPostgres(raw, "")
 		return pgClient{c}, err
 	}
-	c, err := standin.DialMySQL(raw, 0)
+	c, err := fake.DialMySQL(raw, 0)
 	return myClient{c}, err
 }
 
@@ -515,12 +515,12 @@
 		l.work.Wait()
 	}()
 	for i := range l.discovery {
-		l.discovery[i], l.targets[i] = &standin.Discovery{}, map[*host]list.Target{}
+		l.discovery[i], l.targets[i] = &fake.Discovery{}, map[*host]list.Target{}
 	}
 	l.began = time.Now()
 	for _, h := range l.hosts {
 		d := &door{l: l, h: h, address: [2]string{"127.0.0.1:0", "127.0.0.1:0"}, conns: map[net.Conn]bool{}}
-		d.server = &standin.Host{Act: d.act, Tell: d.tells}
+		d.server = &fake.Host{Act: d.act, Tell: d.tells}
 		l.doors[h] = d
 		d.follow(true, false)
 		l.publish(h, h.entry())
--- a/internal/processtest/load_test.go
+++ b/internal/processtest/load_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/standin"
+	"cranegate/internal/fake"
 )
 
 // asked is one request of a client with what came of it.
@@ -87,13 +87,13 @@
 }
 
 // dial starts up a connection with the gateway.
-func (r *rig) dial() (*standin.PostgresClient, error) {
+func (r *rig) dial() (*fake.PostgresClient, error) {
 	raw, err := net.Dial("tcp", r.passed.Addr().String())
 	if err != nil {
 		return nil, err
 	}
 	raw.SetDeadline(time.Now().Add(patience))
-	c, err := standin.DialPostgres(raw, "")
+	c, err := fake.DialPostgres(raw, "")
 	if err != nil {
 		raw.Close()
 		return nil, err
@@ -103,7 +103,7 @@
 
 // client asks until the end. What was turned back is asked again under a new id, as it may have run.
 func (l *load) client(i int, pause time.Duration) {
-	var c *standin.PostgresClient
+	var c *fake.PostgresClient
 	var dialled time.Time
 	drop := func() {
 		if c != nil {
@@ -155,7 +155,7 @@
 		switch {
 		case err == nil:
 			a.outcome = reply.Outcome
-		case reply == (standin.Reply{}):
+		case reply == (fake.Reply{}):
 			a.unheard = true
 		default:
 			a.outcome = "cut"
--- a/internal/processtest/rig_test.go
+++ b/internal/processtest/rig_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/list"
-	"cranegate/internal/standin"
 )
 
 const (
@@ -51,7 +51,7 @@
 // free gives an address on which nothing listens.
 func free(t *testing.T) string {
 	t.Helper()
-	address, err := standin.FreeAddress()
+	address, err := fake.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 
 // host is a stand-in database host that keeps what it got, and when.
 type host struct {
-	*standin.Host
+	*fake.Host
 	uid string
 
 	mu  sync.Mutex
@@ -94,7 +94,7 @@
 	t         *testing.T
 	hosts     []*host
 	targets   []list.Target
-	discovery *standin.Discovery
+	discovery *fake.Discovery
 	mute      atomic.Bool // discovery answers nothing
 	passed    *net.TCPListener
 	path, dir string
@@ -113,20 +113,20 @@
 
 // newRig makes the surroundings; sockets are what a process may use, and change may alter the settings.
 func newRig(t *testing.T, sockets int, change ...func(settings map[string]any)) *rig {
-	r := &rig{t: t, discovery: &standin.Discovery{}, dir: t.TempDir(), passed: listen(t).(*net.TCPListener)}
+	r := &rig{t: t, discovery: &fake.Discovery{}, dir: t.TempDir(), passed: listen(t).(*net.TCPListener)}
 	for i := range groups * each {
-		h := &host{Host: &standin.Host{Primary: i%each == 0}, uid: fmt.Sprintf("db-%d-%d", i/each, i%each)}
-		h.Act = func(id, text string, prepare bool) standin.Act {
+		h := &host{Host: &fake.Host{Primary: i%each == 0}, uid: fmt.Sprintf("db-%d-%d", i/each, i%each)}
+		h.Act = func(id, text string, prepare bool) fake.Act {
 			h.mu.Lock()
 			h.got = append(h.got, arrival{id, time.Now()})
 			h.mu.Unlock()
 			if !h.Primary && strings.Contains(text, "INSERT") {
-				return standin.Miss
+				return fake.Miss
 			}
-			return standin.Serve
+			return fake.Serve
 		}
 		l := listen(t)
-		go standin.Accept(l, h.ServePostgres)
+		go fake.Accept(l, h.ServePostgres)
 		role := "standby"
 		if h.Primary {
 			role = "primary"
--- a/internal/processtest/room_test.go
+++ b/internal/processtest/room_test.go
@@ -5,13 +5,13 @@
 	"syscall"
 	"testing"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/standin"
 )
 
 // half is a connection whose next request is half written.
 type half struct {
-	*standin.PostgresClient
+	*fake.PostgresClient
 	id   string
 	rest []byte
 }
--- a/internal/processtest/stops_test.go
+++ b/internal/processtest/stops_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/standin"
+	"cranegate/internal/fake"
 )
 
 // inTime bounds a call to staff, which has its yes or its no within a second; the rest is for a busy machine.
@@ -135,7 +135,7 @@
 	}
 	for _, h := range all { // on the same connection, or on another where that one was ended
 		c, again := h.PostgresClient, h.id+"-again"
-		var a standin.Reply
+		var a fake.Reply
 		var err error
 		for try := 0; ; try++ {
 			if a, err = c.Ask(unhurriedStatement(again, 0, false)); err == nil || try > 0 {
--- a/internal/servers/breaks_test.go
+++ b/internal/servers/breaks_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"cranegate/internal/core"
+	"cranegate/internal/fake"
 	"cranegate/internal/servers"
-	"cranegate/internal/standin"
 	"cranegate/rules"
 )
 
@@ -41,19 +41,19 @@
 	broke := errors.New("broken")
 	for name, c := range map[string]struct {
 		write func(c *net.TCPConn, b []byte) (int, error)
-		act   standin.Act
+		act   fake.Act
 		want  core.Status
 	}{
-		"nothing":      {func(*net.TCPConn, []byte) (int, error) { return 0, broke }, standin.Serve, core.Served},
-		"but a byte":   {func(c *net.TCPConn, b []byte) (int, error) { n, _ := c.Write(b[:len(b)-1]); return n, broke }, standin.Serve, core.Served},
-		"all":          {func(c *net.TCPConn, b []byte) (int, error) { n, _ := c.Write(b); return n, broke }, standin.Serve, core.Served},
-		"all, a reset": {func(c *net.TCPConn, b []byte) (int, error) { n, _ := c.Write(b); return n, broke }, standin.Reset, core.Failed},
+		"nothing":      {func(*net.TCPConn, []byte) (int, error) { return 0, broke }, fake.Serve, core.Served},
+		"but a byte":   {func(c *net.TCPConn, b []byte) (int, error) { n, _ := c.Write(b[:len(b)-1]); return n, broke }, fake.Serve, core.Served},
+		"all":          {func(c *net.TCPConn, b []byte) (int, error) { n, _ := c.Write(b); return n, broke }, fake.Serve, core.Served},
+		"all, a reset": {func(c *net.TCPConn, b []byte) (int, error) { n, _ := c.Write(b); return n, broke }, fake.Reset, core.Failed},
 	} {
 		for _, form := range forms {
 			t.Run(form+", "+name, func(t *testing.T) {
-				host := &standin.Host{Act: func(_, _ string, prepare bool) standin.Act {
+				host := &fake.Host{Act: func(_, _ string, prepare bool) fake.Act {
 					if prepare {
-						return standin.Serve
+						return fake.Serve
 					}
 					return c.act
 				}}
@@ -79,7 +79,7 @@
 // connection closed with it.
 func TestWriteHangs(t *testing.T) {
 	closed := make(chan struct{})
-	r := newRig(t, "postgres", &standin.Host{}, func(opt *servers.Options) {
+	r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) {
 		opt.Connect = func(_ context.Context, address string) (net.Conn, error) {
 			raw, err := net.Dial("tcp", address)
 			if err != nil {
@@ -126,7 +126,7 @@
 func TestResetInTheAnswer(t *testing.T) {
 	for _, form := range forms {
 		var next atomic.Bool
-		host := &standin.Host{Act: func(_, _ string, prepare bool) standin.Act { next.Store(!prepare); return standin.Serve }}
+		host := &fake.Host{Act: func(_, _ string, prepare bool) fake.Act { next.Store(!prepare); return fake.Serve }}
 		r := newRig(t, form, host, nil, func(c net.Conn) {
 			if c = (cutting{c, &next}); form == "postgres" {
 				host.ServePostgres(c)
@@ -169,11 +169,11 @@
 						once.Do(func() { r.tell(rules.ListPatch, phase) })
 					}
 				}
-				host := &standin.Host{Act: func(_, _ string, prepare bool) standin.Act {
+				host := &fake.Host{Act: func(_, _ string, prepare bool) fake.Act {
 					if !prepare {
 						drain("at the host")
 					}
-					return standin.Serve
+					return fake.Serve
 				}}
 				r = newRig(t, form, host, stage(func(at string, _ servers.Conn) { drain(at) }))
 				a := r.wait(r.ask("brief", "q1"))
@@ -195,7 +195,7 @@
 		var q atomic.Pointer[core.Request]
 		asked := make(chan struct{})
 		var once sync.Once
-		r = newRig(t, form, &standin.Host{}, stage(func(at string, _ servers.Conn) {
+		r = newRig(t, form, &fake.Host{}, stage(func(at string, _ servers.Conn) {
 			if at == "after exchange" {
 				once.Do(func() { <-asked; r.core.Gone(q.Load()); r.settled() })
 			}
@@ -220,7 +220,7 @@
 // at all requests are served.
 func TestAbsurdTimes(t *testing.T) {
 	for _, idle := range []time.Duration{math.MinInt64, -time.Second, 0, 1, math.MaxInt64} {
-		r := newRig(t, "postgres", &standin.Host{}, func(opt *servers.Options) { opt.IdleFor, opt.ConnectTimeout = idle, math.MaxInt64 })
+		r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) { opt.IdleFor, opt.ConnectTimeout = idle, math.MaxInt64 })
 		for _, id := range []string{"q1", "q2", "q3"} {
 			r.served("put", id)
 		}
@@ -229,7 +229,7 @@
 		}
 	}
 	for _, connect := range []time.Duration{math.MinInt64, -time.Second, 0} {
-		r := newRig(t, "postgres", &standin.Host{}, func(opt *servers.Options) { opt.ConnectTimeout = connect })
+		r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) { opt.ConnectTimeout = connect })
 		if a := r.wait(r.ask("brief", "q1")); a.Status != core.Refused || r.host.Ran("q1") > 0 || r.opened() > 6 {
 			t.Errorf("connects of %v: status %d, %d connections", connect, a.Status, r.opened())
 		}
--- a/internal/servers/connect_test.go
+++ b/internal/servers/connect_test.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"cranegate/internal/core"
+	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/servers"
-	"cranegate/internal/standin"
 )
 
 // gate is how connections are opened under a test's eyes: each is told of, and comes up, or not, when the test says so.
@@ -66,12 +66,12 @@
 func TestConnectFailsForAnother(t *testing.T) {
 	hold := map[string]chan struct{}{"q0": make(chan struct{}), "q1": make(chan struct{})}
 	came := make(chan string, 10)
-	host := &standin.Host{Act: func(id, _ string, _ bool) standin.Act {
+	host := &fake.Host{Act: func(id, _ string, _ bool) fake.Act {
 		came <- id
 		if hold[id] != nil {
 			<-hold[id]
 		}
-		return standin.Serve
+		return fake.Serve
 	}}
 	g := &gate{t: t, began: make(chan chan error, 10)}
 	r := newRig(t, "postgres", host, g.connect)
@@ -101,7 +101,7 @@
 // for that.
 func TestOwnConnectIsOver(t *testing.T) {
 	g := &gate{t: t, began: make(chan chan error, 10)}
-	r := newRig(t, "postgres", &standin.Host{}, func(opt *servers.Options) {
+	r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) {
 		g.connect(opt)
 		opt.ConnectTimeout = 300 * time.Millisecond
 	})
@@ -123,7 +123,7 @@
 // neither the connection nor its place is lost.
 func TestLateConnect(t *testing.T) {
 	g := &gate{t: t, began: make(chan chan error, 10)}
-	r := newRig(t, "postgres", &standin.Host{}, func(opt *servers.Options) { g.connect(opt); opt.MostOpen = 1 })
+	r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) { g.connect(opt); opt.MostOpen = 1 })
 	q := r.submit("put", "q0")
 	late := <-g.began
 	r.core.Gone(q)
@@ -140,7 +140,7 @@
 // connection is closed with nothing written for it, and its place is free for the next.
 func TestConnectGivenUp(t *testing.T) {
 	g := &gate{t: t, began: make(chan chan error, 10)}
-	r := newRig(t, "postgres", &standin.Host{}, func(opt *servers.Options) {
+	r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) {
 		g.connect(opt)
 		opt.MostOpen, opt.ConnectTimeout = 1, 200*time.Millisecond
 	})
@@ -162,7 +162,7 @@
 // never ran, and its request is refused.
 func TestFailCrossesTheTimeOut(t *testing.T) {
 	g := &gate{t: t, began: make(chan chan error, 10)}
-	r := newRig(t, "postgres", &standin.Host{}, g.connect)
+	r := newRig(t, "postgres", &fake.Host{}, g.connect)
 	answers := r.ask("brief", "q1")
 	failing := <-g.began
 	held, release := make(chan struct{}), make(chan struct{})
@@ -205,7 +205,7 @@
 			if strings.HasSuffix(name, "hangs") {
 				wait = 50 * time.Millisecond
 			}
-			r := newRig(t, "postgres", &standin.Host{}, func(opt *servers.Options) { opt.ConnectTimeout = wait }, func(raw net.Conn) {
+			r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) { opt.ConnectTimeout = wait }, func(raw net.Conn) {
 				b := framebuf.New(raw, pgwire.MaxMessage)
 				if _, _, err := pgwire.ReadStartup(b); err == nil {
 					raw.Write(c.say)
--- a/internal/servers/crossing_test.go
+++ b/internal/servers/crossing_test.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"cranegate/internal/core"
+	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/servers"
-	"cranegate/internal/standin"
 )
 
 // staged is a connection whose steps are stopped between: at is called before and after each.
@@ -90,10 +90,10 @@
 				t.Run(fmt.Sprint(form, ", ", event, " ", when), func(t *testing.T) {
 					t.Parallel()
 					var answer atomic.Pointer[[]byte]
-					host := &standin.Host{Spoil: func(_ string, b []byte) standin.Spoilt {
+					host := &fake.Host{Spoil: func(_ string, b []byte) fake.Spoilt {
 						copied := bytes.Clone(b)
 						answer.CompareAndSwap(nil, &copied)
-						return standin.Spoilt{Answer: b}
+						return fake.Spoilt{Answer: b}
 					}}
 					nth := 2 // the first time belongs to the first request
 					if when == "after exchange" {
@@ -135,7 +135,7 @@
 // TestSpoiltFromTheStart has each new connection be followed by a byte that nobody asked for. An attempt must not go round from
 // one to the next for all its time; it never ran.
 func TestSpoiltFromTheStart(t *testing.T) {
-	r := newRig(t, "postgres", &standin.Host{}, nil, func(c net.Conn) {
+	r := newRig(t, "postgres", &fake.Host{}, nil, func(c net.Conn) {
 		b := framebuf.New(c, pgwire.MaxMessage)
 		if _, _, err := pgwire.ReadStartup(b); err == nil {
 			c.Write(append(pgwire.AppendReady(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")), 'x'))
@@ -166,12 +166,12 @@
 func TestSurplusBehindAPrepare(t *testing.T) {
 	var next atomic.Bool
 	first := true
-	host := &standin.Host{Act: func(_, _ string, prepare bool) standin.Act {
+	host := &fake.Host{Act: func(_, _ string, prepare bool) fake.Act {
 		if prepare && first {
 			first = false
 			next.Store(true)
 		}
-		return standin.Serve
+		return fake.Serve
 	}}
 	r := newRig(t, "prepared", host, nil, func(c net.Conn) { host.ServeMySQL(twice{c, &next}) })
 	r.served("put", "q1")
--- a/internal/servers/fault_test.go
+++ b/internal/servers/fault_test.go
@@ -10,8 +10,8 @@
 	"testing"
 
 	"cranegate/internal/core"
+	"cranegate/internal/fake"
 	"cranegate/internal/servers"
-	"cranegate/internal/standin"
 )
 
 // TestOwnFaultIsNotTheHosts has connects fail for want of something on this machine: no attempt tells the module that the host
@@ -22,7 +22,7 @@
 		t.Run(fault.Error(), func(t *testing.T) {
 			var short atomic.Bool
 			short.Store(true)
-			r := newRig(t, "postgres", &standin.Host{}, func(opt *servers.Options) {
+			r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) {
 				opt.Connect = func(ctx context.Context, address string) (net.Conn, error) {
 					if short.Load() {
 						return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", fault)}
--- a/internal/servers/outcome_test.go
+++ b/internal/servers/outcome_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cranegate/internal/core"
-	"cranegate/internal/standin"
+	"cranegate/internal/fake"
 )
 
 // TestNeverRanOnlyWhereCertain gives errors that mean that nothing has run: where they stand alone a statement that may run
@@ -35,26 +35,26 @@
 	for _, c := range rows {
 		t.Run(fmt.Sprint(c.form, c.code, "after", c.after, c.tail), func(t *testing.T) {
 			var sent atomic.Int32
-			host := &standin.Host{}
-			host.Spoil = func(_ string, b []byte) standin.Spoilt {
+			host := &fake.Host{}
+			host.Spoil = func(_ string, b []byte) fake.Spoilt {
 				if sent.Add(1) > 1 {
-					return standin.Spoilt{Answer: b}
+					return fake.Spoilt{Answer: b}
 				}
 				if c.tail == "break" { // the error alone, and then the connection's end
-					return standin.Spoilt{Answer: messages(c.form, b)[0]}
+					return fake.Spoilt{Answer: messages(c.form, b)[0]}
 				}
 				b = failAfter(c.form, b, c.after, c.code)
 				if c.tail == "noise" { // in place of Ready
 					b = append(bytes.Clone(b[:len(b)-6]), "\x97\xd4\x97\xd4\x97\xd4"...)
 				}
-				return standin.Spoilt{Answer: b}
+				return fake.Spoilt{Answer: b}
 			}
 			if c.tail == "break" {
-				host.Act = func(string, string, bool) standin.Act {
+				host.Act = func(string, string, bool) fake.Act {
 					if sent.Load() == 0 {
-						return standin.NoRoom
+						return fake.NoRoom
 					}
-					return standin.Serve
+					return fake.Serve
 				}
 			}
 			r := newRig(t, c.form, host, nil)
@@ -74,13 +74,13 @@
 // stands alone it is.
 func TestUnknownStatementBehindRows(t *testing.T) {
 	for after, want := range map[int]core.Status{0: core.Served, 3: core.Failed} {
-		host := &standin.Host{}
+		host := &fake.Host{}
 		var sent atomic.Int32
-		host.Spoil = func(id string, b []byte) standin.Spoilt {
+		host.Spoil = func(id string, b []byte) fake.Spoilt {
 			if id == "q2" && sent.Add(1) == 1 {
 				b = failAfter("prepared", b, after, "1243")
 			}
-			return standin.Spoilt{Answer: b}
+			return fake.Spoilt{Answer: b}
 		}
 		r := newRig(t, "prepared", host, nil)
 		r.served("put", "q1")
--- a/internal/servers/rig_test.go
+++ b/internal/servers/rig_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"cranegate/internal/core"
+	"cranegate/internal/fake"
 	"cranegate/internal/invariant"
 	"cranegate/internal/metrics"
 	"cranegate/internal/mysqlwire"
@@ -19,7 +20,6 @@
 	"cranegate/internal/servers/mysql"
 	"cranegate/internal/servers/postgres"
 	"cranegate/internal/sqlcomment"
-	"cranegate/internal/standin"
 	"cranegate/rules"
 )
 
@@ -35,7 +35,7 @@
 type rig struct {
 	t        *testing.T
 	form     string
-	host     *standin.Host
+	host     *fake.Host
 	listener net.Listener
 	core     *core.Core
 	counters *metrics.Counters
@@ -48,7 +48,7 @@
 }
 
 // newRig plays a host; change may alter the pool's options, among them the seams: how connections are opened and started.
-func newRig(t *testing.T, form string, host *standin.Host, change func(*servers.Options), serve ...func(net.Conn)) *rig {
+func newRig(t *testing.T, form string, host *fake.Host, change func(*servers.Options), serve ...func(net.Conn)) *rig {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/servers/row_test.go
+++ b/internal/servers/row_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"cranegate/internal/core"
+	"cranegate/internal/fake"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/servers"
-	"cranegate/internal/standin"
 )
 
 // TestHangsInTheRow has a host hang in the middle of the longest row that the platform knows: its client is told long before a
@@ -27,8 +27,8 @@
 	for _, sent := range []int{head, head + 5, head + 11, most / 2, len(row) - 7, len(row)} {
 		t.Run(fmt.Sprint(sent), func(t *testing.T) {
 			t.Parallel()
-			host := &standin.Host{Spoil: func(string, []byte) standin.Spoilt {
-				return standin.Spoilt{Answer: row[:sent], Dead: sent < len(row)}
+			host := &fake.Host{Spoil: func(string, []byte) fake.Spoilt {
+				return fake.Spoilt{Answer: row[:sent], Dead: sent < len(row)}
 			}}
 			r := newRig(t, "postgres", host, nil)
 			asked := time.Now()
@@ -44,7 +44,7 @@
 // TestNoDelay looks at a connection to a host as the pool opens it: small writes must not be held back, as a close may follow.
 func TestNoDelay(t *testing.T) {
 	var on atomic.Int64
-	r := newRig(t, "postgres", &standin.Host{}, func(opt *servers.Options) {
+	r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) {
 		start := opt.Start
 		opt.Start = func(raw net.Conn) (servers.Conn, error) {
 			c, err := raw.(syscall.Conn).SyscallConn()
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/standin"
 )
 
 // The classes of the site's settings.
@@ -33,7 +33,7 @@
 	site    *site
 	gateway *gateway
 	rng     *rand.Rand
-	conn    *standin.PostgresClient
+	conn    *fake.PostgresClient
 }
 
 var lastID atomic.Int64
@@ -74,7 +74,7 @@
 		return false
 	}
 	raw.SetDeadline(time.Now().Add(connectFor))
-	if c.conn, err = standin.DialPostgres(raw, ""); err != nil {
+	if c.conn, err = fake.DialPostgres(raw, ""); err != nil {
 		raw.Close()
 		c.conn = nil
 		return false
@@ -100,7 +100,7 @@
 }
 
 // note takes what came back for a request. A connection that failed is dropped.
-func (c *client) note(r *request, reply standin.Reply, err error) {
+func (c *client) note(r *request, reply fake.Reply, err error) {
 	j, now := c.site.judge, time.Now()
 	var netErr net.Error
 	late := err != nil && asTimeout(err, &netErr)
--- a/internal/soak/host.go
+++ b/internal/soak/host.go
@@ -8,13 +8,13 @@
 	"sync/atomic"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/list"
-	"cranegate/internal/standin"
 )
 
 // host is one fake database host. What it runs it counts by the requests' ids.
 type host struct {
-	*standin.Host
+	*fake.Host
 	judge   *judge
 	uid     string
 	group   int
@@ -38,7 +38,7 @@
 
 // newHost starts a host; the first of a group is its primary.
 func (s *site) newHost(group, n int) (*host, error) {
-	h := &host{Host: &standin.Host{Primary: n == 0}, judge: s.judge, uid: fmt.Sprintf("db-%d-%d", group, n), group: group, state: "SERVING"}
+	h := &host{Host: &fake.Host{Primary: n == 0}, judge: s.judge, uid: fmt.Sprintf("db-%d-%d", group, n), group: group, state: "SERVING"}
 	h.Act = h.decide
 	l, err := listen()
 	if err != nil {
@@ -46,16 +46,16 @@
 	}
 	h.address = l.Addr().String()
 	s.closeWith(l)
-	go standin.Accept(l, h.ServePostgres)
+	go fake.Accept(l, h.ServePostgres)
 	return h, nil
 }
 
 // decide works on a statement and says what becomes of it. What runs is noted as of when it came.
-func (h *host) decide(id, text string, _ bool) standin.Act {
+func (h *host) decide(id, text string, _ bool) fake.Act {
 	came := time.Now()
 	act := h.work(text)
 	switch act {
-	case standin.Miss, standin.Full, standin.NoRoom, standin.Reject:
+	case fake.Miss, fake.Full, fake.NoRoom, fake.Reject:
 	default:
 		h.judge.ran(h, id, came)
 	}
@@ -63,18 +63,18 @@
 }
 
 // work takes its time, and says what becomes of a statement.
-func (h *host) work(text string) standin.Act {
+func (h *host) work(text string) fake.Act {
 	time.Sleep(workFor)
 	for end := time.Now().Add(hangMost); h.hang.Load() && time.Now().Before(end); {
 		time.Sleep(hangLook)
 	}
-	if act := standin.Act(h.act.Load()); act != standin.Serve {
+	if act := fake.Act(h.act.Load()); act != fake.Serve {
 		return act
 	}
 	if !h.Primary && strings.Contains(text, "INSERT") {
-		return standin.Miss
+		return fake.Miss
 	}
-	return standin.Serve
+	return fake.Serve
 }
 
 // target is the host's entry in the list.
@@ -114,7 +114,7 @@
 
 // listen opens a listener on a loopback address of its own.
 func listen() (*net.TCPListener, error) {
-	address, err := standin.FreeAddress()
+	address, err := fake.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/soak/hosttroubles.go
+++ b/internal/soak/hosttroubles.go
@@ -1,7 +1,7 @@
 package soak
 
 import (
-	"cranegate/internal/standin"
+	"cranegate/internal/fake"
 	"math/rand/v2"
 	"time"
 )
@@ -115,7 +115,7 @@
 
 // badAnswers has a host answer otherwise than it should.
 func badAnswers(s *site, _ *gateway, h *host, rng *rand.Rand) {
-	acts := []standin.Act{standin.Miss, standin.Full, standin.Error, standin.Reset, standin.Silent, standin.NoRoom}
+	acts := []fake.Act{fake.Miss, fake.Full, fake.Error, fake.Reset, fake.Silent, fake.NoRoom}
 	act, lasts := acts[rng.IntN(len(acts))], between(rng, 100*time.Millisecond, 1500*time.Millisecond)
 	if !h.take() {
 		return
@@ -123,5 +123,5 @@
 	defer h.release()
 	h.act.Store(int32(act))
 	time.Sleep(lasts)
-	h.act.Store(int32(standin.Serve))
+	h.act.Store(int32(fake.Serve))
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -18,7 +18,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"cranegate/internal/standin"
+	"cranegate/internal/fake"
 )
 
 // process is one process of a gateway. Its log goes through a pipe, as to a collector.
@@ -61,7 +61,7 @@
 	p.number = g.site.started
 	g.site.mu.Unlock()
 	var err error
-	if p.admin, err = standin.FreeAddress(); err != nil {
+	if p.admin, err = fake.FreeAddress(); err != nil {
 		return nil, err
 	}
 	socket, err := g.socket.File()
