--- a/cmd/cranegate/caps_test.go
+++ b/cmd/cranegate/caps_test.go
@@ -7,20 +7,20 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/discovery"
 	"cranegate/internal/handover/talk"
-	"cranegate/internal/list"
 	"cranegate/rules"
 )
 
 // knows is what a process knows of so many hosts, with a round trip in each place of their windows.
 func knows(hosts, window int) knowledge {
-	k := knowledge{Lists: map[string]list.Snapshot{}, Starts: map[string]map[string]time.Time{"postgres": {}},
+	k := knowledge{Lists: map[string]discovery.Snapshot{}, Starts: map[string]map[string]time.Time{"postgres": {}},
 		Learned: map[string]rules.Learned{"postgres": {Members: map[string]rules.LearnedMember{}, Usual: []time.Duration{1, 2}}}}
-	s := list.Snapshot{Rev: 1 << 40, All: true}
+	s := discovery.Snapshot{Rev: 1 << 40, All: true}
 	at := 123456789 * time.Second
 	for i := range hosts {
 		id := fmt.Sprintf("replica-%04d.zone-%d.kita.example", i, i%3)
-		s.Targets = append(s.Targets, list.Target{UID: id, Endpoint: "replica." + id + ":5432", Zone: "zone-a", Group: i % 9, State: "SERVING",
+		s.Targets = append(s.Targets, discovery.Target{UID: id, Endpoint: "replica." + id + ":5432", Zone: "zone-a", Group: i % 9, State: "SERVING",
 			Capacity: 1.25, BootMS: 1790000000000, Replication: "replica"})
 		k.Starts["postgres"][id] = time.Now()
 		m := rules.LearnedMember{RoleDate: 1 << 50, Position: 1 << 50, PosAt: at, HeardAt: at, TrialAt: at, Lost: 1.0 / 3, StartedAt: at, CreditAt: at,
--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -23,10 +23,10 @@
 	"cranegate/internal/clients/postgres"
 	"cranegate/internal/config"
 	"cranegate/internal/core"
+	"cranegate/internal/discovery"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/handover/inherit"
 	"cranegate/internal/invariant"
-	"cranegate/internal/list"
 	"cranegate/internal/logging"
 	"cranegate/internal/metrics"
 	"cranegate/internal/peers"
@@ -66,7 +66,7 @@
 
 // followed is what a reload reaches of a fleet.
 type followed struct {
-	watch *list.Watcher
+	watch *discovery.Watcher
 	core  *core.Core
 	pool  *servers.Pool
 	pace  *backoff.Caller
@@ -80,7 +80,7 @@
 	listener                func(address string) (net.Listener, error)
 	settings                config.Settings
 	seed                    uint64
-	known                   list.Snapshot
+	known                   discovery.Snapshot
 	start                   servers.Starter
 	front                   clients.Front
 }
@@ -263,7 +263,7 @@
 		if f, ok := g.lists["mysql"]; ok && o != nil && o.MySQL != nil {
 			f.watch.Move(o.MySQL.Discovery)
 			if o.MySQL.Discovery == "" {
-				f.core.Members(list.Snapshot{All: true, Targets: o.MySQL.Hosts}.List(rules.ListWhole))
+				f.core.Members(discovery.Snapshot{All: true, Targets: o.MySQL.Hosts}.List(rules.ListWhole))
 			}
 		}
 	}
@@ -275,7 +275,7 @@
 	m, s := o.MySQL, *o.Settings
 	s.Rules.Classes = append(slices.Clone(s.Rules.Classes), rules.Class{Name: mysql.PrepareClass,
 		Need: rules.NeedAny, Aim: m.PrepareAim(), Deadline: m.PrepareDeadline(), Worth: 1, Effect: rules.Repeatable})
-	known := list.Snapshot{Rev: -1, All: true, Targets: m.Hosts}
+	known := discovery.Snapshot{Rev: -1, All: true, Targets: m.Hosts}
 	password := ""
 	if m.PasswordEnv != "" {
 		password = os.Getenv(m.PasswordEnv)
@@ -304,7 +304,7 @@
 		front.Pass = g.pass(f.name)
 		front.Shared = f.name == "postgres" && os.Getenv(inherit.Variable) != ""
 	}
-	g.lists[f.name] = followed{list.NewWatcher(f.discovery, f.known, c.Members, calls, g.counters), c, pool, calls, front, f.settings.Rules.Zone}
+	g.lists[f.name] = followed{discovery.NewWatcher(f.discovery, f.known, c.Members, calls, g.counters), c, pool, calls, front, f.settings.Rules.Zone}
 	return nil
 }
 
--- a/cmd/cranegate/handover.go
+++ b/cmd/cranegate/handover.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"cranegate/internal/core"
+	"cranegate/internal/discovery"
 	"cranegate/internal/handover"
 	"cranegate/internal/handover/pass"
 	"cranegate/internal/handover/state"
 	"cranegate/internal/handover/talk"
-	"cranegate/internal/list"
 	"cranegate/rules"
 )
 
@@ -45,7 +45,7 @@
 
 // knowledge is what a process tells the one that follows it, beside what staff have said.
 type knowledge struct {
-	Lists   map[string]list.Snapshot        `json:"lists"`  // by fleet
+	Lists   map[string]discovery.Snapshot   `json:"lists"`  // by fleet
 	Starts  map[string]map[string]time.Time `json:"starts"` // of hosts that may be cold
 	Learned map[string]rules.Learned        `json:"learned"`
 }
@@ -191,7 +191,7 @@
 func (g *gateway) export() []byte {
 	ctx, cancel := context.WithTimeout(g.work, exportFor)
 	defer cancel()
-	k := knowledge{Lists: map[string]list.Snapshot{}, Starts: map[string]map[string]time.Time{},
+	k := knowledge{Lists: map[string]discovery.Snapshot{}, Starts: map[string]map[string]time.Time{},
 		Learned: map[string]rules.Learned{}}
 	for name, f := range g.lists {
 		k.Lists[name] = f.watch.Held()
--- a/cmd/cranegate/main_test.go
+++ b/cmd/cranegate/main_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/discovery"
 	"cranegate/internal/fake"
-	"cranegate/internal/list"
 	"cranegate/internal/mysqlwire"
 )
 
@@ -60,7 +60,7 @@
 type world struct {
 	t                     *testing.T
 	hosts                 []*fake.Host
-	targets               []list.Target
+	targets               []discovery.Target
 	discovery             *fake.Discovery
 	pg, my, agent, health string
 	admin                 string
@@ -117,7 +117,7 @@
 		pg, my := listen(t), listen(t)
 		go fake.Accept(pg, h.ServePostgres)
 		go fake.Accept(my, h.ServeMySQL)
-		w.targets = append(w.targets, list.Target{UID: fmt.Sprint("db-", i), Endpoint: pg.Addr().String(), State: "SERVING",
+		w.targets = append(w.targets, discovery.Target{UID: fmt.Sprint("db-", i), Endpoint: pg.Addr().String(), State: "SERVING",
 			Capacity: 1, Replication: role})
 		fmt.Fprintf(&mysqlHosts, "[[mysql.host]]\nuid = \"db-%d\"\nendpoint = %q\nreplication = %q\n", i, my.Addr(), role)
 	}
@@ -138,7 +138,7 @@
 		w.config["listen"] = w.pg
 	}
 	w.config["admin"] = w.admin
-	w.config["known"] = list.Snapshot{Rev: 0, All: true, Targets: w.targets}
+	w.config["known"] = discovery.Snapshot{Rev: 0, All: true, Targets: w.targets}
 	dir := t.TempDir()
 	w.path = filepath.Join(dir, "config.json")
 	w.write()
--- a/cmd/cranegate/ready_test.go
+++ b/cmd/cranegate/ready_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/discovery"
 	"cranegate/internal/fake"
-	"cranegate/internal/list"
 )
 
 const readyIn = 10 * time.Second // from the start of the process to the first empty query that is answered
@@ -95,7 +95,7 @@
 			w.cmd.Process.Kill()
 			w.cmd.Wait()
 			for i := range x.hosts - 2 { // in other groups: no request goes there
-				w.targets = append(w.targets, list.Target{UID: fmt.Sprintf("s-%08x", i), Endpoint: w.targets[0].Endpoint, Zone: "nuernberg",
+				w.targets = append(w.targets, discovery.Target{UID: fmt.Sprintf("s-%08x", i), Endpoint: w.targets[0].Endpoint, Zone: "nuernberg",
 					Group: 1 + i, State: "SERVING", Capacity: 1})
 			}
 			w.discovery.Set(w.targets)
@@ -118,9 +118,9 @@
 			}
 			delete(w.config, "known")
 			if x.known {
-				w.config["known"] = list.Snapshot{Rev: 0, All: true, Targets: w.targets}
+				w.config["known"] = discovery.Snapshot{Rev: 0, All: true, Targets: w.targets}
 			} else {
-				w.config["known"] = list.Snapshot{Rev: -1}
+				w.config["known"] = discovery.Snapshot{Rev: -1}
 			}
 			if x.hosts == 300 {
 				w.config["limits"].(map[string]any)["cores"] = 0.5
@@ -160,7 +160,7 @@
 	w.cmd.Process.Kill()
 	w.cmd.Wait()
 	down := free(t)
-	w.config["discovery"], w.config["known"] = down, list.Snapshot{Rev: -1}
+	w.config["discovery"], w.config["known"] = down, discovery.Snapshot{Rev: -1}
 	w.write()
 	operator := filepath.Join(filepath.Dir(w.path), "operator.toml")
 	env := append(w.cmd.Env, "PROXY_DISCOVERY="+down)
@@ -201,7 +201,7 @@
 		return
 	}
 	var whole bytes.Buffer
-	json.NewEncoder(&whole).Encode(list.Snapshot{Rev: 1, All: true, Targets: make([]list.Target, 300)})
+	json.NewEncoder(&whole).Encode(discovery.Snapshot{Rev: 1, All: true, Targets: make([]discovery.Target, 300)})
 	rw.Header().Set("Content-Length", fmt.Sprint(whole.Len()))
 	rw.Write(whole.Bytes()[:whole.Len()/2])
 	rw.(http.Flusher).Flush()
--- a/cmd/cranegate/unchecked_test.go
+++ b/cmd/cranegate/unchecked_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/discovery"
 	"cranegate/internal/fake"
-	"cranegate/internal/list"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/sqlcomment"
 )
@@ -57,7 +57,7 @@
 		l := listen(t)
 		go fake.Accept(l, h.ServePostgres)
 		hosts = append(hosts, h)
-		w.targets = append(w.targets, list.Target{UID: fmt.Sprint("box-", i), Endpoint: l.Addr().String(), State: "SERVING", Capacity: 1})
+		w.targets = append(w.targets, discovery.Target{UID: fmt.Sprint("box-", i), Endpoint: l.Addr().String(), State: "SERVING", Capacity: 1})
 	}
 	w.discovery.Set(w.targets)
 	class := func(name string, deadline, late float64, repeat string) map[string]any {
@@ -67,7 +67,7 @@
 	keyed["keyScope"], keyed["keyTtlS"] = "cell", uncheckedWindow.Seconds()
 	w.again(func(config map[string]any) {
 		delete(config, "admin")
-		config["known"] = list.Snapshot{Rev: 0, All: true, Targets: w.targets}
+		config["known"] = discovery.Snapshot{Rev: 0, All: true, Targets: w.targets}
 		settings := config["settings"].(map[string]any)
 		settings["discovery"] = "subscribe"
 		settings["classes"] = []any{class("bounded", 3, 0.2, "repeatable"), class("session", 3, 0, "repeatable"),
--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -8,13 +8,13 @@
 	"net"
 	"net/http"
 
+	"cranegate/internal/discovery"
 	"cranegate/internal/fake"
-	"cranegate/internal/list"
 )
 
 func main() {
-	discovery := &fake.Discovery{}
-	var targets []list.Target
+	endpoints := &fake.Discovery{}
+	var targets []discovery.Target
 	for i := range 3 {
 		h := &fake.Host{Primary: i == 0}
 		role := "standby"
@@ -23,16 +23,16 @@
 		}
 		serve(15432+i, h.ServePostgres)
 		serve(13311+i, h.ServeMySQL)
-		targets = append(targets, list.Target{UID: fmt.Sprint("toy-", i), Endpoint: fmt.Sprint("127.0.0.1:", 15432+i),
+		targets = append(targets, discovery.Target{UID: fmt.Sprint("toy-", i), Endpoint: fmt.Sprint("127.0.0.1:", 15432+i),
 			Zone: "nuernberg", Group: 0, State: "SERVING", Capacity: 1, Replication: role})
 	}
-	discovery.Set(targets)
+	endpoints.Set(targets)
 	l, err := net.Listen("tcp", "127.0.0.1:18500")
 	if err != nil {
 		log.Fatal(err)
 	}
 	log.Print("event=serving postgres=15432..15434 mysql=13311..13313 discovery=18500")
-	log.Fatal(http.Serve(l, discovery))
+	log.Fatal(http.Serve(l, endpoints))
 }
 
 func serve(port int, f func(net.Conn)) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"cranegate/internal/list"
+	"cranegate/internal/discovery"
 	"cranegate/internal/simwire"
 	"cranegate/rules"
 )
@@ -39,7 +39,7 @@
 	Admin                   string // the second address; empty: none
 	Seed                    uint64
 	Limits                  Limits
-	Known                   list.Snapshot
+	Known                   discovery.Snapshot
 	Settings                Settings
 }
 
@@ -79,7 +79,7 @@
 	var in struct {
 		Name, Listen, Discovery, Admin, Seed string
 		Limits                               Limits
-		Known                                list.Snapshot
+		Known                                discovery.Snapshot
 		Settings                             map[string]any
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
--- a/internal/config/format_test.go
+++ b/internal/config/format_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"cranegate/internal/list"
+	"cranegate/internal/discovery"
 )
 
 // goldenOperator names every table and key of the operator's file but those of [settings].
@@ -81,7 +81,7 @@
 			KeyFile: key, Zone: "a", Keys: o.Fleet.Keys}},
 		"keys": {len(o.Fleet.Keys), 1},
 		"mysql": {*o.MySQL, MySQL{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8", User: "u", Database: "d", PasswordEnv: "P", Probe: "SHOW x",
-			PrepareAimMS: 501, PrepareDeadlineMS: 2001, Hosts: []list.Target{{UID: "db-1", Endpoint: "127.0.0.1:9", Zone: "a", Group: 3,
+			PrepareAimMS: 501, PrepareDeadlineMS: 2001, Hosts: []discovery.Target{{UID: "db-1", Endpoint: "127.0.0.1:9", Zone: "a", Group: 3,
 				State: "DRAINING", Capacity: 2.5, BootMS: 4, Replication: "primary"}}}},
 	} {
 		if !reflect.DeepEqual(pair[0], pair[1]) {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,7 +11,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"cranegate/internal/list"
+	"cranegate/internal/discovery"
 	"cranegate/internal/members"
 	"cranegate/internal/peers"
 	"cranegate/internal/zones"
@@ -132,15 +132,15 @@
 
 // MySQL is the second front with its database hosts.
 type MySQL struct {
-	Listen            string        `toml:"listen"`
-	Discovery         string        `toml:"discovery"` // as the platform's; or the hosts stand below
-	Hosts             []list.Target `toml:"host"`
-	User              string        `toml:"user"`
-	Database          string        `toml:"database"`
-	PasswordEnv       string        `toml:"password_env"` // the environment variable that holds the password
-	Probe             string        `toml:"probe"`
-	PrepareAimMS      int           `toml:"prepare_aim_ms"`
-	PrepareDeadlineMS int           `toml:"prepare_deadline_ms"`
+	Listen            string             `toml:"listen"`
+	Discovery         string             `toml:"discovery"` // as the platform's; or the hosts stand below
+	Hosts             []discovery.Target `toml:"host"`
+	User              string             `toml:"user"`
+	Database          string             `toml:"database"`
+	PasswordEnv       string             `toml:"password_env"` // the environment variable that holds the password
+	Probe             string             `toml:"probe"`
+	PrepareAimMS      int                `toml:"prepare_aim_ms"`
+	PrepareDeadlineMS int                `toml:"prepare_deadline_ms"`
 }
 
 // PrepareAim and PrepareDeadline are those of a client's prepare.
--- a/internal/list/list.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package list follows discovery: its actor holds a watch all the time and hands news to the core.
-package list
+// Package discovery follows discovery: its actor holds a watch all the time and hands news to the core.
+package discovery
 
 import (
 	"context"
--- a/internal/list/end_test.go
+++ b/internal/discovery/end_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"bufio"
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -8,19 +8,19 @@
 	"sync"
 	"time"
 
-	"cranegate/internal/list"
+	"cranegate/internal/discovery"
 )
 
 // Discovery is a stand-in for discovery: it answers calls and watches with the whole list.
 type Discovery struct {
 	mu      sync.Mutex
 	rev     int64
-	targets []list.Target
+	targets []discovery.Target
 	changed chan struct{}
 }
 
 // Set changes the list.
-func (d *Discovery) Set(targets []list.Target) {
+func (d *Discovery) Set(targets []discovery.Target) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.changed != nil {
@@ -28,7 +28,7 @@
 	}
 	d.changed = make(chan struct{})
 	d.rev++
-	d.targets = append([]list.Target(nil), targets...)
+	d.targets = append([]discovery.Target(nil), targets...)
 }
 
 // ServeHTTP answers one call; a watch waits for something newer than its version.
@@ -46,10 +46,10 @@
 		}
 		d.mu.Lock()
 	}
-	s := list.Snapshot{Rev: d.rev, All: err != nil || after < d.rev, Targets: d.targets}
+	s := discovery.Snapshot{Rev: d.rev, All: err != nil || after < d.rev, Targets: d.targets}
 	d.mu.Unlock()
 	if !s.All {
-		s.Targets = []list.Target{}
+		s.Targets = []discovery.Target{}
 	}
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(s)
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
+	"cranegate/internal/discovery"
 	"cranegate/internal/fake"
-	"cranegate/internal/list"
 	"cranegate/rules"
 )
 
@@ -37,7 +37,7 @@
 	ctx       context.Context
 	doors     map[*host]*door
 	discovery [2]*fake.Discovery // of the PostgreSQL and the MySQL hosts
-	targets   [2]map[*host]list.Target
+	targets   [2]map[*host]discovery.Target
 	fronts    []front // of each gateway
 	open      map[string]*request
 	work      sync.WaitGroup
@@ -288,7 +288,7 @@
 // publish puts a host's entry into both lists.
 func (l *live) publish(h *host, e rules.Entry) {
 	for i := range l.targets {
-		t := list.Target{UID: h.id, Endpoint: l.doors[h].address[i], Zone: e.Zone, Group: e.Group, Capacity: 1, Replication: "standby",
+		t := discovery.Target{UID: h.id, Endpoint: l.doors[h].address[i], Zone: e.Zone, Group: e.Group, Capacity: 1, Replication: "standby",
 			State: map[rules.Phase]string{rules.PhaseOn: "SERVING", rules.PhaseDraining: "DRAINING", rules.PhaseOff: "DELETED"}[e.Phase]}
 		if e.Leader {
 			t.Replication = "primary"
@@ -300,7 +300,7 @@
 		if e.Phase != rules.PhaseOff {
 			l.targets[i][h] = t
 		}
-		var all []list.Target
+		var all []discovery.Target
 		for _, x := range l.hosts {
 			if t, ok := l.targets[i][x]; ok {
 				all = append(all, t)
@@ -515,7 +515,7 @@
 		l.work.Wait()
 	}()
 	for i := range l.discovery {
-		l.discovery[i], l.targets[i] = &fake.Discovery{}, map[*host]list.Target{}
+		l.discovery[i], l.targets[i] = &fake.Discovery{}, map[*host]discovery.Target{}
 	}
 	l.began = time.Now()
 	for _, h := range l.hosts {
--- a/internal/processtest/ops_test.go
+++ b/internal/processtest/ops_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/list"
+	"cranegate/internal/discovery"
 )
 
 func id(prefix string, n int) string { return fmt.Sprint(prefix, "-", n) }
@@ -30,7 +30,7 @@
 	for i := range targets {
 		targets[i].State = change(targets[i].UID)
 	}
-	targets = slices.DeleteFunc(targets, func(t list.Target) bool { return t.State == "" })
+	targets = slices.DeleteFunc(targets, func(t discovery.Target) bool { return t.State == "" })
 	if p == r.procs[0] { // the others inherit it
 		r.until("the first list", func() bool { return p.counter("list_changes") > 0 })
 	}
--- a/internal/processtest/rig_test.go
+++ b/internal/processtest/rig_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/discovery"
 	"cranegate/internal/fake"
-	"cranegate/internal/list"
 )
 
 const (
@@ -93,7 +93,7 @@
 type rig struct {
 	t         *testing.T
 	hosts     []*host
-	targets   []list.Target
+	targets   []discovery.Target
 	discovery *fake.Discovery
 	mute      atomic.Bool // discovery answers nothing
 	passed    *net.TCPListener
@@ -132,7 +132,7 @@
 			role = "primary"
 		}
 		r.hosts = append(r.hosts, h)
-		r.targets = append(r.targets, list.Target{UID: h.uid, Endpoint: l.Addr().String(), Zone: "nuernberg", Group: i / each,
+		r.targets = append(r.targets, discovery.Target{UID: h.uid, Endpoint: l.Addr().String(), Zone: "nuernberg", Group: i / each,
 			State: "SERVING", Capacity: 1, Replication: role})
 	}
 	r.discovery.Set(r.targets)
@@ -161,7 +161,7 @@
 		f(settings)
 	}
 	config["listen"], config["discovery"] = r.passed.Addr().String(), agent.Addr().String()
-	config["known"] = list.Snapshot{Rev: 0, All: true, Targets: r.targets}
+	config["known"] = discovery.Snapshot{Rev: 0, All: true, Targets: r.targets}
 	config["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": sockets}
 	text, _ = json.Marshal(config)
 	r.path = filepath.Join(t.TempDir(), "config.json")
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -8,19 +8,19 @@
 	"sync/atomic"
 	"time"
 
-	"cranegate/internal/list"
+	"cranegate/internal/discovery"
 )
 
 // directory is discovery's own state: the list and its version.
 type directory struct {
 	mu      sync.Mutex
 	rev     int64
-	targets []list.Target
+	targets []discovery.Target
 	changed chan struct{}
 }
 
 // set changes the list, and returns its version.
-func (d *directory) set(targets []list.Target) int64 {
+func (d *directory) set(targets []discovery.Target) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.changed != nil {
@@ -33,7 +33,7 @@
 }
 
 // now is the list, its version, and what is closed at the next change.
-func (d *directory) now() (int64, []list.Target, <-chan struct{}) {
+func (d *directory) now() (int64, []discovery.Target, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rev, d.targets, d.changed
@@ -93,7 +93,7 @@
 	case agentCut:
 		panic(http.ErrAbortHandler)
 	}
-	s := list.Snapshot{Rev: rev, All: err != nil || after < rev, Targets: []list.Target{}}
+	s := discovery.Snapshot{Rev: rev, All: err != nil || after < rev, Targets: []discovery.Target{}}
 	if s.All {
 		s.Targets = a.gateway.behindProxies(targets)
 	}
--- a/internal/soak/gateway.go
+++ b/internal/soak/gateway.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"cranegate/internal/list"
+	"cranegate/internal/discovery"
 )
 
 // gateway is one gateway of the fleet: its processes, which follow each other or live side by side, and what surrounds them.
@@ -78,7 +78,7 @@
 	text, err := json.Marshal(map[string]any{
 		"name": g.name, "listen": g.socket.Addr().String(), "discovery": g.agents[g.watched].address, "seed": fmt.Sprintf("%016x", g.site.opt.Seed),
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": memoryFor, "sockets": descriptorsFor},
-		"known":    list.Snapshot{Rev: rev, All: true, Targets: g.behindProxies(targets)},
+		"known":    discovery.Snapshot{Rev: rev, All: true, Targets: g.behindProxies(targets)},
 		"settings": settings(g.site.opt.Gateways),
 	})
 	if err != nil {
@@ -116,8 +116,8 @@
 }
 
 // behindProxies is the list as this gateway is told of it: each host at the end of the gateway's own way there.
-func (g *gateway) behindProxies(targets []list.Target) []list.Target {
-	seen := make([]list.Target, len(targets))
+func (g *gateway) behindProxies(targets []discovery.Target) []discovery.Target {
+	seen := make([]discovery.Target, len(targets))
 	for i, t := range targets {
 		seen[i] = t
 		seen[i].Endpoint = g.proxies[t.UID].address
--- a/internal/soak/host.go
+++ b/internal/soak/host.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
+	"cranegate/internal/discovery"
 	"cranegate/internal/fake"
-	"cranegate/internal/list"
 )
 
 // host is one fake database host. What it runs it counts by the requests' ids.
@@ -78,14 +78,14 @@
 }
 
 // target is the host's entry in the list.
-func (h *host) target() (t list.Target, listed bool) {
+func (h *host) target() (t discovery.Target, listed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	role := "standby"
 	if h.Primary {
 		role = "primary"
 	}
-	return list.Target{UID: h.uid, Endpoint: h.address, Zone: "nuernberg", Group: h.group, State: h.state, Capacity: 1, BootMS: h.bootMS,
+	return discovery.Target{UID: h.uid, Endpoint: h.address, Zone: "nuernberg", Group: h.group, State: h.state, Capacity: 1, BootMS: h.bootMS,
 		Replication: role}, h.state != ""
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"cranegate/internal/list"
+	"cranegate/internal/discovery"
 )
 
 // Options of a run.
@@ -128,8 +128,8 @@
 }
 
 // targets is the list as the hosts stand.
-func (s *site) targets() []list.Target {
-	var all []list.Target
+func (s *site) targets() []discovery.Target {
+	var all []discovery.Target
 	for _, h := range s.hosts {
 		if t, listed := h.target(); listed {
 			all = append(all, t)
