--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"cranegate/internal/clients/away"
+	"cranegate/internal/clients/drain"
 	"cranegate/internal/core"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/invariant"
@@ -108,7 +108,7 @@
 
 // session makes a session of a new connection.
 func (s *Server) session(conn net.Conn) *Session {
-	x := &Session{Conn: framebuf.New(conn, s.Front.Limit()), server: s, born: time.Now(), slot: rand.IntN(away.Slots)}
+	x := &Session{Conn: framebuf.New(conn, s.Front.Limit()), server: s, born: time.Now(), slot: rand.IntN(drain.Slots)}
 	x.starts = x.born.Add(startFor)
 	x.proves = x.starts
 	return x
--- a/internal/clients/away/away.go
+++ b/internal/clients/drain/drain.go
@@ -1,10 +1,10 @@
-// Package away says when connections of clients end while a gateway sends its clients away. It is pure: time is handed
+// Package drain says when connections of clients end while a gateway sends its clients away. It is pure: time is handed
 // in.
 //
 // A connection ends best right behind an answer: the client has nothing under way, so that nothing crosses the close. Who
 // asks nothing for a while is let go while idle, each at a time of its own: closes at one instant would bring all the
 // handshakes at once to whoever takes these clients.
-package away
+package drain
 
 import "time"
 
--- a/internal/clients/away/away_test.go
+++ b/internal/clients/drain/drain_test.go
@@ -1,4 +1,4 @@
-package away
+package drain
 
 import (
 	"testing"
--- a/internal/clients/room.go
+++ b/internal/clients/room.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"cranegate/internal/clients/away"
+	"cranegate/internal/clients/drain"
 )
 
 const (
@@ -24,7 +24,7 @@
 	whole int // places in all, a descriptor each
 	lobby lobby
 
-	plan atomic.Pointer[away.Plan] // nil: clients are welcome
+	plan atomic.Pointer[drain.Plan] // nil: clients are welcome
 
 	mu       sync.Mutex
 	size     int           // places for clients, where none is lent
@@ -259,18 +259,18 @@
 // SendAway has all clients' connections end, each when that crosses nothing. New ones are still taken, for a request
 // each. Twice is the same as once.
 func (r *Room) SendAway() {
-	r.replan(func(p *away.Plan) *away.Plan {
+	r.replan(func(p *drain.Plan) *drain.Plan {
 		if p != nil {
 			return p
 		}
-		return away.Begin(time.Now(), r.longest)
+		return drain.Begin(time.Now(), r.longest)
 	})
 }
 
 // TakeBack has clients welcome again. Connections whose end has begun end. False says that the process ends or has been
 // followed by another, and clients are not taken again.
 func (r *Room) TakeBack() bool {
-	return r.replan(func(p *away.Plan) *away.Plan {
+	return r.replan(func(p *drain.Plan) *drain.Plan {
 		if p.Final() {
 			return p
 		}
@@ -280,17 +280,17 @@
 
 // Stop sends clients away for good, as the process ends; Pass does as another process takes them from now on.
 func (r *Room) Stop() {
-	r.replan(func(p *away.Plan) *away.Plan { return p.Stop(time.Now(), r.longest) })
+	r.replan(func(p *drain.Plan) *drain.Plan { return p.Stop(time.Now(), r.longest) })
 }
 
 // Pass is described at Stop.
-func (r *Room) Pass() { r.replan(func(p *away.Plan) *away.Plan { return p.Pass(time.Now()) }) }
+func (r *Room) Pass() { r.replan(func(p *drain.Plan) *drain.Plan { return p.Pass(time.Now()) }) }
 
 // Return undoes Pass, as the other process is gone.
-func (r *Room) Return() { r.replan((*away.Plan).Return) }
+func (r *Room) Return() { r.replan((*drain.Plan).Return) }
 
 // replan replaces the plan and has all sessions look anew at what holds.
-func (r *Room) replan(next func(*away.Plan) *away.Plan) *away.Plan {
+func (r *Room) replan(next func(*drain.Plan) *drain.Plan) *drain.Plan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := r.plan.Load()
