--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -18,13 +18,13 @@
 	"cranegate/internal/admin"
 	"cranegate/internal/agentcheck"
 	"cranegate/internal/backoff"
-	"cranegate/internal/clients"
-	"cranegate/internal/clients/mysql"
-	"cranegate/internal/clients/postgres"
 	"cranegate/internal/config"
 	"cranegate/internal/core"
 	"cranegate/internal/discovery"
 	"cranegate/internal/framebuf"
+	"cranegate/internal/frontend"
+	"cranegate/internal/frontend/mysql"
+	"cranegate/internal/frontend/postgres"
 	"cranegate/internal/handover/inherit"
 	"cranegate/internal/invariant"
 	"cranegate/internal/logging"
@@ -49,7 +49,7 @@
 	counters *metrics.Counters
 	monitor  *invariant.Monitor
 	status   *agentcheck.Status
-	room     *clients.Room    // descriptors for clients
+	room     *frontend.Room   // descriptors for clients
 	budget   *framebuf.Budget // bytes for what clients send
 	servers  int              // descriptors for the database hosts of each protocol
 	staff    int              // callers at the second address at once
@@ -70,7 +70,7 @@
 	core  *core.Core
 	pool  *servers.Pool
 	pace  *backoff.Caller
-	front *clients.Server
+	front *frontend.Server
 	zone  string // the gateway's own
 }
 
@@ -82,7 +82,7 @@
 	seed                    uint64
 	known                   discovery.Snapshot
 	start                   servers.Starter
-	front                   clients.Front
+	front                   frontend.Front
 }
 
 // run serves until stop ends and all that was taken is answered. At each signal of a changed configuration it is
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	g := &gateway{counters: &metrics.Counters{}, status: &agentcheck.Status{}, room: clients.NewRoom(d.clients),
+	g := &gateway{counters: &metrics.Counters{}, status: &agentcheck.Status{}, room: frontend.NewRoom(d.clients),
 		budget: framebuf.NewBudget(int64(limits.MemoryMB) << 20 / 4), servers: d.servers, staff: d.staff, stop: stop, work: work, fronts: &errgroup.Group{},
 		lists: map[string]followed{}, limits: limits, handed: handed{places: d.clients}}
 	logs.Count(g.counters)
@@ -299,7 +299,7 @@
 		f.known = known
 	}
 	calls := backoff.New(f.settings.Rules.Gateways, f.seed)
-	front := &clients.Server{Name: f.name, Front: f.front, Core: c, Room: g.room, Budget: g.budget, Counters: g.counters, Monitor: g.monitor}
+	front := &frontend.Server{Name: f.name, Front: f.front, Core: c, Room: g.room, Budget: g.budget, Counters: g.counters, Monitor: g.monitor}
 	if g.hand != nil {
 		front.Pass = g.pass(f.name)
 		front.Shared = f.name == "postgres" && os.Getenv(inherit.Variable) != ""
--- a/internal/clients/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -1,4 +1,4 @@
-package clients_test
+package frontend_test
 
 import (
 	"bytes"
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/clients"
-	"cranegate/internal/clients/postgres"
 	"cranegate/internal/core"
 	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
+	"cranegate/internal/frontend"
+	"cranegate/internal/frontend/postgres"
 	"cranegate/internal/invariant"
 	"cranegate/internal/metrics"
 	"cranegate/internal/pgwire"
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	l := &busy{TCPListener: tcp.(*net.TCPListener), held: make(chan struct{}), ends: make(chan struct{}), looks: make(chan struct{}, 1)}
-	s := &clients.Server{Name: "backlog", Front: postgres.Front{}, Core: rig.core, Room: clients.NewRoom(50),
+	s := &frontend.Server{Name: "backlog", Front: postgres.Front{}, Core: rig.core, Room: frontend.NewRoom(50),
 		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -243,7 +243,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &clients.Server{Name: "again", Front: postgres.Front{}, Core: rig.core, Room: clients.NewRoom(50),
+	s := &frontend.Server{Name: "again", Front: postgres.Front{}, Core: rig.core, Room: frontend.NewRoom(50),
 		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -289,7 +289,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &clients.Server{Name: "to", Front: postgres.Front{}, Core: rig.core, Room: clients.NewRoom(50),
+	s := &frontend.Server{Name: "to", Front: postgres.Front{}, Core: rig.core, Room: frontend.NewRoom(50),
 		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -345,7 +345,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &clients.Server{Name: "early", Front: postgres.Front{}, Core: c, Room: clients.NewRoom(5), Counters: counters,
+	s := &frontend.Server{Name: "early", Front: postgres.Front{}, Core: c, Room: frontend.NewRoom(5), Counters: counters,
 		Monitor: &invariant.Monitor{Counters: counters}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/clients/end.go
+++ b/internal/frontend/end.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"errors"
--- a/internal/clients/export_test.go
+++ b/internal/frontend/export_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 // Held is how many places clients hold.
 func (r *Room) Held() int {
--- a/internal/clients/clients.go
+++ b/internal/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package clients holds what every front shares: accepting connections within a budget, asking the core while
+// Package frontend holds what every front shares: accepting connections within a budget, asking the core while
 // watching for the client's close, and ending without crossing a request already read.
-package clients
+package frontend
 
 import (
 	"errors"
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"cranegate/internal/clients/drain"
 	"cranegate/internal/core"
 	"cranegate/internal/framebuf"
+	"cranegate/internal/frontend/drain"
 	"cranegate/internal/invariant"
 	"cranegate/internal/metrics"
 )
--- a/internal/clients/idle_test.go
+++ b/internal/frontend/idle_test.go
@@ -1,4 +1,4 @@
-package clients_test
+package frontend_test
 
 import (
 	"fmt"
--- a/internal/clients/lend_test.go
+++ b/internal/frontend/lend_test.go
@@ -1,4 +1,4 @@
-package clients_test
+package frontend_test
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/clients"
 	"cranegate/internal/fake"
+	"cranegate/internal/frontend"
 )
 
 // TestLentPlaces lends half of the places of a full room, one after the other: idle clients give way, never is more held and
@@ -42,7 +42,7 @@
 			}
 			back = append(back, giveBack)
 		}
-		var many clients.TooManyLent
+		var many frontend.TooManyLent
 		if _, err := rig.room.Lend(context.Background()); !errors.As(err, &many) || many.Lent != places/2 || !strings.Contains(err.Error(), "limits.sockets") {
 			return fmt.Errorf("past the half: %v", err)
 		}
--- a/internal/clients/mysql/mysql.go
+++ b/internal/frontend/mysql/mysql.go
@@ -15,9 +15,9 @@
 	"strings"
 	"time"
 
-	"cranegate/internal/clients"
 	"cranegate/internal/core"
 	"cranegate/internal/framebuf"
+	"cranegate/internal/frontend"
 	"cranegate/internal/mysqlwire"
 	"cranegate/internal/sqlcomment"
 )
@@ -37,7 +37,7 @@
 var (
 	errTooMany   = mysqlwire.Error{Code: 1040, State: "08004", Text: "too many clients"}
 	errCommand   = mysqlwire.Error{Code: 1047, State: "08S01", Text: "command not served"}
-	errOpen      = mysqlwire.Error{Code: 1062, State: "23000", Text: clients.ErrOpen.Error()}
+	errOpen      = mysqlwire.Error{Code: 1062, State: "23000", Text: frontend.ErrOpen.Error()}
 	errSyntax    = mysqlwire.Error{Code: 1064, State: "42000"}
 	errFailed    = mysqlwire.Error{Code: 1105, State: "HY000", Text: "failed, it may have run"}
 	errMemory    = mysqlwire.Error{Code: 1041, State: "HY000", Text: "no memory left for it, nothing has run"}
@@ -62,7 +62,7 @@
 }
 
 // Serve talks to one client.
-func (Front) Serve(x *clients.Session) error {
+func (Front) Serve(x *frontend.Session) error {
 	c := &client{Session: x, statements: map[uint32]*prepared{}}
 	defer c.drop()
 	if err := c.login(); err != nil {
@@ -99,7 +99,7 @@
 
 // client is one client's connection.
 type client struct {
-	*clients.Session
+	*frontend.Session
 	w          mysqlwire.Writer
 	caps       uint32
 	statements map[uint32]*prepared
@@ -150,7 +150,7 @@
 		c.w.Reset(c.w.Seq)
 		c.w.Err(errMemory, c.caps)
 		c.Send(c.w.B)
-	case errors.Is(err, clients.ErrFaults):
+	case errors.Is(err, frontend.ErrFaults):
 		c.Send(c.w.B) // the last error ends it
 	case errors.Is(err, mysqlwire.ErrMalformed):
 		c.w.Reset(c.w.Seq)
@@ -376,7 +376,7 @@
 	command.Meta = meta
 	a, err := c.Ask(&core.Request{Class: meta.Class, Group: meta.Group, Session: meta.Key, Wait: meta.Wait,
 		After: meta.After, Repeat: meta.Repeat, Payload: command}, meta.ID, size)
-	if errors.Is(err, clients.ErrOpen) {
+	if errors.Is(err, frontend.ErrOpen) {
 		c.err(errOpen, "")
 		return nil
 	} else if err != nil {
--- a/internal/clients/postgres/postgres.go
+++ b/internal/frontend/postgres/postgres.go
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"cranegate/internal/clients"
 	"cranegate/internal/core"
 	"cranegate/internal/framebuf"
+	"cranegate/internal/frontend"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/sqlcomment"
 )
@@ -40,7 +40,7 @@
 }
 
 // Serve talks to one client.
-func (Front) Serve(x *clients.Session) error {
+func (Front) Serve(x *frontend.Session) error {
 	c := &client{Session: x}
 	x.Moves = true
 	if !x.Resumes() {
@@ -92,7 +92,7 @@
 
 // client is one client's connection.
 type client struct {
-	*clients.Session
+	*frontend.Session
 	out      []byte
 	skipping bool // an extended query has failed: messages up to Sync are passed over
 }
@@ -132,7 +132,7 @@
 		c.Send(pgwire.AppendError(nil, "FATAL", codeTooLarge, "message too large", ""))
 	case errors.Is(err, framebuf.ErrNoRoom): // nothing of it was taken
 		c.Send(pgwire.AppendError(nil, "FATAL", codeRefused, "no memory for a message", ""))
-	case errors.Is(err, clients.ErrFaults):
+	case errors.Is(err, frontend.ErrFaults):
 		c.Send(pgwire.AppendError(nil, "FATAL", codeSyntax, "too many messages at fault", ""))
 	case errors.Is(err, pgwire.ErrMalformed):
 		c.Send(pgwire.AppendError(nil, "FATAL", codeProtocol, "malformed message", ""))
@@ -166,7 +166,7 @@
 	if err == nil {
 		a, err = c.Ask(&core.Request{Class: s.Class, Group: s.Group, Session: s.Key, Wait: s.Wait, After: s.After,
 			Repeat: s.Repeat, Payload: s}, s.ID, len(text))
-		if err != nil && !errors.Is(err, clients.ErrOpen) {
+		if err != nil && !errors.Is(err, frontend.ErrOpen) {
 			return err
 		}
 	}
@@ -181,7 +181,7 @@
 			if n, err := long.WriteTo(c.Session.Slowly()); err != nil { // the client sees that it is not whole
 				c.Counters().Add("streams_cut", 1)
 				slog.Warn("stream_cut", "id", s.ID, "bytes", n, "error", err)
-				return clients.ErrGone
+				return frontend.ErrGone
 			}
 			break
 		}
--- a/internal/clients/rig_test.go
+++ b/internal/frontend/rig_test.go
@@ -1,4 +1,4 @@
-package clients_test
+package frontend_test
 
 import (
 	"context"
@@ -12,12 +12,12 @@
 	"testing/synctest"
 	"time"
 
-	"cranegate/internal/clients"
-	"cranegate/internal/clients/mysql"
-	"cranegate/internal/clients/postgres"
 	"cranegate/internal/core"
 	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
+	"cranegate/internal/frontend"
+	"cranegate/internal/frontend/mysql"
+	"cranegate/internal/frontend/postgres"
 	"cranegate/internal/invariant"
 	"cranegate/internal/metrics"
 	"cranegate/internal/mysqlwire"
@@ -73,7 +73,7 @@
 	pool     *servers.Pool
 	counters *metrics.Counters
 	pipes    *pipes
-	room     *clients.Room
+	room     *frontend.Room
 	budget   *framebuf.Budget
 	stop     context.CancelFunc // as SIGTERM does
 	kill     context.CancelFunc
@@ -87,7 +87,7 @@
 // newRigFor has places for a number of clients, and holds itself for one of so many gateways.
 func newRigFor(places, gateways int, mysqlFront bool, hosts ...*fake.Host) *rig {
 	r := &rig{mysql: mysqlFront, hosts: hosts, down: make([]atomic.Bool, len(hosts)), counters: &metrics.Counters{},
-		budget: framebuf.NewBudget(rigBudget), room: clients.NewRoom(places),
+		budget: framebuf.NewBudget(rigBudget), room: frontend.NewRoom(places),
 		pipes: &pipes{conns: make(chan net.Conn), done: make(chan struct{})}, ended: make(chan error, 1)}
 	work, kill := context.WithCancel(context.Background())
 	stopped, stop := context.WithCancel(context.Background())
@@ -106,11 +106,11 @@
 	r.core = c
 	go c.Run(work)
 	r.list(rules.ListWhole, rules.PhaseOn)
-	var front clients.Front = postgres.Front{}
+	var front frontend.Front = postgres.Front{}
 	if mysqlFront {
 		front = mysql.Front{}
 	}
-	s := &clients.Server{Name: "test", Front: front, Core: c, Room: r.room, Budget: r.budget,
+	s := &frontend.Server{Name: "test", Front: front, Core: c, Room: r.room, Budget: r.budget,
 		Counters: r.counters, Monitor: &invariant.Monitor{Counters: r.counters}}
 	<-c.Ready()
 	go func() { r.ended <- s.Run(stopped, r.pipes) }()
--- a/internal/clients/room.go
+++ b/internal/frontend/room.go
@@ -1,11 +1,11 @@
-package clients
+package frontend
 
 import (
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"cranegate/internal/clients/drain"
+	"cranegate/internal/frontend/drain"
 )
 
 const (
--- a/internal/clients/takeover_test.go
+++ b/internal/frontend/takeover_test.go
@@ -1,4 +1,4 @@
-package clients_test
+package frontend_test
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"testing/synctest"
 	"time"
 
-	"cranegate/internal/clients"
-	"cranegate/internal/clients/postgres"
 	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
+	"cranegate/internal/frontend"
+	"cranegate/internal/frontend/postgres"
 	"cranegate/internal/metrics"
 	"cranegate/internal/pgwire"
 )
@@ -31,9 +31,9 @@
 		defer rig.close()
 		answer := sync.OnceFunc(func() { close(hold) })
 		defer answer()
-		room := clients.NewRoom(places)
+		room := frontend.NewRoom(places)
 		room.Thin(false) // as while both processes live
-		s := &clients.Server{Name: "newer", Front: postgres.Front{}, Core: rig.core, Room: room, Budget: rig.budget, Counters: rig.counters}
+		s := &frontend.Server{Name: "newer", Front: postgres.Front{}, Core: rig.core, Room: room, Budget: rig.budget, Counters: rig.counters}
 		var ended, faults atomic.Int64
 		var ends []net.Conn
 		defer func() {
@@ -91,7 +91,7 @@
 func TestNewerServesWhileTheListenerCloses(t *testing.T) {
 	rig := newRig(false, &fake.Host{Primary: true})
 	defer rig.close()
-	s := &clients.Server{Name: "ends", Front: postgres.Front{}, Core: rig.core, Room: clients.NewRoom(50),
+	s := &frontend.Server{Name: "ends", Front: postgres.Front{}, Core: rig.core, Room: frontend.NewRoom(50),
 		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}, Shared: true}
 	l := hungListener{closing: make(chan struct{}, 10), free: make(chan struct{})}
 	stopped, stop := context.WithCancel(context.Background())
--- a/internal/soak/build.go
+++ b/internal/soak/build.go
@@ -51,7 +51,7 @@
 		{"internal/core/attempt.go", "!a.Request.leaves(a.core) && ", ""}}, []string{ruleGone}, []string{"leavers", "resets", "bad_answers", "late_connects"}},
 	{"once-repeated", []Edit{{"rules/attempts.go", "		return min(q.limit, q.ranAt+q.class.KeyTTL)\n	}\n	return 0", "	}\n	return q.limit"}},
 		[]string{ruleTwice, ruleViolation}, []string{"resets", "bad_answers", "host_dies"}},
-	{"answer-withheld", []Edit{{"internal/clients/postgres/postgres.go", "	case core.Refused:\n", "	case core.Refused:\n		return errors.New(\"withheld\")\n"}},
+	{"answer-withheld", []Edit{{"internal/frontend/postgres/postgres.go", "	case core.Refused:\n", "	case core.Refused:\n		return errors.New(\"withheld\")\n"}},
 		[]string{ruleLost, ruleTurnedBack, ruleViolation}, nil},
 	{"cold-unheeded", []Edit{{"rules/cold.go", "return m.credit >= 0", "return true"}}, []string{ruleViolation}, nil},
 	{"ban-forgotten", []Edit{{"internal/handover/record/record.go", "	return regs, sequence, nil\n", "	regs = state.Registers{}\n	return regs, sequence, nil\n"}},
