--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -17,6 +17,9 @@
 
 	"cranegate/internal/admin"
 	"cranegate/internal/agentcheck"
+	"cranegate/internal/backend"
+	myservers "cranegate/internal/backend/mysql"
+	pgservers "cranegate/internal/backend/postgres"
 	"cranegate/internal/backoff"
 	"cranegate/internal/config"
 	"cranegate/internal/core"
@@ -30,9 +33,6 @@
 	"cranegate/internal/logging"
 	"cranegate/internal/metrics"
 	"cranegate/internal/peers"
-	"cranegate/internal/servers"
-	myservers "cranegate/internal/servers/mysql"
-	pgservers "cranegate/internal/servers/postgres"
 	"cranegate/rules"
 )
 
@@ -68,7 +68,7 @@
 type followed struct {
 	watch *discovery.Watcher
 	core  *core.Core
-	pool  *servers.Pool
+	pool  *backend.Pool
 	pace  *backoff.Caller
 	front *frontend.Server
 	zone  string // the gateway's own
@@ -81,7 +81,7 @@
 	settings                config.Settings
 	seed                    uint64
 	known                   discovery.Snapshot
-	start                   servers.Starter
+	start                   backend.Starter
 	front                   frontend.Front
 }
 
@@ -287,7 +287,7 @@
 
 // prepare starts the actors of one fleet. Nothing is sent yet.
 func (g *gateway) prepare(f *fleet) error {
-	pool := servers.New(g.work, servers.Options{Start: f.start, ConnectTimeout: f.settings.ConnectTimeout,
+	pool := backend.New(g.work, backend.Options{Start: f.start, ConnectTimeout: f.settings.ConnectTimeout,
 		IdleFor: f.settings.IdleClose * 2 / 3, MostOpen: g.servers, Gateways: f.settings.Rules.Gateways, Counters: g.counters})
 	c, err := core.New(core.Options{Rules: f.settings.Rules, Seed: f.seed, AnswerSlack: f.settings.AnswerSlack,
 		ProbeTimeout: f.settings.ConnectTimeout, Counters: g.counters, Monitor: g.monitor}, pool)
--- a/internal/servers/servers.go
+++ b/internal/backend/backend.go
@@ -1,6 +1,6 @@
-// Package servers runs attempts at the database hosts. Each host is an actor that owns its connections; each
+// Package backend runs attempts at the database hosts. Each host is an actor that owns its connections; each
 // connection has a goroutine of its own that waits for an attempt and for the peer's close at once.
-package servers
+package backend
 
 import (
 	"context"
--- a/internal/servers/breaks_test.go
+++ b/internal/backend/breaks_test.go
@@ -1,4 +1,4 @@
-package servers_test
+package backend_test
 
 import (
 	"bytes"
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/backend"
 	"cranegate/internal/core"
 	"cranegate/internal/fake"
-	"cranegate/internal/servers"
 	"cranegate/rules"
 )
 
@@ -58,7 +58,7 @@
 					return c.act
 				}}
 				var once sync.Once
-				r := newRig(t, form, host, func(opt *servers.Options) {
+				r := newRig(t, form, host, func(opt *backend.Options) {
 					opt.Connect = func(_ context.Context, address string) (net.Conn, error) {
 						raw, err := net.Dial("tcp", address)
 						if err != nil {
@@ -79,7 +79,7 @@
 // connection closed with it.
 func TestWriteHangs(t *testing.T) {
 	closed := make(chan struct{})
-	r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) {
+	r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) {
 		opt.Connect = func(_ context.Context, address string) (net.Conn, error) {
 			raw, err := net.Dial("tcp", address)
 			if err != nil {
@@ -175,7 +175,7 @@
 					}
 					return fake.Serve
 				}}
-				r = newRig(t, form, host, stage(func(at string, _ servers.Conn) { drain(at) }))
+				r = newRig(t, form, host, stage(func(at string, _ backend.Conn) { drain(at) }))
 				a := r.wait(r.ask("brief", "q1"))
 				if when != "before exchange" {
 					r.isServed(a, "q1")
@@ -195,7 +195,7 @@
 		var q atomic.Pointer[core.Request]
 		asked := make(chan struct{})
 		var once sync.Once
-		r = newRig(t, form, &fake.Host{}, stage(func(at string, _ servers.Conn) {
+		r = newRig(t, form, &fake.Host{}, stage(func(at string, _ backend.Conn) {
 			if at == "after exchange" {
 				once.Do(func() { <-asked; r.core.Gone(q.Load()); r.settled() })
 			}
@@ -220,7 +220,7 @@
 // at all requests are served.
 func TestAbsurdTimes(t *testing.T) {
 	for _, idle := range []time.Duration{math.MinInt64, -time.Second, 0, 1, math.MaxInt64} {
-		r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) { opt.IdleFor, opt.ConnectTimeout = idle, math.MaxInt64 })
+		r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) { opt.IdleFor, opt.ConnectTimeout = idle, math.MaxInt64 })
 		for _, id := range []string{"q1", "q2", "q3"} {
 			r.served("put", id)
 		}
@@ -229,7 +229,7 @@
 		}
 	}
 	for _, connect := range []time.Duration{math.MinInt64, -time.Second, 0} {
-		r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) { opt.ConnectTimeout = connect })
+		r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) { opt.ConnectTimeout = connect })
 		if a := r.wait(r.ask("brief", "q1")); a.Status != core.Refused || r.host.Ran("q1") > 0 || r.opened() > 6 {
 			t.Errorf("connects of %v: status %d, %d connections", connect, a.Status, r.opened())
 		}
--- a/internal/servers/connect_test.go
+++ b/internal/backend/connect_test.go
@@ -1,4 +1,4 @@
-package servers_test
+package backend_test
 
 import (
 	"context"
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/backend"
 	"cranegate/internal/core"
 	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/servers"
 )
 
 // gate is how connections are opened under a test's eyes: each is told of, and comes up, or not, when the test says so.
@@ -21,7 +21,7 @@
 	began chan chan error // takes one for each connection asked for; a nil sent to it lets it come up
 }
 
-func (g *gate) connect(opt *servers.Options) {
+func (g *gate) connect(opt *backend.Options) {
 	opt.Connect = func(_ context.Context, address string) (net.Conn, error) {
 		say := make(chan error, 1)
 		g.began <- say
@@ -101,7 +101,7 @@
 // for that.
 func TestOwnConnectIsOver(t *testing.T) {
 	g := &gate{t: t, began: make(chan chan error, 10)}
-	r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) {
+	r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) {
 		g.connect(opt)
 		opt.ConnectTimeout = 300 * time.Millisecond
 	})
@@ -123,7 +123,7 @@
 // neither the connection nor its place is lost.
 func TestLateConnect(t *testing.T) {
 	g := &gate{t: t, began: make(chan chan error, 10)}
-	r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) { g.connect(opt); opt.MostOpen = 1 })
+	r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) { g.connect(opt); opt.MostOpen = 1 })
 	q := r.submit("put", "q0")
 	late := <-g.began
 	r.core.Gone(q)
@@ -140,7 +140,7 @@
 // connection is closed with nothing written for it, and its place is free for the next.
 func TestConnectGivenUp(t *testing.T) {
 	g := &gate{t: t, began: make(chan chan error, 10)}
-	r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) {
+	r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) {
 		g.connect(opt)
 		opt.MostOpen, opt.ConnectTimeout = 1, 200*time.Millisecond
 	})
@@ -205,7 +205,7 @@
 			if strings.HasSuffix(name, "hangs") {
 				wait = 50 * time.Millisecond
 			}
-			r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) { opt.ConnectTimeout = wait }, func(raw net.Conn) {
+			r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) { opt.ConnectTimeout = wait }, func(raw net.Conn) {
 				b := framebuf.New(raw, pgwire.MaxMessage)
 				if _, _, err := pgwire.ReadStartup(b); err == nil {
 					raw.Write(c.say)
--- a/internal/servers/crossing_test.go
+++ b/internal/backend/crossing_test.go
@@ -1,4 +1,4 @@
-package servers_test
+package backend_test
 
 import (
 	"bytes"
@@ -9,18 +9,18 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/backend"
 	"cranegate/internal/core"
 	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/servers"
 )
 
 // staged is a connection whose steps are stopped between: at is called before and after each.
 type staged struct {
-	servers.Conn
-	at   func(stage string, c servers.Conn)
+	backend.Conn
+	at   func(stage string, c backend.Conn)
 	woke chan struct{} // takes one when an attempt has been handed over
 }
 
@@ -44,10 +44,10 @@
 }
 
 // stage wraps each connection's start.
-func stage(at func(stage string, c servers.Conn)) func(*servers.Options) {
-	return func(opt *servers.Options) {
+func stage(at func(stage string, c backend.Conn)) func(*backend.Options) {
+	return func(opt *backend.Options) {
 		start := opt.Start
-		opt.Start = func(raw net.Conn) (servers.Conn, error) {
+		opt.Start = func(raw net.Conn) (backend.Conn, error) {
 			c, err := start(raw)
 			if err != nil {
 				return nil, err
@@ -58,7 +58,7 @@
 }
 
 // arrived waits until what the host has done to a connection is there to be seen.
-func arrived(t *testing.T, c servers.Conn) {
+func arrived(t *testing.T, c backend.Conn) {
 	for end := time.Now().Add(soon); c.Alive(); time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
 			t.Error("it never arrives")
@@ -102,7 +102,7 @@
 					var mu sync.Mutex
 					times := 0
 					var r *rig
-					r = newRig(t, form, host, stage(func(stage string, c servers.Conn) {
+					r = newRig(t, form, host, stage(func(stage string, c backend.Conn) {
 						mu.Lock()
 						defer mu.Unlock()
 						if stage != when {
--- a/internal/servers/fault_test.go
+++ b/internal/backend/fault_test.go
@@ -1,4 +1,4 @@
-package servers_test
+package backend_test
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"syscall"
 	"testing"
 
+	"cranegate/internal/backend"
 	"cranegate/internal/core"
 	"cranegate/internal/fake"
-	"cranegate/internal/servers"
 )
 
 // TestOwnFaultIsNotTheHosts has connects fail for want of something on this machine: no attempt tells the module that the host
@@ -22,7 +22,7 @@
 		t.Run(fault.Error(), func(t *testing.T) {
 			var short atomic.Bool
 			short.Store(true)
-			r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) {
+			r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) {
 				opt.Connect = func(ctx context.Context, address string) (net.Conn, error) {
 					if short.Load() {
 						return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", fault)}
--- a/internal/servers/link.go
+++ b/internal/backend/link.go
@@ -1,4 +1,4 @@
-package servers
+package backend
 
 import (
 	"context"
--- a/internal/servers/mysql/mysql.go
+++ b/internal/backend/mysql/mysql.go
@@ -13,10 +13,10 @@
 	"strings"
 	"time"
 
+	"cranegate/internal/backend"
 	"cranegate/internal/core"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/servers"
 	"cranegate/rules"
 )
 
@@ -84,7 +84,7 @@
 		return nil, fmt.Errorf("packet %d in place of %d: %w", b[3], c.seq, mysqlwire.ErrMalformed)
 	}
 	if c.seq == 1 {
-		c.SetReadDeadline(time.Now().Add(servers.AnswerFor))
+		c.SetReadDeadline(time.Now().Add(backend.AnswerFor))
 	}
 	c.seq++
 	_, b, err = mysqlwire.ReadPacket(c.Conn)
@@ -98,7 +98,7 @@
 }
 
 // Start answers the handshake of a fresh connection and makes it ready for a command.
-func (d Account) Start(raw net.Conn) (servers.Conn, error) {
+func (d Account) Start(raw net.Conn) (backend.Conn, error) {
 	c := &Conn{Conn: framebuf.New(raw, mysqlwire.MaxPacket+4), account: d,
 		statements: map[*mysqlwire.Statement]prepared{}}
 	seq, b, err := mysqlwire.ReadPacket(c.Conn)
@@ -152,7 +152,7 @@
 func startError(payload []byte) error {
 	e, err := mysqlwire.ParseErr(payload)
 	if err == nil && (fullErrors[e.Code] || e.State == fullState) {
-		return servers.ErrTurnedAway
+		return backend.ErrTurnedAway
 	}
 	return errors.Join(e, err)
 }
@@ -193,7 +193,7 @@
 	c.w.Seq = 0
 	c.w.Query(attributes, text, c.caps)
 	if !c.Alive() {
-		return servers.NeverBegan, false
+		return backend.NeverBegan, false
 	}
 	if !a.Begin() {
 		return c.leave(closes)
@@ -216,14 +216,14 @@
 // leave gives up what was gathered for an attempt that did not begin, but for what came before it.
 func (c *Conn) leave(before int) (core.Outcome, bool) {
 	c.w.B = c.w.B[:before]
-	return servers.NeverBegan, c.flush() == nil
+	return backend.NeverBegan, c.flush() == nil
 }
 
 // prepareOnly runs a client's prepare. It is not cut off when it is given up: its answer, if it still comes, is
 // read so that the connection stays in step, and a statement whose client has left meanwhile is closed.
 func (c *Conn) prepareOnly(a *core.Attempt, s *mysqlwire.Statement) (core.Outcome, bool) {
 	if !c.Alive() {
-		return servers.NeverBegan, false
+		return backend.NeverBegan, false
 	}
 	if !a.Begin() {
 		return c.leave(len(c.w.B))
@@ -252,7 +252,7 @@
 				return c.leave(len(c.w.B))
 			}
 			if !began && !c.Alive() {
-				return servers.NeverBegan, false
+				return backend.NeverBegan, false
 			}
 			e, err := c.prepare(command.Statement, c.account.PrepareFor)
 			if err != nil { // the execute was never written
@@ -276,7 +276,7 @@
 		c.w.Execute(p.id, command.Params, attributes(command, time.Until(a.Until)), c.caps)
 		if !c.Alive() {
 			if ok { // it came while the connection rested
-				return servers.NeverBegan, false
+				return backend.NeverBegan, false
 			}
 			return core.Outcome{Result: rules.ResultConnectFailed}, false // it came behind the prepare's answer
 		}
@@ -422,7 +422,7 @@
 // result is the table of what comes back. An error proves that nothing ran only where it is listed above.
 func result(e *mysqlwire.Error, err error) rules.Result {
 	switch {
-	case err != nil && servers.Spoilt(err, mysqlwire.ErrMalformed):
+	case err != nil && backend.Spoilt(err, mysqlwire.ErrMalformed):
 		return rules.ResultSpoilt
 	case err != nil:
 		return rules.ResultReset
@@ -447,7 +447,7 @@
 	if o.Result != rules.ResultOK {
 		return o
 	}
-	var n servers.Note
+	var n backend.Note
 	for _, v := range r.OK.Session {
 		n.Set(v[0], v[1])
 	}
@@ -459,7 +459,7 @@
 }
 
 // probeRows reads the row that a probe brings.
-func probeRows(n *servers.Note, r *mysqlwire.Result) {
+func probeRows(n *backend.Note, r *mysqlwire.Result) {
 	var names []string
 	for _, b := range r.Columns {
 		c := mysqlwire.Cursor{B: b}
--- a/internal/servers/outcome_test.go
+++ b/internal/backend/outcome_test.go
@@ -1,4 +1,4 @@
-package servers_test
+package backend_test
 
 import (
 	"bytes"
--- a/internal/servers/postgres/postgres.go
+++ b/internal/backend/postgres/postgres.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
+	"cranegate/internal/backend"
 	"cranegate/internal/core"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/servers"
 	"cranegate/internal/sqlcomment"
 	"cranegate/rules"
 )
@@ -40,7 +40,7 @@
 }
 
 // Start makes a fresh connection ready for a query.
-func Start(raw net.Conn) (servers.Conn, error) {
+func Start(raw net.Conn) (backend.Conn, error) {
 	c := &Conn{Conn: framebuf.New(raw, pgwire.MaxMessage)}
 	return c, c.start()
 }
@@ -58,7 +58,7 @@
 		case kind == 'Z':
 			return nil
 		case kind == 'E' && string(pgwire.Field(body, 'C')) == codeTurnedAway:
-			return servers.ErrTurnedAway
+			return backend.ErrTurnedAway
 		case kind == 'E':
 			return fmt.Errorf("error %s", pgwire.Field(body, 'C'))
 		case kind == 'R' && (len(body) != 4 || body[0]|body[1]|body[2]|body[3] != 0):
@@ -80,10 +80,10 @@
 	c.SetWriteDeadline(time.Now().Add(writeAtMost))
 	c.SetReadDeadline(time.Time{}) // the core gives attempts up in time
 	if !c.Alive() {
-		return servers.NeverBegan, false
+		return backend.NeverBegan, false
 	}
 	if !a.Begin() {
-		return servers.NeverBegan, true
+		return backend.NeverBegan, true
 	}
 	stop := c.watch(a) // this is how an attempt is given up
 	n, err := c.Write(c.out)
@@ -99,7 +99,7 @@
 	if _, err := c.Need(1); err != nil {
 		return r.outcome(a), false
 	}
-	c.SetReadDeadline(time.Now().Add(servers.AnswerFor))
+	c.SetReadDeadline(time.Now().Add(backend.AnswerFor))
 	for r.step != ended {
 		size, long, err := c.long()
 		if err == nil && long && !r.probe {
@@ -119,7 +119,7 @@
 			if r.code != "" && !errors.Is(err, pgwire.ErrMalformed) && !errors.Is(err, framebuf.ErrTooLarge) {
 				return r.outcome(a), false // a fatal error needs no Ready
 			}
-			if servers.Spoilt(err, pgwire.ErrMalformed) {
+			if backend.Spoilt(err, pgwire.ErrMalformed) {
 				return core.Outcome{Result: rules.ResultSpoilt}, false
 			}
 			return core.Outcome{Result: rules.ResultReset}, false
@@ -167,7 +167,7 @@
 	probe    bool
 	step     step
 	value    []byte // the messages of the answer, copied: they outlive the buffer
-	note     servers.Note
+	note     backend.Note
 	rows     int
 	complete bool
 	code     string
--- a/internal/servers/rig_test.go
+++ b/internal/backend/rig_test.go
@@ -1,4 +1,4 @@
-package servers_test
+package backend_test
 
 import (
 	"bytes"
@@ -10,15 +10,15 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/backend"
+	"cranegate/internal/backend/mysql"
+	"cranegate/internal/backend/postgres"
 	"cranegate/internal/core"
 	"cranegate/internal/fake"
 	"cranegate/internal/invariant"
 	"cranegate/internal/metrics"
 	"cranegate/internal/mysqlwire"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/servers"
-	"cranegate/internal/servers/mysql"
-	"cranegate/internal/servers/postgres"
 	"cranegate/internal/sqlcomment"
 	"cranegate/rules"
 )
@@ -48,7 +48,7 @@
 }
 
 // newRig plays a host; change may alter the pool's options, among them the seams: how connections are opened and started.
-func newRig(t *testing.T, form string, host *fake.Host, change func(*servers.Options), serve ...func(net.Conn)) *rig {
+func newRig(t *testing.T, form string, host *fake.Host, change func(*backend.Options), serve ...func(net.Conn)) *rig {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,7 +57,7 @@
 	host.Primary = true
 	r := &rig{t: t, form: form, host: host, listener: l, counters: &metrics.Counters{},
 		prepared: map[string]*mysqlwire.Statement{}}
-	opt := servers.Options{Start: postgres.Start, ConnectTimeout: soon, IdleFor: soon, MostOpen: 50, Gateways: 1, Counters: r.counters}
+	opt := backend.Options{Start: postgres.Start, ConnectTimeout: soon, IdleFor: soon, MostOpen: 50, Gateways: 1, Counters: r.counters}
 	if form != "postgres" {
 		opt.Start = mysql.Account{User: "svc", Probe: "SHOW pressure", PrepareFor: soon}.Start
 	}
@@ -68,7 +68,7 @@
 		change(&opt)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	pool := servers.New(ctx, opt)
+	pool := backend.New(ctx, opt)
 	// Deadlines are as long as a busy machine may need.
 	c, err := core.New(core.Options{Rules: rules.Config{Gateways: 1, MaxAttempts: 6, Guards: rules.GuardWait, Positions: true,
 		ListRole: rules.ListRoleLate, MayCancel: true, Classes: []rules.Class{
--- a/internal/servers/row_test.go
+++ b/internal/backend/row_test.go
@@ -1,4 +1,4 @@
-package servers_test
+package backend_test
 
 import (
 	"encoding/binary"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/backend"
 	"cranegate/internal/core"
 	"cranegate/internal/fake"
 	"cranegate/internal/pgwire"
-	"cranegate/internal/servers"
 )
 
 // TestHangsInTheRow has a host hang in the middle of the longest row that the platform knows: its client is told long before a
@@ -44,9 +44,9 @@
 // TestNoDelay looks at a connection to a host as the pool opens it: small writes must not be held back, as a close may follow.
 func TestNoDelay(t *testing.T) {
 	var on atomic.Int64
-	r := newRig(t, "postgres", &fake.Host{}, func(opt *servers.Options) {
+	r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) {
 		start := opt.Start
-		opt.Start = func(raw net.Conn) (servers.Conn, error) {
+		opt.Start = func(raw net.Conn) (backend.Conn, error) {
 			c, err := raw.(syscall.Conn).SyscallConn()
 			if err != nil {
 				return nil, err
--- a/internal/frontend/rig_test.go
+++ b/internal/frontend/rig_test.go
@@ -12,6 +12,9 @@
 	"testing/synctest"
 	"time"
 
+	"cranegate/internal/backend"
+	myservers "cranegate/internal/backend/mysql"
+	pgservers "cranegate/internal/backend/postgres"
 	"cranegate/internal/core"
 	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
@@ -21,9 +24,6 @@
 	"cranegate/internal/invariant"
 	"cranegate/internal/metrics"
 	"cranegate/internal/mysqlwire"
-	"cranegate/internal/servers"
-	myservers "cranegate/internal/servers/mysql"
-	pgservers "cranegate/internal/servers/postgres"
 	"cranegate/rules"
 )
 
@@ -70,7 +70,7 @@
 	down     []atomic.Bool // refuses connections
 	opening  func()        // called as a connection to a host is asked for; nil does nothing
 	core     *core.Core
-	pool     *servers.Pool
+	pool     *backend.Pool
 	counters *metrics.Counters
 	pipes    *pipes
 	room     *frontend.Room
@@ -92,11 +92,11 @@
 	work, kill := context.WithCancel(context.Background())
 	stopped, stop := context.WithCancel(context.Background())
 	r.stop, r.kill = stop, kill
-	var start servers.Starter = pgservers.Start
+	var start backend.Starter = pgservers.Start
 	if mysqlFront {
 		start = myservers.Account{User: "svc", Password: rigPassword(hosts), Probe: "SHOW pressure", PrepareFor: 250 * time.Millisecond}.Start
 	}
-	r.pool = servers.New(work, servers.Options{Connect: r.dial, Start: start, ConnectTimeout: 250 * time.Millisecond,
+	r.pool = backend.New(work, backend.Options{Connect: r.dial, Start: start, ConnectTimeout: 250 * time.Millisecond,
 		IdleFor: 20 * time.Second, MostOpen: 100, Gateways: gateways, Counters: r.counters})
 	c, err := core.New(core.Options{Rules: testRules, Seed: 1, AnswerSlack: 20 * time.Millisecond,
 		ProbeTimeout: 250 * time.Millisecond, Counters: r.counters, Monitor: &invariant.Monitor{Counters: r.counters}}, r.pool)
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -12,7 +12,7 @@
 	"cranegate/rules"
 )
 
-// gateway is one gateway: the real module with what internal/core and internal/servers do around it, and the
+// gateway is one gateway: the real module with what internal/core and internal/backend do around it, and the
 // clients that ask it.
 type gateway struct {
 	f        *fleet
