--- a/cmd/cranegate/caps_test.go
+++ b/cmd/cranegate/caps_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cranegate/internal/discovery"
-	"cranegate/internal/handover/talk"
+	"cranegate/internal/handover/frame"
 	"cranegate/rules"
 )
 
@@ -39,15 +39,15 @@
 // what was learned is left out, and the list stays.
 func TestAThousandHostsAreHandedOver(t *testing.T) {
 	for _, x := range []struct{ hosts, window, learned, windows int }{{100, 8, 100, 8}, {1024, 0, 1024, 0}, {1024, 64, 1024, 0}, {1025, 64, 1025, 0}, {2500, 8, 0, 0}} {
-		text, err := knows(x.hosts, x.window).within(talk.MostBlob)
-		if err != nil || len(text) > talk.MostBlob {
+		text, err := knows(x.hosts, x.window).within(frame.MostBlob)
+		if err != nil || len(text) > frame.MostBlob {
 			t.Fatalf("%+v: %d bytes, %v", x, len(text), err)
 		}
 		var w strings.Builder
-		if err := talk.Write(&w, talk.Message{Kind: talk.Blob, Blob: text}); err != nil {
+		if err := frame.Write(&w, frame.Message{Kind: frame.Blob, Blob: text}); err != nil {
 			t.Fatalf("%+v: %v", x, err)
 		}
-		m, err := talk.Read(strings.NewReader(w.String()))
+		m, err := frame.Read(strings.NewReader(w.String()))
 		var k knowledge
 		if err == nil {
 			err = json.Unmarshal(m.Blob, &k)
--- a/cmd/cranegate/handover.go
+++ b/cmd/cranegate/handover.go
@@ -12,9 +12,9 @@
 	"cranegate/internal/core"
 	"cranegate/internal/discovery"
 	"cranegate/internal/handover"
+	"cranegate/internal/handover/frame"
 	"cranegate/internal/handover/pass"
 	"cranegate/internal/handover/state"
-	"cranegate/internal/handover/talk"
 	"cranegate/rules"
 )
 
@@ -202,7 +202,7 @@
 			k.Learned[name] = l
 		}
 	}
-	text, err := k.within(talk.MostBlob)
+	text, err := k.within(frame.MostBlob)
 	if err != nil {
 		slog.Warn("handover_doubt", "error", err)
 		return nil
--- a/internal/handover/caps_test.go
+++ b/internal/handover/caps_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/handover/frame"
 	"cranegate/internal/handover/place"
 	"cranegate/internal/handover/state"
-	"cranegate/internal/handover/talk"
 	"cranegate/internal/logging"
 	"cranegate/internal/metrics"
 )
@@ -75,15 +75,15 @@
 
 func (c *crowd) serve(x net.Conn, i int) {
 	defer x.Close()
-	if talk.Write(x, talk.Message{Kind: talk.Hello, Version: talk.Version, Name: c.name(i).String()}) != nil {
+	if frame.Write(x, frame.Message{Kind: frame.Hello, Version: frame.Version, Name: c.name(i).String()}) != nil {
 		return
 	}
 	for {
-		m, err := talk.Read(x)
+		m, err := frame.Read(x)
 		if err != nil {
 			return
 		}
-		if m.Kind == talk.Registry && talk.Write(x, talk.Message{Kind: talk.Holding, Registers: m.Registers}) != nil {
+		if m.Kind == frame.Registry && frame.Write(x, frame.Message{Kind: frame.Holding, Registers: m.Registers}) != nil {
 			return
 		}
 	}
--- a/internal/handover/errors.go
+++ b/internal/handover/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"cranegate/internal/handover/talk"
+	"cranegate/internal/handover/frame"
 )
 
 var (
@@ -66,7 +66,7 @@
 
 func (e BlobTooLarge) Error() string {
 	return fmt.Sprintf("what this process knows takes %d bytes, %d are the most that a newer process is told; it starts without it, and "+
-		"learns anew; nothing needs to be done", e.Bytes, talk.MostBlob)
+		"learns anew; nothing needs to be done", e.Bytes, frame.MostBlob)
 }
 
 // because gives a sentence for operators its cause; both are found by errors.Is and errors.As.
--- a/internal/handover/talk/format_test.go
+++ b/internal/handover/frame/format_test.go
@@ -1,4 +1,4 @@
-package talk
+package frame
 
 import (
 	"bytes"
--- a/internal/handover/talk/talk.go
+++ b/internal/handover/frame/frame.go
@@ -1,5 +1,5 @@
-// Package talk frames what processes of the gateway say to each other: a length in 4 bytes, big-endian, then CBOR.
-package talk
+// Package frame frames what processes of the gateway say to each other: a length in 4 bytes, big-endian, then CBOR.
+package frame
 
 import (
 	"encoding/binary"
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"cranegate/internal/fake"
+	"cranegate/internal/handover/frame"
 	"cranegate/internal/handover/place"
 	"cranegate/internal/handover/record"
 	"cranegate/internal/handover/state"
-	"cranegate/internal/handover/talk"
 	"cranegate/internal/metrics"
 )
 
@@ -165,7 +165,7 @@
 
 // TestBlob: one at the bound arrives, one over it does not, and both leave the start in time.
 func TestBlob(t *testing.T) {
-	for _, c := range []struct{ size, want int }{{talk.MostBlob, talk.MostBlob}, {talk.MostBlob + 1, 0}} {
+	for _, c := range []struct{ size, want int }{{frame.MostBlob, frame.MostBlob}, {frame.MostBlob + 1, 0}} {
 		dir := t.TempDir()
 		open(t, Options{Dir: dir, Export: func() []byte { return make([]byte, c.size) }, Counters: &metrics.Counters{}})
 		if h := open(t, Options{Dir: dir}); len(h.Inherited()) != c.want || len(h.Doubts()) != 0 {
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -6,8 +6,8 @@
 	"net"
 	"time"
 
+	"cranegate/internal/handover/frame"
 	"cranegate/internal/handover/state"
-	"cranegate/internal/handover/talk"
 )
 
 // What a link still has to send. The texts are made when they are sent, from what holds then; so nothing piles up.
@@ -72,7 +72,7 @@
 		}
 		for _, m := range l.due() {
 			l.conn.SetWriteDeadline(time.Now().Add(writeFor))
-			if err := talk.Write(l.conn, m); err != nil {
+			if err := frame.Write(l.conn, m); err != nil {
 				return
 			}
 		}
@@ -80,7 +80,7 @@
 }
 
 // due makes the messages that are owed, in their order.
-func (l *link) due() (messages []talk.Message) {
+func (l *link) due() (messages []frame.Message) {
 	h := l.h
 	var blob []byte
 	h.mu.Lock()
@@ -100,24 +100,24 @@
 		l.owe(0)
 	}
 	if owed&oweHello != 0 {
-		messages = append(messages, talk.Message{Kind: talk.Hello, Version: talk.Version, Name: h.name.String(),
+		messages = append(messages, frame.Message{Kind: frame.Hello, Version: frame.Version, Name: h.name.String(),
 			Ready: h.serving, Ask: l.peer.ask && !l.peer.answered})
 	}
 	if owed&oweBlob != 0 {
-		messages = append(messages, talk.Message{Kind: talk.Blob, Blob: blob})
+		messages = append(messages, frame.Message{Kind: frame.Blob, Blob: blob})
 	}
-	registers := func(kind talk.Kind, r state.Registers) {
+	registers := func(kind frame.Kind, r state.Registers) {
 		s := r.Snapshot()
-		messages = append(messages, talk.Message{Kind: kind, Registers: &s})
+		messages = append(messages, frame.Message{Kind: kind, Registers: &s})
 	}
 	if owed&oweRegistry != 0 {
-		registers(talk.Registry, h.regs)
+		registers(frame.Registry, h.regs)
 	}
 	if owed&oweHolding != 0 {
-		registers(talk.Holding, h.holding)
+		registers(frame.Holding, h.holding)
 	}
 	if owed&oweReady != 0 && h.serving {
-		messages = append(messages, talk.Message{Kind: talk.Ready})
+		messages = append(messages, frame.Message{Kind: frame.Ready})
 	}
 	return messages
 }
@@ -129,7 +129,7 @@
 	h.exports.Lock()
 	defer h.exports.Unlock()
 	blob := h.opt.Export()
-	if len(blob) > talk.MostBlob {
+	if len(blob) > frame.MostBlob {
 		h.opt.Counters.Add("handover_blobs_too_large", 1)
 		slog.Warn("handover_blob_too_large", "error", BlobTooLarge{len(blob)})
 		return nil
@@ -140,7 +140,7 @@
 // read takes messages until one can't be taken.
 func (l *link) read() {
 	for {
-		m, err := talk.Read(l.conn)
+		m, err := frame.Read(l.conn)
 		if err == nil {
 			err = l.take(m)
 		}
@@ -150,7 +150,7 @@
 	}
 }
 
-func (l *link) take(m talk.Message) error {
+func (l *link) take(m frame.Message) error {
 	h, p := l.h, l.peer
 	var regs state.Registers
 	if m.Registers != nil {
@@ -162,23 +162,23 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch m.Kind {
-	case talk.Hello:
-		if m.Version != talk.Version || m.Name != p.name.String() {
-			return talk.ErrFrame
+	case frame.Hello:
+		if m.Version != frame.Version || m.Name != p.name.String() {
+			return frame.ErrFrame
 		}
 		l.greeted(m)
-	case talk.Blob:
+	case frame.Blob:
 		p.blob, p.answered = m.Blob, true
-	case talk.Ready:
+	case frame.Ready:
 		p.ready = true
-	case talk.Registry, talk.Holding:
+	case frame.Registry, frame.Holding:
 		news, err := h.adopt(regs)
 		if err != nil {
 			h.doubt(err)
 			return err
 		}
 		h.overheard = h.overheard || news
-		if m.Kind == talk.Holding {
+		if m.Kind == frame.Holding {
 			if p.holds, err = p.holds.Merge(regs); err != nil { // of two connections one may be behind
 				p.holds = regs
 			}
@@ -194,7 +194,7 @@
 }
 
 // greeted takes a Hello. h.mu is held.
-func (l *link) greeted(m talk.Message) {
+func (l *link) greeted(m frame.Message) {
 	l.peer.ready = l.peer.ready || m.Ready
 	if m.Ask {
 		l.owe(oweBlob)
--- a/internal/handover/peers.go
+++ b/internal/handover/peers.go
@@ -6,9 +6,9 @@
 	"net"
 	"time"
 
+	"cranegate/internal/handover/frame"
 	"cranegate/internal/handover/place"
 	"cranegate/internal/handover/state"
-	"cranegate/internal/handover/talk"
 )
 
 // peer is another process that is not known to be dead. h.mu guards it.
@@ -171,9 +171,9 @@
 	stop := context.AfterFunc(h.life, func() { c.Close() })
 	defer stop()
 	c.SetReadDeadline(time.Now().Add(helloFor))
-	m, err := talk.Read(c)
+	m, err := frame.Read(c)
 	n, ok := place.Parse(m.Name)
-	if err != nil || m.Kind != talk.Hello || m.Version != talk.Version || !ok || n == h.name {
+	if err != nil || m.Kind != frame.Hello || m.Version != frame.Version || !ok || n == h.name {
 		h.mu.Lock()
 		h.opt.Counters.Add("handover_strangers", 1)
 		h.mu.Unlock()
