--- a/cmd/cranegate/handover.go
+++ b/cmd/cranegate/handover.go
@@ -12,8 +12,8 @@
 	"cranegate/internal/core"
 	"cranegate/internal/discovery"
 	"cranegate/internal/handover"
+	"cranegate/internal/handover/fdpass"
 	"cranegate/internal/handover/frame"
-	"cranegate/internal/handover/pass"
 	"cranegate/internal/handover/state"
 	"cranegate/rules"
 )
@@ -32,15 +32,15 @@
 
 	ducks    sync.Mutex // over who says whether clients are sent away
 	mu       sync.Mutex
-	held     map[string]bool // hosts that the cores hold as out
-	applied  chan struct{}   // closed once that is so for the first time
-	older    bool            // an older process lives
-	newer    bool            // a newer one does
-	serves   bool            // this process does
-	passed   bool            // the newer one does
-	receiver *pass.Receiver  // takes those of an older one; nil: none come
-	sender   *pass.Sender    // takes open connections to the newer process; nil: none does
-	left     int             // bytes for clients that are left to the other
+	held     map[string]bool  // hosts that the cores hold as out
+	applied  chan struct{}    // closed once that is so for the first time
+	older    bool             // an older process lives
+	newer    bool             // a newer one does
+	serves   bool             // this process does
+	passed   bool             // the newer one does
+	receiver *fdpass.Receiver // takes those of an older one; nil: none come
+	sender   *fdpass.Sender   // takes open connections to the newer process; nil: none does
+	left     int              // bytes for clients that are left to the other
 }
 
 // knowledge is what a process tells the one that follows it, beside what staff have said.
@@ -119,7 +119,7 @@
 
 // receive takes open connections of an older process. Without it they end, and their clients connect anew.
 func (g *gateway) receive() {
-	r, err := pass.Listen(g.folder)
+	r, err := fdpass.Listen(g.folder)
 	if err != nil {
 		slog.Warn("passing_off", "error", err)
 		return
@@ -129,7 +129,7 @@
 	g.receiver = r
 	g.mu.Unlock()
 	g.actors.Go(func() error {
-		return r.Run(g.work, func(c pass.Conn) bool {
+		return r.Run(g.work, func(c fdpass.Conn) bool {
 			f, ok := g.lists[c.Front]
 			return ok && f.front.TakeOver(c.Conn, c.Started, c.Asked)
 		})
@@ -255,7 +255,7 @@
 	g.mu.Lock()
 	own := g.receiver
 	g.mu.Unlock()
-	sender, err := pass.Dial(g.folder, own)
+	sender, err := fdpass.Dial(g.folder, own)
 	if err != nil {
 		slog.Warn("passing_off", "error", err)
 	}
@@ -298,7 +298,7 @@
 		g.mu.Lock()
 		s := g.sender
 		g.mu.Unlock()
-		return s != nil && s.Pass(pass.Conn{Conn: c, Front: front, Started: started, Asked: asked}) == nil
+		return s != nil && s.Pass(fdpass.Conn{Conn: c, Front: front, Started: started, Asked: asked}) == nil
 	}
 }
 
--- a/internal/frontend/nodelay_test.go
+++ b/internal/frontend/nodelay_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/handover/fdpass"
 	"cranegate/internal/handover/inherit"
-	"cranegate/internal/handover/pass"
 )
 
 // noDelay reads whether a connection's small writes go out at once.
@@ -72,17 +72,17 @@
 		t.Error("a connection from an inherited listener holds small writes back")
 	}
 	dir := t.TempDir()
-	r, err := pass.Listen(dir)
+	r, err := fdpass.Listen(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	passed, ended := make(chan net.Conn, 1), make(chan error, 1)
 	go func() {
-		ended <- r.Run(ctx, func(c pass.Conn) bool { passed <- c.Conn; return true })
+		ended <- r.Run(ctx, func(c fdpass.Conn) bool { passed <- c.Conn; return true })
 	}()
 	defer func() { cancel(); <-ended }()
-	s, err := pass.Dial(dir, nil)
+	s, err := fdpass.Dial(dir, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,7 +90,7 @@
 	if taken.(*net.TCPConn).SetNoDelay(false); noDelay(t, taken) {
 		t.Fatal("the option can't be seen")
 	}
-	if err := s.Pass(pass.Conn{Conn: taken, Front: "postgres"}); err != nil {
+	if err := s.Pass(fdpass.Conn{Conn: taken, Front: "postgres"}); err != nil {
 		t.Fatal(err)
 	}
 	select {
--- a/internal/handover/pass/pass.go
+++ b/internal/handover/fdpass/fdpass.go
@@ -1,6 +1,6 @@
-// Package pass carries open connections from one process to another on the same machine, as descriptors over a Unix
+// Package fdpass carries open connections from one process to another on the same machine, as descriptors over a Unix
 // socket in a folder that both share. Whoever is at the other end of such a connection notices nothing.
-package pass
+package fdpass
 
 import (
 	"context"
--- a/internal/handover/pass/pass_test.go
+++ b/internal/handover/fdpass/fdpass_test.go
@@ -1,4 +1,4 @@
-package pass
+package fdpass
 
 import (
 	"bytes"
