--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -28,7 +28,7 @@
 	"cranegate/internal/frontend"
 	"cranegate/internal/frontend/mysql"
 	"cranegate/internal/frontend/postgres"
-	"cranegate/internal/handover/inherit"
+	"cranegate/internal/handover/listenfd"
 	"cranegate/internal/invariant"
 	"cranegate/internal/logging"
 	"cranegate/internal/metrics"
@@ -302,7 +302,7 @@
 	front := &frontend.Server{Name: f.name, Front: f.front, Core: c, Room: g.room, Budget: g.budget, Counters: g.counters, Monitor: g.monitor}
 	if g.hand != nil {
 		front.Pass = g.pass(f.name)
-		front.Shared = f.name == "postgres" && os.Getenv(inherit.Variable) != ""
+		front.Shared = f.name == "postgres" && os.Getenv(listenfd.Variable) != ""
 	}
 	g.lists[f.name] = followed{discovery.NewWatcher(f.discovery, f.known, c.Members, calls, g.counters), c, pool, calls, front, f.settings.Rules.Zone}
 	return nil
--- a/cmd/cranegate/second.go
+++ b/cmd/cranegate/second.go
@@ -14,7 +14,7 @@
 	"cranegate/internal/agentcheck"
 	"cranegate/internal/config"
 	"cranegate/internal/core"
-	"cranegate/internal/handover/inherit"
+	"cranegate/internal/handover/listenfd"
 	"cranegate/internal/handover/state"
 	"cranegate/internal/override"
 )
@@ -22,7 +22,7 @@
 func listenTCP(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
 // inherited takes the listening socket that the platform has handed over, or makes one where it has not.
-func inherited(address string) (net.Listener, error) { return inherit.Listener(os.Getenv, address) }
+func inherited(address string) (net.Listener, error) { return listenfd.Listener(os.Getenv, address) }
 
 // Callers at once of each address beside one that waits for its place: with the agent-check's they fit into forChecks
 // descriptors, and the second address, which has as many to itself, fits too.
--- a/internal/frontend/nodelay_test.go
+++ b/internal/frontend/nodelay_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cranegate/internal/handover/fdpass"
-	"cranegate/internal/handover/inherit"
+	"cranegate/internal/handover/listenfd"
 )
 
 // noDelay reads whether a connection's small writes go out at once.
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	syscall.SetNonblock(fd, true) // Fd has set it to blocking
-	inherited, err := inherit.Listener(func(string) string { return strconv.Itoa(fd) }, own.Addr().String())
+	inherited, err := listenfd.Listener(func(string) string { return strconv.Itoa(fd) }, own.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/inherit/inherit.go
+++ b/internal/handover/listenfd/listenfd.go
@@ -1,5 +1,5 @@
-// Package inherit takes over the listening socket that the platform hands to a new process.
-package inherit
+// Package listenfd takes over the listening socket that the platform hands to a new process.
+package listenfd
 
 import (
 	"errors"
--- a/internal/handover/inherit/inherit_test.go
+++ b/internal/handover/listenfd/listenfd_test.go
@@ -1,4 +1,4 @@
-package inherit
+package listenfd
 
 import (
 	"errors"
