--- a/internal/handover/caps_test.go
+++ b/internal/handover/caps_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"cranegate/internal/handover/frame"
-	"cranegate/internal/handover/place"
+	"cranegate/internal/handover/rendezvous"
 	"cranegate/internal/handover/state"
 	"cranegate/internal/logging"
 	"cranegate/internal/metrics"
@@ -47,7 +47,9 @@
 }
 
 // name is that of the i-th, which is newer than any real process.
-func (c *crowd) name(i int) place.Name { return place.Name{Born: 1<<63 + uint64(i), Nonce: uint64(i)} }
+func (c *crowd) name(i int) rendezvous.Name {
+	return rendezvous.Name{Born: 1<<63 + uint64(i), Nonce: uint64(i)}
+}
 
 // start has one more process live until the test ends.
 func (c *crowd) start(i int) {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -17,16 +17,16 @@
 	"sync"
 	"time"
 
-	"cranegate/internal/handover/place"
 	"cranegate/internal/handover/record"
+	"cranegate/internal/handover/rendezvous"
 	"cranegate/internal/handover/state"
 )
 
 // Handover is one process's end. All calls are safe from any goroutine.
 type Handover struct {
 	opt      Options
-	name     place.Name
-	folder   *place.Folder
+	name     rendezvous.Name
+	folder   *rendezvous.Folder
 	file     *record.File
 	listener *net.UnixListener
 	life     context.Context // until Close
@@ -42,7 +42,7 @@
 	applyErr  error
 	unwritten bool // regs hold what the file may lack
 	overheard bool // they hold news of a peer that lives, which writes it itself
-	peers     map[place.Name]*peer
+	peers     map[rendezvous.Name]*peer
 	links     int       // connections to peers, or to who may be one
 	own       int       // of them, those that nothing was lent for
 	refusedAt time.Time // when the log last told of one that was refused
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -13,8 +13,8 @@
 
 	"cranegate/internal/fake"
 	"cranegate/internal/handover/frame"
-	"cranegate/internal/handover/place"
 	"cranegate/internal/handover/record"
+	"cranegate/internal/handover/rendezvous"
 	"cranegate/internal/handover/state"
 	"cranegate/internal/metrics"
 )
@@ -99,7 +99,7 @@
 func TestLeftOver(t *testing.T) {
 	dir := t.TempDir()
 	for i := range 40 {
-		l, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dir, place.Name{Born: 1, Nonce: uint64(i)}.String())})
+		l, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dir, rendezvous.Name{Born: 1, Nonce: uint64(i)}.String())})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -190,7 +190,7 @@
 	if err := young.Set(context.Background(), ban); err != nil || len(h.State().Out) != 1 {
 		t.Fatal(err)
 	}
-	silent, err := net.Listen("unix", filepath.Join(dir, place.Name{Born: 1, Nonce: 1}.String()))
+	silent, err := net.Listen("unix", filepath.Join(dir, rendezvous.Name{Born: 1, Nonce: 1}.String()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/open.go
+++ b/internal/handover/open.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"cranegate/internal/handover/place"
 	"cranegate/internal/handover/record"
+	"cranegate/internal/handover/rendezvous"
 	"cranegate/internal/handover/state"
 )
 
@@ -21,17 +21,17 @@
 func Open(ctx context.Context, o Options) (*Handover, error) {
 	ctx, cancel := context.WithTimeout(ctx, openFor)
 	defer cancel()
-	folder, err := place.Open(o.Dir)
+	folder, err := rendezvous.Open(o.Dir)
 	if err != nil {
 		return nil, &FolderError{o.Dir, err}
 	}
-	name, err := place.New()
+	name, err := rendezvous.New()
 	if err != nil {
 		folder.Close()
 		return nil, err
 	}
 	h := &Handover{opt: o, name: name, folder: folder, file: record.In(o.Dir), changed: make(chan struct{}),
-		peers: map[place.Name]*peer{}, opening: true}
+		peers: map[rendezvous.Name]*peer{}, opening: true}
 	h.life, h.end = context.WithCancel(context.Background())
 	for _, step := range state.Joining() {
 		if err == nil {
@@ -56,7 +56,7 @@
 	switch step {
 	case state.Show:
 		l, err := h.folder.Show(h.name)
-		if errors.Is(err, place.ErrPath) {
+		if errors.Is(err, rendezvous.ErrPath) {
 			return err
 		} else if err != nil {
 			return &FolderError{h.opt.Dir, err}
@@ -108,14 +108,14 @@
 }
 
 // dead says whether a name is left over, and takes it away.
-func (h *Handover) dead(n place.Name) bool {
+func (h *Handover) dead(n rendezvous.Name) bool {
 	ctx, cancel := context.WithTimeout(h.life, dialFor)
 	defer cancel()
 	c, err := h.folder.Dial(ctx, n)
 	if err == nil {
 		c.Close()
 	}
-	return errors.Is(err, place.ErrGone)
+	return errors.Is(err, rendezvous.ErrGone)
 }
 
 // hear waits for what older processes were asked, and takes the blob of the youngest of them that sent one.
@@ -123,7 +123,7 @@
 	for done := false; ; {
 		h.mu.Lock()
 		var silent []string
-		var from place.Name
+		var from rendezvous.Name
 		older := h.older()
 		for n, p := range h.peers {
 			if !n.Before(h.name) {
--- a/internal/handover/peers.go
+++ b/internal/handover/peers.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"cranegate/internal/handover/frame"
-	"cranegate/internal/handover/place"
+	"cranegate/internal/handover/rendezvous"
 	"cranegate/internal/handover/state"
 )
 
 // peer is another process that is not known to be dead. h.mu guards it.
 type peer struct {
-	name  place.Name
+	name  rendezvous.Name
 	links map[*link]struct{}
 	holds state.Registers // what its module is known to hold
 	ready bool            // it serves
@@ -25,7 +25,7 @@
 }
 
 // meet gives the peer of a name; a new one is tended to until it is known to be dead. h.mu is held.
-func (h *Handover) meet(n place.Name) (*peer, error) {
+func (h *Handover) meet(n rendezvous.Name) (*peer, error) {
 	if p, ok := h.peers[n]; ok {
 		return p, nil
 	}
@@ -59,7 +59,7 @@
 			continue
 		}
 		began := time.Now()
-		if err := h.reach(p); errors.Is(err, place.ErrGone) {
+		if err := h.reach(p); errors.Is(err, rendezvous.ErrGone) {
 			h.gone(p)
 			return
 		}
@@ -172,7 +172,7 @@
 	defer stop()
 	c.SetReadDeadline(time.Now().Add(helloFor))
 	m, err := frame.Read(c)
-	n, ok := place.Parse(m.Name)
+	n, ok := rendezvous.Parse(m.Name)
 	if err != nil || m.Kind != frame.Hello || m.Version != frame.Version || !ok || n == h.name {
 		h.mu.Lock()
 		h.opt.Counters.Add("handover_strangers", 1)
--- a/internal/handover/place/name.go
+++ b/internal/handover/rendezvous/name.go
@@ -1,8 +1,8 @@
-// Package place is the folder in which the gateway's processes find each other by their sockets.
+// Package rendezvous is the folder in which the gateway's processes find each other by their sockets.
 //
 // Each process has a socket of its own, whose name tells when it opened and its nonce; so the names alone tell who is
 // older, even of a process that hangs. A socket gets its name once it takes connections: one that refuses is dead.
-package place
+package rendezvous
 
 import (
 	"crypto/rand"
--- a/internal/handover/place/place.go
+++ b/internal/handover/rendezvous/rendezvous.go
@@ -1,4 +1,4 @@
-package place
+package rendezvous
 
 import (
 	"context"
