--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -17,9 +17,9 @@
 	"sync"
 	"time"
 
-	"cranegate/internal/handover/record"
 	"cranegate/internal/handover/rendezvous"
 	"cranegate/internal/handover/state"
+	"cranegate/internal/handover/statefile"
 )
 
 // Handover is one process's end. All calls are safe from any goroutine.
@@ -27,7 +27,7 @@
 	opt      Options
 	name     rendezvous.Name
 	folder   *rendezvous.Folder
-	file     *record.File
+	file     *statefile.File
 	listener *net.UnixListener
 	life     context.Context // until Close
 	end      context.CancelFunc
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -13,9 +13,9 @@
 
 	"cranegate/internal/fake"
 	"cranegate/internal/handover/frame"
-	"cranegate/internal/handover/record"
 	"cranegate/internal/handover/rendezvous"
 	"cranegate/internal/handover/state"
+	"cranegate/internal/handover/statefile"
 	"cranegate/internal/metrics"
 )
 
@@ -45,17 +45,17 @@
 		"huge":    strings.Repeat(" ", 3<<20), "folder": "/"} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			if path := filepath.Join(dir, record.Name); text == "/" {
+			if path := filepath.Join(dir, statefile.Name); text == "/" {
 				os.Mkdir(path, 0o700)
 			} else if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			h := open(t, Options{Dir: dir, Counters: &metrics.Counters{}})
-			var bad *record.BadFile
+			var bad *statefile.BadFile
 			if doubts := h.Doubts(); len(doubts) != 1 || !errors.As(doubts[0], &bad) {
 				t.Fatal(doubts)
 			}
-			if _, err := os.Stat(filepath.Join(dir, record.Aside)); err != nil {
+			if _, err := os.Stat(filepath.Join(dir, statefile.Aside)); err != nil {
 				t.Fatal(err)
 			}
 			if err := h.Set(context.Background(), ban); err != nil {
@@ -211,7 +211,7 @@
 	written := time.Duration(0) // after the call's beginning; 0: never
 	atStep = func(step string) {
 		for step == state.Persist.String() && written == 0 && time.Since(began) < 20*time.Second {
-			if _, err := os.Stat(filepath.Join(dir, record.Name)); err == nil {
+			if _, err := os.Stat(filepath.Join(dir, statefile.Name)); err == nil {
 				written = time.Since(began)
 			}
 			time.Sleep(time.Millisecond)
@@ -234,7 +234,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := record.In(dir).Update(context.Background(), delta); err != nil {
+	if _, err := statefile.In(dir).Update(context.Background(), delta); err != nil {
 		t.Fatal(err)
 	}
 	undo := func() {}
--- a/internal/handover/open.go
+++ b/internal/handover/open.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"cranegate/internal/handover/record"
 	"cranegate/internal/handover/rendezvous"
 	"cranegate/internal/handover/state"
+	"cranegate/internal/handover/statefile"
 )
 
 // atStep is told the name of a step before it is made. Tests set it, in processes that end or stop there.
@@ -30,7 +30,7 @@
 		folder.Close()
 		return nil, err
 	}
-	h := &Handover{opt: o, name: name, folder: folder, file: record.In(o.Dir), changed: make(chan struct{}),
+	h := &Handover{opt: o, name: name, folder: folder, file: statefile.In(o.Dir), changed: make(chan struct{}),
 		peers: map[rendezvous.Name]*peer{}, opening: true}
 	h.life, h.end = context.WithCancel(context.Background())
 	for _, step := range state.Joining() {
@@ -72,7 +72,7 @@
 		if err != nil {
 			h.doubt(fmt.Errorf("reading the state file: %w", err))
 		}
-		if unread := (*record.UnreadFile)(nil); errors.As(err, &unread) {
+		if unread := (*statefile.UnreadFile)(nil); errors.As(err, &unread) {
 			h.unwritten = true // Run merges with the file until that succeeds, and so takes what it holds
 		}
 		if _, err := h.adopt(regs); err != nil {
--- a/internal/handover/process_test.go
+++ b/internal/handover/process_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/handover/record"
+	"cranegate/internal/handover/statefile"
 )
 
 // TestUpgrade is an upgrade as it should be, with calls to both.
@@ -223,7 +223,7 @@
 	dir := t.TempDir()
 	old, young := launch(t, dir), launch(t, dir)
 	old.yes("out a")
-	os.WriteFile(filepath.Join(dir, record.Name), []byte(`{"format":"cranegate-st`), 0o600)
+	os.WriteFile(filepath.Join(dir, statefile.Name), []byte(`{"format":"cranegate-st`), 0o600)
 	young.yes("out b")
 	old.signal(syscall.SIGKILL)
 	young.signal(syscall.SIGKILL)
--- a/internal/handover/set.go
+++ b/internal/handover/set.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"cranegate/internal/handover/record"
 	"cranegate/internal/handover/state"
+	"cranegate/internal/handover/statefile"
 )
 
 // Set makes a change hold in every live process of the gateway, and in the file for those to come. nil is the yes:
@@ -97,7 +97,7 @@
 	held, err := h.file.Update(ctx, regs)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if bad := (*record.BadFile)(nil); errors.As(err, &bad) {
+	if bad := (*statefile.BadFile)(nil); errors.As(err, &bad) {
 		h.doubt(err) // the change itself was written
 	} else if err != nil {
 		h.unwritten = true
--- a/internal/handover/record/format_test.go
+++ b/internal/handover/statefile/format_test.go
@@ -1,4 +1,4 @@
-package record
+package statefile
 
 import (
 	"context"
--- a/internal/handover/record/record.go
+++ b/internal/handover/statefile/statefile.go
@@ -1,8 +1,8 @@
-// Package record keeps the registers in a file that processes of the gateway write in turn.
+// Package statefile keeps the registers in a file that processes of the gateway write in turn.
 //
 // The file is JSON with a format, a version, a sequence number and a checksum. It is replaced whole, under a lock on
 // a file beside it, after what stood in it was merged. A file that can't be used is set aside under the name Aside.
-package record
+package statefile
 
 import (
 	"context"
