--- a/cmd/cranegate/caps_test.go
+++ b/cmd/cranegate/caps_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cranegate/internal/discovery"
-	"cranegate/internal/handover/frame"
+	"cranegate/internal/hotrestart/frame"
 	"cranegate/rules"
 )
 
--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -28,7 +28,7 @@
 	"cranegate/internal/frontend"
 	"cranegate/internal/frontend/mysql"
 	"cranegate/internal/frontend/postgres"
-	"cranegate/internal/handover/listenfd"
+	"cranegate/internal/hotrestart/listenfd"
 	"cranegate/internal/invariant"
 	"cranegate/internal/logging"
 	"cranegate/internal/metrics"
--- a/cmd/cranegate/handover.go
+++ b/cmd/cranegate/handover.go
@@ -11,10 +11,10 @@
 
 	"cranegate/internal/core"
 	"cranegate/internal/discovery"
-	"cranegate/internal/handover"
-	"cranegate/internal/handover/fdpass"
-	"cranegate/internal/handover/frame"
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart"
+	"cranegate/internal/hotrestart/fdpass"
+	"cranegate/internal/hotrestart/frame"
+	"cranegate/internal/hotrestart/state"
 	"cranegate/rules"
 )
 
@@ -25,8 +25,8 @@
 
 // handed is what passes between the processes of one gateway.
 type handed struct {
-	hand      *handover.Handover // nil: nothing is passed on
-	folder    string             // which all processes of this gateway share
+	hand      *hotrestart.Handover // nil: nothing is passed on
+	folder    string               // which all processes of this gateway share
 	inherited knowledge
 	places    int // clients that the whole gateway has room for
 
@@ -58,7 +58,7 @@
 		return
 	}
 	g.applied = make(chan struct{})
-	h, err := handover.Open(g.work, handover.Options{Dir: dir, Apply: g.apply, Export: g.export, Newer: g.hasNewer,
+	h, err := hotrestart.Open(g.work, hotrestart.Options{Dir: dir, Apply: g.apply, Export: g.export, Newer: g.hasNewer,
 		Lend: g.room.Lend, Superseded: g.superseded, Restored: g.restored, Alone: g.alone, Counters: g.counters})
 	if err != nil {
 		slog.Warn("handover_off", "error", err)
--- a/cmd/cranegate/second.go
+++ b/cmd/cranegate/second.go
@@ -14,8 +14,8 @@
 	"cranegate/internal/agentcheck"
 	"cranegate/internal/config"
 	"cranegate/internal/core"
-	"cranegate/internal/handover/listenfd"
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart/listenfd"
+	"cranegate/internal/hotrestart/state"
 	"cranegate/internal/override"
 )
 
--- a/internal/frontend/nodelay_test.go
+++ b/internal/frontend/nodelay_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/handover/fdpass"
-	"cranegate/internal/handover/listenfd"
+	"cranegate/internal/hotrestart/fdpass"
+	"cranegate/internal/hotrestart/listenfd"
 )
 
 // noDelay reads whether a connection's small writes go out at once.
--- a/internal/handover/caps_test.go
+++ b/internal/hotrestart/caps_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/handover/frame"
-	"cranegate/internal/handover/rendezvous"
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart/frame"
+	"cranegate/internal/hotrestart/rendezvous"
+	"cranegate/internal/hotrestart/state"
 	"cranegate/internal/logging"
 	"cranegate/internal/metrics"
 )
--- a/internal/handover/errors.go
+++ b/internal/hotrestart/errors.go
@@ -1,11 +1,11 @@
-package handover
+package hotrestart
 
 import (
 	"errors"
 	"fmt"
 	"strings"
 
-	"cranegate/internal/handover/frame"
+	"cranegate/internal/hotrestart/frame"
 )
 
 var (
--- a/internal/handover/frame/format_test.go
+++ b/internal/hotrestart/frame/format_test.go
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart/state"
 )
 
 // TestFrames pins the bytes of each kind of message, which processes of other versions read and write.
--- a/internal/handover/frame/frame.go
+++ b/internal/hotrestart/frame/frame.go
@@ -9,7 +9,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart/state"
 )
 
 const (
--- a/internal/handover/frame/frame_test.go
+++ b/internal/hotrestart/frame/frame_test.go
@@ -5,7 +5,7 @@
 	"reflect"
 	"testing"
 
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart/state"
 )
 
 // FuzzRead: nothing that comes can do more than fail, and what is read can be written and read again.
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,4 +1,4 @@
-// Package handover carries what outlives a process of the gateway from the old one to the new while both live: hosts
+// Package hotrestart carries what outlives a process of the gateway from the old one to the new while both live: hosts
 // taken out by hand, lameduck, and a blob of knowledge. See docs/design/handover.md.
 //
 // Every process holds registers (package state), shows a socket in the folder (place), talks to every other that
@@ -7,7 +7,7 @@
 // newcomer shows its socket before it reads the file.
 //
 // Nothing exists (no file, socket or goroutine) until Open is called.
-package handover
+package hotrestart
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 	"sync"
 	"time"
 
-	"cranegate/internal/handover/rendezvous"
-	"cranegate/internal/handover/state"
-	"cranegate/internal/handover/statefile"
+	"cranegate/internal/hotrestart/rendezvous"
+	"cranegate/internal/hotrestart/state"
+	"cranegate/internal/hotrestart/statefile"
 )
 
 // Handover is one process's end. All calls are safe from any goroutine.
--- a/internal/handover/handover_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"time"
 
 	"cranegate/internal/fake"
-	"cranegate/internal/handover/frame"
-	"cranegate/internal/handover/rendezvous"
-	"cranegate/internal/handover/state"
-	"cranegate/internal/handover/statefile"
+	"cranegate/internal/hotrestart/frame"
+	"cranegate/internal/hotrestart/rendezvous"
+	"cranegate/internal/hotrestart/state"
+	"cranegate/internal/hotrestart/statefile"
 	"cranegate/internal/metrics"
 )
 
--- a/internal/handover/link.go
+++ b/internal/hotrestart/link.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"net"
 	"time"
 
-	"cranegate/internal/handover/frame"
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart/frame"
+	"cranegate/internal/hotrestart/state"
 )
 
 // What a link still has to send. The texts are made when they are sent, from what holds then; so nothing piles up.
--- a/internal/handover/open.go
+++ b/internal/hotrestart/open.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"cranegate/internal/handover/rendezvous"
-	"cranegate/internal/handover/state"
-	"cranegate/internal/handover/statefile"
+	"cranegate/internal/hotrestart/rendezvous"
+	"cranegate/internal/hotrestart/state"
+	"cranegate/internal/hotrestart/statefile"
 )
 
 // atStep is told the name of a step before it is made. Tests set it, in processes that end or stop there.
--- a/internal/handover/options.go
+++ b/internal/hotrestart/options.go
@@ -1,10 +1,10 @@
-package handover
+package hotrestart
 
 import (
 	"context"
 	"time"
 
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart/state"
 	"cranegate/internal/metrics"
 )
 
--- a/internal/handover/peers.go
+++ b/internal/hotrestart/peers.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"net"
 	"time"
 
-	"cranegate/internal/handover/frame"
-	"cranegate/internal/handover/rendezvous"
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart/frame"
+	"cranegate/internal/hotrestart/rendezvous"
+	"cranegate/internal/hotrestart/state"
 )
 
 // peer is another process that is not known to be dead. h.mu guards it.
--- a/internal/handover/process_test.go
+++ b/internal/hotrestart/process_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/handover/statefile"
+	"cranegate/internal/hotrestart/statefile"
 )
 
 // TestUpgrade is an upgrade as it should be, with calls to both.
--- a/internal/handover/rig_test.go
+++ b/internal/hotrestart/rig_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 
 	"go.uber.org/goleak"
 
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart/state"
 	"cranegate/internal/metrics"
 )
 
--- a/internal/handover/run.go
+++ b/internal/hotrestart/run.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart/state"
 )
 
 // Run applies what is learned, calls Superseded and Alone, and writes news to the file, until ctx or the process's
--- a/internal/handover/set.go
+++ b/internal/hotrestart/set.go
@@ -1,12 +1,12 @@
-package handover
+package hotrestart
 
 import (
 	"context"
 	"errors"
 	"time"
 
-	"cranegate/internal/handover/state"
-	"cranegate/internal/handover/statefile"
+	"cranegate/internal/hotrestart/state"
+	"cranegate/internal/hotrestart/statefile"
 )
 
 // Set makes a change hold in every live process of the gateway, and in the file for those to come. nil is the yes:
--- a/internal/handover/statefile/format_test.go
+++ b/internal/hotrestart/statefile/format_test.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart/state"
 )
 
 // goldenFile is the state file as every version of the program reads and writes it: a host that is out and one that is back, and lameduck.
--- a/internal/handover/statefile/statefile.go
+++ b/internal/hotrestart/statefile/statefile.go
@@ -16,7 +16,7 @@
 	"os"
 	"path/filepath"
 
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart/state"
 )
 
 const (
--- a/internal/handover/statefile/statefile_test.go
+++ b/internal/hotrestart/statefile/statefile_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"cranegate/internal/fake"
-	"cranegate/internal/handover/state"
+	"cranegate/internal/hotrestart/state"
 )
 
 // TestNothingToSay: where nothing was ever said no file is made. Its write would hold the lock, on a slow disk for longer
--- a/internal/soak/build.go
+++ b/internal/soak/build.go
@@ -54,11 +54,11 @@
 	{"answer-withheld", []Edit{{"internal/frontend/postgres/postgres.go", "	case core.Refused:\n", "	case core.Refused:\n		return errors.New(\"withheld\")\n"}},
 		[]string{ruleLost, ruleTurnedBack, ruleViolation}, nil},
 	{"cold-unheeded", []Edit{{"rules/cold.go", "return m.credit >= 0", "return true"}}, []string{ruleViolation}, nil},
-	{"ban-forgotten", []Edit{{"internal/handover/statefile/statefile.go", "	return regs, sequence, nil\n", "	regs = state.Registers{}\n	return regs, sequence, nil\n"}},
+	{"ban-forgotten", []Edit{{"internal/hotrestart/statefile/statefile.go", "	return regs, sequence, nil\n", "	regs = state.Registers{}\n	return regs, sequence, nil\n"}},
 		[]string{ruleBan}, []string{"ban", "kill", "resets"}},
 	{"log-waits", []Edit{{"cmd/cranegate/main.go", "logging.New(logs, ", "logging.New(os.Stderr, "}}, []string{ruleStuck, ruleExit, ruleDeaf, ruleDrain},
 		[]string{"log_stops", "discovery", "drain"}},
-	{"passes-to-itself", []Edit{{"internal/handover/fdpass/fdpass.go", "if own.isAt(at(dir, socket)) {", "if false {"}}, []string{ruleLate, ruleLost, ruleStuck},
+	{"passes-to-itself", []Edit{{"internal/hotrestart/fdpass/fdpass.go", "if own.isAt(at(dir, socket)) {", "if false {"}}, []string{ruleLate, ruleLost, ruleStuck},
 		[]string{"upgrade", "descriptors", "rolling_restart"}},
 }
 
