--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -12,7 +12,7 @@
 	"github.com/BurntSushi/toml"
 
 	"cranegate/internal/discovery"
-	"cranegate/internal/members"
+	"cranegate/internal/membership"
 	"cranegate/internal/peers"
 	"cranegate/internal/zones"
 )
@@ -71,7 +71,7 @@
 
 // Options are those of the sockets. They have been checked.
 func (f *Fleet) Options(seed uint64) peers.Options {
-	return peers.Options{Listen: f.Listen, Keys: f.Keys, Members: members.Options{Fleet: f.Fleet, Name: f.Name, Zone: f.Zone, Addr: f.Advertise,
+	return peers.Options{Listen: f.Listen, Keys: f.Keys, Members: membership.Options{Fleet: f.Fleet, Name: f.Name, Zone: f.Zone, Addr: f.Advertise,
 		Join: f.Join, Gateways: f.Gateways, Seed: seed}}
 }
 
--- a/internal/lab/memberdays.go
+++ b/internal/lab/memberdays.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"cranegate/internal/members"
+	"cranegate/internal/membership"
 )
 
 // warmUp is the time in which the members find each other, before anything is judged.
@@ -37,9 +37,9 @@
 	spoilt  int                       // messages that could not be written or read
 	lies    int                       // live members that were held as failed without an excuse
 	notes   []string
-	died    map[members.Start]time.Duration
-	knew    map[members.Start][]time.Duration // after how long, by each
-	bytes   int                               // sent by all, from restFrom on
+	died    map[membership.Start]time.Duration
+	knew    map[membership.Start][]time.Duration // after how long, by each
+	bytes   int                                  // sent by all, from restFrom on
 	sent    int
 	longest int // the longest datagram
 }
@@ -49,11 +49,11 @@
 	w       *world
 	i       int
 	addr    string
-	node    *members.Node
+	node    *membership.Node
 	life    int
 	up      bool
 	stopped bool
-	mail    []members.Message
+	mail    []membership.Message
 }
 
 const (
@@ -64,7 +64,7 @@
 func newWorld(d *memberDay, n int, loss float64, plain bool, seed uint64) *world {
 	w := &world{memberDay: d, plain: plain, timeline: timeline{now: epoch}, rng: rand.New(rand.NewPCG(seed, 5)),
 		links:  links{n: n, loss: loss, rng: rand.New(rand.NewPCG(seed, 6)), free: map[[2]int]time.Duration{}},
-		byAddr: map[string]*proc{}, held: map[*memberFault][]func(){}, died: map[members.Start]time.Duration{}, knew: map[members.Start][]time.Duration{}}
+		byAddr: map[string]*proc{}, held: map[*memberFault][]func(){}, died: map[membership.Start]time.Duration{}, knew: map[membership.Start][]time.Duration{}}
 	for i := range n {
 		p := &proc{w: w, i: i, addr: fmt.Sprintf("127.0.%d.%d:7946", i/250, i%250+1)}
 		w.procs, w.byAddr[p.addr] = append(w.procs, p), p
@@ -137,7 +137,7 @@
 		join = append(join, w.procs[k*len(w.procs)/3].addr)
 	}
 	var err error
-	p.node, err = members.New(w.now, members.Options{Fleet: "f", Name: fmt.Sprint("g", p.i), Zone: threeZones[p.i%3], Addr: p.addr,
+	p.node, err = membership.New(w.now, membership.Options{Fleet: "f", Name: fmt.Sprint("g", p.i), Zone: threeZones[p.i%3], Addr: p.addr,
 		Join: join, Seed: w.rng.Uint64(), Gateways: len(w.procs), Plain: w.plain})
 	if err != nil {
 		panic(err) // the options above are this package's own
@@ -156,7 +156,7 @@
 	p.w.after(tickEvery, func() { p.tick(life) })
 }
 
-func (p *proc) take(m members.Message) {
+func (p *proc) take(m membership.Message) {
 	switch {
 	case !p.up:
 	case p.stopped && len(p.mail) < mailMost:
@@ -179,14 +179,14 @@
 	}
 }
 
-func (w *world) send(p *proc, m members.Message) {
-	b, err := members.Encode(m)
+func (w *world) send(p *proc, m membership.Message) {
+	b, err := membership.Encode(m)
 	if err != nil {
 		w.spoilt++
 		w.note("%d: %v", p.i, err)
 		return
 	}
-	stream := m.Kind == members.Sync || m.Kind == members.Synced
+	stream := m.Kind == membership.Sync || m.Kind == membership.Synced
 	if w.sent++; !stream {
 		w.longest = max(w.longest, len(b))
 	}
@@ -199,7 +199,7 @@
 	if x.lost || x.spoilt { // whatever is spoilt does not open
 		return
 	}
-	got, err := members.Decode(b)
+	got, err := membership.Decode(b)
 	if err != nil {
 		w.spoilt++
 		w.note("%d: %v", p.i, err)
@@ -217,8 +217,8 @@
 }
 
 // judge holds a member's verdict against what has become of the accused.
-func (w *world) judge(p *proc, c members.Change) {
-	if c.Row.State != members.Failed || c.New {
+func (w *world) judge(p *proc, c membership.Change) {
+	if c.Row.State != membership.Failed || c.New {
 		return
 	}
 	if at, dead := w.died[c.Row.Start]; dead {
@@ -235,7 +235,7 @@
 
 // equal counts the members whose view is not just the living.
 func (w *world) unequal() (bad int) {
-	living := map[members.Start]bool{}
+	living := map[membership.Start]bool{}
 	for _, p := range w.procs {
 		if p.up {
 			living[p.node.Self().Start] = true
@@ -248,7 +248,7 @@
 		seen := 1
 		wrong := false
 		for _, r := range p.node.Members() {
-			if r.State < members.Failed {
+			if r.State < membership.Failed {
 				if seen++; !living[r.Start] {
 					wrong = true
 				}
--- a/internal/members/caps_test.go
+++ b/internal/membership/caps_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
--- a/internal/members/members.go
+++ b/internal/membership/membership.go
@@ -1,4 +1,4 @@
-// Package members tells the gateways of a fleet of each other: who is there, who drains, who is gone. It is a state
+// Package membership tells the gateways of a fleet of each other: who is there, who drains, who is gone. It is a state
 // machine without I/O, goroutines or clocks, driven from outside: Step takes a message, Tick the passing of time, and
 // Ready gives what is to be sent and what has changed. All random choices follow from the seed.
 //
@@ -12,7 +12,7 @@
 // Every message of a member carries its count (its beat), so that what is replayed is no sign of life.
 //
 // One Node is used by one goroutine.
-package members
+package membership
 
 import (
 	"cmp"
--- a/internal/peers/caps_test.go
+++ b/internal/peers/caps_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"cranegate/internal/logging"
-	"cranegate/internal/members"
+	"cranegate/internal/membership"
 )
 
 // lines is a log that tests read while others write.
@@ -31,17 +31,17 @@
 	t.Cleanup(logging.Use(logging.New(&log, slog.LevelInfo)))
 	p := listen(t, "a", nil)
 	run(t, p)
-	row := func(i int) members.Row {
-		return members.Row{Start: members.Start(i + 1), Name: fmt.Sprintf("gateway-%04d", i), Zone: fmt.Sprint("zone-", i%3),
+	row := func(i int) membership.Row {
+		return membership.Row{Start: membership.Start(i + 1), Name: fmt.Sprintf("gateway-%04d", i), Zone: fmt.Sprint("zone-", i%3),
 			Addr: fmt.Sprintf("127.0.0.1:%d", 1+i%2), Beat: 1}
 	}
 	first := row(0)
 	first.Addr = "127.0.0.1:1"
-	m := members.Message{Kind: members.Synced, Fleet: "f", From: first}
+	m := membership.Message{Kind: membership.Synced, Fleet: "f", From: first}
 	for i := 1; i < 1023; i++ {
 		m.Rows = append(m.Rows, row(i))
 	}
-	text, err := members.Encode(m)
+	text, err := membership.Encode(m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 	for beat := range 3 {
 		late := row(2000)
 		late.Beat = uint64(beat + 1)
-		b, err := members.Encode(members.Message{Kind: members.Ping, Fleet: "f", From: late})
+		b, err := membership.Encode(membership.Message{Kind: membership.Ping, Fleet: "f", From: late})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -19,7 +19,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"cranegate/internal/members"
+	"cranegate/internal/membership"
 	"cranegate/internal/metrics"
 )
 
@@ -39,9 +39,9 @@
 
 // Options are the settings.
 type Options struct {
-	Members  members.Options // Fleet, Name, Zone, Addr (where the others reach this one), Join, Gateways, Seed
-	Listen   string          // the address for datagrams and streams
-	Keys     Keys            // none: nothing is sealed
+	Members  membership.Options // Fleet, Name, Zone, Addr (where the others reach this one), Join, Gateways, Seed
+	Listen   string             // the address for datagrams and streams
+	Keys     Keys               // none: nothing is sealed
 	Counters *metrics.Counters
 	// Counted is told of the number of gateways to count on, and of the part of a common budget that this one may use
 	// (see members.Node), when either has changed. The actor calls it; it must not block.
@@ -54,7 +54,7 @@
 	sealer  *sealer
 	udp     *net.UDPConn
 	tcp     *net.TCPListener
-	node    *members.Node // the actor's own, as is all below but mail and calls
+	node    *membership.Node // the actor's own, as is all below but mail and calls
 	began   time.Time
 	queue   []datagram
 	sending errgroup.Group
@@ -62,7 +62,7 @@
 	part    float64
 	refused int           // of which the log has told,
 	toldAt  time.Duration // and when
-	mail    chan members.Message
+	mail    chan membership.Message
 	calls   chan func()
 	done    chan struct{}
 }
@@ -99,12 +99,12 @@
 
 // Listen opens the sockets; Run serves them.
 func Listen(opt Options) (*Peers, error) {
-	p := &Peers{opt: opt, began: time.Now(), mail: make(chan members.Message, mailboxSize), calls: make(chan func(), 16), done: make(chan struct{})}
+	p := &Peers{opt: opt, began: time.Now(), mail: make(chan membership.Message, mailboxSize), calls: make(chan func(), 16), done: make(chan struct{})}
 	var err error
 	if p.sealer, err = newSealer(opt.Members.Fleet, opt.Keys); err != nil {
 		return nil, err
 	}
-	if p.node, err = members.New(0, opt.Members); err != nil {
+	if p.node, err = membership.New(0, opt.Members); err != nil {
 		return nil, err
 	}
 	at, err := net.ResolveUDPAddr("udp", opt.Listen)
@@ -208,7 +208,7 @@
 }
 
 // tell logs and counts a change.
-func (p *Peers) tell(c members.Change) {
+func (p *Peers) tell(c membership.Change) {
 	from := c.From.String()
 	if c.New {
 		from = "new"
@@ -218,18 +218,18 @@
 		"to", c.Row.State.String(), "by", c.By, "why", c.Why, "after", c.Took.Round(time.Millisecond).String())
 }
 
-func start(s members.Start) string { return fmt.Sprintf("%016x", uint64(s)) }
+func start(s membership.Start) string { return fmt.Sprintf("%016x", uint64(s)) }
 
 // send seals a message, and lets a datagram wait for its turn.
-func (p *Peers) send(m members.Message) {
-	text, err := members.Encode(m)
+func (p *Peers) send(m membership.Message) {
+	text, err := membership.Encode(m)
 	to, bad := netip.ParseAddrPort(m.To)
 	if err := errors.Join(err, bad); err != nil { // a member may say what it likes of its address
 		p.opt.Counters.Add("peers_unsendable", 1)
 		return
 	}
 	switch text = p.sealer.seal(text); {
-	case m.Kind == members.Sync || m.Kind == members.Synced:
+	case m.Kind == membership.Sync || m.Kind == membership.Synced:
 		if !p.sending.TryGo(func() error { p.stream(to, text); return nil }) {
 			p.opt.Counters.Add("peers_streams_dropped", 1)
 		}
@@ -281,7 +281,7 @@
 
 // hear takes datagrams until the socket is closed.
 func (p *Peers) hear(ctx context.Context) error {
-	b := make([]byte, members.MaxDatagram+members.Overhead+1) // what is longer is cut off there, and opens no more
+	b := make([]byte, membership.MaxDatagram+membership.Overhead+1) // what is longer is cut off there, and opens no more
 	for {
 		n, _, err := p.udp.ReadFromUDPAddrPort(b)
 		if ctx.Err() != nil {
@@ -303,8 +303,8 @@
 		p.opt.Counters.Add("peers_unopened", 1)
 		return
 	}
-	m, err := members.Decode(text)
-	if err != nil || stream != (m.Kind == members.Sync || m.Kind == members.Synced) {
+	m, err := membership.Decode(text)
+	if err != nil || stream != (m.Kind == membership.Sync || m.Kind == membership.Synced) {
 		p.opt.Counters.Add("peers_malformed", 1)
 		return
 	}
@@ -345,7 +345,7 @@
 		return
 	}
 	n := int64(binary.BigEndian.Uint32(head[:]))
-	if n > members.MaxStream+members.Overhead {
+	if n > membership.MaxStream+membership.Overhead {
 		p.opt.Counters.Add("peers_malformed", 1)
 		return
 	}
@@ -397,15 +397,15 @@
 	return v, err
 }
 
-func set(starts []members.Start) map[members.Start]bool {
-	s := map[members.Start]bool{}
+func set(starts []membership.Start) map[membership.Start]bool {
+	s := map[membership.Start]bool{}
 	for _, x := range starts {
 		s[x] = true
 	}
 	return s
 }
 
-func member(r members.Row) Member {
+func member(r membership.Row) Member {
 	return Member{Name: r.Name, Zone: r.Zone, Address: r.Addr, Start: start(r.Start), State: r.State.String(), Age: r.Age.Round(time.Millisecond).Seconds()}
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/members"
+	"cranegate/internal/membership"
 	"cranegate/internal/metrics"
 )
 
@@ -38,7 +38,7 @@
 	if got, err := b.open(whole); err != nil || !bytes.Equal(got, text) {
 		t.Fatalf("%q, %v", got, err)
 	}
-	if len(whole) > len(text)+members.Overhead || bytes.Contains(whole, text[1:]) {
+	if len(whole) > len(text)+membership.Overhead || bytes.Contains(whole, text[1:]) {
 		t.Errorf("%d bytes for %d, or in the clear", len(whole), len(text))
 	}
 	if bytes.Equal(whole, a.seal(text)) {
@@ -109,7 +109,7 @@
 	}
 	l.Close()
 	p, err := Listen(Options{Listen: l.Addr().String(), Keys: keys, Counters: &metrics.Counters{},
-		Members: members.Options{Fleet: "f", Name: name, Addr: l.Addr().String(), Join: join, Seed: uint64(len(name)) + uint64(name[0])}})
+		Members: membership.Options{Fleet: "f", Name: name, Addr: l.Addr().String(), Join: join, Seed: uint64(len(name)) + uint64(name[0])}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,7 +199,7 @@
 	p := listen(t, "a", nil)
 	defer p.udp.Close()
 	defer p.tcp.Close()
-	b, err := members.Encode(members.Message{Kind: members.Ping, Fleet: "f", From: members.Row{Start: 1, Name: "x", Addr: "127.0.0.1:1"}})
+	b, err := membership.Encode(membership.Message{Kind: membership.Ping, Fleet: "f", From: membership.Row{Start: 1, Name: "x", Addr: "127.0.0.1:1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peers/seal.go
+++ b/internal/peers/seal.go
@@ -15,7 +15,7 @@
 	"sync"
 	"sync/atomic"
 
-	"cranegate/internal/members"
+	"cranegate/internal/membership"
 )
 
 // Keys are those that members share. The first seals; what any of them sealed is opened. Without one nothing is sealed,
@@ -31,7 +31,7 @@
 )
 
 // Both are within what members leave free.
-const _ = uint(members.Overhead - headBytes - 16)
+const _ = uint(membership.Overhead - headBytes - 16)
 
 var errSeal = errors.New("peers: not sealed with a key of this fleet")
 
