--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -28,11 +28,11 @@
 	"cranegate/internal/frontend"
 	"cranegate/internal/frontend/mysql"
 	"cranegate/internal/frontend/postgres"
+	"cranegate/internal/gossip"
 	"cranegate/internal/hotrestart/listenfd"
 	"cranegate/internal/invariant"
 	"cranegate/internal/logging"
 	"cranegate/internal/metrics"
-	"cranegate/internal/peers"
 	"cranegate/rules"
 )
 
@@ -58,7 +58,7 @@
 	actors   *errgroup.Group     // live as long as work
 	fronts   *errgroup.Group     // end some time after stop
 	lists    map[string]followed // by fleet
-	peers    *peers.Peers        // nil: the other gateways are not known
+	peers    *gossip.Peers       // nil: the other gateways are not known
 	limits   config.Limits
 	handed               // what passes between processes of this gateway
 	turns    admin.Turns // of what staff ask, at whichever address
@@ -219,7 +219,7 @@
 			f.pace.Fleet(gateways)
 		}
 	}
-	p, err := peers.Listen(opt)
+	p, err := gossip.Listen(opt)
 	if err != nil {
 		return err
 	}
--- a/cmd/cranegate/members.go
+++ b/cmd/cranegate/members.go
@@ -8,7 +8,7 @@
 	"os"
 	"text/tabwriter"
 
-	"cranegate/internal/peers"
+	"cranegate/internal/gossip"
 )
 
 type membersCmd struct {
@@ -26,7 +26,7 @@
 		_, err := os.Stdout.Write(text)
 		return err
 	}
-	var v peers.View
+	var v gossip.View
 	if err := json.Unmarshal(text, &v); err != nil {
 		return fmt.Errorf("reading the gateway's answer: %w", err)
 	}
@@ -34,7 +34,7 @@
 }
 
 // show prints a view as a table, worst news first.
-func show(out io.Writer, v peers.View) error {
+func show(out io.Writer, v gossip.View) error {
 	switch {
 	case v.Cut:
 		fmt.Fprintln(out, "THIS GATEWAY HEARS NOBODY: it is the one that is cut off.")
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -12,8 +12,8 @@
 	"github.com/BurntSushi/toml"
 
 	"cranegate/internal/discovery"
+	"cranegate/internal/gossip"
 	"cranegate/internal/membership"
-	"cranegate/internal/peers"
 	"cranegate/internal/zones"
 )
 
@@ -65,13 +65,13 @@
 	KeyFile   string   `toml:"key_file"`  // see peers.ReadKeys; needed outside loopback
 	Zone      string   `toml:"zone"`      // that of the settings
 
-	Keys     peers.Keys `toml:"-"`
-	Gateways int        `toml:"-"` // that are expected
+	Keys     gossip.Keys `toml:"-"`
+	Gateways int         `toml:"-"` // that are expected
 }
 
 // Options are those of the sockets. They have been checked.
-func (f *Fleet) Options(seed uint64) peers.Options {
-	return peers.Options{Listen: f.Listen, Keys: f.Keys, Members: membership.Options{Fleet: f.Fleet, Name: f.Name, Zone: f.Zone, Addr: f.Advertise,
+func (f *Fleet) Options(seed uint64) gossip.Options {
+	return gossip.Options{Listen: f.Listen, Keys: f.Keys, Members: membership.Options{Fleet: f.Fleet, Name: f.Name, Zone: f.Zone, Addr: f.Advertise,
 		Join: f.Join, Gateways: f.Gateways, Seed: seed}}
 }
 
@@ -126,7 +126,7 @@
 		return nil
 	}
 	var err error
-	f.Keys, err = peers.ReadKeys(f.KeyFile)
+	f.Keys, err = gossip.ReadKeys(f.KeyFile)
 	return err
 }
 
--- a/internal/peers/peers.go
+++ b/internal/gossip/gossip.go
@@ -1,9 +1,9 @@
-// Package peers lets the gateways of a fleet know each other over sockets: it drives members with datagrams, and with
+// Package gossip lets the gateways of a fleet know each other over sockets: it drives members with datagrams, and with
 // streams for exchanges of all rows.
 //
 // One goroutine, the actor, owns the node. Readers hand it messages through a bounded mailbox and drop what does not
 // fit: members bear lost messages. Nothing here is waited for by the gateway; what it is told comes by Options.Counted.
-package peers
+package gossip
 
 import (
 	"bytes"
--- a/internal/peers/seal.go
+++ b/internal/gossip/seal.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"crypto/aes"
--- a/internal/lab/procs_test.go
+++ b/internal/lab/procs_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"cranegate/internal/config"
+	"cranegate/internal/gossip"
 	"cranegate/internal/logging"
-	"cranegate/internal/peers"
 )
 
 // breakEnv has the test's own program run as a member with a defect, by whose name it is set.
@@ -40,7 +40,7 @@
 	}
 	opt := o.Fleet.Options(o.Seed)
 	opt.Members.Plain = defect == "hasty" // a verdict after one trial, hearsay, and no doubt of itself
-	p, err := peers.Listen(opt)
+	p, err := gossip.Listen(opt)
 	if err != nil {
 		return err
 	}
