--- a/internal/council/lease/lease.go
+++ b/internal/council/lease/lease.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"time"
 
-	"cranegate/internal/council/facts"
+	"cranegate/internal/council/statemachine"
 )
 
 // Lengths. All are measured on the clock of whoever waits.
@@ -63,7 +63,7 @@
 func (h *Holder) advance(now time.Duration) { h.now = max(h.now, now) }
 
 // Ask makes the next acknowledgement: of all that has been applied, as far as no act stands on less.
-func (h *Holder) Ask(now time.Duration, applied uint64) facts.Ack {
+func (h *Holder) Ask(now time.Duration, applied uint64) statemachine.Ack {
 	h.advance(now)
 	h.round++
 	h.asked[h.round] = h.now
@@ -71,12 +71,12 @@
 	for index := range h.acts {
 		applied = min(applied, index)
 	}
-	return facts.Ack{Holder: h.id, Round: h.round, Acked: applied}
+	return statemachine.Ack{Holder: h.id, Round: h.round, Acked: applied}
 }
 
 // Applied looks at what the order says of this lease, after it has been applied here. A lease counts from when it was asked
 // for, never from when the answer came.
-func (h *Holder) Applied(s *facts.State) {
+func (h *Holder) Applied(s *statemachine.State) {
 	row, ok := s.Holder(h.id)
 	if !ok {
 		h.until, h.granted = 0, 0
--- a/internal/council/lease/lease_test.go
+++ b/internal/council/lease/lease_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/council/facts"
+	"cranegate/internal/council/statemachine"
 )
 
-func renewed(t *testing.T, s *facts.State, a facts.Ack) {
+func renewed(t *testing.T, s *statemachine.State, a statemachine.Ack) {
 	t.Helper()
-	text, err := facts.Command{Op: facts.Renew, Acks: []facts.Ack{a}}.Encode()
+	text, err := statemachine.Command{Op: statemachine.Renew, Acks: []statemachine.Ack{a}}.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,7 +18,7 @@
 }
 
 func TestLeaseCountsFromTheAsking(t *testing.T) {
-	h, s := New(9), facts.New()
+	h, s := New(9), statemachine.New()
 	if _, err := h.Begin(0, 0); !errors.Is(err, ErrNoLease) {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 }
 
 func TestAckWaitsForActs(t *testing.T) {
-	h, s := New(9), facts.New()
+	h, s := New(9), statemachine.New()
 	renewed(t, s, h.Ask(0, 0))
 	h.Applied(s)
 	act, err := h.Begin(time.Millisecond, 1)
--- a/internal/council/order/caps_test.go
+++ b/internal/council/order/caps_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"cranegate/internal/council/facts"
+	"cranegate/internal/council/statemachine"
 )
 
 // TestAThousandAsk has 1,024 gateways ask a voter, and as many read, before anything is settled: all wait there and get their
@@ -12,7 +12,7 @@
 func TestAThousandAsk(t *testing.T) {
 	v, pump := alone(t, Image{})
 	ask := func(client uint64) error {
-		text, err := facts.Command{Key: facts.Key{Client: client, Seq: 1}, Op: facts.Set, Name: "x", Any: true}.Encode()
+		text, err := statemachine.Command{Key: statemachine.Key{Client: client, Seq: 1}, Op: statemachine.Set, Name: "x", Any: true}.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,7 +35,7 @@
 	for range 10 {
 		v.Tick()
 		for _, m := range pump() {
-			if m.Kind == AnswerKind && m.Answer.Result.Code == facts.OK {
+			if m.Kind == AnswerKind && m.Answer.Result.Code == statemachine.OK {
 				answered[m.To] = true
 			}
 		}
--- a/internal/council/order/follower.go
+++ b/internal/council/order/follower.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"cranegate/internal/council/codec"
-	"cranegate/internal/council/facts"
 	"cranegate/internal/council/lease"
+	"cranegate/internal/council/statemachine"
 )
 
 // staleAfter is the age of a feed from which on another voter is asked.
@@ -18,7 +18,7 @@
 type Follower struct {
 	council, id uint64
 	rng         *rand.Rand
-	state       *facts.State
+	state       *statemachine.State
 	lease       *lease.Holder
 	voters      []uint64
 	to          uint64 // whom it pulls from
@@ -34,7 +34,7 @@
 // NewFollower is a follower that knows some voters. The identity and the seed are new with every start of the process, so the
 // identity is another than the one a voter with a disk keeps: a lease is forgotten with the process that held it.
 func NewFollower(council, id, seed uint64, voters []uint64) *Follower {
-	f := &Follower{council: council, id: id, rng: rand.New(rand.NewPCG(seed, id)), state: facts.New(), lease: lease.New(id), voters: slices.Clone(voters)}
+	f := &Follower{council: council, id: id, rng: rand.New(rand.NewPCG(seed, id)), state: statemachine.New(), lease: lease.New(id), voters: slices.Clone(voters)}
 	f.turn()
 	return f
 }
@@ -49,7 +49,7 @@
 func (f *Follower) Lease() *lease.Holder { return f.lease }
 
 // Facts is the copy of the facts, for reading.
-func (f *Follower) Facts() *facts.State { return f.state }
+func (f *Follower) Facts() *statemachine.State { return f.state }
 
 // turn takes another voter to pull from, at random so that followers spread.
 func (f *Follower) turn() {
@@ -94,7 +94,7 @@
 	}
 	x := m.Feed
 	if len(x.Snapshot) > 0 {
-		s, err := facts.Restore(x.Snapshot)
+		s, err := statemachine.Restore(x.Snapshot)
 		if err != nil {
 			return err
 		}
--- a/internal/council/order/message.go
+++ b/internal/council/order/message.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"cranegate/internal/council/codec"
-	"cranegate/internal/council/facts"
+	"cranegate/internal/council/statemachine"
 )
 
 // TickEvery is what one Tick of a Voter stands for. Ticks must never outrun the process's clock; late or lost ones are safe.
@@ -18,15 +18,15 @@
 
 // Bounds.
 const (
-	MaxMessage  = facts.MaxState + 128<<10 // bytes of one that carries a snapshot
-	maxSmall    = 160 << 10                // bytes of any other
-	maxFeed     = 64 << 10                 // bytes of entries in a feed or in one of raft's messages
-	maxAsks     = 1024                     // requests that wait at a voter: one of every gateway of the largest fleet
-	maxReads    = 1024                     // reads that wait at a voter, likewise
-	maxOut      = 4096                     // messages that wait for Ready
-	maxPending  = 1 << 20                  // bytes proposed and not committed
-	keepEntries = 1024                     // entries before the log is compacted; a quarter stays for those who lag a little
-	keepBytes   = 2 << 20                  // and bytes
+	MaxMessage  = statemachine.MaxState + 128<<10 // bytes of one that carries a snapshot
+	maxSmall    = 160 << 10                       // bytes of any other
+	maxFeed     = 64 << 10                        // bytes of entries in a feed or in one of raft's messages
+	maxAsks     = 1024                            // requests that wait at a voter: one of every gateway of the largest fleet
+	maxReads    = 1024                            // reads that wait at a voter, likewise
+	maxOut      = 4096                            // messages that wait for Ready
+	maxPending  = 1 << 20                         // bytes proposed and not committed
+	keepEntries = 1024                            // entries before the log is compacted; a quarter stays for those who lag a little
+	keepBytes   = 2 << 20                         // and bytes
 )
 
 // The errors that end a voter. It answers nothing from then on.
@@ -62,16 +62,16 @@
 // Message is what goes from one gateway to another. The shell finds out the address of To, seals and sends; it may lose,
 // repeat and reorder messages.
 type Message struct {
-	Council uint64      `cbor:"1,keyasint"` // the founding
-	From    uint64      `cbor:"2,keyasint"`
-	To      uint64      `cbor:"3,keyasint"`
-	Kind    Kind        `cbor:"4,keyasint"`
-	Raft    []byte      `cbor:"5,keyasint,omitempty"`
-	Acks    []facts.Ack `cbor:"6,keyasint,omitempty"`
-	Pull    *Pull       `cbor:"7,keyasint,omitempty"`
-	Feed    *Feed       `cbor:"8,keyasint,omitempty"`
-	Ask     *Ask        `cbor:"9,keyasint,omitempty"`
-	Answer  *Answer     `cbor:"10,keyasint,omitempty"`
+	Council uint64             `cbor:"1,keyasint"` // the founding
+	From    uint64             `cbor:"2,keyasint"`
+	To      uint64             `cbor:"3,keyasint"`
+	Kind    Kind               `cbor:"4,keyasint"`
+	Raft    []byte             `cbor:"5,keyasint,omitempty"`
+	Acks    []statemachine.Ack `cbor:"6,keyasint,omitempty"`
+	Pull    *Pull              `cbor:"7,keyasint,omitempty"`
+	Feed    *Feed              `cbor:"8,keyasint,omitempty"`
+	Ask     *Ask               `cbor:"9,keyasint,omitempty"`
+	Answer  *Answer            `cbor:"10,keyasint,omitempty"`
 }
 
 // Transport is the door for whoever carries messages. Send never blocks; it drops what does not fit.
@@ -81,9 +81,9 @@
 
 // Pull asks for what was committed after Applied, and asks for a lease by Ack.
 type Pull struct {
-	Applied uint64    `cbor:"1,keyasint,omitempty"`
-	Nonce   uint64    `cbor:"2,keyasint"`
-	Ack     facts.Ack `cbor:"3,keyasint"`
+	Applied uint64           `cbor:"1,keyasint,omitempty"`
+	Nonce   uint64           `cbor:"2,keyasint"`
+	Ack     statemachine.Ack `cbor:"3,keyasint"`
 }
 
 // Feed is what was committed, in order and without a gap, or a snapshot of the facts.
@@ -112,18 +112,18 @@
 
 // Answer answers an Ask.
 type Answer struct {
-	Key     facts.Key    `cbor:"1,keyasint,omitzero"`
-	Result  facts.Result `cbor:"2,keyasint,omitzero"`
-	Read    uint64       `cbor:"3,keyasint,omitempty"`
-	Reading Reading      `cbor:"4,keyasint,omitzero"`
+	Key     statemachine.Key    `cbor:"1,keyasint,omitzero"`
+	Result  statemachine.Result `cbor:"2,keyasint,omitzero"`
+	Read    uint64              `cbor:"3,keyasint,omitempty"`
+	Reading Reading             `cbor:"4,keyasint,omitzero"`
 }
 
 // Reading is a register with what is known of how fresh it is.
 type Reading struct {
-	Register facts.Register `cbor:"1,keyasint"`
-	Found    bool           `cbor:"2,keyasint,omitempty"`
-	Settled  bool           `cbor:"3,keyasint,omitempty"` // in force with every holder: no narrowing under way, no widening waiting
-	Index    uint64         `cbor:"4,keyasint"`           // as of this place in the order
+	Register statemachine.Register `cbor:"1,keyasint"`
+	Found    bool                  `cbor:"2,keyasint,omitempty"`
+	Settled  bool                  `cbor:"3,keyasint,omitempty"` // in force with every holder: no narrowing under way, no widening waiting
+	Index    uint64                `cbor:"4,keyasint"`           // as of this place in the order
 	// Age is how long ago a quorum last confirmed that nothing settled was missing, on the clocks of who read and who was
 	// asked; Unknown if that never was.
 	Age time.Duration `cbor:"5,keyasint"`
@@ -147,8 +147,8 @@
 	if err := codec.Decode(b, &m, MaxMessage); err != nil {
 		return Message{}, err
 	}
-	want := map[Kind]bool{Raft: len(m.Raft) > 0, Acks: len(m.Acks) > 0 && len(m.Acks) <= facts.MaxHolders, PullKind: m.Pull != nil,
-		FeedKind: m.Feed != nil, AskKind: m.Ask != nil && len(m.Ask.Name) <= facts.MaxName && len(m.Ask.Text) <= facts.MaxEntry,
+	want := map[Kind]bool{Raft: len(m.Raft) > 0, Acks: len(m.Acks) > 0 && len(m.Acks) <= statemachine.MaxHolders, PullKind: m.Pull != nil,
+		FeedKind: m.Feed != nil, AskKind: m.Ask != nil && len(m.Ask.Name) <= statemachine.MaxName && len(m.Ask.Text) <= statemachine.MaxEntry,
 		AnswerKind: m.Answer != nil}
 	if !want[m.Kind] || m.From == 0 || m.To == 0 || len(b) > m.most() {
 		return Message{}, fmt.Errorf("%w: kind %d", codec.ErrMalformed, m.Kind)
--- a/internal/council/order/order_test.go
+++ b/internal/council/order/order_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"cranegate/internal/council/codec"
-	"cranegate/internal/council/facts"
+	"cranegate/internal/council/statemachine"
 )
 
 // alone is a council of one, which needs no network.
@@ -66,7 +66,7 @@
 		}
 	}
 	ask := func(seq uint64, size int) error {
-		c := facts.Command{Key: facts.Key{Client: 5, Seq: seq}, Born: v.state.Index, Done: seq - 1, Op: facts.Set, Name: "x", Value: make([]byte, size), Any: true}
+		c := statemachine.Command{Key: statemachine.Key{Client: 5, Seq: seq}, Born: v.state.Index, Done: seq - 1, Op: statemachine.Set, Name: "x", Value: make([]byte, size), Any: true}
 		text, err := c.Encode()
 		if err != nil {
 			t.Fatal(err)
@@ -75,13 +75,13 @@
 	}
 	var answers int
 	for seq := uint64(1); seq <= 5000; seq++ {
-		if err := ask(seq, int(seq)%facts.MaxValue); err != nil {
+		if err := ask(seq, int(seq)%statemachine.MaxValue); err != nil {
 			t.Fatal(err)
 		}
 		answers += len(pump())
 		first, _ := v.mem.FirstIndex()
 		last, _ := v.mem.LastIndex()
-		if last+1-first > keepEntries+keepEntries/4 || v.bytes > keepBytes+facts.MaxEntry {
+		if last+1-first > keepEntries+keepEntries/4 || v.bytes > keepBytes+statemachine.MaxEntry {
 			t.Fatalf("a log from %d to %d, %d bytes", first, last, v.bytes)
 		}
 		if seq == 10 {
@@ -118,7 +118,7 @@
 	v, pump := alone(t, Image{})
 	rapid.Check(t, func(t *rapid.T) {
 		m := Message{Council: v.opt.Council, From: rapid.Uint64Range(1, 9).Draw(t, "from"), To: 1, Kind: Kind(rapid.IntRange(0, 8).Draw(t, "kind")),
-			Raft: rapid.SliceOf(rapid.Byte()).Draw(t, "raft"), Acks: []facts.Ack{{Holder: 3, Round: rapid.Uint64().Draw(t, "round")}},
+			Raft: rapid.SliceOf(rapid.Byte()).Draw(t, "raft"), Acks: []statemachine.Ack{{Holder: 3, Round: rapid.Uint64().Draw(t, "round")}},
 			Pull: &Pull{Applied: rapid.Uint64Range(0, 90).Draw(t, "applied")}, Ask: &Ask{Text: rapid.SliceOf(rapid.Byte()).Draw(t, "text"), Read: rapid.Uint64Range(0, 2).Draw(t, "read")}}
 		b, err := m.Encode()
 		if err != nil {
--- a/internal/council/order/raft.go
+++ b/internal/council/order/raft.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"cranegate/internal/council/codec"
-	"cranegate/internal/council/facts"
+	"cranegate/internal/council/statemachine"
 )
 
 func keys[K comparable, V any](m map[K]V) iter.Seq[K] { return maps.Keys(m) }
@@ -26,7 +26,7 @@
 	switch x.GetType() {
 	case pb.MsgProp:
 		for _, e := range x.Entries {
-			if e.GetType() != pb.EntryNormal || len(e.Data) > facts.MaxEntry || len(x.Entries) > 64 {
+			if e.GetType() != pb.EntryNormal || len(e.Data) > statemachine.MaxEntry || len(x.Entries) > 64 {
 				return fmt.Errorf("%w: proposal", codec.ErrMalformed)
 			}
 		}
@@ -115,7 +115,7 @@
 
 // install replaces the facts by a snapshot's.
 func (v *Voter) install(s *pb.Snapshot) error {
-	state, err := facts.Restore(s.Data)
+	state, err := statemachine.Restore(s.Data)
 	if err != nil || state.Index != s.GetMetadata().GetIndex() {
 		return fmt.Errorf("%w: a snapshot at %d: %w", ErrBroken, s.GetMetadata().GetIndex(), err)
 	}
--- a/internal/council/order/serve.go
+++ b/internal/council/order/serve.go
@@ -11,8 +11,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	"cranegate/internal/council/codec"
-	"cranegate/internal/council/facts"
 	"cranegate/internal/council/lease"
+	"cranegate/internal/council/statemachine"
 )
 
 const (
@@ -49,8 +49,8 @@
 	}
 }
 
-func (v *Voter) collect(a facts.Ack) {
-	if old, ok := v.acks[a.Holder]; a.Holder != 0 && (ok && old.Round < a.Round || !ok && len(v.acks) < facts.MaxHolders) {
+func (v *Voter) collect(a statemachine.Ack) {
+	if old, ok := v.acks[a.Holder]; a.Holder != 0 && (ok && old.Round < a.Round || !ok && len(v.acks) < statemachine.MaxHolders) {
 		v.acks[a.Holder] = a
 	}
 }
@@ -68,18 +68,18 @@
 	if v.now%periodTicks != 0 {
 		return
 	}
-	var ended []facts.Ack
+	var ended []statemachine.Ack
 	for _, a := range v.state.Holders() {
 		if s := v.seen[a.Holder]; s.round == a.Round && v.now-s.at >= endedTicks {
-			ended = append(ended, facts.Ack{Holder: a.Holder, Round: a.Round})
+			ended = append(ended, statemachine.Ack{Holder: a.Holder, Round: a.Round})
 		}
 	}
 	acks := v.taken()
 	for len(acks)+len(ended) > 0 {
-		c := facts.Command{Op: facts.Renew}
-		n := min(len(ended), facts.MaxAcks)
+		c := statemachine.Command{Op: statemachine.Renew}
+		n := min(len(ended), statemachine.MaxAcks)
 		c.Ended, ended = ended[:n], ended[n:]
-		n = min(len(acks), facts.MaxAcks-n)
+		n = min(len(acks), statemachine.MaxAcks-n)
 		c.Acks, acks = acks[:n], acks[n:]
 		if text, err := c.Encode(); err != nil || v.rn.Propose(text) != nil {
 			return // who is not renewed asks again
@@ -87,7 +87,7 @@
 	}
 }
 
-func (v *Voter) taken() (all []facts.Ack) {
+func (v *Voter) taken() (all []statemachine.Ack) {
 	for _, id := range slices.Sorted(maps.Keys(v.acks)) {
 		all = append(all, v.acks[id])
 	}
@@ -142,7 +142,7 @@
 	})
 }
 
-func reading(s *facts.State, name string, age time.Duration) Reading {
+func reading(s *statemachine.State, name string, age time.Duration) Reading {
 	r, settled, found := s.Get(name)
 	return Reading{Register: r, Found: found, Settled: settled, Index: s.Index, Age: age}
 }
@@ -159,9 +159,9 @@
 		v.reads = append(v.reads, read{from: m.From, id: m.Ask.Read, name: m.Ask.Name, count: v.count + 1, at: v.now})
 		return nil
 	}
-	c, err := facts.Decode(m.Ask.Text)
-	if err != nil || c.Op == facts.Renew {
-		return fmt.Errorf("%w: asked by %d: %w", facts.ErrCommand, m.From, err)
+	c, err := statemachine.Decode(m.Ask.Text)
+	if err != nil || c.Op == statemachine.Renew {
+		return fmt.Errorf("%w: asked by %d: %w", statemachine.ErrCommand, m.From, err)
 	}
 	if r, ok := v.state.Answer(c.Key); ok && !v.opt.Flaws.NoDedup {
 		v.send(Message{To: m.From, Kind: AnswerKind, Answer: &Answer{Key: c.Key, Result: r}})
@@ -177,7 +177,7 @@
 	return nil
 }
 
-func (v *Voter) answer(k facts.Key, r facts.Result) {
+func (v *Voter) answer(k statemachine.Key, r statemachine.Result) {
 	if a, ok := v.asks[k]; ok {
 		delete(v.asks, k)
 		v.send(Message{To: a.from, Kind: AnswerKind, Answer: &Answer{Key: k, Result: r}})
@@ -186,7 +186,7 @@
 
 // expire forgets who has waited too long; they ask again.
 func (v *Voter) expire() {
-	maps.DeleteFunc(v.asks, func(_ facts.Key, a ask) bool { return v.now-a.at >= askTicks })
+	maps.DeleteFunc(v.asks, func(_ statemachine.Key, a ask) bool { return v.now-a.at >= askTicks })
 	v.reads = slices.DeleteFunc(v.reads, func(r read) bool { return v.now-r.at >= askTicks })
 }
 
--- a/internal/council/order/voter.go
+++ b/internal/council/order/voter.go
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"cranegate/internal/council/facts"
+	"cranegate/internal/council/statemachine"
 )
 
 const (
@@ -27,7 +27,7 @@
 	ID      uint64 // see voters.Gateway.ID: new for a start without its disk
 	Seed    uint64 // for elections; drawn anew with each start of the process
 	Keep    int    // places in the log before it is compacted; 1024
-	Flaws   facts.Flaws
+	Flaws   statemachine.Flaws
 	// Watch is told of every place in the order as it is applied here, if not nil; text is empty where the order keeps the place
 	// for itself. Places that a snapshot brings are not told.
 	Watch func(index uint64, text []byte)
@@ -58,7 +58,7 @@
 	for _, id := range ids {
 		h.Write(binary.BigEndian.AppendUint64(nil, id))
 	}
-	s := facts.New()
+	s := statemachine.New()
 	s.Apply(1, nil)
 	data, err := s.Encode()
 	if err != nil {
@@ -77,7 +77,7 @@
 	opt    Options
 	rn     *raft.RawNode
 	mem    *raft.MemoryStorage
-	state  *facts.State
+	state  *statemachine.State
 	conf   *pb.ConfState
 	rng    *rand.Rand
 	now    uint64 // ticks
@@ -88,9 +88,9 @@
 	local  *pb.Snapshot // made here, to be kept with the next Save
 	bytes  int          // of entries since the last snapshot
 	out    []Message
-	acks   map[uint64]facts.Ack
+	acks   map[uint64]statemachine.Ack
 	seen   map[uint64]seen
-	asks   map[facts.Key]ask
+	asks   map[statemachine.Key]ask
 	reads  []read
 	count  uint64 // questions to a quorum
 	asked  map[uint64]uint64
@@ -104,8 +104,8 @@
 	if opt.Keep <= 0 {
 		opt.Keep = keepEntries
 	}
-	v = &Voter{opt: opt, mem: raft.NewMemoryStorage(), state: facts.New(), conf: pb.EnsureConfState(nil), rng: rand.New(rand.NewPCG(opt.Seed, opt.ID)),
-		acks: map[uint64]facts.Ack{}, seen: map[uint64]seen{}, asks: map[facts.Key]ask{}, asked: map[uint64]uint64{}, snaps: map[uint64]uint64{}}
+	v = &Voter{opt: opt, mem: raft.NewMemoryStorage(), state: statemachine.New(), conf: pb.EnsureConfState(nil), rng: rand.New(rand.NewPCG(opt.Seed, opt.ID)),
+		acks: map[uint64]statemachine.Ack{}, seen: map[uint64]seen{}, asks: map[statemachine.Key]ask{}, asked: map[uint64]uint64{}, snaps: map[uint64]uint64{}}
 	defer v.guard(&err)
 	if !raft.IsEmptySnap(img.Snapshot) {
 		if err := v.install(img.Snapshot); err != nil {
--- a/internal/council/play/client_test.go
+++ b/internal/council/play/client_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"cranegate/internal/council/facts"
 	"cranegate/internal/council/order"
+	"cranegate/internal/council/statemachine"
 )
 
 // client asks until it is answered, always with the same key. The first moves "r" from owner to owner, the others work on
@@ -20,7 +20,7 @@
 	seq    uint64
 	reads  uint64
 	index  uint64 // the last place that it heard of
-	cmd    facts.Command
+	cmd    statemachine.Command
 	read   bool
 	name   string
 	open   bool
@@ -41,7 +41,7 @@
 
 type output struct {
 	known   bool
-	code    facts.Code
+	code    statemachine.Code
 	version uint64
 	value   string
 }
@@ -62,12 +62,12 @@
 	c.name = fmt.Sprint("k", c.f.rng.IntN(2))
 	if c.read = !c.moves && c.f.rng.IntN(3) == 0; !c.read {
 		c.seq++
-		c.cmd = facts.Command{Key: facts.Key{Client: c.id, Seq: c.seq}, Born: c.index, Done: c.seq - 1, Op: facts.Set, Name: c.name,
+		c.cmd = statemachine.Command{Key: statemachine.Key{Client: c.id, Seq: c.seq}, Born: c.index, Done: c.seq - 1, Op: statemachine.Set, Name: c.name,
 			Value: fmt.Append(nil, c.id, "-", c.seq), Any: c.f.rng.IntN(2) == 0, Expect: uint64(c.f.rng.IntN(4)) + uint64(len(c.ops))/2}
 		if c.moves {
 			c.cmd.Name, c.cmd.Any = "r", true
-			if c.cmd.Op, c.cmd.Value = facts.Narrow, []byte("nobody"); c.phase%2 == 1 {
-				c.cmd.Op, c.cmd.Value = facts.Widen, []byte(c.f.all[c.f.rng.IntN(len(c.f.all))].Name)
+			if c.cmd.Op, c.cmd.Value = statemachine.Narrow, []byte("nobody"); c.phase%2 == 1 {
+				c.cmd.Op, c.cmd.Value = statemachine.Widen, []byte(c.f.all[c.f.rng.IntN(len(c.f.all))].Name)
 			}
 		}
 	}
@@ -89,7 +89,7 @@
 
 func (c *client) answered(m order.Message) {
 	a := m.Answer
-	if !c.open || a == nil || c.read && (a.Read == 0 || a.Read != c.reads) || !c.read && a.Key != c.cmd.Key || a.Result.Code == facts.Open {
+	if !c.open || a == nil || c.read && (a.Read == 0 || a.Read != c.reads) || !c.read && a.Key != c.cmd.Key || a.Result.Code == statemachine.Open {
 		return
 	}
 	out := output{known: true, code: a.Result.Code, version: a.Result.Version}
@@ -100,7 +100,7 @@
 	c.index = max(c.index, a.Result.Index)
 	c.log(c.f.now, out)
 	c.open, c.waitTo = false, c.f.now+time.Duration(c.f.rng.IntN(3000))*time.Millisecond
-	if c.moves && a.Result.Code == facts.OK {
+	if c.moves && a.Result.Code == statemachine.OK {
 		c.phase++
 		c.waitTo = c.f.now + time.Duration(c.f.rng.IntN(6000))*time.Millisecond
 	}
@@ -142,10 +142,10 @@
 		case i.read:
 			return !o.known || o.version == s.version && o.value == s.text, s
 		case !i.any && i.expect != s.version:
-			return !o.known || o.code == facts.Conflict && o.version == s.version, s
+			return !o.known || o.code == statemachine.Conflict && o.version == s.version, s
 		}
 		s = value{s.version + 1, i.value}
-		return !o.known || o.code == facts.OK && o.version == s.version, s
+		return !o.known || o.code == statemachine.OK && o.version == s.version, s
 	},
 }
 
--- a/internal/council/play/judge_test.go
+++ b/internal/council/play/judge_test.go
@@ -7,18 +7,18 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"cranegate/internal/council/facts"
 	"cranegate/internal/council/order"
+	"cranegate/internal/council/statemachine"
 )
 
 // judge sees all messages, all that is applied and the true time.
 type judge struct {
 	f        *fleet
 	failures []string
-	state    *facts.State // with the flaws of the fleet: what it does, not what it should
-	texts    [][]byte     // by place
+	state    *statemachine.State // with the flaws of the fleet: what it does, not what it should
+	texts    [][]byte            // by place
 	chains   map[uint64]uint64
-	applies  map[facts.Key]uint64 // the place that a key changed a register at
+	applies  map[statemachine.Key]uint64 // the place that a key changed a register at
 	narrows  []narrow
 	votes    map[[2]uint64]uint64
 
@@ -33,7 +33,7 @@
 }
 
 func newJudge(f *fleet) *judge {
-	j := &judge{f: f, state: facts.New(), chains: map[uint64]uint64{}, applies: map[facts.Key]uint64{}, votes: map[[2]uint64]uint64{}}
+	j := &judge{f: f, state: statemachine.New(), chains: map[uint64]uint64{}, applies: map[statemachine.Key]uint64{}, votes: map[[2]uint64]uint64{}}
 	j.state.Flaws = f.flaws
 	j.state.Apply(1, nil)
 	j.texts = [][]byte{nil, nil}
@@ -58,21 +58,21 @@
 	}
 	j.texts = append(j.texts, text)
 	j.commands++
-	c, err := facts.Decode(text)
+	c, err := statemachine.Decode(text)
 	before, _, _ := j.state.Get(c.Name)
 	j.state.Apply(index, text)
 	j.chains[index] = j.state.Chain
 	if err != nil {
 		return
 	}
-	if after, _, _ := j.state.Get(c.Name); c.Op == facts.Renew {
+	if after, _, _ := j.state.Get(c.Name); c.Op == statemachine.Renew {
 		j.renews++
 	} else if after.Version != before.Version {
 		if old, ok := j.applies[c.Key]; ok {
 			j.fail("%v was applied at %d and at %d", c.Key, old, index)
 		}
 		j.applies[c.Key] = index
-		if c.Op == facts.Narrow {
+		if c.Op == statemachine.Narrow {
 			j.narrows = append(j.narrows, narrow{index: index, at: j.f.now})
 		}
 	}
--- a/internal/council/play/play_test.go
+++ b/internal/council/play/play_test.go
@@ -11,9 +11,9 @@
 	"slices"
 	"time"
 
-	"cranegate/internal/council/facts"
 	"cranegate/internal/council/lease"
 	"cranegate/internal/council/order"
+	"cranegate/internal/council/statemachine"
 	"cranegate/internal/council/store"
 	"cranegate/internal/council/voters"
 )
@@ -25,7 +25,7 @@
 	voters, followers int
 	seed              uint64
 	calm, trouble     time.Duration // trouble comes first, and all is healed for calm
-	flaws             facts.Flaws
+	flaws             statemachine.Flaws
 	files             string // a folder for the files of those with a disk; else memory stands for the disk
 	reuse             bool   // a voter without disk comes back under its old identity
 }
--- a/internal/council/play/runs_test.go
+++ b/internal/council/play/runs_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/council/facts"
+	"cranegate/internal/council/statemachine"
 )
 
 var seeds = flag.Int("seeds", 50, "fleets to play in TestSeeds")
@@ -84,8 +84,8 @@
 // TestBroken breaks the core on purpose: the judge must find each.
 func TestBroken(t *testing.T) {
 	for name, change := range map[string]func(*plan){
-		"a narrowing waits for nobody":            func(p *plan) { p.flaws = facts.Flaws{NoWait: true} },
-		"who asks again is served again":          func(p *plan) { p.flaws = facts.Flaws{NoDedup: true} },
+		"a narrowing waits for nobody":            func(p *plan) { p.flaws = statemachine.Flaws{NoWait: true} },
+		"who asks again is served again":          func(p *plan) { p.flaws = statemachine.Flaws{NoDedup: true} },
 		"a voter without disk keeps its identity": func(p *plan) { p.reuse = true },
 	} {
 		found := ""
--- a/internal/council/facts/command.go
+++ b/internal/council/statemachine/command.go
@@ -1,7 +1,7 @@
-// Package facts is what the council's order is applied to: registers, the results of requests for whoever asks again, and
+// Package statemachine is what the council's order is applied to: registers, the results of requests for whoever asks again, and
 // the leases of those who act on the registers. It is a pure state machine: the same commands in the same order give the
 // same state everywhere, and it reads no clock. What a register means is not known here.
-package facts
+package statemachine
 
 import (
 	"errors"
--- a/internal/council/facts/facts_test.go
+++ b/internal/council/statemachine/statemachine_test.go
@@ -1,4 +1,4 @@
-package facts
+package statemachine
 
 import (
 	"bytes"
