--- a/internal/council/play/client_test.go
+++ b/internal/council/play/client_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"cranegate/internal/council/order"
+	"cranegate/internal/council/raftlog"
 	"cranegate/internal/council/statemachine"
 )
 
@@ -76,7 +76,7 @@
 
 func (c *client) send() {
 	c.asked = c.f.now
-	ask := &order.Ask{}
+	ask := &raftlog.Ask{}
 	if c.read {
 		c.reads++
 		ask.Read, ask.Name = c.reads, c.name
@@ -84,10 +84,10 @@
 		ask.Text, _ = c.cmd.Encode()
 	}
 	council := c.f.councilNow()
-	c.f.send(order.Message{Council: c.f.council, From: c.id, To: council[c.f.rng.IntN(len(council))], Kind: order.AskKind, Ask: ask})
+	c.f.send(raftlog.Message{Council: c.f.council, From: c.id, To: council[c.f.rng.IntN(len(council))], Kind: raftlog.AskKind, Ask: ask})
 }
 
-func (c *client) answered(m order.Message) {
+func (c *client) answered(m raftlog.Message) {
 	a := m.Answer
 	if !c.open || a == nil || c.read && (a.Read == 0 || a.Read != c.reads) || !c.read && a.Key != c.cmd.Key || a.Result.Code == statemachine.Open {
 		return
--- a/internal/council/play/faults_test.go
+++ b/internal/council/play/faults_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"cranegate/internal/council/order"
+	"cranegate/internal/council/raftlog"
 	"cranegate/internal/council/store"
 	"cranegate/internal/council/voters"
 )
@@ -30,11 +30,11 @@
 	if g.disk {
 		if f.files != "" {
 			g.kept.Close()
-			g.kept = f.keep(g, order.Image{})
+			g.kept = f.keep(g, raftlog.Image{})
 		}
 		return
 	}
-	g.kept = store.NewMemory(order.Image{})
+	g.kept = store.NewMemory(raftlog.Image{})
 	if !f.reuse {
 		f.dead[g.id] = true
 		f.name(g)
--- a/internal/council/play/judge_test.go
+++ b/internal/council/play/judge_test.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"cranegate/internal/council/order"
+	"cranegate/internal/council/raftlog"
 	"cranegate/internal/council/statemachine"
 )
 
@@ -86,8 +86,8 @@
 }
 
 // sent looks for two votes of one identity in one term.
-func (j *judge) sent(m order.Message) {
-	if m.Kind != order.Raft || m.Raft[1] != byte(raftpb.MsgVote) && m.Raft[1] != byte(raftpb.MsgVoteResp) { // the type comes first
+func (j *judge) sent(m raftlog.Message) {
+	if m.Kind != raftlog.Raft || m.Raft[1] != byte(raftpb.MsgVote) && m.Raft[1] != byte(raftpb.MsgVoteResp) { // the type comes first
 		return
 	}
 	x := &raftpb.Message{}
--- a/internal/council/play/net_test.go
+++ b/internal/council/play/net_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"cranegate/internal/council/order"
+	"cranegate/internal/council/raftlog"
 )
 
 func (f *fleet) at(id uint64) int {
@@ -14,12 +14,12 @@
 func (f *fleet) holder(g *gateway) uint64 { return g.follower.ID() }
 
 // send gives a message to the network, every 16th as bytes and back.
-func (f *fleet) send(m order.Message) {
+func (f *fleet) send(m raftlog.Message) {
 	f.judge.sent(m)
 	if f.sent++; f.sent%16 == 0 {
 		b, err := m.Encode()
 		if err == nil {
-			m, err = order.Decode(b)
+			m, err = raftlog.Decode(b)
 		}
 		if err != nil {
 			f.judge.fail("a message as bytes: %v", err)
--- a/internal/council/play/play_test.go
+++ b/internal/council/play/play_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"cranegate/internal/council/lease"
-	"cranegate/internal/council/order"
+	"cranegate/internal/council/raftlog"
 	"cranegate/internal/council/statemachine"
 	"cranegate/internal/council/store"
 	"cranegate/internal/council/voters"
@@ -36,15 +36,15 @@
 	id       uint64
 	disk     bool
 	kept     store.Store
-	voter    *order.Voter
-	follower *order.Follower
+	voter    *raftlog.Voter
+	follower *raftlog.Follower
 	clock    time.Duration
 	rate     float64
 	ticked   time.Duration
 	up       bool
 	backAt   time.Duration // of one that is down
 	pausedTo time.Duration
-	mail     []order.Message
+	mail     []raftlog.Message
 	act      *act
 }
 
@@ -58,7 +58,7 @@
 
 type flight struct {
 	at time.Duration
-	m  order.Message
+	m  raftlog.Message
 }
 
 type fleet struct {
@@ -67,7 +67,7 @@
 	now      time.Duration
 	all      []*gateway
 	council  uint64
-	founded  order.Image
+	founded  raftlog.Image
 	flying   []flight
 	cuts     map[[2]int]time.Duration // directed, until when
 	dead     map[uint64]bool          // identities that never come back
@@ -94,11 +94,11 @@
 		ids = append(ids, g.ID())
 	}
 	var err error
-	if f.council, f.founded, err = order.Found(ids); err != nil {
+	if f.council, f.founded, err = raftlog.Found(ids); err != nil {
 		panic(err)
 	}
 	for _, g := range f.all {
-		img := order.Image{}
+		img := raftlog.Image{}
 		if slices.Contains(ids, g.id) {
 			img = f.founded
 		}
@@ -112,7 +112,7 @@
 }
 
 // keep opens what a gateway keeps its votes in.
-func (f *fleet) keep(g *gateway, img order.Image) store.Store {
+func (f *fleet) keep(g *gateway, img raftlog.Image) store.Store {
 	if f.files == "" || !g.disk {
 		return store.NewMemory(img)
 	}
@@ -120,7 +120,7 @@
 	os.MkdirAll(dir, 0o700)
 	file, err := store.Open(dir, store.Owner{Name: g.Name, Council: f.council, Start: g.Start})
 	if err == nil && img.Snapshot != nil {
-		err = file.Save(order.Save{Hard: img.Hard, Snapshot: img.Snapshot, Sync: true})
+		err = file.Save(raftlog.Save{Hard: img.Hard, Snapshot: img.Snapshot, Sync: true})
 	}
 	if err != nil {
 		panic(err)
@@ -143,7 +143,7 @@
 		f.judge.fail("%s loads: %v", g.Name, err)
 	}
 	id := g.id
-	v, err := order.NewVoter(order.Options{Council: f.council, ID: id, Seed: f.rng.Uint64(), Keep: 40, Flaws: f.flaws, Watch: func(i uint64, text []byte) { f.judge.applied(id, i, text) }}, img)
+	v, err := raftlog.NewVoter(raftlog.Options{Council: f.council, ID: id, Seed: f.rng.Uint64(), Keep: 40, Flaws: f.flaws, Watch: func(i uint64, text []byte) { f.judge.applied(id, i, text) }}, img)
 	if err != nil {
 		f.judge.fail("%s starts: %v", g.Name, err)
 		return
@@ -154,7 +154,7 @@
 	g.ticked = g.clock
 	f.starts++ // the holder's identity is always new
 	h := voters.Gateway{Name: g.Name + " holds", Start: f.starts}
-	g.follower = order.NewFollower(f.council, h.ID(), f.rng.Uint64(), f.councilNow())
+	g.follower = raftlog.NewFollower(f.council, h.ID(), f.rng.Uint64(), f.councilNow())
 	g.follower.Facts().Flaws = f.flaws
 }
 
@@ -165,7 +165,7 @@
 
 // councilNow is who votes, after the furthest voter.
 func (f *fleet) councilNow() []uint64 {
-	var best order.Status
+	var best raftlog.Status
 	for _, g := range f.all {
 		if g.voter != nil {
 			if s := g.voter.Status(); s.Applied >= best.Applied && len(s.Voters) > 0 {
@@ -195,7 +195,7 @@
 	g.mail = nil
 	for _, m := range mail {
 		if m.To == g.id {
-			if err := g.voter.Step(m); errors.Is(err, order.ErrBroken) {
+			if err := g.voter.Step(m); errors.Is(err, raftlog.ErrBroken) {
 				f.judge.fail("%s: %v", g.Name, err)
 			}
 		} else {
@@ -203,10 +203,10 @@
 		}
 	}
 	if g.clock-g.ticked > time.Second {
-		g.ticked = g.clock - order.TickEvery // it stood still: lost ticks stay lost
+		g.ticked = g.clock - raftlog.TickEvery // it stood still: lost ticks stay lost
 	}
-	for g.clock-g.ticked >= order.TickEvery {
-		g.ticked += order.TickEvery
+	for g.clock-g.ticked >= raftlog.TickEvery {
+		g.ticked += raftlog.TickEvery
 		g.voter.Tick()
 	}
 	for range 50 {
--- a/internal/council/order/message.go
+++ b/internal/council/raftlog/message.go
@@ -1,8 +1,8 @@
-// Package order is the council's order of commands: etcd's raft as a state machine driven from outside, for those who vote
+// Package raftlog is the council's order of commands: etcd's raft as a state machine driven from outside, for those who vote
 // (Voter), and the feed of what is committed for all others (Follower). There are no goroutines, clocks or sockets here:
 // time comes in as ticks (Voter) or as a monotonic reading (Follower), messages go in and out as values, what is to be
 // kept goes out as a Save, and all chance follows from a seed.
-package order
+package raftlog
 
 import (
 	"errors"
--- a/internal/council/order/voter.go
+++ b/internal/council/raftlog/voter.go
@@ -1,4 +1,4 @@
-package order
+package raftlog
 
 import (
 	"encoding/binary"
--- a/internal/council/store/file.go
+++ b/internal/council/store/file.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"cranegate/internal/council/order"
+	"cranegate/internal/council/raftlog"
 )
 
 // MaxFile is the most bytes of a file: the log's and the snapshot's bounds many times over.
@@ -149,7 +149,7 @@
 func (f *File) Close() error { return typed(f.db.Close()) }
 
 // Save writes a change and waits for the disk. After an error nothing more is written: what the disk holds is unknown then.
-func (f *File) Save(s order.Save) (err error) {
+func (f *File) Save(s raftlog.Save) (err error) {
 	if f.err != nil {
 		return f.err
 	}
@@ -195,7 +195,7 @@
 }
 
 // Load reads all, and checks that every text is whole and that no entry is missing.
-func (f *File) Load() (img order.Image, err error) {
+func (f *File) Load() (img raftlog.Image, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer guard(&err)
 	err = f.db.View(func(tx *bbolt.Tx) error {
@@ -232,7 +232,7 @@
 		return err
 	})
 	if err != nil {
-		return order.Image{}, typed(err)
+		return raftlog.Image{}, typed(err)
 	}
 	return img, nil
 }
--- a/internal/council/store/memory.go
+++ b/internal/council/store/memory.go
@@ -7,31 +7,31 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"cranegate/internal/council/order"
+	"cranegate/internal/council/raftlog"
 )
 
 // Store is what a voter's shell keeps a Save in, before it says Saved. An error is final for the voter: it must not say
 // Saved, send nothing, and be started anew from Load, or under a new identity.
 type Store interface {
-	Load() (order.Image, error)
-	Save(order.Save) error
+	Load() (raftlog.Image, error)
+	Save(raftlog.Save) error
 	Close() error
 }
 
 // Memory keeps a voter's image as long as the process runs. The zero value is empty.
-type Memory struct{ img order.Image }
+type Memory struct{ img raftlog.Image }
 
 // NewMemory holds an image, as order.Found makes it.
-func NewMemory(img order.Image) *Memory { return &Memory{img: img} }
+func NewMemory(img raftlog.Image) *Memory { return &Memory{img: img} }
 
 // Load returns what was kept.
-func (m *Memory) Load() (order.Image, error) { return m.img, nil }
+func (m *Memory) Load() (raftlog.Image, error) { return m.img, nil }
 
 // Close does nothing.
 func (m *Memory) Close() error { return nil }
 
 // Save keeps a change.
-func (m *Memory) Save(s order.Save) error {
+func (m *Memory) Save(s raftlog.Save) error {
 	if s.Hard != nil {
 		m.img.Hard = proto.Clone(s.Hard).(*pb.HardState)
 	}
