--- a/internal/council/play/faults_test.go
+++ b/internal/council/play/faults_test.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
+	"cranegate/internal/council/quorum"
 	"cranegate/internal/council/raftlog"
 	"cranegate/internal/council/store"
-	"cranegate/internal/council/voters"
 )
 
 // mayCrash says whether the council bears the end of a gateway: one without a disk is a vote that never comes back, so all others must
@@ -102,7 +102,7 @@
 		if !g.up || f.now < g.pausedTo || !g.voter.Leads() {
 			continue
 		}
-		var council, there []voters.Gateway
+		var council, there []quorum.Gateway
 		s := g.voter.Status()
 		for _, id := range s.Voters {
 			council = append(council, f.who[id])
@@ -112,7 +112,7 @@
 				there = append(there, x.Gateway)
 			}
 		}
-		if c, ok := voters.Replace(council, f.dead, there); ok {
+		if c, ok := quorum.Replace(council, f.dead, there); ok {
 			if i := slices.Index(s.Learners, c.Add.ID()); i >= 0 {
 				f.replaced++
 			}
--- a/internal/council/play/play_test.go
+++ b/internal/council/play/play_test.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"cranegate/internal/council/lease"
+	"cranegate/internal/council/quorum"
 	"cranegate/internal/council/raftlog"
 	"cranegate/internal/council/statemachine"
 	"cranegate/internal/council/store"
-	"cranegate/internal/council/voters"
 )
 
 const step = 100 * time.Millisecond
@@ -32,7 +32,7 @@
 
 // gateway is one process, with the clock that it has and the truth about it.
 type gateway struct {
-	voters.Gateway
+	quorum.Gateway
 	id       uint64
 	disk     bool
 	kept     store.Store
@@ -71,7 +71,7 @@
 	flying   []flight
 	cuts     map[[2]int]time.Duration // directed, until when
 	dead     map[uint64]bool          // identities that never come back
-	who      map[uint64]voters.Gateway
+	who      map[uint64]quorum.Gateway
 	clients  []*client
 	judge    *judge
 	starts   uint64
@@ -80,17 +80,17 @@
 }
 
 func newFleet(p plan) *fleet {
-	f := &fleet{plan: p, rng: rand.New(rand.NewPCG(p.seed, 77)), cuts: map[[2]int]time.Duration{}, dead: map[uint64]bool{}, who: map[uint64]voters.Gateway{}}
+	f := &fleet{plan: p, rng: rand.New(rand.NewPCG(p.seed, 77)), cuts: map[[2]int]time.Duration{}, dead: map[uint64]bool{}, who: map[uint64]quorum.Gateway{}}
 	f.judge = newJudge(f)
-	var there []voters.Gateway
+	var there []quorum.Gateway
 	for i := range p.voters + p.followers {
-		g := &gateway{Gateway: voters.Gateway{Name: fmt.Sprint("g", i), Zone: fmt.Sprint("z", i%3)}, disk: i%2 == 0}
+		g := &gateway{Gateway: quorum.Gateway{Name: fmt.Sprint("g", i), Zone: fmt.Sprint("z", i%3)}, disk: i%2 == 0}
 		f.all = append(f.all, g)
 		f.name(g)
 		there = append(there, g.Gateway)
 	}
 	var ids []uint64
-	for _, g := range voters.Choose(there, p.voters) {
+	for _, g := range quorum.Choose(there, p.voters) {
 		ids = append(ids, g.ID())
 	}
 	var err error
@@ -153,7 +153,7 @@
 	g.clock, g.ticked = time.Duration(f.rng.Int64N(int64(time.Hour))), 0
 	g.ticked = g.clock
 	f.starts++ // the holder's identity is always new
-	h := voters.Gateway{Name: g.Name + " holds", Start: f.starts}
+	h := quorum.Gateway{Name: g.Name + " holds", Start: f.starts}
 	g.follower = raftlog.NewFollower(f.council, h.ID(), f.rng.Uint64(), f.councilNow())
 	g.follower.Facts().Flaws = f.flaws
 }
--- a/internal/council/play/votes_test.go
+++ b/internal/council/play/votes_test.go
@@ -7,22 +7,22 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"cranegate/internal/council/quorum"
 	"cranegate/internal/council/raftlog"
 	"cranegate/internal/council/store"
-	"cranegate/internal/council/voters"
 )
 
 // TestVotes asks a voter for its vote in one term twice, for two candidates, with a restart between: with its disk it gives
 // one; without it, it is another voter, whom the question does not reach; under its old identity without the disk it would give two,
 // and the judge finds that.
 func TestVotes(t *testing.T) {
-	g := voters.Gateway{Name: "g1", Start: 1}
+	g := quorum.Gateway{Name: "g1", Start: 1}
 	council, founded, err := raftlog.Found([]uint64{g.ID(), 2, 3})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j := newJudge(&fleet{})
-	ask := func(g voters.Gateway, to, candidate uint64, kept store.Store) error {
+	ask := func(g quorum.Gateway, to, candidate uint64, kept store.Store) error {
 		img, _ := kept.Load()
 		v, err := raftlog.NewVoter(raftlog.Options{Council: council, ID: g.ID(), Seed: 1}, img)
 		if err != nil {
--- a/internal/council/voters/voters.go
+++ b/internal/council/quorum/quorum.go
@@ -1,6 +1,6 @@
-// Package voters chooses who votes in the council: a pure function of the gateways that are there, so that everybody who
+// Package quorum chooses who votes in the council: a pure function of the gateways that are there, so that everybody who
 // sees the same gateways chooses the same.
-package voters
+package quorum
 
 import (
 	"cmp"
--- a/internal/council/voters/voters_test.go
+++ b/internal/council/quorum/quorum_test.go
@@ -1,4 +1,4 @@
-package voters
+package quorum
 
 import (
 	"fmt"
