--- a/internal/council/play/faults_test.go
+++ b/internal/council/simulation/faults_test.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"slices"
--- a/internal/council/play/norace_test.go
+++ b/internal/council/simulation/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package play
+package simulation
 
 const slow = false
--- a/internal/council/play/play_test.go
+++ b/internal/council/simulation/simulation_test.go
@@ -1,6 +1,6 @@
-// Package play plays whole fleets of council in virtual time, with faults that follow from a seed, before a judge that
+// Package simulation plays whole fleets of council in virtual time, with faults that follow from a seed, before a judge that
 // knows the true time and all that was said.
-package play
+package simulation
 
 import (
 	"errors"
