--- a/internal/council/lease/lease.go
+++ b/internal/consensus/lease/lease.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"time"
 
-	"cranegate/internal/council/statemachine"
+	"cranegate/internal/consensus/statemachine"
 )
 
 // Lengths. All are measured on the clock of whoever waits.
--- a/internal/council/lease/lease_test.go
+++ b/internal/consensus/lease/lease_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/council/statemachine"
+	"cranegate/internal/consensus/statemachine"
 )
 
 func renewed(t *testing.T, s *statemachine.State, a statemachine.Ack) {
--- a/internal/council/raftlog/caps_test.go
+++ b/internal/consensus/raftlog/caps_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"cranegate/internal/council/statemachine"
+	"cranegate/internal/consensus/statemachine"
 )
 
 // TestAThousandAsk has 1,024 gateways ask a voter, and as many read, before anything is settled: all wait there and get their
--- a/internal/council/raftlog/follower.go
+++ b/internal/consensus/raftlog/follower.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"cranegate/internal/council/codec"
-	"cranegate/internal/council/lease"
-	"cranegate/internal/council/statemachine"
+	"cranegate/internal/consensus/codec"
+	"cranegate/internal/consensus/lease"
+	"cranegate/internal/consensus/statemachine"
 )
 
 // staleAfter is the age of a feed from which on another voter is asked.
--- a/internal/council/raftlog/message.go
+++ b/internal/consensus/raftlog/message.go
@@ -9,8 +9,8 @@
 	"fmt"
 	"time"
 
-	"cranegate/internal/council/codec"
-	"cranegate/internal/council/statemachine"
+	"cranegate/internal/consensus/codec"
+	"cranegate/internal/consensus/statemachine"
 )
 
 // TickEvery is what one Tick of a Voter stands for. Ticks must never outrun the process's clock; late or lost ones are safe.
--- a/internal/council/raftlog/raft.go
+++ b/internal/consensus/raftlog/raft.go
@@ -10,8 +10,8 @@
 	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
 
-	"cranegate/internal/council/codec"
-	"cranegate/internal/council/statemachine"
+	"cranegate/internal/consensus/codec"
+	"cranegate/internal/consensus/statemachine"
 )
 
 func keys[K comparable, V any](m map[K]V) iter.Seq[K] { return maps.Keys(m) }
--- a/internal/council/raftlog/raftlog_test.go
+++ b/internal/consensus/raftlog/raftlog_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"cranegate/internal/council/codec"
-	"cranegate/internal/council/statemachine"
+	"cranegate/internal/consensus/codec"
+	"cranegate/internal/consensus/statemachine"
 )
 
 // alone is a council of one, which needs no network.
--- a/internal/council/raftlog/serve.go
+++ b/internal/consensus/raftlog/serve.go
@@ -10,9 +10,9 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"cranegate/internal/council/codec"
-	"cranegate/internal/council/lease"
-	"cranegate/internal/council/statemachine"
+	"cranegate/internal/consensus/codec"
+	"cranegate/internal/consensus/lease"
+	"cranegate/internal/consensus/statemachine"
 )
 
 const (
--- a/internal/council/raftlog/voter.go
+++ b/internal/consensus/raftlog/voter.go
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"cranegate/internal/council/statemachine"
+	"cranegate/internal/consensus/statemachine"
 )
 
 const (
--- a/internal/council/simulation/client_test.go
+++ b/internal/consensus/simulation/client_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"cranegate/internal/council/raftlog"
-	"cranegate/internal/council/statemachine"
+	"cranegate/internal/consensus/raftlog"
+	"cranegate/internal/consensus/statemachine"
 )
 
 // client asks until it is answered, always with the same key. The first moves "r" from owner to owner, the others work on
--- a/internal/council/simulation/faults_test.go
+++ b/internal/consensus/simulation/faults_test.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"cranegate/internal/council/quorum"
-	"cranegate/internal/council/raftlog"
-	"cranegate/internal/council/store"
+	"cranegate/internal/consensus/quorum"
+	"cranegate/internal/consensus/raftlog"
+	"cranegate/internal/consensus/store"
 )
 
 // mayCrash says whether the council bears the end of a gateway: one without a disk is a vote that never comes back, so all others must
--- a/internal/council/simulation/judge_test.go
+++ b/internal/consensus/simulation/judge_test.go
@@ -7,8 +7,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"cranegate/internal/council/raftlog"
-	"cranegate/internal/council/statemachine"
+	"cranegate/internal/consensus/raftlog"
+	"cranegate/internal/consensus/statemachine"
 )
 
 // judge sees all messages, all that is applied and the true time.
--- a/internal/council/simulation/net_test.go
+++ b/internal/consensus/simulation/net_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"cranegate/internal/council/raftlog"
+	"cranegate/internal/consensus/raftlog"
 )
 
 func (f *fleet) at(id uint64) int {
--- a/internal/council/simulation/runs_test.go
+++ b/internal/consensus/simulation/runs_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"cranegate/internal/council/statemachine"
+	"cranegate/internal/consensus/statemachine"
 )
 
 var seeds = flag.Int("seeds", 50, "fleets to play in TestSeeds")
--- a/internal/council/simulation/simulation_test.go
+++ b/internal/consensus/simulation/simulation_test.go
@@ -11,11 +11,11 @@
 	"slices"
 	"time"
 
-	"cranegate/internal/council/lease"
-	"cranegate/internal/council/quorum"
-	"cranegate/internal/council/raftlog"
-	"cranegate/internal/council/statemachine"
-	"cranegate/internal/council/store"
+	"cranegate/internal/consensus/lease"
+	"cranegate/internal/consensus/quorum"
+	"cranegate/internal/consensus/raftlog"
+	"cranegate/internal/consensus/statemachine"
+	"cranegate/internal/consensus/store"
 )
 
 const step = 100 * time.Millisecond
--- a/internal/council/simulation/votes_test.go
+++ b/internal/consensus/simulation/votes_test.go
@@ -7,9 +7,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"cranegate/internal/council/quorum"
-	"cranegate/internal/council/raftlog"
-	"cranegate/internal/council/store"
+	"cranegate/internal/consensus/quorum"
+	"cranegate/internal/consensus/raftlog"
+	"cranegate/internal/consensus/store"
 )
 
 // TestVotes asks a voter for its vote in one term twice, for two candidates, with a restart between: with its disk it gives
--- a/internal/council/statemachine/command.go
+++ b/internal/consensus/statemachine/command.go
@@ -7,7 +7,7 @@
 	"errors"
 	"fmt"
 
-	"cranegate/internal/council/codec"
+	"cranegate/internal/consensus/codec"
 )
 
 // Bounds, of bytes and rows.
--- a/internal/council/statemachine/state.go
+++ b/internal/consensus/statemachine/state.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"cranegate/internal/council/codec"
+	"cranegate/internal/consensus/codec"
 )
 
 // Register is a value with its version.
--- a/internal/council/store/file.go
+++ b/internal/consensus/store/file.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"cranegate/internal/council/raftlog"
+	"cranegate/internal/consensus/raftlog"
 )
 
 // MaxFile is the most bytes of a file: the log's and the snapshot's bounds many times over.
--- a/internal/council/store/memory.go
+++ b/internal/consensus/store/memory.go
@@ -7,7 +7,7 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"cranegate/internal/council/raftlog"
+	"cranegate/internal/consensus/raftlog"
 )
 
 // Store is what a voter's shell keeps a Save in, before it says Saved. An error is final for the voter: it must not say
--- a/internal/council/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -11,7 +11,7 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"cranegate/internal/council/raftlog"
+	"cranegate/internal/consensus/raftlog"
 )
 
 func entry(i, term uint64) *pb.Entry {
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,5 +1,5 @@
 // Package hotrestart carries what outlives a process of the gateway from the old one to the new while both live: hosts
-// taken out by hand, lameduck, and a blob of knowledge. See docs/design/handover.md.
+// taken out by hand, lameduck, and a blob of knowledge. See docs/design/hotrestart.md.
 //
 // Every process holds registers (package state), shows a socket in the folder (place), talks to every other that
 // lives (talk), and writes one file (record). From the yes to a detach call on no process sends to that host, whichever
--- a/internal/processtest/stops_test.go
+++ b/internal/processtest/stops_test.go
@@ -50,7 +50,7 @@
 
 // TestOldStopped stops the old process after the new one's yes, with requests under way in it. The new one serves, and
 // calls are answered; requests are asked of the old one meanwhile, on connections that it keeps. Once it goes on it learns
-// of the ban; docs/design/handover.md states that it may send until then, which is counted.
+// of the ban; docs/design/hotrestart.md states that it may send until then, which is counted.
 func TestOldStopped(t *testing.T) {
 	r := newRig(t, 256)
 	old := r.start().ready()
