--- a/cmd/cranelab/main.go
+++ b/cmd/cranelab/main.go
@@ -20,7 +20,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"cranegate/internal/lab"
+	"cranegate/internal/experiment"
 	"cranegate/internal/zones"
 )
 
@@ -66,7 +66,7 @@
 // Run lists the experiments.
 func (listCmd) Run() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-	for _, e := range lab.Experiments {
+	for _, e := range experiment.Experiments {
 		fmt.Fprintf(w, "%s\t%s\n", e.Name, e.About)
 	}
 	return w.Flush()
@@ -93,17 +93,17 @@
 	if c.Short {
 		c.Seeds = min(c.Seeds, 3)
 	}
-	todo := slices.DeleteFunc(slices.Clone(lab.Experiments), func(e lab.Experiment) bool {
+	todo := slices.DeleteFunc(slices.Clone(experiment.Experiments), func(e experiment.Experiment) bool {
 		return strings.HasSuffix(e.Name, "-mass") || strings.HasPrefix(e.Name, "gateways-")
 	})
 	if c.Experiment != "all" {
-		e, err := lab.Find(c.Experiment)
+		e, err := experiment.Find(c.Experiment)
 		if err != nil {
 			return err
 		}
-		todo = []lab.Experiment{*e}
+		todo = []experiment.Experiment{*e}
 	}
-	o := lab.Options{Seed: c.Seed, Seeds: c.Seeds, Short: c.Short, Version: version(), Logs: io.Discard, Break: lab.Breaks[c.Break], Members: c.Members,
+	o := experiment.Options{Seed: c.Seed, Seeds: c.Seeds, Short: c.Short, Version: version(), Logs: io.Discard, Break: experiment.Breaks[c.Break], Members: c.Members,
 		Zones: zones.Options{Overprovision: c.Overprovision, DetectOnly: c.DetectOnly}}
 	if c.Driver == "processes" && !strings.HasPrefix(c.Experiment, "members-") && !strings.HasPrefix(c.Experiment, "gateways-") {
 		return errors.New("only days of members and gateways are played with processes")
@@ -154,7 +154,7 @@
 }
 
 // table prints the claims.
-func table(out io.Writer, r *lab.Result) {
+func table(out io.Writer, r *experiment.Result) {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	for _, c := range r.Claims {
 		verdict := "holds"
@@ -170,7 +170,7 @@
 }
 
 // save writes a result.
-func save(dir string, r *lab.Result) error {
+func save(dir string, r *experiment.Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("keeping the result: %w", err)
 	}
--- a/cmd/cranelab/main_test.go
+++ b/cmd/cranelab/main_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"cranegate/internal/lab"
+	"cranegate/internal/experiment"
 )
 
 // run runs the program and gives what it prints and its exit code.
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var r lab.Result
+	var r experiment.Result
 	if err := json.Unmarshal(text, &r); err != nil || len(r.Claims) < 10 || len(r.Figures) == 0 || len(r.Series) == 0 {
 		t.Errorf("result.json: %v %+v", err, r)
 	}
--- a/cmd/cranelab/report.go
+++ b/cmd/cranelab/report.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"cranegate/internal/lab"
+	"cranegate/internal/experiment"
 )
 
 type reportCmd struct {
@@ -41,13 +41,13 @@
 	if len(paths) == 0 {
 		return fmt.Errorf("%s holds no results", c.Dir)
 	}
-	var all []*lab.Result
+	var all []*experiment.Result
 	for _, p := range paths {
 		text, err := os.ReadFile(p)
 		if err != nil {
 			return fmt.Errorf("reading a result: %w", err)
 		}
-		r := &lab.Result{}
+		r := &experiment.Result{}
 		if err := json.Unmarshal(text, r); err != nil {
 			return fmt.Errorf("reading %s: %w", p, err)
 		}
@@ -70,7 +70,7 @@
 }
 
 // chart draws the worth earned by the second.
-func chart(r *lab.Result, path string) error {
+func chart(r *experiment.Result, path string) error {
 	p := plot.New()
 	p.Title.Text = r.Experiment
 	p.X.Label.Text, p.Y.Label.Text = "s", "worth earned of worth asked for"
--- a/cmd/cranelab/up.go
+++ b/cmd/cranelab/up.go
@@ -10,7 +10,7 @@
 	"path/filepath"
 	"time"
 
-	"cranegate/internal/lab"
+	"cranegate/internal/experiment"
 )
 
 type upCmd struct {
@@ -38,7 +38,7 @@
 		defer f.Close()
 		logs = f
 	}
-	err = lab.Up(ctx, lab.UpOptions{Program: program, For: c.For, Lose: c.Lose, Rate: c.Rate, Seed: c.Seed, Gateways: c.Gateways, Logs: logs, Out: os.Stdout})
+	err = experiment.Up(ctx, experiment.UpOptions{Program: program, For: c.For, Lose: c.Lose, Rate: c.Rate, Seed: c.Seed, Gateways: c.Gateways, Logs: logs, Out: os.Stdout})
 	if errors.Is(err, context.Canceled) {
 		return nil // Ctrl-C is how it ends
 	}
--- a/internal/lab/fleet.go
+++ b/internal/experiment/fleet.go
@@ -1,10 +1,10 @@
-// Package lab plays a fleet of gateways and database hosts in virtual time and judges what happens from the
+// Package experiment plays a fleet of gateways and database hosts in virtual time and judges what happens from the
 // hosts' and the clients' side. The gateways run the real decision module; hosts, log, network, discovery and
 // clients are models. It exists for what no bench shows: a zone that is lost as a whole and comes back.
 //
 // A day is drawn from its seed alone: two runs of one seed give the same day, whatever the gateways do, as far as
 // arrivals, faults and drawn delays go.
-package lab
+package experiment
 
 import (
 	"container/heap"
