--- a/cmd/cranegate/caps_test.go
+++ b/cmd/cranegate/caps_test.go
@@ -9,13 +9,13 @@
 
 	"cranegate/internal/discovery"
 	"cranegate/internal/hotrestart/frame"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // knows is what a process knows of so many hosts, with a round trip in each place of their windows.
 func knows(hosts, window int) knowledge {
 	k := knowledge{Lists: map[string]discovery.Snapshot{}, Starts: map[string]map[string]time.Time{"postgres": {}},
-		Learned: map[string]rules.Learned{"postgres": {Members: map[string]rules.LearnedMember{}, Usual: []time.Duration{1, 2}}}}
+		Learned: map[string]routing.Learned{"postgres": {Members: map[string]routing.LearnedMember{}, Usual: []time.Duration{1, 2}}}}
 	s := discovery.Snapshot{Rev: 1 << 40, All: true}
 	at := 123456789 * time.Second
 	for i := range hosts {
@@ -23,10 +23,10 @@
 		s.Targets = append(s.Targets, discovery.Target{UID: id, Endpoint: "replica." + id + ":5432", Zone: "zone-a", Group: i % 9, State: "SERVING",
 			Capacity: 1.25, BootMS: 1790000000000, Replication: "replica"})
 		k.Starts["postgres"][id] = time.Now()
-		m := rules.LearnedMember{RoleDate: 1 << 50, Position: 1 << 50, PosAt: at, HeardAt: at, TrialAt: at, Lost: 1.0 / 3, StartedAt: at, CreditAt: at,
+		m := routing.LearnedMember{RoleDate: 1 << 50, Position: 1 << 50, PosAt: at, HeardAt: at, TrialAt: at, Lost: 1.0 / 3, StartedAt: at, CreditAt: at,
 			SeenAt: at, AskedAt: at, WasAt: at, AwayAt: at, Credit: 1.0 / 3}
 		for range window {
-			m.Window = append(m.Window, rules.LearnedSample{At: at, Ratio: 1.0 / 3})
+			m.Window = append(m.Window, routing.LearnedSample{At: at, Ratio: 1.0 / 3})
 		}
 		k.Learned["postgres"].Members[id] = m
 	}
--- a/cmd/cranegate/format_test.go
+++ b/cmd/cranegate/format_test.go
@@ -75,7 +75,7 @@
 func productSource(t *testing.T) string {
 	t.Helper()
 	var source strings.Builder
-	for _, root := range []string{"../../rules", "../../internal", "."} {
+	for _, root := range []string{"../../routing", "../../internal", "."} {
 		err := filepath.WalkDir(root, func(path string, entry os.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -33,7 +33,7 @@
 	"cranegate/internal/invariant"
 	"cranegate/internal/logging"
 	"cranegate/internal/metrics"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 const (
@@ -263,7 +263,7 @@
 		if f, ok := g.lists["mysql"]; ok && o != nil && o.MySQL != nil {
 			f.watch.Move(o.MySQL.Discovery)
 			if o.MySQL.Discovery == "" {
-				f.core.Members(discovery.Snapshot{All: true, Targets: o.MySQL.Hosts}.List(rules.ListWhole))
+				f.core.Members(discovery.Snapshot{All: true, Targets: o.MySQL.Hosts}.List(routing.ListWhole))
 			}
 		}
 	}
@@ -273,8 +273,8 @@
 // are not taken for those of statements.
 func mysqlFleet(o *config.Operator) fleet {
 	m, s := o.MySQL, *o.Settings
-	s.Rules.Classes = append(slices.Clone(s.Rules.Classes), rules.Class{Name: mysql.PrepareClass,
-		Need: rules.NeedAny, Aim: m.PrepareAim(), Deadline: m.PrepareDeadline(), Worth: 1, Effect: rules.Repeatable})
+	s.Rules.Classes = append(slices.Clone(s.Rules.Classes), routing.Class{Name: mysql.PrepareClass,
+		Need: routing.NeedAny, Aim: m.PrepareAim(), Deadline: m.PrepareDeadline(), Worth: 1, Effect: routing.Repeatable})
 	known := discovery.Snapshot{Rev: -1, All: true, Targets: m.Hosts}
 	password := ""
 	if m.PasswordEnv != "" {
@@ -312,7 +312,7 @@
 func (g *gateway) follow(f fleet) {
 	x := g.lists[f.name]
 	if len(f.known.Targets) > 0 {
-		x.core.Members(f.known.List(rules.ListStale))
+		x.core.Members(f.known.List(routing.ListStale))
 	}
 	if l, ok := g.inherited.Learned[f.name]; ok {
 		x.core.Learn(l)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cranegate/internal/simwire"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 func main() {
@@ -22,7 +22,7 @@
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	r, w := simwire.NewReader(in), simwire.NewWriter(out)
-	instances := map[string]*rules.Router{}
+	instances := map[string]*routing.Router{}
 	for {
 		b, err := r.Batch()
 		if errors.Is(err, io.EOF) {
@@ -43,14 +43,14 @@
 }
 
 // deliver hands one event to its instance; a panic there becomes a bug with its text.
-func deliver(instances map[string]*rules.Router, w *simwire.Writer, now time.Duration, e simwire.Event) (err error) {
+func deliver(instances map[string]*routing.Router, w *simwire.Writer, now time.Duration, e simwire.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			w.Bug(e.Instance, fmt.Sprint(p))
 		}
 	}()
 	if o, ok := e.What.(simwire.Open); ok {
-		m, err := rules.New(now, o.Config, o.Seed, &simwire.Actions{Writer: w, Instance: e.Instance})
+		m, err := routing.New(now, o.Config, o.Seed, &simwire.Actions{Writer: w, Instance: e.Instance})
 		if err != nil {
 			return fmt.Errorf("opening %s: %w", e.Instance, err)
 		}
@@ -64,13 +64,13 @@
 	switch x := e.What.(type) {
 	case simwire.Detach:
 		delete(instances, e.Instance)
-	case rules.MemberList:
+	case routing.MemberList:
 		m.Members(now, x)
-	case rules.Request:
+	case routing.Request:
 		m.Request(now, x)
-	case rules.Outcome:
+	case routing.Outcome:
 		m.Outcome(now, x)
-	case rules.ProbeResult:
+	case routing.ProbeResult:
 		m.Probed(now, x)
 	case simwire.ClientGone:
 		m.ClientGone(now, x.Request)
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -16,7 +16,7 @@
 	"cranegate/internal/framebuf"
 	"cranegate/internal/metrics"
 	"cranegate/internal/poolsize"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // Conn is one connection to a host, in the host's protocol. One goroutine calls it, but for Wake and Close.
@@ -41,7 +41,7 @@
 type Starter func(raw net.Conn) (Conn, error)
 
 // NeverBegan is the outcome of an attempt of which no byte was written and that still may be.
-var NeverBegan = core.Outcome{Result: rules.ResultMoot}
+var NeverBegan = core.Outcome{Result: routing.ResultMoot}
 
 // AnswerFor is how long an answer may take from its first byte to its last: hosts write answers whole.
 const AnswerFor = 400 * time.Millisecond
@@ -118,17 +118,17 @@
 	for _, x := range l.Hosts {
 		name := x.Entry.Member
 		old := p.hosts[name]
-		if x.Entry.Phase == rules.PhaseOff || old != nil && old.address != x.Address {
+		if x.Entry.Phase == routing.PhaseOff || old != nil && old.address != x.Address {
 			p.drop(name)
 		}
-		if x.Entry.Phase != rules.PhaseOff {
+		if x.Entry.Phase != routing.PhaseOff {
 			listed[name] = true
 			if p.hosts[name] == nil {
 				p.add(name, x.Address, max(len(l.Hosts), len(p.hosts)+1))
 			}
 		}
 	}
-	if l.Kind == rules.ListWhole || l.Kind == rules.ListStale {
+	if l.Kind == routing.ListWhole || l.Kind == routing.ListStale {
 		for name := range p.hosts {
 			if !listed[name] {
 				p.drop(name)
--- a/internal/backend/breaks_test.go
+++ b/internal/backend/breaks_test.go
@@ -14,7 +14,7 @@
 	"cranegate/internal/backend"
 	"cranegate/internal/core"
 	"cranegate/internal/fake"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // brittle is a connection to a host whose first write of a request breaks in some way.
@@ -141,10 +141,10 @@
 }
 
 // tell has the core take a list with the host in some phase, and returns once it has.
-func (r *rig) tell(kind rules.ListKind, phase rules.Phase) {
+func (r *rig) tell(kind routing.ListKind, phase routing.Phase) {
 	r.t.Helper()
 	r.core.Members(core.List{Kind: kind, Hosts: []core.Host{{Address: r.listener.Addr().String(),
-		Entry: rules.Entry{Member: "db-0", Group: 4, Leader: true, Size: 1, Phase: phase}}}})
+		Entry: routing.Entry{Member: "db-0", Group: 4, Leader: true, Size: 1, Phase: phase}}}})
 	r.settled()
 }
 
@@ -160,13 +160,13 @@
 // and as its answer has come: in the first case nothing is written, in the others the answer counts.
 func TestDrainCrossesTheAttempt(t *testing.T) {
 	for _, form := range forms {
-		for _, phase := range []rules.Phase{rules.PhaseDraining, rules.PhaseOff} {
+		for _, phase := range []routing.Phase{routing.PhaseDraining, routing.PhaseOff} {
 			for _, when := range []string{"before exchange", "at the host", "after exchange"} {
 				var r *rig
 				var once sync.Once
 				drain := func(at string) {
 					if at == when {
-						once.Do(func() { r.tell(rules.ListPatch, phase) })
+						once.Do(func() { r.tell(routing.ListPatch, phase) })
 					}
 				}
 				host := &fake.Host{Act: func(_, _ string, prepare bool) fake.Act {
--- a/internal/backend/caps_test.go
+++ b/internal/backend/caps_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"cranegate/internal/core"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // TestAThousandHosts lists 1,024 hosts: each has its actor, and their mailboxes together take no more than those of 128 do; no
@@ -16,9 +16,9 @@
 	for _, x := range []struct{ hosts, each int }{{1, mailboxSize}, {128, mailboxSize}, {1024, mailboxesAll / 1024}, {1025, mailboxLeast}, {3000, mailboxLeast}} {
 		ctx, cancel := context.WithCancel(context.Background())
 		p := New(ctx, Options{IdleFor: 20 * time.Second, MostOpen: 16, Gateways: 1024})
-		l := core.List{Kind: rules.ListWhole}
+		l := core.List{Kind: routing.ListWhole}
 		for i := range x.hosts {
-			l.Hosts = append(l.Hosts, core.Host{Address: "127.0.0.1:1", Entry: rules.Entry{Member: fmt.Sprint("db-", i), Phase: rules.PhaseOn}})
+			l.Hosts = append(l.Hosts, core.Host{Address: "127.0.0.1:1", Entry: routing.Entry{Member: fmt.Sprint("db-", i), Phase: routing.PhaseOn}})
 		}
 		p.Update(l)
 		if len(p.hosts) != x.hosts || len(p.slots) != 0 || cap(p.slots) != 16 {
--- a/internal/backend/host.go
+++ b/internal/backend/host.go
@@ -10,7 +10,7 @@
 
 	"cranegate/internal/core"
 	"cranegate/internal/poolsize"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // What may wait for a host's actor, and for those of all hosts together: the actors only sort, so that hundreds of hosts need
@@ -94,7 +94,7 @@
 		select {
 		case m := <-h.mailbox:
 			if a, ok := m.(*core.Attempt); ok {
-				h.fail(a, rules.ResultConnectFailed)
+				h.fail(a, routing.ResultConnectFailed)
 			}
 		default:
 			return nil
@@ -128,7 +128,7 @@
 		select {
 		case a := <-m.l.jobs: // it was handed over as the connection ended, and never began
 			if m.l.untried { // or it would go round for all its time where each new connection ends like this
-				h.fail(a, rules.ResultConnectFailed)
+				h.fail(a, routing.ResultConnectFailed)
 			} else {
 				h.place(a)
 			}
@@ -148,7 +148,7 @@
 		return
 	}
 	if h.ctx.Err() != nil {
-		h.fail(a, rules.ResultConnectFailed)
+		h.fail(a, routing.ResultConnectFailed)
 		return
 	}
 	h.waiting = append(h.waiting, waiter{a, time.Now()})
@@ -158,11 +158,11 @@
 }
 
 // link takes the idle connection that an attempt may go by; nil: a new one.
-func (h *host) link(by rules.Conn) *link {
+func (h *host) link(by routing.Conn) *link {
 	switch {
-	case by == rules.ConnNew:
+	case by == routing.ConnNew:
 		return nil
-	case by == rules.ConnOldest && len(h.idle) > 0:
+	case by == routing.ConnOldest && len(h.idle) > 0:
 		l := slices.MinFunc(h.idle, func(a, b *link) int { return a.openedAt.Compare(b.openedAt) })
 		h.drop(l)
 		return l
@@ -273,13 +273,13 @@
 // notOpened takes a connection that did not come up: the oldest attempt has waited for it, unless another one is coming up for
 // that.
 func (h *host) notOpened(err error) {
-	result, wait := rules.ResultConnectFailed, time.Duration(0)
+	result, wait := routing.ResultConnectFailed, time.Duration(0)
 	switch {
 	case errors.Is(err, ErrTurnedAway):
-		result = rules.ResultFull
+		result = routing.ResultFull
 		h.noRoom()
 	case ownFault(err):
-		result, wait = rules.ResultMoot, ownFaultWait
+		result, wait = routing.ResultMoot, ownFaultWait
 		h.pool.opt.Counters.Add("server_connects_failed_here", 1)
 	}
 	h.pool.opt.Counters.Add("server_connects_failed", 1)
@@ -309,10 +309,10 @@
 // fail ends an attempt that was never written. It does not begin: where its time runs out before the core hears of this, it
 // still never ran. The core hears of it from a goroutine of its own, as this actor must not wait for the core, which may be
 // telling it something.
-func (h *host) fail(a *core.Attempt, result rules.Result) { h.failAfter(0, a, result) }
+func (h *host) fail(a *core.Attempt, result routing.Result) { h.failAfter(0, a, result) }
 
 // failAfter is fail some time later, or as soon as the attempt is given up.
-func (h *host) failAfter(wait time.Duration, a *core.Attempt, result rules.Result) {
+func (h *host) failAfter(wait time.Duration, a *core.Attempt, result routing.Result) {
 	if !a.Waiting() {
 		return
 	}
--- a/internal/backend/link.go
+++ b/internal/backend/link.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"cranegate/internal/core"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // open opens one connection and serves it. It belongs to the host, not to an attempt.
@@ -97,19 +97,19 @@
 		}
 		began := time.Now()
 		out, inStep := l.conn.Exchange(a)
-		if !inStep && out.Result == rules.ResultMoot {
+		if !inStep && out.Result == routing.ResultMoot {
 			if a.Waiting() {
 				l.jobs <- a // there is room: the host gives none to a link that is not idle
 			}
 			return
 		}
 		out.Opened = l.openedAt
-		if uses++; uses == 1 && out.Result == rules.ResultFull {
+		if uses++; uses == 1 && out.Result == routing.ResultFull {
 			unwelcome = time.Now()
 		} else if unwelcome = (time.Time{}); uses == 1 {
 			h.pool.keep.found()
 		}
-		stale.saw(began.Sub(since), out.Result == rules.ResultReset && time.Since(began) < staleAtOnce && a.Context().Err() == nil)
+		stale.saw(began.Sub(since), out.Result == routing.ResultReset && time.Since(began) < staleAtOnce && a.Context().Err() == nil)
 		if !inStep {
 			a.Done(out)
 			return
--- a/internal/backend/mysql/mysql.go
+++ b/internal/backend/mysql/mysql.go
@@ -17,7 +17,7 @@
 	"cranegate/internal/core"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 const (
@@ -200,7 +200,7 @@
 	}
 	stop := c.watch(a)
 	if err := c.flush(); err != nil {
-		return core.Outcome{Result: rules.ResultConnectFailed}, false
+		return core.Outcome{Result: routing.ResultConnectFailed}, false
 	}
 	c.SetReadDeadline(time.Time{})
 	r, e, err := c.result(false)
@@ -239,7 +239,7 @@
 	if e != nil {
 		return core.Outcome{Result: result(e, nil)}, inStep
 	}
-	return core.Outcome{Result: rules.ResultOK, Value: p.definitions}, inStep
+	return core.Outcome{Result: routing.ResultOK, Value: p.definitions}, inStep
 }
 
 // execute runs a prepared statement, which it prepares on this connection first if need be.
@@ -256,7 +256,7 @@
 			}
 			e, err := c.prepare(command.Statement, c.account.PrepareFor)
 			if err != nil { // the execute was never written
-				return core.Outcome{Result: rules.ResultConnectFailed}, false
+				return core.Outcome{Result: routing.ResultConnectFailed}, false
 			} else if e != nil {
 				return core.Outcome{Result: result(e, nil)}, stop()
 			}
@@ -278,7 +278,7 @@
 			if ok { // it came while the connection rested
 				return backend.NeverBegan, false
 			}
-			return core.Outcome{Result: rules.ResultConnectFailed}, false // it came behind the prepare's answer
+			return core.Outcome{Result: routing.ResultConnectFailed}, false // it came behind the prepare's answer
 		}
 		if !began {
 			if !a.Begin() {
@@ -287,7 +287,7 @@
 			began, stop = true, c.watch(a)
 		}
 		if err := c.flush(); err != nil {
-			return core.Outcome{Result: rules.ResultConnectFailed}, false
+			return core.Outcome{Result: routing.ResultConnectFailed}, false
 		}
 		c.SetReadDeadline(time.Time{})
 		r, e, err := c.result(true)
@@ -420,31 +420,31 @@
 }
 
 // result is the table of what comes back. An error proves that nothing ran only where it is listed above.
-func result(e *mysqlwire.Error, err error) rules.Result {
+func result(e *mysqlwire.Error, err error) routing.Result {
 	switch {
 	case err != nil && backend.Spoilt(err, mysqlwire.ErrMalformed):
-		return rules.ResultSpoilt
+		return routing.ResultSpoilt
 	case err != nil:
-		return rules.ResultReset
+		return routing.ResultReset
 	case e == nil:
-		return rules.ResultOK
+		return routing.ResultOK
 	case missErrors[e.Code], missStates[e.State]:
-		return rules.ResultMiss
+		return routing.ResultMiss
 	case fullErrors[e.Code], e.State == fullState:
-		return rules.ResultFull
+		return routing.ResultFull
 	case strings.HasPrefix(e.State, classRejected):
-		return rules.ResultRejected
+		return routing.ResultRejected
 	}
-	return rules.ResultError
+	return routing.ResultError
 }
 
 // outcome adds what the host told of itself.
 func (c *Conn) outcome(a *core.Attempt, r *mysqlwire.Result, e *mysqlwire.Error, err error) core.Outcome {
 	o := core.Outcome{Result: result(e, err)}
 	if err == nil && e != nil && r != nil { // whatever the code says
-		o.Result = rules.ResultError
+		o.Result = routing.ResultError
 	}
-	if o.Result != rules.ResultOK {
+	if o.Result != routing.ResultOK {
 		return o
 	}
 	var n backend.Note
--- a/internal/backend/note.go
+++ b/internal/backend/note.go
@@ -6,15 +6,15 @@
 	"strings"
 	"time"
 
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // Note is what a database host tells of itself beside an answer: in ParameterStatus messages, in tracked session
 // variables, or as a probe's row.
 type Note struct {
-	Role     rules.Role
+	Role     routing.Role
 	Position int64 // Unix time in milliseconds, 0 if not told
-	Report   rules.Report
+	Report   routing.Report
 }
 
 // ahead is how far a position may lie past this clock: commits are rounded up, and nothing else does. One further
@@ -33,9 +33,9 @@
 	case "replication_role":
 		switch value {
 		case "primary":
-			n.Role = rules.RolePrimary
+			n.Role = routing.RolePrimary
 		case "standby":
-			n.Role = rules.RoleReplica
+			n.Role = routing.RoleReplica
 		}
 	case "log_position":
 		if ms, err := strconv.ParseInt(value, 10, 64); err == nil {
@@ -69,7 +69,7 @@
 // report takes a load report, whole or not at all: where one field can't be read the others are not to be trusted.
 // Positions there are in seconds and are rounded down: a member must not seem further ahead than it is.
 func (n *Note) report(pairs []string) {
-	r, ok := rules.Report{}, true
+	r, ok := routing.Report{}, true
 	for _, pair := range pairs {
 		name, value, found := strings.Cut(pair, "=")
 		x, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
@@ -81,8 +81,8 @@
 			r.Position, r.HasPosition = position(x * 1000)
 			ok = ok && r.HasPosition
 		case "x1":
-			if r.Role = rules.RoleReplica; x == 1 {
-				r.Role = rules.RolePrimary
+			if r.Role = routing.RoleReplica; x == 1 {
+				r.Role = routing.RolePrimary
 			}
 			ok = ok && (x == 0 || x == 1)
 		}
--- a/internal/backend/note_test.go
+++ b/internal/backend/note_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // TestReportsAreTakenWholeOrNot guards the module against load reports and positions that went bad on the way: one
@@ -13,7 +13,7 @@
 func TestReportsAreTakenWholeOrNot(t *testing.T) {
 	now := time.Now().UnixMilli()
 	good := fmt.Sprintf("x0=%d.250,x1=1,util=0.5,queue=3", now/1000-2)
-	want := rules.Report{HasPosition: true, Position: (now/1000-2)*1000 + 250, Role: rules.RolePrimary}
+	want := routing.Report{HasPosition: true, Position: (now/1000-2)*1000 + 250, Role: routing.RolePrimary}
 	for text, ok := range map[string]bool{
 		good: true, good + ",late=x": false, good + ",": false, good[:len(good)-1]: false, "x" + good: false,
 		fmt.Sprintf("x0=%d,x1=1", now/1000+60): false, "x0=-5,x1=1": false, "x0=NaN,x1=1": false, "x0=1e300,x1=1": false,
@@ -26,14 +26,14 @@
 			var n Note
 			if set(&n); ok && n.Report != want || !ok && n.Report.Position > now {
 				t.Errorf("%q: %+v", text, n.Report)
-			} else if !ok && text != "x"+good && n.Report != (rules.Report{}) {
+			} else if !ok && text != "x"+good && n.Report != (routing.Report{}) {
 				t.Errorf("%q enters: %+v", text, n.Report)
 			}
 		}
 	}
 	var n Note
 	n.Row([]string{"x0", "x1"}, [][]byte{[]byte(fmt.Sprint(now/1000 - 2)), []byte("0")})
-	if n.Report.Role != rules.RoleReplica || n.Report.Position != (now/1000-2)*1000 {
+	if n.Report.Role != routing.RoleReplica || n.Report.Position != (now/1000-2)*1000 {
 		t.Errorf("a column a field: %+v", n.Report)
 	}
 	for value, ok := range map[string]bool{fmt.Sprint(now): true, fmt.Sprint(now + 60000): false, "-4": false, "17x": false} {
--- a/internal/backend/postgres/postgres.go
+++ b/internal/backend/postgres/postgres.go
@@ -15,7 +15,7 @@
 	"cranegate/internal/framebuf"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/sqlcomment"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // The codes that settle an outcome; every other one may have run.
@@ -92,7 +92,7 @@
 		c.out = nil
 	}
 	if err != nil && !whole {
-		return core.Outcome{Result: rules.ResultConnectFailed}, false
+		return core.Outcome{Result: routing.ResultConnectFailed}, false
 	}
 	r := reply{probe: a.Request == nil}
 	defer r.close()
@@ -120,9 +120,9 @@
 				return r.outcome(a), false // a fatal error needs no Ready
 			}
 			if backend.Spoilt(err, pgwire.ErrMalformed) {
-				return core.Outcome{Result: rules.ResultSpoilt}, false
+				return core.Outcome{Result: routing.ResultSpoilt}, false
 			}
-			return core.Outcome{Result: rules.ResultReset}, false
+			return core.Outcome{Result: routing.ResultReset}, false
 		}
 	}
 	return r.outcome(a), stop() && c.Buffered() == 0
@@ -236,21 +236,21 @@
 	o := core.Outcome{Role: r.note.Role, Position: r.note.Position, Report: r.note.Report}
 	switch {
 	case r.began:
-		o.Result = rules.ResultError
+		o.Result = routing.ResultError
 	case r.code == codeReadOnly, r.code == codeBehind:
-		o.Result = rules.ResultMiss
+		o.Result = routing.ResultMiss
 	case r.code == codeTurnedAway, r.code == codeNotNow && a.Request == nil:
-		o.Result = rules.ResultFull
+		o.Result = routing.ResultFull
 	case strings.HasPrefix(r.code, classRejected), r.code == codeProtocol:
-		o.Result = rules.ResultRejected
+		o.Result = routing.ResultRejected
 	case r.code != "":
-		o.Result = rules.ResultError
+		o.Result = routing.ResultError
 	case r.complete && r.rows == 1:
-		o.Result, o.Value = rules.ResultOK, r.value
+		o.Result, o.Value = routing.ResultOK, r.value
 	case r.complete:
-		o.Result = rules.ResultError // no row is no answer, though it ran
+		o.Result = routing.ResultError // no row is no answer, though it ran
 	default:
-		o.Result = rules.ResultReset
+		o.Result = routing.ResultReset
 	}
 	return o
 }
--- a/internal/backend/postgres/stream.go
+++ b/internal/backend/postgres/stream.go
@@ -12,7 +12,7 @@
 
 	"cranegate/internal/core"
 	"cranegate/internal/pgwire"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 const (
@@ -144,12 +144,12 @@
 
 // cut is the outcome of an attempt whose answer did not pass whole.
 func (r *reply) cut(err error) core.Outcome {
-	o := core.Outcome{Role: r.note.Role, Position: r.note.Position, Report: r.note.Report, Result: rules.ResultReset}
+	o := core.Outcome{Role: r.note.Role, Position: r.note.Position, Report: r.note.Report, Result: routing.ResultReset}
 	switch {
 	case errors.Is(err, ErrNotTaken) || !errors.Is(err, ErrCut): // it is the client that went
-		o.Result = rules.ResultCancelled
+		o.Result = routing.ResultCancelled
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		o.Result = rules.ResultSpoilt
+		o.Result = routing.ResultSpoilt
 	}
 	return o
 }
--- a/internal/backend/rig_test.go
+++ b/internal/backend/rig_test.go
@@ -20,7 +20,7 @@
 	"cranegate/internal/mysqlwire"
 	"cranegate/internal/pgwire"
 	"cranegate/internal/sqlcomment"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // soon bounds what has to come about, on a busy machine too. Nothing is measured by it.
@@ -70,10 +70,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	pool := backend.New(ctx, opt)
 	// Deadlines are as long as a busy machine may need.
-	c, err := core.New(core.Options{Rules: rules.Config{Gateways: 1, MaxAttempts: 6, Guards: rules.GuardWait, Positions: true,
-		ListRole: rules.ListRoleLate, MayCancel: true, Classes: []rules.Class{
-			{Name: "put", Need: rules.NeedWrite, Aim: soon / 2, Deadline: soon, Worth: 1, Effect: rules.Once},
-			{Name: "brief", Need: rules.NeedWrite, Aim: 300 * time.Millisecond, Deadline: 600 * time.Millisecond, Worth: 1, Effect: rules.Once},
+	c, err := core.New(core.Options{Rules: routing.Config{Gateways: 1, MaxAttempts: 6, Guards: routing.GuardWait, Positions: true,
+		ListRole: routing.ListRoleLate, MayCancel: true, Classes: []routing.Class{
+			{Name: "put", Need: routing.NeedWrite, Aim: soon / 2, Deadline: soon, Worth: 1, Effect: routing.Once},
+			{Name: "brief", Need: routing.NeedWrite, Aim: 300 * time.Millisecond, Deadline: 600 * time.Millisecond, Worth: 1, Effect: routing.Once},
 		}}, Seed: 1, AnswerSlack: 20 * time.Millisecond, ProbeTimeout: time.Second, Counters: r.counters,
 		Monitor: &invariant.Monitor{Counters: r.counters}}, pool)
 	if err != nil {
@@ -97,8 +97,8 @@
 		pool.Wait()
 		all.Wait()
 	})
-	c.Members(core.List{Kind: rules.ListWhole, Hosts: []core.Host{{Address: l.Addr().String(),
-		Entry: rules.Entry{Member: "db-0", Group: 4, Leader: true, Size: 1}}}})
+	c.Members(core.List{Kind: routing.ListWhole, Hosts: []core.Host{{Address: l.Addr().String(),
+		Entry: routing.Entry{Member: "db-0", Group: 4, Leader: true, Size: 1}}}})
 	return r
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,7 +13,7 @@
 
 	"cranegate/internal/discovery"
 	"cranegate/internal/simwire"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 const discoveryVariable = "PROXY_DISCOVERY"
@@ -27,7 +27,7 @@
 
 // Settings are the rules' configuration and what else the settings hold for a gateway on sockets.
 type Settings struct {
-	Rules          rules.Config
+	Rules          routing.Config
 	ConnectTimeout time.Duration
 	IdleClose      time.Duration // database hosts close idle connections after this at the latest
 	AnswerSlack    time.Duration
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"cranegate/internal/simwire"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 func noEnv(string) string { return "" }
@@ -94,7 +94,7 @@
 	if p.Listen != "127.0.0.1:1" || p.Seed != 0x8c1f30d27a5be964 || len(p.Known.Targets) != 3 || p.Limits.Sockets != 1024 {
 		t.Errorf("%+v", p)
 	}
-	if len(c.Classes) != 5 || c.Classes[4].Effect != rules.Once || c.Classes[0].Bound != 3*time.Second || c.Guards != rules.GuardWait {
+	if len(c.Classes) != 5 || c.Classes[4].Effect != routing.Once || c.Classes[0].Bound != 3*time.Second || c.Guards != routing.GuardWait {
 		t.Errorf("%+v", c)
 	}
 	if p.Settings.IdleClose != 30*time.Second || p.Settings.ConnectTimeout != 250*time.Millisecond {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cranegate/internal/logging"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // attemptState is where an attempt stands. Whether it was written settles whether it may have run.
@@ -28,8 +28,8 @@
 type Attempt struct {
 	Request *Request
 	Member  string
-	Until   time.Time  // when the gateway stops waiting for it
-	By      rules.Conn // the connection that a probe goes by
+	Until   time.Time    // when the gateway stops waiting for it
+	By      routing.Conn // the connection that a probe goes by
 
 	core   *Core
 	number int
@@ -47,12 +47,12 @@
 
 // Outcome is how an attempt ended, as the host's connection saw it.
 type Outcome struct {
-	Result   rules.Result
+	Result   routing.Result
 	Value    any       // ResultOK: what the host gave
 	Opened   time.Time // when the connection came up; zero if none did
-	Role     rules.Role
+	Role     routing.Role
 	Position int64 // Unix time in milliseconds, 0 if not told
-	Report   rules.Report
+	Report   routing.Report
 }
 
 // Context ends when the attempt is given up: its connection must then close.
@@ -93,7 +93,7 @@
 // within gives an attempt the time before which it has to begin.
 func (a *Attempt) within(latest time.Duration) {
 	a.latest = latest
-	a.unbegun = a.core.timers.add(latest, func() { a.neverBegins(rules.ResultMoot, "past_latest") })
+	a.unbegun = a.core.timers.add(latest, func() { a.neverBegins(routing.ResultMoot, "past_latest") })
 }
 
 // neverBegan ends the wait of an attempt, and says whether no byte of it has been or will be written.
@@ -139,7 +139,7 @@
 func (c *Core) attempt(q *Request, member string, until time.Duration) *Attempt {
 	a := &Attempt{Request: q, Member: member, Until: c.clock.time(until), core: c, sentAt: c.now}
 	a.ctx, a.cancel = context.WithCancel(c.ctx)
-	a.timeout = c.timers.add(until, func() { a.abandon(rules.ResultTimeout) })
+	a.timeout = c.timers.add(until, func() { a.abandon(routing.ResultTimeout) })
 	return a
 }
 
@@ -148,24 +148,24 @@
 	list := slices.DeleteFunc(c.waiting[a.Member], func(x *Attempt) bool { return x.closed || !x.Waiting() })
 	c.waiting[a.Member] = append(list, a)
 	if !c.servers.Start(a) {
-		a.neverBegins(rules.ResultConnectFailed, "host_declined")
+		a.neverBegins(routing.ResultConnectFailed, "host_declined")
 	}
 }
 
 // neverBegins ends an attempt that waits for a connection; it does nothing to one that was written.
-func (a *Attempt) neverBegins(result rules.Result, why string) {
+func (a *Attempt) neverBegins(result routing.Result, why string) {
 	if !a.closed && a.neverBegan(why) {
 		a.finish(Outcome{Result: result})
 	}
 }
 
 // abandon gives an attempt up. One without a byte written has never run, and the module learns just that.
-func (a *Attempt) abandon(result rules.Result) {
+func (a *Attempt) abandon(result routing.Result) {
 	if a.closed {
 		return
 	}
 	if a.neverBegan(resultNames[result]) {
-		result = rules.ResultMoot
+		result = routing.ResultMoot
 	}
 	a.finish(Outcome{Result: result})
 }
@@ -175,7 +175,7 @@
 // its connection says, which may come before the timer's word.
 func (a *Attempt) settle(o Outcome) {
 	if a.current() == stateUnsent {
-		o = Outcome{Result: rules.ResultMoot}
+		o = Outcome{Result: routing.ResultMoot}
 	}
 	if !a.closed && a.current() == stateWaiting && a.Request.hasLeft() {
 		a.core.gone(a.Request)
@@ -196,7 +196,7 @@
 	}
 	c.ended = append(c.ended, func() {
 		if a.Request == nil {
-			c.router.Probed(c.now, rules.ProbeResult{Member: a.Member, Result: o.Result, Took: c.now - a.sentAt,
+			c.router.Probed(c.now, routing.ProbeResult{Member: a.Member, Result: o.Result, Took: c.now - a.sentAt,
 				Report: o.Report, Opened: c.opened(o)})
 			return
 		}
@@ -208,14 +208,14 @@
 			slog.Debug("attempt_ended", "id", q.ID, "attempt", a.number, "host", a.Member, "result", resultNames[o.Result],
 				"took", c.now-a.sentAt)
 		}
-		if o.Result == rules.ResultOK {
+		if o.Result == routing.ResultOK {
 			c.answer(q, Answer{Status: Served, Value: o.Value})
 		}
 		took := c.now - a.sentAt
 		if a.first > 0 {
 			took = a.first
 		}
-		c.router.Outcome(c.now, rules.Outcome{Request: q.id, Attempt: a.number, Member: a.Member, Result: o.Result,
+		c.router.Outcome(c.now, routing.Outcome{Request: q.id, Attempt: a.number, Member: a.Member, Result: o.Result,
 			Took: took, Closed: q.ended, Role: o.Role, Position: o.Position, Report: o.Report,
 			Opened: c.opened(o)})
 		c.forget(q)
@@ -231,9 +231,9 @@
 }
 
 // resultNames are the counters of outcomes.
-var resultNames = map[rules.Result]string{rules.ResultOK: "attempts_ok", rules.ResultError: "attempts_error",
-	rules.ResultFull: "attempts_turned_away", rules.ResultTimeout: "attempts_timed_out",
-	rules.ResultConnectFailed: "attempts_not_connected", rules.ResultReset: "attempts_reset",
-	rules.ResultCancelled: "attempts_cancelled", rules.ResultMoot: "attempts_never_sent",
-	rules.ResultMiss: "attempts_missed", rules.ResultRejected: "attempts_rejected",
-	rules.ResultSpoilt: "attempts_spoilt"}
+var resultNames = map[routing.Result]string{routing.ResultOK: "attempts_ok", routing.ResultError: "attempts_error",
+	routing.ResultFull: "attempts_turned_away", routing.ResultTimeout: "attempts_timed_out",
+	routing.ResultConnectFailed: "attempts_not_connected", routing.ResultReset: "attempts_reset",
+	routing.ResultCancelled: "attempts_cancelled", routing.ResultMoot: "attempts_never_sent",
+	routing.ResultMiss: "attempts_missed", routing.ResultRejected: "attempts_rejected",
+	routing.ResultSpoilt: "attempts_spoilt"}
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"cranegate/internal/zones"
-	"cranegate/rules"
+	"cranegate/routing"
 	"errors"
 	"log/slog"
 	"time"
@@ -27,10 +27,10 @@
 func (c *Core) Hand(ctx context.Context, id string, way Hand) error {
 	var failed error
 	err := c.ask(ctx, func() {
-		act := []func(time.Duration, string) ([]rules.Entry, error){c.hands.Detach, c.hands.Hold, c.hands.Attach}[way]
-		var entries []rules.Entry
+		act := []func(time.Duration, string) ([]routing.Entry, error){c.hands.Detach, c.hands.Hold, c.hands.Attach}[way]
+		var entries []routing.Entry
 		if entries, failed = act(c.now, id); len(entries) > 0 {
-			c.entries(rules.MemberList{Kind: rules.ListPatch, Entries: entries})
+			c.entries(routing.MemberList{Kind: routing.ListPatch, Entries: entries})
 		}
 	})
 	if err != nil {
@@ -84,16 +84,16 @@
 
 // Learned is what the module has learned so far, and Learn hands that to the module of a process that follows; after the
 // first list.
-func (c *Core) Learned(ctx context.Context) (rules.Learned, error) {
-	var l rules.Learned
+func (c *Core) Learned(ctx context.Context) (routing.Learned, error) {
+	var l routing.Learned
 	if err := c.ask(ctx, func() { l = c.router.Learned() }); err != nil {
-		return rules.Learned{}, err
+		return routing.Learned{}, err
 	}
 	return l, nil
 }
 
 // Learn is described at Learned.
-func (c *Core) Learn(l rules.Learned) { c.post(func() { c.router.Learn(l) }) }
+func (c *Core) Learn(l routing.Learned) { c.post(func() { c.router.Learn(l) }) }
 
 // Started hands in what another process knew of members' starts. It comes before the first list.
 func (c *Core) Started(ctx context.Context, starts map[string]time.Time) error {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -16,18 +16,18 @@
 	"cranegate/internal/logging"
 	"cranegate/internal/metrics"
 	"cranegate/internal/override"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // Host is a database host as discovery lists it.
 type Host struct {
 	Address string
-	Entry   rules.Entry
+	Entry   routing.Entry
 }
 
 // List is news of the hosts.
 type List struct {
-	Kind  rules.ListKind
+	Kind  routing.ListKind
 	Hosts []Host
 }
 
@@ -43,7 +43,7 @@
 
 // Options are what the core needs beside the module's own configuration.
 type Options struct {
-	Rules        rules.Config
+	Rules        routing.Config
 	Seed         uint64
 	AnswerSlack  time.Duration // a final answer may come this much after the client's deadline
 	ProbeTimeout time.Duration
@@ -60,7 +60,7 @@
 	classes  map[string]int
 	mailbox  chan func()
 	servers  Servers
-	router   *rules.Router
+	router   *routing.Router
 	clock    clock
 	now      time.Duration
 	timers   timers
@@ -87,7 +87,7 @@
 	}
 	c.now = c.clock.now()
 	var err error
-	c.router, err = rules.New(c.now, opt.Rules, opt.Seed, (*gateway)(c))
+	c.router, err = routing.New(c.now, opt.Rules, opt.Seed, (*gateway)(c))
 	return c, err
 }
 
@@ -197,7 +197,7 @@
 	arrived := min(c.now, c.clock.at(q.Arrived))
 	q.Wait = c.Wait(q)
 	q.deadline = arrived + q.Wait
-	in := rules.Request{ID: q.id, Class: class, Tenant: -1, Session: q.Session, Group: q.Group, Repeat: q.Repeat,
+	in := routing.Request{ID: q.id, Class: class, Tenant: -1, Session: q.Session, Group: q.Group, Repeat: q.Repeat,
 		Remaining: q.deadline - c.now}
 	if q.After > 0 {
 		// A commit is rounded up and may lie a little ahead of this clock; zero would mean that there is none.
@@ -236,12 +236,12 @@
 // never ran: that guards against a send after a drain was told.
 func (c *Core) members(l List) {
 	c.servers.Update(l)
-	m := rules.MemberList{Kind: l.Kind}
+	m := routing.MemberList{Kind: l.Kind}
 	for _, h := range l.Hosts {
 		m.Entries = append(m.Entries, h.Entry)
 	}
 	c.entries(c.hands.Take(c.now, m))
-	if l.Kind != rules.ListBroken {
+	if l.Kind != routing.ListBroken {
 		select {
 		case <-c.ready:
 		default:
@@ -251,20 +251,20 @@
 }
 
 // entries hands the module what it has to hold of the members.
-func (c *Core) entries(m rules.MemberList) {
+func (c *Core) entries(m routing.MemberList) {
 	stays := map[string]bool{}
 	for _, e := range m.Entries {
-		stays[e.Member] = e.Phase == rules.PhaseOn
+		stays[e.Member] = e.Phase == routing.PhaseOn
 	}
 	c.notices.take(c.now, m, c.opt.Rules.OnlyDrainingBinds)
 	c.router.Members(c.now, m)
 	for member, attempts := range c.waiting {
 		on, listed := stays[member]
-		if on || !listed && m.Kind == rules.ListPatch {
+		if on || !listed && m.Kind == routing.ListPatch {
 			continue
 		}
 		for _, a := range attempts {
-			a.neverBegins(rules.ResultMoot, "host_withdrawn")
+			a.neverBegins(routing.ResultMoot, "host_withdrawn")
 		}
 		delete(c.waiting, member) // its id may never come again
 	}
@@ -286,7 +286,7 @@
 }
 
 // unserved gives a final answer that is no service, and counts why.
-func (c *Core) unserved(q *Request, a Answer, why rules.Reason) {
+func (c *Core) unserved(q *Request, a Answer, why routing.Reason) {
 	if q.ended {
 		return
 	}
@@ -302,7 +302,7 @@
 	q.ended = true
 	q.overdue.cancel()
 	for _, a := range q.out {
-		a.neverBegins(rules.ResultMoot, "request_ended")
+		a.neverBegins(routing.ResultMoot, "request_ended")
 	}
 	c.forget(q)
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cranegate/internal/metrics"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // fakeServers notes attempts and answers probes; what else it does is up to take.
@@ -23,11 +23,11 @@
 func (s *fakeServers) CloseIdle(string) {}
 func (s *fakeServers) Start(a *Attempt) bool {
 	if a.Request == nil { // db-0 is the primary, db-1 trails by 400 ms
-		r := rules.Report{HasPosition: true, Position: time.Now().UnixMilli(), Role: rules.RolePrimary}
+		r := routing.Report{HasPosition: true, Position: time.Now().UnixMilli(), Role: routing.RolePrimary}
 		if a.Member == "db-1" {
-			r.Position, r.Role = r.Position-400, rules.RoleReplica
+			r.Position, r.Role = r.Position-400, routing.RoleReplica
 		}
-		go func() { a.Begin(); a.Done(Outcome{Result: rules.ResultOK, Report: r}) }()
+		go func() { a.Begin(); a.Done(Outcome{Result: routing.ResultOK, Report: r}) }()
 		return true
 	}
 	s.mu.Lock()
@@ -39,11 +39,11 @@
 // play runs one request against a core whose attempts are taken as given.
 func play(t *testing.T, q *Request, take func(*Attempt) bool) (answers []Answer, sent []string, took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := rules.Config{Gateways: 1, MaxAttempts: 6, Positions: true, ListRole: rules.ListRoleLate, MayProbe: true,
-			MayCancel: true, MayDuplicate: true, Classes: []rules.Class{
-				{Name: "own", Need: rules.NeedSession, Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1},
-				{Name: "put", Need: rules.NeedWrite, Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1,
-					LateWorth: 0.5, Effect: rules.Once}}}
+		cfg := routing.Config{Gateways: 1, MaxAttempts: 6, Positions: true, ListRole: routing.ListRoleLate, MayProbe: true,
+			MayCancel: true, MayDuplicate: true, Classes: []routing.Class{
+				{Name: "own", Need: routing.NeedSession, Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1},
+				{Name: "put", Need: routing.NeedWrite, Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1,
+					LateWorth: 0.5, Effect: routing.Once}}}
 		s := &fakeServers{take: take}
 		c, err := New(Options{Rules: cfg, Seed: 1, AnswerSlack: 20 * time.Millisecond, ProbeTimeout: 250 * time.Millisecond,
 			Counters: &metrics.Counters{}}, s)
@@ -52,8 +52,8 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go c.Run(ctx)
-		c.Members(List{Kind: rules.ListWhole, Hosts: []Host{{Entry: rules.Entry{Member: "db-0", Leader: true, Size: 1}},
-			{Entry: rules.Entry{Member: "db-1", Size: 1}}}})
+		c.Members(List{Kind: routing.ListWhole, Hosts: []Host{{Entry: routing.Entry{Member: "db-0", Leader: true, Size: 1}},
+			{Entry: routing.Entry{Member: "db-1", Size: 1}}}})
 		time.Sleep(50 * time.Millisecond)
 		start := time.Now()
 		q.Arrived = start
@@ -89,8 +89,8 @@
 func serve(a *Attempt) bool {
 	go func() {
 		if a.Begin() {
-			a.Done(Outcome{Result: rules.ResultOK, Value: "v"})
-			a.Done(Outcome{Result: rules.ResultError}) // a second outcome counts for nothing
+			a.Done(Outcome{Result: routing.ResultOK, Value: "v"})
+			a.Done(Outcome{Result: routing.ResultError}) // a second outcome counts for nothing
 		}
 	}()
 	return true
@@ -118,7 +118,7 @@
 		"never connects":          {func(*Attempt) bool { return true }, Refused},
 		"begins and stays silent": {func(a *Attempt) bool { return a.Begin() }, Failed},
 		"breaks": {func(a *Attempt) bool {
-			go func() { a.Begin(); a.Done(Outcome{Result: rules.ResultReset}) }()
+			go func() { a.Begin(); a.Done(Outcome{Result: routing.ResultReset}) }()
 			return true
 		}, Failed},
 	} {
@@ -136,7 +136,7 @@
 		t.Errorf("a group without members: %+v from %v", answers, sent)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		c, err := New(Options{Rules: rules.Config{Gateways: 1, MaxAttempts: 6, MayProbe: true, Classes: []rules.Class{
+		c, err := New(Options{Rules: routing.Config{Gateways: 1, MaxAttempts: 6, MayProbe: true, Classes: []routing.Class{
 			{Name: "any", Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1}}}, ProbeTimeout: 250 * time.Millisecond},
 			&fakeServers{take: serve})
 		if err != nil {
@@ -145,7 +145,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		go c.Run(ctx)
 		for i := range 50 { // hosts are replaced one after the other, under new ids
-			c.Members(List{Kind: rules.ListWhole, Hosts: []Host{{Entry: rules.Entry{Member: fmt.Sprint("db-", i), Size: 1}}}})
+			c.Members(List{Kind: routing.ListWhole, Hosts: []Host{{Entry: routing.Entry{Member: fmt.Sprint("db-", i), Size: 1}}}})
 			time.Sleep(time.Second)
 			c.Submit(&Request{Class: "any", Arrived: time.Now(), Reply: func(Answer) {}})
 			time.Sleep(time.Second)
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -2,7 +2,7 @@
 
 import (
 	"cranegate/internal/zones"
-	"cranegate/rules"
+	"cranegate/routing"
 	"log/slog"
 	"time"
 )
@@ -31,7 +31,7 @@
 	q.out = append(q.out, a)
 	c.opt.Counters.Add("attempts", 1)
 	if q.ended || a.number >= c.opt.Rules.MaxAttempts || abandonAt <= c.now {
-		a.neverBegins(rules.ResultMoot, "not_started")
+		a.neverBegins(routing.ResultMoot, "not_started")
 		return
 	}
 	c.checkStart(member)
@@ -43,21 +43,21 @@
 	if q := g.requests[id]; q != nil {
 		for _, a := range q.out {
 			if a.number == number {
-				a.abandon(rules.ResultCancelled)
+				a.abandon(routing.ResultCancelled)
 			}
 		}
 	}
 }
 
 // Refuse gives a final answer that promises that nothing ran.
-func (g *gateway) Refuse(id uint64, comeBack time.Duration, why rules.Reason) {
+func (g *gateway) Refuse(id uint64, comeBack time.Duration, why routing.Reason) {
 	if q := g.requests[id]; q != nil {
 		(*Core)(g).unserved(q, Answer{Status: Refused, ComeBack: comeBack}, why)
 	}
 }
 
 // Fail gives a final answer that promises nothing.
-func (g *gateway) Fail(id uint64, why rules.Reason) {
+func (g *gateway) Fail(id uint64, why routing.Reason) {
 	if q := g.requests[id]; q != nil {
 		(*Core)(g).unserved(q, Answer{Status: Failed}, why)
 	}
@@ -67,7 +67,7 @@
 func (g *gateway) Close(member string) { g.servers.CloseIdle(member) }
 
 // Probe examines a member.
-func (g *gateway) Probe(member string, by rules.Conn) {
+func (g *gateway) Probe(member string, by routing.Conn) {
 	c := (*Core)(g)
 	c.opt.Counters.Add("probes", 1)
 	a := c.attempt(nil, member, c.now+c.opt.ProbeTimeout)
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"cranegate/internal/metrics"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // TestNothingBeginsOnceTheClientHasGone stops attempts right before their first byte, keeps the module's actor busy and its
@@ -19,15 +19,15 @@
 		var stopped []*Attempt // right before Begin
 		s := &fakeServers{take: func(a *Attempt) bool { stopped = append(stopped, a); return true }}
 		counters := &metrics.Counters{}
-		c, err := New(Options{Rules: rules.Config{Gateways: 1, MaxAttempts: 6, MayCancel: true, MayDuplicate: true,
-			Classes: []rules.Class{{Name: "any", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1}}},
+		c, err := New(Options{Rules: routing.Config{Gateways: 1, MaxAttempts: 6, MayCancel: true, MayDuplicate: true,
+			Classes: []routing.Class{{Name: "any", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1}}},
 			Counters: counters, ProbeTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond}, s)
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go c.Run(ctx)
-		c.Members(List{Kind: rules.ListWhole, Hosts: []Host{{Entry: rules.Entry{Member: "db-0", Leader: true, Size: 100}}}})
+		c.Members(List{Kind: routing.ListWhole, Hosts: []Host{{Entry: routing.Entry{Member: "db-0", Leader: true, Size: 100}}}})
 		request := func() *Request {
 			return &Request{Class: "any", Arrived: time.Now(), Reply: func(a Answer) { t.Errorf("answered: %+v", a) }}
 		}
@@ -101,7 +101,7 @@
 		a := <-started
 		a.Begin()
 		time.Sleep(5 * time.Millisecond)
-		a.Done(Outcome{Result: rules.ResultOK})
+		a.Done(Outcome{Result: routing.ResultOK})
 		synctest.Wait()
 	}
 }
@@ -110,18 +110,18 @@
 // attempt out that ends in each way, or is about to get a second copy, with the module's own rules: nothing more is sent,
 // and nothing is kept.
 func TestNothingFollowsAClose(t *testing.T) {
-	end := func(r rules.Result) func(*Attempt) { return func(a *Attempt) { a.Done(Outcome{Result: r}) } }
+	end := func(r routing.Result) func(*Attempt) { return func(a *Attempt) { a.Done(Outcome{Result: r}) } }
 	for name, x := range map[string]struct {
 		class  string
 		before func(*Attempt) // what the first attempt does, then the client leaves; nil: there is none
 		after  func(*Attempt) // what it does then
 	}{
 		"held":          {class: "any"},
-		"paused":        {class: "put", before: end(rules.ResultFull)},
-		"reset":         {class: "any", after: end(rules.ResultReset)},
-		"turned away":   {class: "any", after: end(rules.ResultFull)},
-		"missed":        {class: "any", after: end(rules.ResultMiss)},
-		"not connected": {class: "any", after: end(rules.ResultConnectFailed)},
+		"paused":        {class: "put", before: end(routing.ResultFull)},
+		"reset":         {class: "any", after: end(routing.ResultReset)},
+		"turned away":   {class: "any", after: end(routing.ResultFull)},
+		"missed":        {class: "any", after: end(routing.ResultMiss)},
+		"not connected": {class: "any", after: end(routing.ResultConnectFailed)},
 		"silent":        {class: "any", after: func(*Attempt) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -129,17 +129,17 @@
 				started := make(chan *Attempt, 100)
 				s := &fakeServers{take: func(a *Attempt) bool { started <- a; return true }}
 				counters := &metrics.Counters{}
-				c, err := New(Options{Rules: rules.Config{Gateways: 1, MaxAttempts: 6, MayCancel: true, MayDuplicate: true,
-					Classes: []rules.Class{{Name: "any", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1},
-						{Name: "put", Need: rules.NeedWrite, Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1, LateWorth: 0.5}}},
+				c, err := New(Options{Rules: routing.Config{Gateways: 1, MaxAttempts: 6, MayCancel: true, MayDuplicate: true,
+					Classes: []routing.Class{{Name: "any", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1},
+						{Name: "put", Need: routing.NeedWrite, Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1, LateWorth: 0.5}}},
 					Counters: counters, ProbeTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond}, s)
 				if err != nil {
 					t.Fatal(err)
 				}
 				ctx, cancel := context.WithCancel(context.Background())
 				go c.Run(ctx)
-				hosts := List{Kind: rules.ListWhole, Hosts: []Host{{Entry: rules.Entry{Member: "db-0", Leader: true, Size: 9}},
-					{Entry: rules.Entry{Member: "db-1", Size: 9}}}}
+				hosts := List{Kind: routing.ListWhole, Hosts: []Host{{Entry: routing.Entry{Member: "db-0", Leader: true, Size: 9}},
+					{Entry: routing.Entry{Member: "db-1", Size: 9}}}}
 				if name != "held" {
 					c.Members(hosts)
 					earn(c, x.class, started)
@@ -191,16 +191,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		started := make(chan *Attempt, 100)
 		s := &fakeServers{take: func(a *Attempt) bool { started <- a; return true }}
-		c, err := New(Options{Rules: rules.Config{Gateways: 1, MaxAttempts: 6, MayCancel: true, MayDuplicate: true,
-			Classes: []rules.Class{{Name: "any", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1}}},
+		c, err := New(Options{Rules: routing.Config{Gateways: 1, MaxAttempts: 6, MayCancel: true, MayDuplicate: true,
+			Classes: []routing.Class{{Name: "any", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1}}},
 			Counters: &metrics.Counters{}, ProbeTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond}, s)
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go c.Run(ctx)
-		c.Members(List{Kind: rules.ListWhole, Hosts: []Host{{Entry: rules.Entry{Member: "db-0", Leader: true, Size: 9}},
-			{Entry: rules.Entry{Member: "db-1", Size: 9}}}})
+		c.Members(List{Kind: routing.ListWhole, Hosts: []Host{{Entry: routing.Entry{Member: "db-0", Leader: true, Size: 9}},
+			{Entry: routing.Entry{Member: "db-1", Size: 9}}}})
 		earn(c, "any", started)
 		answers := make(chan Answer, 2)
 		c.Submit(&Request{Class: "any", Arrived: time.Now(), Reply: func(a Answer) { answers <- a }})
@@ -213,7 +213,7 @@
 		if second.Begin() {
 			t.Error("a copy begins beside it")
 		}
-		first.Done(Outcome{Result: rules.ResultCancelled}) // the client left in mid-value
+		first.Done(Outcome{Result: routing.ResultCancelled}) // the client left in mid-value
 		time.Sleep(5 * time.Second)
 		cancel()
 		synctest.Wait()
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"cranegate/internal/invariant"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // notices records, for the guard on sends alone, which hosts may get nothing new and since when. Its zero value knows of none.
@@ -24,8 +24,8 @@
 const forgottenAfter = time.Minute
 
 // take notes news of the list as the module is told of it. Where only draining binds, a host that is gone may still be used.
-func (n *notices) take(now time.Duration, l rules.MemberList, onlyDraining bool) {
-	if l.Kind == rules.ListBroken {
+func (n *notices) take(now time.Duration, l routing.MemberList, onlyDraining bool) {
+	if l.Kind == routing.ListBroken {
 		return
 	}
 	n.mu.Lock()
@@ -36,10 +36,10 @@
 	named := map[string]bool{}
 	for _, e := range l.Entries {
 		named[e.Member] = true
-		n.note(now, e.Member, e.Phase == rules.PhaseOn || e.Phase == rules.PhaseOff && onlyDraining, e.Phase != rules.PhaseOff)
+		n.note(now, e.Member, e.Phase == routing.PhaseOn || e.Phase == routing.PhaseOff && onlyDraining, e.Phase != routing.PhaseOff)
 	}
 	for member, x := range n.hosts {
-		if !named[member] && l.Kind != rules.ListPatch && x.listed {
+		if !named[member] && l.Kind != routing.ListPatch && x.listed {
 			n.note(now, member, onlyDraining && x.withdrawn == 0, false)
 		} else if !x.listed && now-x.withdrawn > forgottenAfter {
 			delete(n.hosts, member)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -2,7 +2,7 @@
 
 import (
 	"cranegate/internal/invariant"
-	"cranegate/rules"
+	"cranegate/routing"
 	"sync/atomic"
 	"time"
 )
@@ -50,7 +50,7 @@
 	answered atomic.Bool  // its final answer has been handed to the client; owned by the guards
 	ledger   invariant.Ledger
 	id       uint64
-	class    *rules.Class
+	class    *routing.Class
 	deadline time.Duration
 	ended    bool
 	sent     int
@@ -85,4 +85,4 @@
 }
 
 // Effect says what a repeat of the request does; known once the request is submitted.
-func (q *Request) Effect() rules.Effect { return q.class.Effect }
+func (q *Request) Effect() routing.Effect { return q.class.Effect }
--- a/internal/core/window_test.go
+++ b/internal/core/window_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cranegate/internal/metrics"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // TestNoRepeatBeginsPastItsWindow has the first attempt of a keyed write reset, and its repeat wait for a connection that
@@ -42,7 +42,7 @@
 							a.core.post(func() { time.Sleep(c.busy) })
 						}()
 					}
-					go func() { a.Begin(); time.Sleep(20 * time.Millisecond); a.Done(Outcome{Result: rules.ResultReset}) }()
+					go func() { a.Begin(); time.Sleep(20 * time.Millisecond); a.Done(Outcome{Result: routing.ResultReset}) }()
 					return true
 				}
 				go func() {
@@ -61,15 +61,15 @@
 					begun = append(begun, ok)
 					mu.Unlock()
 					if ok {
-						a.Done(Outcome{Result: rules.ResultOK, Value: "v"})
+						a.Done(Outcome{Result: routing.ResultOK, Value: "v"})
 					} else {
 						a.Done(Outcome{}) // as a connection does whose attempt says no
 					}
 				}()
 				return true
 			}}
-			cfg := rules.Config{Gateways: 1, MaxAttempts: 2, Positions: true, MayProbe: true, MayCancel: true, Classes: []rules.Class{
-				{Name: "put", Need: rules.NeedWrite, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: rules.Keyed, KeyTTL: window}}}
+			cfg := routing.Config{Gateways: 1, MaxAttempts: 2, Positions: true, MayProbe: true, MayCancel: true, Classes: []routing.Class{
+				{Name: "put", Need: routing.NeedWrite, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: routing.Keyed, KeyTTL: window}}}
 			counters := &metrics.Counters{}
 			k, err := New(Options{Rules: cfg, Seed: 1, AnswerSlack: 20 * time.Millisecond, ProbeTimeout: 250 * time.Millisecond,
 				Counters: counters}, s)
@@ -78,7 +78,7 @@
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			go k.Run(ctx)
-			k.Members(List{Kind: rules.ListWhole, Hosts: []Host{{Entry: rules.Entry{Member: "db-0", Size: 1}}}})
+			k.Members(List{Kind: routing.ListWhole, Hosts: []Host{{Entry: routing.Entry{Member: "db-0", Size: 1}}}})
 			time.Sleep(50 * time.Millisecond)
 			k.Submit(&Request{Class: "put", Arrived: time.Now(), Reply: func(a Answer) { answers = append(answers, a) }})
 			time.Sleep(5 * time.Second)
--- a/internal/discovery/caps_test.go
+++ b/internal/discovery/caps_test.go
@@ -11,7 +11,7 @@
 	"cranegate/internal/backoff"
 	"cranegate/internal/core"
 	"cranegate/internal/metrics"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // many is a list of so many hosts whose ids and endpoints are as long as any may be: 256 bytes that JSON writes as six each
@@ -51,7 +51,7 @@
 					}, len(whole)/4, 100*time.Millisecond)
 					err := w.follow(t.Context(), "agent:1", true)
 					time.Sleep(10 * time.Second) // the agent sees the end
-					if told.Kind != rules.ListWhole || len(told.Hosts) != n || len(w.Held().Targets) != n || w.Held().Rev != 7 {
+					if told.Kind != routing.ListWhole || len(told.Hosts) != n || len(w.Held().Targets) != n || w.Held().Rev != 7 {
 						t.Errorf("%d hosts, %s, %s, %d bytes: told of %d, %d held, %v", n, name, form, len(body), len(told.Hosts), len(w.Held().Targets), err)
 					}
 				})
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -19,7 +19,7 @@
 	"cranegate/internal/core"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/metrics"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // A change counts as told 6 s after discovery had it and could be reached, whatever became of the call before. So any two
@@ -57,19 +57,19 @@
 	Replication string  `json:"replication" toml:"replication"`
 }
 
-var phases = map[string]rules.Phase{"SERVING": rules.PhaseOn, "DRAINING": rules.PhaseDraining, "DELETED": rules.PhaseOff}
+var phases = map[string]routing.Phase{"SERVING": routing.PhaseOn, "DRAINING": routing.PhaseDraining, "DELETED": routing.PhaseOff}
 
 // List turns a snapshot into the core's form. An entry with an unknown state is taken as draining: nothing new
 // may be sent where that is in doubt.
-func (s Snapshot) List(kind rules.ListKind) core.List {
+func (s Snapshot) List(kind routing.ListKind) core.List {
 	l := core.List{Kind: kind}
 	for _, t := range s.Targets {
 		phase, ok := phases[t.State]
 		if !ok {
 			slog.Warn("list_state_unknown", "member", t.UID, "state", t.State)
-			phase = rules.PhaseDraining
+			phase = routing.PhaseDraining
 		}
-		l.Hosts = append(l.Hosts, core.Host{Address: t.Endpoint, Entry: rules.Entry{Member: t.UID, Group: t.Group,
+		l.Hosts = append(l.Hosts, core.Host{Address: t.Endpoint, Entry: routing.Entry{Member: t.UID, Group: t.Group,
 			Phase: phase, Zone: t.Zone, Size: t.Capacity, Leader: t.Replication == "primary",
 			StartedAt: time.Duration(t.BootMS) * time.Millisecond}})
 	}
@@ -249,10 +249,10 @@
 		w.keep(s)
 		if w.rev = s.Rev; s.All {
 			w.counters.Add("list_changes", 1)
-			w.tell(s.List(rules.ListWhole))
+			w.tell(s.List(routing.ListWhole))
 		} else if len(s.Targets) > 0 {
 			w.counters.Add("list_changes", 1)
-			w.tell(s.List(rules.ListPatch))
+			w.tell(s.List(routing.ListPatch))
 		}
 		w.pace.Answered()
 		w.counters.Add("list_answers", 1)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -19,7 +19,7 @@
 	"cranegate/internal/core"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/metrics"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // CI's verdict never varies: the seed is fixed. The flags still override it.
@@ -170,8 +170,8 @@
 // TestEntries guards the reading of states: a word that is not known must not be sent anything new.
 func TestEntries(t *testing.T) {
 	l := Snapshot{Targets: []Target{{UID: "a", State: "SERVING", Replication: "primary", BootMS: 1767225600123},
-		{UID: "b", State: "DRAINING"}, {UID: "c", State: "DELETED"}, {UID: "d", State: "RESTING"}}}.List(rules.ListPatch)
-	for i, want := range []rules.Phase{rules.PhaseOn, rules.PhaseDraining, rules.PhaseOff, rules.PhaseDraining} {
+		{UID: "b", State: "DRAINING"}, {UID: "c", State: "DELETED"}, {UID: "d", State: "RESTING"}}}.List(routing.ListPatch)
+	for i, want := range []routing.Phase{routing.PhaseOn, routing.PhaseDraining, routing.PhaseOff, routing.PhaseDraining} {
 		if got := l.Hosts[i].Entry.Phase; got != want {
 			t.Errorf("entry %d: phase %v, want %v", i, got, want)
 		}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"cranegate/internal/zones"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // Result is what a run leaves in result.json.
@@ -84,7 +84,7 @@
 
 // day is a fleet of the size that the operators run, scaled so that a gateway hears 60 requests a second.
 func day(length time.Duration, faults ...Fault) Spec {
-	return Spec{Zones: threeZones, Hosts: 10, Groups: 3, Gateways: 4, Rate: 60, Length: length, Guards: rules.GuardWait, Faults: faults}
+	return Spec{Zones: threeZones, Hosts: 10, Groups: 3, Gateways: 4, Rate: 60, Length: length, Guards: routing.GuardWait, Faults: faults}
 }
 
 const sec = time.Second
@@ -177,7 +177,7 @@
 // play runs one day. With zones nil the module acts as it did before there were any.
 func play(s Spec, seed uint64, o *zones.Options, marks [3][2]float64) arm {
 	if o != nil {
-		s.Join = func(c *rules.Config) {
+		s.Join = func(c *routing.Config) {
 			z := *o
 			z.Own = c.Zone
 			c.Zones = &z
@@ -271,7 +271,7 @@
 	}
 	s := e.spec(o.Short)
 	if s.Break = o.Break; o.Break == OldReads {
-		s.Guards = rules.GuardNone
+		s.Guards = routing.GuardNone
 	}
 	r := &Result{Experiment: e.Name, About: e.About, Seed: o.Seed, Seeds: o.Seeds, Driver: driver, Version: o.Version,
 		Size:    fmt.Sprintf("%d hosts, %d groups, %d gateways, %.0f requests/s each", s.Hosts, s.Groups, s.Gateways, s.Rate),
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"cranegate/internal/zones"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // tiered turns zones on.
-func tiered(c *rules.Config) { c.Zones = &zones.Options{Own: c.Zone} }
+func tiered(c *routing.Config) { c.Zones = &zones.Options{Own: c.Zone} }
 
 // states counts the gateways that have come to hold a state of a zone.
 func (f *fleet) states(zone string, s zones.State) (n int) {
@@ -77,7 +77,7 @@
 	{"slow and not lost", "augsburg", 0, func() Spec { return day(30*sec, Fault{Kind: Slow, Zone: "augsburg", At: 8 * sec, For: 10 * sec}) }},
 	{"new tiers during the loss", "nuernberg", 1, func() Spec {
 		return day(30*sec, Fault{Kind: Silent, Zone: "nuernberg", At: 8 * sec, For: 10 * sec, Cold: true},
-			Fault{Kind: Retune, At: 12 * sec, Retune: func(r *rules.Router) {
+			Fault{Kind: Retune, At: 12 * sec, Retune: func(r *routing.Router) {
 				if z := r.Zones(); z != nil {
 					z.Tune(zones.Options{Tiers: [][]string{{"nuernberg"}, {"augsburg", "muenchen-nord"}}})
 				}
@@ -96,7 +96,7 @@
 			t.Parallel()
 			now, was, most := 0.0, 0.0, 0.03
 			for i, load := range []float64{0.5, 0.7} {
-				guards := []rules.Guard{rules.GuardNone, rules.GuardWait}[i]
+				guards := []routing.Guard{routing.GuardNone, routing.GuardWait}[i]
 				s := c.spec()
 				s.Load, s.Guards, s.Join = load, guards, tiered
 				f := newFleet(s, 11)
@@ -168,7 +168,7 @@
 	read := write(0)
 	f.judge.served(read, try(read, f.now), f.now-sec) // old, and it never ran
 	g.overdue(write(2))
-	f.judge.told(g, rules.Entry{Member: h.id, Phase: rules.PhaseDraining})
+	f.judge.told(g, routing.Entry{Member: h.id, Phase: routing.PhaseDraining})
 	f.now += sec
 	f.judge.sent(try(write(2), 0))
 	h.started = f.now
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // epoch is the clock's reading at the start of a day: positions and starts are counted from 0, long ago.
@@ -30,11 +30,11 @@
 	Load     float64 // work asked for, of what all hosts can do
 	Length   time.Duration
 	Faults   []Fault
-	Guards   rules.Guard
+	Guards   routing.Guard
 	NoZone   bool     // hosts are listed without a zone
 	Sockets  bool     // gateways are real: see live
 	Layout   []string // the zone of each host; none: in turn
-	Join     func(*rules.Config)
+	Join     func(*routing.Config)
 	Room     int                // connections that a host holds; 0: mostConns
 	KeepAs   int                // the number of gateways by which idle connections are kept; 0: all that there are
 	Break    Break              // what is broken on purpose
@@ -70,7 +70,7 @@
 	Cold    bool    // hosts start anew at the end, cold, their logs where they stood
 	But     int     // this many hosts of the zone are spared
 	Share   float64 // of the hosts, spread over all, where neither a zone nor a host is named; or of the gateways
-	Retune  func(*rules.Router)
+	Retune  func(*routing.Router)
 }
 
 // What hosts and the network are made of. Ranges are drawn once a day.
@@ -92,22 +92,22 @@
 
 // class is one of the five classes of the operators' brief.
 type class struct {
-	rules.Class
+	routing.Class
 	part     float64
 	from, to time.Duration // of work, at a fleet's full load of 120 requests a second
 }
 
 var classes = []class{
-	{rules.Class{Name: "platzsuche", Need: rules.NeedBounded, Bound: 3 * time.Second, Aim: 600 * time.Millisecond,
+	{routing.Class{Name: "platzsuche", Need: routing.NeedBounded, Bound: 3 * time.Second, Aim: 600 * time.Millisecond,
 		Deadline: 2 * time.Second, Worth: 1}, 0.41, 87 * time.Millisecond, 150 * time.Millisecond},
-	{rules.Class{Name: "eigener-antrag", Need: rules.NeedSession, Aim: 750 * time.Millisecond,
+	{routing.Class{Name: "eigener-antrag", Need: routing.NeedSession, Aim: 750 * time.Millisecond,
 		Deadline: 2500 * time.Millisecond, Worth: 2, LateWorth: 0.2}, 0.20, 130 * time.Millisecond, 230 * time.Millisecond},
-	{rules.Class{Name: "statistik", Need: rules.NeedAny, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
+	{routing.Class{Name: "statistik", Need: routing.NeedAny, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
 		0.20, 52 * time.Millisecond, 90 * time.Millisecond},
-	{rules.Class{Name: "angebot-pruefen", Need: rules.NeedFresh, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second,
+	{routing.Class{Name: "angebot-pruefen", Need: routing.NeedFresh, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second,
 		Worth: 3}, 0.05, 87 * time.Millisecond, 150 * time.Millisecond},
-	{rules.Class{Name: "zusage", Need: rules.NeedWrite, Aim: 750 * time.Millisecond, Deadline: 2 * time.Second, Worth: 6,
-		LateWorth: 0.5, Effect: rules.Once}, 0.14, 87 * time.Millisecond, 150 * time.Millisecond},
+	{routing.Class{Name: "zusage", Need: routing.NeedWrite, Aim: 750 * time.Millisecond, Deadline: 2 * time.Second, Worth: 6,
+		LateWorth: 0.5, Effect: routing.Once}, 0.14, 87 * time.Millisecond, 150 * time.Millisecond},
 }
 
 // event is a call at a time; those of one time run in the order in which they were asked for.
@@ -171,7 +171,7 @@
 	between  time.Duration
 	deaf     bool
 	rush     float64 // added to the rate
-	listed   func(*host, rules.Entry)
+	listed   func(*host, routing.Entry)
 	changed  func(*host) // told of a host that has died, started, been cut or restored, or that the list names anew
 }
 
@@ -461,16 +461,16 @@
 // ok says that a host runs and can be reached.
 func (h *host) ok() bool { return h.up && h.cut == 0 }
 
-func (h *host) entry() rules.Entry {
-	e := rules.Entry{Member: h.id, Group: h.group.number, Zone: h.zone, Size: 1, Leader: h.group.primary == h, StartedAt: h.started}
+func (h *host) entry() routing.Entry {
+	e := routing.Entry{Member: h.id, Group: h.group.number, Zone: h.zone, Size: 1, Leader: h.group.primary == h, StartedAt: h.started}
 	if h.f.NoZone {
 		e.Zone = ""
 	}
 	switch {
 	case !h.up:
-		e.Phase = rules.PhaseOff
+		e.Phase = routing.PhaseOff
 	case h.draining:
-		e.Phase = rules.PhaseDraining
+		e.Phase = routing.PhaseDraining
 	}
 	return e
 }
@@ -534,17 +534,17 @@
 	}
 	c := a.q.class
 	switch {
-	case c.Need == rules.NeedWrite && h.group.primary != h, c.Need == rules.NeedFresh && h.group.primary != h && h.f.Guards != rules.GuardNone:
-		h.answer(a, rules.ResultMiss, 0)
+	case c.Need == routing.NeedWrite && h.group.primary != h, c.Need == routing.NeedFresh && h.group.primary != h && h.f.Guards != routing.GuardNone:
+		h.answer(a, routing.ResultMiss, 0)
 	case len(h.waiting) >= waitingRoom:
-		h.answer(a, rules.ResultFull, 0)
-	case h.f.Guards != rules.GuardNone && h.position < a.need:
+		h.answer(a, routing.ResultFull, 0)
+	case h.f.Guards != routing.GuardNone && h.position < a.need:
 		life := h.life
 		h.f.after(catchUpWait, func() {
 			if h.life != life {
 				return
 			} else if h.position < a.need {
-				h.answer(a, rules.ResultMiss, 0)
+				h.answer(a, routing.ResultMiss, 0)
 			} else {
 				h.enqueue(a, work)
 			}
@@ -566,7 +566,7 @@
 		h.waiting = h.waiting[1:]
 		if j.a.over || h.f.now >= j.a.until {
 			if j.a.reply != nil {
-				j.a.done(rules.Outcome{Result: rules.ResultTimeout}, 0)
+				j.a.done(routing.Outcome{Result: routing.ResultTimeout}, 0)
 			}
 			continue
 		}
@@ -581,27 +581,27 @@
 			if h.group.primary == h {
 				at = h.f.now
 			}
-			if j.a.q.class.Need == rules.NeedWrite {
+			if j.a.q.class.Need == routing.NeedWrite {
 				if h.group.primary != h { // it lost its role while it held the write
-					h.answer(j.a, rules.ResultError, 0)
+					h.answer(j.a, routing.ResultError, 0)
 					h.next()
 					return
 				}
 				at = h.f.now
 			}
-			h.answer(j.a, rules.ResultOK, at)
+			h.answer(j.a, routing.ResultOK, at)
 			h.next()
 		})
 	}
 }
 
 // answer sends an outcome back, unless the network eats it.
-func (h *host) answer(a *attempt, r rules.Result, position time.Duration) {
-	o := rules.Outcome{Result: r, Role: rules.RoleReplica, Position: h.position.Milliseconds()}
+func (h *host) answer(a *attempt, r routing.Result, position time.Duration) {
+	o := routing.Outcome{Result: r, Role: routing.RoleReplica, Position: h.position.Milliseconds()}
 	if h.group.primary == h {
-		o.Role = rules.RolePrimary
+		o.Role = routing.RolePrimary
 	}
-	if r == rules.ResultOK && a.q.class.Need == rules.NeedWrite {
+	if r == routing.ResultOK && a.q.class.Need == routing.NeedWrite {
 		o.Position = position.Milliseconds() + 1
 	}
 	life := h.life
--- a/internal/experiment/fleetdays.go
+++ b/internal/experiment/fleetdays.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // fleetDay is an experiment on a whole fleet whose hosts have room for few connections: what is harmless in one
@@ -105,7 +105,7 @@
 	s := e.spec(o.Short)
 	s.Load, s.Break = e.loads[0], o.Break
 	if o.Break == OldReads {
-		s.Guards = rules.GuardNone // hosts that check would hide it
+		s.Guards = routing.GuardNone // hosts that check would hide it
 	}
 	r := &Result{Experiment: e.Name, About: e.About, Seed: o.Seed, Seeds: o.Seeds, Driver: "virtual", Version: o.Version,
 		Size: fmt.Sprintf("%d hosts with room for %d connections, %d groups, %d gateways, %.0f requests/s each, load %.1f",
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -9,7 +9,7 @@
 
 	"cranegate/internal/poolsize"
 	"cranegate/internal/zones"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // gateway is one gateway: the real module with what internal/core and internal/backend do around it, and the
@@ -19,8 +19,8 @@
 	number   int
 	zone     string
 	part     float64 // of the mean traffic
-	router   *rules.Router
-	cfg      rules.Config
+	router   *routing.Router
+	cfg      routing.Config
 	keeper   *poolsize.Keeper
 	down     bool // its process does not run, or takes no more clients
 	life     int  // of its process
@@ -92,14 +92,14 @@
 	latest      time.Duration // it has to begin before this; 0: whenever it can
 	need        time.Duration // position that the data must have
 	begun, over bool
-	reply       func(rules.Outcome, time.Duration) // takes the outcome where the gateway is a real one
+	reply       func(routing.Outcome, time.Duration) // takes the outcome where the gateway is a real one
 }
 
 func newGateway(f *fleet, n int, arrivals *rand.Rand) *gateway {
 	g := &gateway{f: f, number: n, part: 1, zone: f.Zones[n%len(f.Zones)], arrivals: arrivals, pools: map[*host]*pool{},
 		hosts: map[string]*host{}, requests: map[uint64]*request{}}
-	cfg := rules.Config{Gateways: f.Gateways, Zone: g.zone, Guards: f.Guards, CatchUpWait: catchUpWait, Positions: true,
-		ListRole: rules.ListRoleLate, MayCancel: true, MayDuplicate: true, MayProbe: true, MaxAttempts: 6,
+	cfg := routing.Config{Gateways: f.Gateways, Zone: g.zone, Guards: f.Guards, CatchUpWait: catchUpWait, Positions: true,
+		ListRole: routing.ListRoleLate, MayCancel: true, MayDuplicate: true, MayProbe: true, MaxAttempts: 6,
 		MaxComeBack: 500 * time.Millisecond, CrossZoneCost: 0.01, ColdFrom: coldFrom, ColdFor: coldFor,
 		TipMultiple: tipMultiple, TipAfter: tipAfter}
 	for _, c := range classes {
@@ -130,10 +130,10 @@
 	}
 	g.keeper = poolsize.New(size, idleFor, clock(f.now))
 	var err error
-	if g.router, err = rules.New(f.now, g.cfg, g.arrivals.Uint64(), g); err != nil {
+	if g.router, err = routing.New(f.now, g.cfg, g.arrivals.Uint64(), g); err != nil {
 		panic(err) // the configuration is this package's own
 	}
-	l := rules.MemberList{Kind: rules.ListWhole}
+	l := routing.MemberList{Kind: routing.ListWhole}
 	for _, h := range f.hosts {
 		if g.hosts[h.id] != nil && !h.removed {
 			l.Entries = append(l.Entries, h.entry())
@@ -147,7 +147,7 @@
 func clock(at time.Duration) time.Time { return time.Unix(0, 0).Add(at) }
 
 // told hands one entry of the list over.
-func (g *gateway) told(e rules.Entry) {
+func (g *gateway) told(e routing.Entry) {
 	if g.router == nil {
 		if g.f.Sockets {
 			g.f.judge.told(g, e)
@@ -155,10 +155,10 @@
 		return
 	}
 	g.f.judge.told(g, e)
-	if g.f.Break == NoDrains && e.Phase == rules.PhaseDraining {
-		e.Phase = rules.PhaseOn
+	if g.f.Break == NoDrains && e.Phase == routing.PhaseDraining {
+		e.Phase = routing.PhaseOn
 	}
-	g.router.Members(g.f.now, rules.MemberList{Kind: rules.ListPatch, Entries: []rules.Entry{e}})
+	g.router.Members(g.f.now, routing.MemberList{Kind: routing.ListPatch, Entries: []routing.Entry{e}})
 }
 
 // arrive draws the next client's request, whatever has become of those before.
@@ -177,7 +177,7 @@
 	a := &ask{class: c, number: n, gateway: g.number, group: f.hosts[r.IntN(len(f.hosts))].group, arrived: f.now,
 		work: time.Duration(float64(draw(r, c.from, c.to)) * f.scale)}
 	follows, gap := r.Float64() < 0.78, time.Duration(r.ExpFloat64()*float64(400*time.Millisecond))
-	if p := a.group.primary; c.Need == rules.NeedSession && follows && p != nil {
+	if p := a.group.primary; c.Need == routing.NeedSession && follows && p != nil {
 		a.token = min(f.now-gap, p.position) // there was no commit while no primary ran
 	}
 	f.judge.asked(a)
@@ -200,7 +200,7 @@
 	q := &request{ask: a, id: g.lastID, taken: f.now}
 	q.deadline = f.now + time.Duration((0.42+0.58*f.rng.Float64())*float64(a.class.Deadline))
 	g.requests[q.id] = q
-	in := rules.Request{ID: q.id, Class: a.number, Tenant: -1, Group: a.group.number, Remaining: q.deadline - f.now}
+	in := routing.Request{ID: q.id, Class: a.number, Tenant: -1, Group: a.group.number, Remaining: q.deadline - f.now}
 	if a.token > 0 {
 		in.SinceWrite = max(1, f.now-a.token)
 	}
@@ -252,7 +252,7 @@
 // again has the client ask once more, if it may and still wants to.
 func (g *gateway) again(q *request, harmless bool, comeBack time.Duration) {
 	f := g.f
-	if q.settled || q.tries > 3 || !harmless && q.class.Effect == rules.Once {
+	if q.settled || q.tries > 3 || !harmless && q.class.Effect == routing.Once {
 		return
 	}
 	wait := comeBack
@@ -273,18 +273,18 @@
 }
 
 // dial comes by a connection: an idle one at once, or a new one if the host can be reached.
-func (g *gateway) dial(h *host, by rules.Conn, then func(opened time.Duration)) {
+func (g *gateway) dial(h *host, by routing.Conn, then func(opened time.Duration)) {
 	p, f := g.pools[h], g.f
 	g.keeper.Asked(clock(f.now), &p.asked, len(g.hosts))
 	switch n := len(p.idle) - 1; {
-	case n >= 0 && by == rules.ConnOldest:
+	case n >= 0 && by == routing.ConnOldest:
 		i := slices.IndexFunc(p.idle, func(c open) bool {
 			return c.up == slices.MinFunc(p.idle, func(a, b open) int { return cmp.Compare(a.up, b.up) }).up
 		})
 		c := p.idle[i]
 		p.idle = slices.Delete(p.idle, i, i+1)
 		then(c.up)
-	case n >= 0 && by == rules.ConnAny:
+	case n >= 0 && by == routing.ConnAny:
 		c := p.idle[n]
 		p.idle = p.idle[:n]
 		then(c.up)
@@ -324,17 +324,17 @@
 	a := g.attempt(q, h, abandonAt)
 	a.latest = beginBy
 	q.out = append(q.out, a)
-	f.after(abandonAt-f.now, func() { a.abandon(rules.ResultTimeout) })
-	g.dial(h, rules.ConnAny, a.begin)
+	f.after(abandonAt-f.now, func() { a.abandon(routing.ResultTimeout) })
+	g.dial(h, routing.ConnAny, a.begin)
 }
 
 // attempt makes the next attempt of a request, with the position that its data must have when it is sent now.
 func (g *gateway) attempt(q *request, h *host, until time.Duration) *attempt {
 	a := &attempt{g: g, process: g.life, q: q, h: h, number: q.sent, sentAt: g.f.now, until: until, need: q.token}
 	switch q.class.Need {
-	case rules.NeedBounded:
+	case routing.NeedBounded:
 		a.need = g.f.now - q.class.Bound
-	case rules.NeedFresh:
+	case routing.NeedFresh:
 		a.need = q.taken
 	}
 	q.sent++
@@ -354,15 +354,15 @@
 		return
 	}
 	if a.opened = opened; opened == 0 {
-		a.done(rules.Outcome{Result: rules.ResultConnectFailed}, 0)
+		a.done(routing.Outcome{Result: routing.ResultConnectFailed}, 0)
 		return
 	} else if opened == noRoom {
-		f.after(2*g.distance(h), func() { a.done(rules.Outcome{Result: rules.ResultFull}, 0) })
+		f.after(2*g.distance(h), func() { a.done(routing.Outcome{Result: routing.ResultFull}, 0) })
 		return
 	}
 	if a.latest > 0 && f.now >= a.latest {
 		g.free(h, opened)
-		a.done(rules.Outcome{Result: rules.ResultMoot}, 0)
+		a.done(routing.Outcome{Result: routing.ResultMoot}, 0)
 		return
 	}
 	a.begun = true
@@ -377,15 +377,15 @@
 }
 
 // abandon gives an attempt up; its connection closes. One without a byte written has never run.
-func (a *attempt) abandon(r rules.Result) {
+func (a *attempt) abandon(r routing.Result) {
 	if !a.begun {
-		r = rules.ResultMoot
+		r = routing.ResultMoot
 	}
-	a.done(rules.Outcome{Result: r}, 0)
+	a.done(routing.Outcome{Result: r}, 0)
 }
 
 // done settles an attempt; the module hears of it after the event in hand.
-func (a *attempt) done(o rules.Outcome, position time.Duration) {
+func (a *attempt) done(o routing.Outcome, position time.Duration) {
 	if a.over {
 		return
 	}
@@ -397,9 +397,9 @@
 	g, f := a.g, a.g.f
 	if p := g.pools[a.h]; a.begun {
 		p.out = slices.DeleteFunc(p.out, func(x *attempt) bool { return x == a })
-		if o.Result == rules.ResultTimeout || o.Result == rules.ResultCancelled {
+		if o.Result == routing.ResultTimeout || o.Result == routing.ResultCancelled {
 			a.h.conns--
-		} else if o.Result != rules.ResultReset {
+		} else if o.Result != routing.ResultReset {
 			g.free(a.h, a.opened)
 			o.Opened = a.opened
 		}
@@ -407,7 +407,7 @@
 	f.after(0, func() {
 		q := a.q
 		q.out = slices.DeleteFunc(q.out, func(x *attempt) bool { return x == a })
-		if o.Result == rules.ResultOK && !q.ended {
+		if o.Result == routing.ResultOK && !q.ended {
 			g.answer(q, true, false, 0, a, position)
 		}
 		o.Request, o.Attempt, o.Member, o.Took, o.Closed = q.id, a.number, a.h.id, f.now-a.sentAt, q.ended
@@ -455,7 +455,7 @@
 	p.idle, p.out = nil, nil
 	g.f.after(g.distance(h), func() {
 		for _, a := range out {
-			a.done(rules.Outcome{Result: rules.ResultReset}, 0)
+			a.done(routing.Outcome{Result: routing.ResultReset}, 0)
 		}
 	})
 }
@@ -465,7 +465,7 @@
 	if q := g.requests[id]; q != nil {
 		for _, a := range q.out {
 			if a.number == number {
-				a.abandon(rules.ResultCancelled)
+				a.abandon(routing.ResultCancelled)
 				return
 			}
 		}
@@ -473,14 +473,14 @@
 }
 
 // Refuse is a final answer that promises that nothing ran.
-func (g *gateway) Refuse(id uint64, comeBack time.Duration, _ rules.Reason) {
+func (g *gateway) Refuse(id uint64, comeBack time.Duration, _ routing.Reason) {
 	if q := g.requests[id]; q != nil {
 		g.answer(q, false, true, comeBack, nil, 0)
 	}
 }
 
 // Fail is a final answer that promises nothing.
-func (g *gateway) Fail(id uint64, _ rules.Reason) {
+func (g *gateway) Fail(id uint64, _ routing.Reason) {
 	if q := g.requests[id]; q != nil {
 		g.answer(q, false, false, 0, nil, 0)
 	}
@@ -493,26 +493,26 @@
 }
 
 // Probe asks a host for its report.
-func (g *gateway) Probe(member string, by rules.Conn) {
+func (g *gateway) Probe(member string, by routing.Conn) {
 	h, f := g.hosts[member], g.f
 	at := f.now
 	f.judge.probes++
 	over, process := false, g.life
 	up := time.Duration(0)
-	end := func(r rules.Result, p rules.Report) {
+	end := func(r routing.Result, p routing.Report) {
 		if !over && process == g.life {
 			over = true
-			x := rules.ProbeResult{Member: member, Result: r, Took: f.now - at, Report: p}
-			if r == rules.ResultOK {
+			x := routing.ProbeResult{Member: member, Result: r, Took: f.now - at, Report: p}
+			if r == routing.ResultOK {
 				x.Opened = up
 			}
 			g.router.Probed(f.now, x)
 		}
 	}
-	f.after(connectFor, func() { end(rules.ResultTimeout, rules.Report{}) })
+	f.after(connectFor, func() { end(routing.ResultTimeout, routing.Report{}) })
 	g.dial(h, by, func(opened time.Duration) {
 		if up = opened; opened <= 0 {
-			end(rules.ResultConnectFailed, rules.Report{})
+			end(routing.ResultConnectFailed, routing.Report{})
 			return
 		}
 		life := h.life
@@ -521,16 +521,16 @@
 			if h.cut > 0 || process != g.life {
 				return
 			} else if h.life != life || !h.up {
-				end(rules.ResultReset, rules.Report{})
+				end(routing.ResultReset, routing.Report{})
 				return
 			}
 			g.free(h, opened)
 			x := h.pressure()
-			p := rules.Report{HasPosition: true, Position: x.position.Milliseconds(), Role: rules.RoleReplica}
+			p := routing.Report{HasPosition: true, Position: x.position.Milliseconds(), Role: routing.RoleReplica}
 			if x.primary {
-				p.Role = rules.RolePrimary
+				p.Role = routing.RolePrimary
 			}
-			end(rules.ResultOK, p)
+			end(routing.ResultOK, p)
 		})
 	})
 }
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -7,7 +7,7 @@
 	"sort"
 	"time"
 
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // Judge watches a day from the hosts' and the clients' side. It shares no code with the module: what it knows of a
@@ -63,12 +63,12 @@
 func (j *Judge) asked(a *ask) { j.asks = append(j.asks, a) }
 
 // told notes what a gateway was told; from drainGrace on nothing new may come to a host that drains or is gone.
-func (j *Judge) told(g *gateway, e rules.Entry) {
+func (j *Judge) told(g *gateway, e routing.Entry) {
 	if j.bound[g] == nil {
 		j.bound[g] = map[*host]time.Duration{}
 	}
 	j.knows(g, g.hosts[e.Member], e.StartedAt)
-	if e.Phase == rules.PhaseOn {
+	if e.Phase == routing.PhaseOn {
 		delete(j.bound[g], g.hosts[e.Member])
 	} else if _, ok := j.bound[g][g.hosts[e.Member]]; !ok {
 		j.bound[g][g.hosts[e.Member]] = j.f.now
@@ -77,7 +77,7 @@
 
 func (j *Judge) sent(a *attempt) {
 	j.attempts = append(j.attempts, tried{j.f.now, a.g.number, a.h.zone, a.number == 0,
-		a.q.class.Need != rules.NeedWrite && a.q.class.Need != rules.NeedFresh, a.h != a.q.group.primary, a.h.zone == a.g.zone})
+		a.q.class.Need != routing.NeedWrite && a.q.class.Need != routing.NeedFresh, a.h != a.q.group.primary, a.h.zone == a.g.zone})
 	if at, ok := j.bound[a.g][a.h]; ok && j.f.now > at+drainGrace {
 		j.drained++
 		j.note("gateway %d sent to %s, which it knows to drain", a.g.number, a.h.id)
@@ -86,7 +86,7 @@
 
 // begun counts copies that are out together where none may be.
 func (j *Judge) begun(a *attempt) {
-	if a.q.class.Effect == rules.Once {
+	if a.q.class.Effect == routing.Once {
 		for _, x := range a.q.out {
 			if x != a && x.begun && !x.over {
 				j.second++
@@ -99,7 +99,7 @@
 // ran counts the runs of a request at hosts.
 func (j *Judge) ran(a *attempt, h *host) {
 	j.runs[a.q]++
-	if j.runs[a.q] > 1 && a.q.class.Effect == rules.Once {
+	if j.runs[a.q] > 1 && a.q.class.Effect == routing.Once {
 		j.second++
 		j.note("a write ran again at %s", h.id)
 	}
@@ -113,7 +113,7 @@
 // served takes an answer with data of a position.
 func (j *Judge) served(q *request, a *attempt, position time.Duration) {
 	need := a.need // as of the send
-	if q.class.Need == rules.NeedAny || q.class.Need == rules.NeedWrite {
+	if q.class.Need == routing.NeedAny || q.class.Need == routing.NeedWrite {
 		need = 0
 	}
 	if position < need {
@@ -136,7 +136,7 @@
 
 // turnedDown takes a refusal or a failure. A refused request must not have run where that matters.
 func (j *Judge) turnedDown(q *request, harmless bool) {
-	if harmless && q.class.Effect == rules.Once && j.runs[q] > 0 {
+	if harmless && q.class.Effect == routing.Once && j.runs[q] > 0 {
 		j.wrongAnswer++
 		j.note("a write was refused though it ran")
 	}
@@ -165,11 +165,11 @@
 		s, g := j.snaps[i], a.group.number
 		ok := s.primary[g]
 		switch a.class.Need {
-		case rules.NeedAny:
+		case routing.NeedAny:
 			ok = s.newest[g] > 0
-		case rules.NeedBounded:
+		case routing.NeedBounded:
 			ok = ok || s.newest[g] >= s.at-a.class.Bound
-		case rules.NeedSession:
+		case routing.NeedSession:
 			ok = ok || s.newest[g] > 0 && s.newest[g] >= a.token
 		}
 		if ok {
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -18,7 +18,7 @@
 
 	"cranegate/internal/discovery"
 	"cranegate/internal/fake"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // An answer that comes lateSlack after its client's time is counted as late, and one that has not come by socketSlack, which a
@@ -170,12 +170,12 @@
 	d.mu.Lock()
 	life := d.life
 	d.mu.Unlock()
-	out := make(chan rules.Result, 1)
+	out := make(chan routing.Result, 1)
 	d.l.post(func() { d.l.arrived(d.h, id, out) })
 	select {
 	case r := <-out:
-		return map[rules.Result]fake.Act{rules.ResultOK: fake.Serve, rules.ResultMiss: fake.Miss,
-			rules.ResultFull: fake.Full, rules.ResultTimeout: fake.Silent, rules.ResultError: fake.Error}[r]
+		return map[routing.Result]fake.Act{routing.ResultOK: fake.Serve, routing.ResultMiss: fake.Miss,
+			routing.ResultFull: fake.Full, routing.ResultTimeout: fake.Silent, routing.ResultError: fake.Error}[r]
 	case <-life.Done():
 	case <-d.l.ctx.Done():
 	}
@@ -195,14 +195,14 @@
 
 func (l *live) lostAt(h *host, id string) { l.attempt(h, id) }
 
-func (l *live) arrived(h *host, id string, out chan<- rules.Result) {
+func (l *live) arrived(h *host, id string, out chan<- routing.Result) {
 	a := l.attempt(h, id)
 	if a == nil {
-		out <- rules.ResultError
+		out <- routing.ResultError
 		return
 	}
-	a.reply = func(o rules.Outcome, position time.Duration) {
-		if o.Result == rules.ResultOK && a.q.by == nil {
+	a.reply = func(o routing.Outcome, position time.Duration) {
+		if o.Result == routing.ResultOK && a.q.by == nil {
 			a.q.by, a.q.at = a, position
 		}
 		out <- o.Result
@@ -286,10 +286,10 @@
 }
 
 // publish puts a host's entry into both lists.
-func (l *live) publish(h *host, e rules.Entry) {
+func (l *live) publish(h *host, e routing.Entry) {
 	for i := range l.targets {
 		t := discovery.Target{UID: h.id, Endpoint: l.doors[h].address[i], Zone: e.Zone, Group: e.Group, Capacity: 1, Replication: "standby",
-			State: map[rules.Phase]string{rules.PhaseOn: "SERVING", rules.PhaseDraining: "DRAINING", rules.PhaseOff: "DELETED"}[e.Phase]}
+			State: map[routing.Phase]string{routing.PhaseOn: "SERVING", routing.PhaseDraining: "DRAINING", routing.PhaseOff: "DELETED"}[e.Phase]}
 		if e.Leader {
 			t.Replication = "primary"
 		}
@@ -297,7 +297,7 @@
 			t.BootMS = l.unix(h.started)
 		}
 		delete(l.targets[i], h)
-		if e.Phase != rules.PhaseOff {
+		if e.Phase != routing.PhaseOff {
 			l.targets[i][h] = t
 		}
 		var all []discovery.Target
@@ -319,7 +319,7 @@
 	if q.token > 0 {
 		text += fmt.Sprintf(",after=%d", l.unix(q.token)+1)
 	}
-	if q.class.Need == rules.NeedWrite {
+	if q.class.Need == routing.NeedWrite {
 		text += " */ INSERT INTO records (k, v) VALUES ('" + key + "', 'x') RETURNING v"
 	} else {
 		text += " */ SELECT v FROM records WHERE k = '" + key + "'"
@@ -334,7 +334,7 @@
 			case err != nil:
 				l.judge.note("%s got no answer: %v", q.class.Name, err)
 				return // overdue counts it
-			case r.Outcome == "served" && (q.by == nil || q.class.Need != rules.NeedWrite && r.Value != "value of "+key):
+			case r.Outcome == "served" && (q.by == nil || q.class.Need != routing.NeedWrite && r.Value != "value of "+key):
 				l.judge.wrongAnswer++
 				l.judge.note("%s was served %q", q.class.Name, r.Value)
 				return
@@ -395,10 +395,10 @@
 	var all []map[string]any
 	var needs []string
 	var bounds []float64
-	words := map[rules.Need]string{rules.NeedAny: "any", rules.NeedBounded: "bounded", rules.NeedSession: "session", rules.NeedFresh: "fresh", rules.NeedWrite: "write"}
+	words := map[routing.Need]string{routing.NeedAny: "any", routing.NeedBounded: "bounded", routing.NeedSession: "session", routing.NeedFresh: "fresh", routing.NeedWrite: "write"}
 	for _, c := range classes {
 		repeat := "repeatable"
-		if c.Effect == rules.Once {
+		if c.Effect == routing.Once {
 			repeat = "once"
 		}
 		all = append(all, map[string]any{"name": c.Name, "aimS": c.Aim.Seconds(), "deadlineS": c.Deadline.Seconds(), "points": c.Worth,
--- a/internal/experiment/renew.go
+++ b/internal/experiment/renew.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // Break is a defect of the gateways made on purpose: it shows whether an experiment would find it.
@@ -25,7 +25,7 @@
 var Breaks = map[string]Break{"": Nothing, "cold-room": ColdRoom, "no-drains": NoDrains, "old-reads": OldReads, "two-runs": TwoRuns}
 
 // apply breaks what the module is told.
-func (b Break) apply(c *rules.Config) {
+func (b Break) apply(c *routing.Config) {
 	switch b {
 	case ColdRoom:
 		c.TipMultiple *= 7
@@ -35,7 +35,7 @@
 		}
 	case TwoRuns:
 		for i := range c.Classes {
-			c.Classes[i].Effect = rules.Repeatable
+			c.Classes[i].Effect = routing.Repeatable
 		}
 	}
 }
--- a/internal/frontend/model_test.go
+++ b/internal/frontend/model_test.go
@@ -16,7 +16,7 @@
 	"cranegate/internal/framebuf"
 	"cranegate/internal/mysqlwire"
 	"cranegate/internal/pgwire"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // check runs a property on plans drawn outside the bubble that plays them.
@@ -95,7 +95,7 @@
 		case "drain":
 			if drained.IsZero() {
 				drained = time.Now()
-				rig.list(rules.ListWhole, rules.PhaseDraining)
+				rig.list(routing.ListWhole, routing.PhaseDraining)
 			}
 		default:
 			if !mysqlFront {
--- a/internal/frontend/outcomes_test.go
+++ b/internal/frontend/outcomes_test.go
@@ -11,7 +11,7 @@
 
 	"cranegate/internal/fake"
 	"cranegate/internal/mysqlwire"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // TestOutcomesAreAlike guards the promise that both protocols, and both ways to send a MySQL statement, turn what
@@ -204,7 +204,7 @@
 				return err
 			}
 			defer a.leave()
-			rig.list(rules.ListWhole, rules.PhaseDraining)
+			rig.list(routing.ListWhole, routing.PhaseDraining)
 			synctest.Wait()
 			got, err := a.ask("look", "q1")
 			if err != nil || got.Outcome != "refused" || rig.hosts[0].Ran("q1") != 0 {
--- a/internal/frontend/rig_test.go
+++ b/internal/frontend/rig_test.go
@@ -24,7 +24,7 @@
 	"cranegate/internal/invariant"
 	"cranegate/internal/metrics"
 	"cranegate/internal/mysqlwire"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // CI's verdict never varies: the seed is fixed. The flags still override it.
@@ -33,13 +33,13 @@
 	flag.Set("rapid.nofailfile", "true")
 }
 
-var testRules = rules.Config{Gateways: 1, MaxAttempts: 6, Guards: rules.GuardWait, Positions: true,
-	ListRole: rules.ListRoleLate, MayCancel: true, MayDuplicate: true, MaxComeBack: 500 * time.Millisecond,
+var testRules = routing.Config{Gateways: 1, MaxAttempts: 6, Guards: routing.GuardWait, Positions: true,
+	ListRole: routing.ListRoleLate, MayCancel: true, MayDuplicate: true, MaxComeBack: 500 * time.Millisecond,
 	ColdFrom: 0.2, ColdFor: 10 * time.Second, TipMultiple: 2.5, TipAfter: time.Second,
-	Classes: []rules.Class{
+	Classes: []routing.Class{
 		{Name: "look", Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1},
-		{Name: "put", Need: rules.NeedWrite, Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 4,
-			LateWorth: 0.5, Effect: rules.Once},
+		{Name: "put", Need: routing.NeedWrite, Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 4,
+			LateWorth: 0.5, Effect: routing.Once},
 		{Name: mysql.PrepareClass, Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1},
 	}}
 
@@ -105,7 +105,7 @@
 	}
 	r.core = c
 	go c.Run(work)
-	r.list(rules.ListWhole, rules.PhaseOn)
+	r.list(routing.ListWhole, routing.PhaseOn)
 	var front frontend.Front = postgres.Front{}
 	if mysqlFront {
 		front = mysql.Front{}
@@ -126,10 +126,10 @@
 }
 
 // list tells of all hosts; phase is that of the last one.
-func (r *rig) list(kind rules.ListKind, phase rules.Phase) {
+func (r *rig) list(kind routing.ListKind, phase routing.Phase) {
 	l := core.List{Kind: kind}
 	for i, h := range r.hosts {
-		e := rules.Entry{Member: fmt.Sprint("db-", i), Group: 4, Leader: h.Primary, Size: 1}
+		e := routing.Entry{Member: fmt.Sprint("db-", i), Group: 4, Leader: h.Primary, Size: 1}
 		if i == len(r.hosts)-1 {
 			e.Phase = phase
 		}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"cranegate/internal/metrics"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 const ms = time.Millisecond
@@ -40,24 +40,24 @@
 	const window = 2 * time.Second
 	for _, c := range []struct {
 		name   string
-		effect rules.Effect
+		effect routing.Effect
 		copies bool
 		ends   bool
-		result rules.Result
+		result routing.Result
 		after  time.Duration
 		want   Reason
 	}{
-		{"once, turned away", rules.Once, false, true, rules.ResultFull, ms, None},
-		{"once, never written", rules.Once, false, true, rules.ResultMoot, ms, None},
-		{"once, reset", rules.Once, false, true, rules.ResultReset, ms, SecondRun},
-		{"once, timed out", rules.Once, true, true, rules.ResultTimeout, ms, SecondRun},
-		{"once, out", rules.Once, true, false, 0, ms, SecondRun},
-		{"keyed, inside its window", rules.Keyed, false, true, rules.ResultReset, window + HoldUp, None},
-		{"keyed, past its window", rules.Keyed, false, true, rules.ResultReset, window + HoldUp + ms, WindowOver},
-		{"keyed, missed before", rules.Keyed, false, true, rules.ResultMiss, 9 * window, None},
-		{"read, reset", rules.Repeatable, false, true, rules.ResultReset, 9 * window, None},
-		{"read, a copy", rules.Repeatable, true, false, 0, ms, None},
-		{"read, a copy that is not allowed", rules.Repeatable, false, false, 0, ms, CopiesOut},
+		{"once, turned away", routing.Once, false, true, routing.ResultFull, ms, None},
+		{"once, never written", routing.Once, false, true, routing.ResultMoot, ms, None},
+		{"once, reset", routing.Once, false, true, routing.ResultReset, ms, SecondRun},
+		{"once, timed out", routing.Once, true, true, routing.ResultTimeout, ms, SecondRun},
+		{"once, out", routing.Once, true, false, 0, ms, SecondRun},
+		{"keyed, inside its window", routing.Keyed, false, true, routing.ResultReset, window + HoldUp, None},
+		{"keyed, past its window", routing.Keyed, false, true, routing.ResultReset, window + HoldUp + ms, WindowOver},
+		{"keyed, missed before", routing.Keyed, false, true, routing.ResultMiss, 9 * window, None},
+		{"read, reset", routing.Repeatable, false, true, routing.ResultReset, 9 * window, None},
+		{"read, a copy", routing.Repeatable, true, false, 0, ms, None},
+		{"read, a copy that is not allowed", routing.Repeatable, false, false, 0, ms, CopiesOut},
 	} {
 		var l Ledger
 		limits := Limits{Effect: c.effect, Window: window, Copies: c.copies, Attempts: 2}
@@ -76,7 +76,7 @@
 		t.Error("recorded, though it was not written")
 	}
 	l.Begin(0, 0, Limits{Attempts: 1}, yes)
-	l.End(0, rules.ResultFull)
+	l.End(0, routing.ResultFull)
 	if got, _ := l.Begin(1, ms, Limits{Attempts: 1}, yes); got != TooMany {
 		t.Errorf("a second of one: %q", got)
 	}
--- a/internal/invariant/repeat.go
+++ b/internal/invariant/repeat.go
@@ -4,12 +4,12 @@
 	"sync"
 	"time"
 
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // Limits are what a request's class and the settings allow of further attempts.
 type Limits struct {
-	Effect   rules.Effect
+	Effect   routing.Effect
 	Window   time.Duration // Keyed: how long hosts recognise a repeat, from the first attempt that may have run
 	Copies   bool          // several attempts may be out at once
 	Attempts int           // written at most
@@ -47,9 +47,9 @@
 	for _, t := range l.tries {
 		switch {
 		case t.harmless:
-		case limits.Effect == rules.Once:
+		case limits.Effect == routing.Once:
 			return SecondRun
-		case limits.Effect == rules.Keyed && now-t.at > limits.Window+HoldUp:
+		case limits.Effect == routing.Keyed && now-t.at > limits.Window+HoldUp:
 			return WindowOver
 		case t.out && !limits.Copies:
 			return CopiesOut
@@ -62,7 +62,7 @@
 }
 
 // End records how an attempt ended; one that was never written is passed over.
-func (l *Ledger) End(number int, result rules.Result) {
+func (l *Ledger) End(number int, result routing.Result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range l.tries {
@@ -73,9 +73,9 @@
 }
 
 // Harmless says that an attempt which ended so has not run.
-func Harmless(result rules.Result) bool {
+func Harmless(result routing.Result) bool {
 	switch result {
-	case rules.ResultFull, rules.ResultMiss, rules.ResultRejected, rules.ResultConnectFailed, rules.ResultMoot:
+	case routing.ResultFull, routing.ResultMiss, routing.ResultRejected, routing.ResultConnectFailed, routing.ResultMoot:
 		return true
 	}
 	return false
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"time"
 
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 const (
@@ -42,7 +42,7 @@
 
 // host is a host as discovery told of it last.
 type host struct {
-	rules.Entry
+	routing.Entry
 	gone time.Duration // since when it is off the list; 0: it is on it
 }
 
@@ -62,7 +62,7 @@
 }
 
 // Detach takes a host out, and returns what the module has to be told. Twice is the same as once.
-func (h *Hands) Detach(now time.Duration, id string) ([]rules.Entry, error) {
+func (h *Hands) Detach(now time.Duration, id string) ([]routing.Entry, error) {
 	if !h.Known(now, id) || len(id) > longestID {
 		return nil, UnknownHost{id}
 	}
@@ -70,9 +70,9 @@
 }
 
 // Hold takes a host out that may come to be listed later: a process before this one has.
-func (h *Hands) Hold(now time.Duration, id string) ([]rules.Entry, error) { return h.hold(now, id) }
+func (h *Hands) Hold(now time.Duration, id string) ([]routing.Entry, error) { return h.hold(now, id) }
 
-func (h *Hands) hold(now time.Duration, id string) ([]rules.Entry, error) {
+func (h *Hands) hold(now time.Duration, id string) ([]routing.Entry, error) {
 	if len(h.out) >= mostOut && !h.out[id] {
 		return nil, TooMany{len(h.out)}
 	}
@@ -85,7 +85,7 @@
 }
 
 // Attach calls a host back, and returns what the module has to be told. One that is not out is left as it is.
-func (h *Hands) Attach(now time.Duration, id string) ([]rules.Entry, error) {
+func (h *Hands) Attach(now time.Duration, id string) ([]routing.Entry, error) {
 	if !h.Known(now, id) {
 		return nil, UnknownHost{id}
 	}
@@ -112,17 +112,17 @@
 }
 
 // now is a host's entry as the module has to see it; none where it was never listed.
-func (h *Hands) now(id string) []rules.Entry {
+func (h *Hands) now(id string) []routing.Entry {
 	x, ok := h.listed[id]
 	if !ok {
 		return nil
 	}
-	return []rules.Entry{h.seen(x.Entry)}
+	return []routing.Entry{h.seen(x.Entry)}
 }
 
 // Take notes news of the list and turns its entries, in place, into what the module has to see.
-func (h *Hands) Take(now time.Duration, l rules.MemberList) rules.MemberList {
-	if l.Kind == rules.ListBroken {
+func (h *Hands) Take(now time.Duration, l routing.MemberList) routing.MemberList {
+	if l.Kind == routing.ListBroken {
 		return l
 	}
 	if h.listed == nil {
@@ -134,8 +134,8 @@
 		l.Entries[i] = h.seen(h.note(now, e))
 	}
 	for id, x := range h.listed {
-		if l.Kind != rules.ListPatch && !named[id] && x.gone == 0 {
-			x.gone, x.Phase = now, rules.PhaseOff
+		if l.Kind != routing.ListPatch && !named[id] && x.gone == 0 {
+			x.gone, x.Phase = now, routing.PhaseOff
 			h.listed[id] = x
 		}
 		if x.gone != 0 && now-x.gone >= goneFor {
@@ -147,28 +147,28 @@
 }
 
 // note keeps an entry as discovery's word. An old list does not undo a drain.
-func (h *Hands) note(now time.Duration, e rules.Entry) rules.Entry {
+func (h *Hands) note(now time.Duration, e routing.Entry) routing.Entry {
 	old, ok := h.listed[e.Member]
 	x := host{Entry: e}
-	if ok && old.Phase == rules.PhaseDraining && e.Phase == rules.PhaseOn && e.StartedAt <= old.StartedAt {
-		x.Phase = rules.PhaseDraining
+	if ok && old.Phase == routing.PhaseDraining && e.Phase == routing.PhaseOn && e.StartedAt <= old.StartedAt {
+		x.Phase = routing.PhaseDraining
 	}
-	if e.Phase == rules.PhaseOff {
+	if e.Phase == routing.PhaseOff {
 		if x.gone = old.gone; x.gone == 0 {
 			x.gone = now
 		}
 	}
-	if ok || e.Phase != rules.PhaseOff {
+	if ok || e.Phase != routing.PhaseOff {
 		h.listed[e.Member] = x
 	}
 	return x.Entry
 }
 
 // seen is an entry as the module has to see it.
-func (h *Hands) seen(e rules.Entry) rules.Entry {
+func (h *Hands) seen(e routing.Entry) routing.Entry {
 	switch back, ok := h.back[e.Member]; {
-	case h.out[e.Member] && e.Phase == rules.PhaseOn:
-		e.Phase = rules.PhaseDraining
+	case h.out[e.Member] && e.Phase == routing.PhaseOn:
+		e.Phase = routing.PhaseDraining
 	case ok:
 		e.StartedAt = max(e.StartedAt, back)
 	}
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -5,17 +5,17 @@
 	"testing"
 	"time"
 
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 const second = time.Second
 
-func list(kind rules.ListKind, entries ...rules.Entry) rules.MemberList {
-	return rules.MemberList{Kind: kind, Entries: entries}
+func list(kind routing.ListKind, entries ...routing.Entry) routing.MemberList {
+	return routing.MemberList{Kind: kind, Entries: entries}
 }
 
 // phase is what the module is told last of a host.
-func phase(t *testing.T, got []rules.Entry) rules.Phase {
+func phase(t *testing.T, got []routing.Entry) routing.Phase {
 	t.Helper()
 	if len(got) != 1 {
 		t.Fatalf("the module is told %+v, want one entry", got)
@@ -27,33 +27,33 @@
 // gone, and that it is back under the same id.
 func TestOutWhateverDiscoverySays(t *testing.T) {
 	var h Hands
-	h.Take(0, list(rules.ListWhole, rules.Entry{Member: "a"}, rules.Entry{Member: "b"}))
+	h.Take(0, list(routing.ListWhole, routing.Entry{Member: "a"}, routing.Entry{Member: "b"}))
 	got, err := h.Detach(second, "a")
-	if err != nil || phase(t, got) != rules.PhaseDraining {
+	if err != nil || phase(t, got) != routing.PhaseDraining {
 		t.Fatal(got, err)
 	}
-	for i, l := range []rules.MemberList{
-		list(rules.ListPatch, rules.Entry{Member: "a"}),
-		list(rules.ListPatch, rules.Entry{Member: "a", StartedAt: 9 * second}),
-		list(rules.ListWhole, rules.Entry{Member: "b"}),
-		list(rules.ListPatch, rules.Entry{Member: "a", Phase: rules.PhaseOff}),
-		list(rules.ListWhole, rules.Entry{Member: "a", StartedAt: 20 * second}),
+	for i, l := range []routing.MemberList{
+		list(routing.ListPatch, routing.Entry{Member: "a"}),
+		list(routing.ListPatch, routing.Entry{Member: "a", StartedAt: 9 * second}),
+		list(routing.ListWhole, routing.Entry{Member: "b"}),
+		list(routing.ListPatch, routing.Entry{Member: "a", Phase: routing.PhaseOff}),
+		list(routing.ListWhole, routing.Entry{Member: "a", StartedAt: 20 * second}),
 	} {
 		for _, e := range h.Take(time.Duration(10+i)*second, l).Entries {
-			if e.Member == "a" && e.Phase == rules.PhaseOn || e.Member == "b" && e.Phase != rules.PhaseOn {
+			if e.Member == "a" && e.Phase == routing.PhaseOn || e.Member == "b" && e.Phase != routing.PhaseOn {
 				t.Errorf("list %d: the module is told %+v", i, e)
 			}
 		}
 	}
 	h.Detach(30*second, "a") // one call back is enough for two calls out
-	if got, err = h.Attach(40*second, "a"); err != nil || phase(t, got) != rules.PhaseOn || got[0].StartedAt != 40*second {
+	if got, err = h.Attach(40*second, "a"); err != nil || phase(t, got) != routing.PhaseOn || got[0].StartedAt != 40*second {
 		t.Errorf("called back: %+v, %v; want it serving, as started then", got, err)
 	}
 	if got, err = h.Attach(50*second, "a"); err != nil || got != nil {
 		t.Errorf("called back twice: %+v, %v; want nothing", got, err)
 	}
-	later := h.Take(60*second, list(rules.ListPatch, rules.Entry{Member: "a", StartedAt: 55 * second})).Entries[0]
-	if older := h.Take(61*second, list(rules.ListPatch, rules.Entry{Member: "a"})).Entries[0]; later.StartedAt != 55*second ||
+	later := h.Take(60*second, list(routing.ListPatch, routing.Entry{Member: "a", StartedAt: 55 * second})).Entries[0]
+	if older := h.Take(61*second, list(routing.ListPatch, routing.Entry{Member: "a"})).Entries[0]; later.StartedAt != 55*second ||
 		older.StartedAt != 40*second {
 		t.Errorf("started at %v and %v, want a later start as told, and an older one not before the call back", later.StartedAt, older.StartedAt)
 	}
@@ -62,15 +62,15 @@
 // TestDrainOutlivesTheCallBack guards discovery's own drain: being called back does not undo it, nor does an old list.
 func TestDrainOutlivesTheCallBack(t *testing.T) {
 	var h Hands
-	h.Take(0, list(rules.ListWhole, rules.Entry{Member: "a"}))
+	h.Take(0, list(routing.ListWhole, routing.Entry{Member: "a"}))
 	h.Detach(0, "a")
-	h.Take(0, list(rules.ListPatch, rules.Entry{Member: "a", Phase: rules.PhaseDraining}))
-	h.Take(0, list(rules.ListPatch, rules.Entry{Member: "a"}))
-	if got, err := h.Attach(second, "a"); err != nil || phase(t, got) != rules.PhaseDraining {
+	h.Take(0, list(routing.ListPatch, routing.Entry{Member: "a", Phase: routing.PhaseDraining}))
+	h.Take(0, list(routing.ListPatch, routing.Entry{Member: "a"}))
+	if got, err := h.Attach(second, "a"); err != nil || phase(t, got) != routing.PhaseDraining {
 		t.Error(got, err)
 	}
-	h.Take(0, list(rules.ListPatch, rules.Entry{Member: "a", StartedAt: 2 * second}))
-	if got := h.now("a"); phase(t, got) != rules.PhaseOn {
+	h.Take(0, list(routing.ListPatch, routing.Entry{Member: "a", StartedAt: 2 * second}))
+	if got := h.now("a"); phase(t, got) != routing.PhaseOn {
 		t.Errorf("a new process is told as %+v", got)
 	}
 }
@@ -85,20 +85,20 @@
 	if got, err := h.Hold(0, "a"); err != nil || got != nil {
 		t.Error("held ahead:", got, err)
 	}
-	if e := h.Take(0, list(rules.ListWhole, rules.Entry{Member: "a"})).Entries[0]; e.Phase != rules.PhaseDraining {
+	if e := h.Take(0, list(routing.ListWhole, routing.Entry{Member: "a"})).Entries[0]; e.Phase != routing.PhaseDraining {
 		t.Errorf("it came as %+v", e)
 	}
-	h.Take(0, list(rules.ListWhole))
+	h.Take(0, list(routing.ListWhole))
 	if _, err := h.Attach(second, "a"); err != nil {
 		t.Error("one that is out and off the list:", err)
 	}
-	h.Take(0, list(rules.ListWhole, rules.Entry{Member: "b"}))
-	h.Take(10*second, list(rules.ListWhole))
+	h.Take(0, list(routing.ListWhole, routing.Entry{Member: "b"}))
+	h.Take(10*second, list(routing.ListWhole))
 	if _, err := h.Detach(20*second, "b"); err != nil {
 		t.Error("off the list of late, and maybe still in use:", err)
 	}
 	h.Attach(30*second, "b")
-	h.Take(100*second, list(rules.ListWhole))
+	h.Take(100*second, list(routing.ListWhole))
 	if _, err := h.Detach(101*second, "b"); !errors.As(err, &unknown) || len(h.listed)+len(h.back) > 0 {
 		t.Error("gone for good:", err, h.listed, h.back)
 	}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // settings are the raw path=value pairs of an instance; err keeps the first fault met while reading them.
@@ -33,7 +33,7 @@
 
 // Config turns settings, by their paths on the wire, into the module's configuration. The real gateway finds
 // the same settings in its configuration file.
-func Config(pairs map[string]string) (rules.Config, error) {
+func Config(pairs map[string]string) (routing.Config, error) {
 	return (&settings{values: pairs}).config()
 }
 
@@ -149,20 +149,20 @@
 }
 
 var (
-	needWords = map[string]rules.Need{"any": rules.NeedAny, "bounded": rules.NeedBounded,
-		"session": rules.NeedSession, "fresh": rules.NeedFresh, "write": rules.NeedWrite}
-	effectWords = map[string]rules.Effect{"repeatable": rules.Repeatable, "by_key": rules.Keyed, "once": rules.Once}
-	guardWords  = map[string]rules.Guard{"none": rules.GuardNone, "refuse": rules.GuardRefuse, "wait": rules.GuardWait}
-	roleWords   = map[string]rules.ListRole{"": rules.ListRoleNone, "none": rules.ListRoleNone,
-		"start": rules.ListRoleStart, "late": rules.ListRoleLate}
+	needWords = map[string]routing.Need{"any": routing.NeedAny, "bounded": routing.NeedBounded,
+		"session": routing.NeedSession, "fresh": routing.NeedFresh, "write": routing.NeedWrite}
+	effectWords = map[string]routing.Effect{"repeatable": routing.Repeatable, "by_key": routing.Keyed, "once": routing.Once}
+	guardWords  = map[string]routing.Guard{"none": routing.GuardNone, "refuse": routing.GuardRefuse, "wait": routing.GuardWait}
+	roleWords   = map[string]routing.ListRole{"": routing.ListRoleNone, "none": routing.ListRoleNone,
+		"start": routing.ListRoleStart, "late": routing.ListRoleLate}
 	markWords      = map[string]bool{"": false, "carried": false, "remembered": true}
 	scopeWords     = map[string]bool{"": false, "-": false, "cell": false, "all": true}
 	discoveryWords = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
 
 // config turns the pairs into the module's configuration.
-func (s *settings) config() (rules.Config, error) {
-	c := rules.Config{
+func (s *settings) config() (routing.Config, error) {
+	c := routing.Config{
 		Gateways:          s.count("balancers"),
 		Zone:              s.values["zone"],
 		OverShareWorth:    s.number("overShareWorth", 0, mostNumber),
@@ -213,10 +213,10 @@
 }
 
 // class reads one class.
-func (s *settings) class(i int, need string, bounds []string) rules.Class {
+func (s *settings) class(i int, need string, bounds []string) routing.Class {
 	p := fmt.Sprintf("classes.%d.", i)
 	s.text(p + "points")
-	c := rules.Class{
+	c := routing.Class{
 		Name:      s.text(p + "name"),
 		Aim:       s.mustSeconds(p + "aimS"),
 		Stretch:   s.number(p+"aimStretch", 0, mostNumber),
@@ -232,7 +232,7 @@
 	if c.Need, ok = needWords[need]; !ok {
 		s.fail("domain.needsByClass", "a list of "+strings.Join(slices.Sorted(maps.Keys(needWords)), ", "))
 	}
-	if c.Need == rules.NeedBounded {
+	if c.Need == routing.NeedBounded {
 		b := math.NaN()
 		if i < len(bounds) {
 			if x, err := strconv.ParseFloat(bounds[i], 64); err == nil {
@@ -249,19 +249,19 @@
 }
 
 // tenants reads the tenants: an object list with a count, or names alone.
-func (s *settings) tenants() []rules.Tenant {
+func (s *settings) tenants() []routing.Tenant {
 	if !s.has("realms.count") {
-		var out []rules.Tenant
+		var out []routing.Tenant
 		for _, name := range s.list("realms") {
-			out = append(out, rules.Tenant{Name: name})
+			out = append(out, routing.Tenant{Name: name})
 		}
 		return out
 	}
 	n := int(s.number("realms.count", 0, mostCount))
-	var out []rules.Tenant
+	var out []routing.Tenant
 	for i := 0; i < n && s.err == nil; i++ {
 		p := fmt.Sprintf("realms.%d.", i)
-		out = append(out, rules.Tenant{Name: s.text(p + "name"), Quota: s.number(p+"quotaPerS", 0, mostNumber)})
+		out = append(out, routing.Tenant{Name: s.text(p + "name"), Quota: s.number(p+"quotaPerS", 0, mostNumber)})
 	}
 	return out
 }
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // wellFormed are settings of two classes and two tenants.
@@ -97,18 +97,18 @@
 		var out bytes.Buffer
 		w := NewWriter(&out)
 		now := 100 * time.Second
-		x, err := rules.New(now, c, seed, &Actions{Writer: w, Instance: "gateway/0"})
+		x, err := routing.New(now, c, seed, &Actions{Writer: w, Instance: "gateway/0"})
 		if err != nil {
 			t.Fatalf("seed %d: taken, and then %v", seed, err)
 		}
-		x.Members(now, rules.MemberList{Kind: rules.ListStale, Entries: []rules.Entry{{Member: "a:1", Group: 1, StartedAt: 99 * time.Second},
+		x.Members(now, routing.MemberList{Kind: routing.ListStale, Entries: []routing.Entry{{Member: "a:1", Group: 1, StartedAt: 99 * time.Second},
 			{Member: "b:1", Group: 1, Size: 1}}})
 		asked := 0
 		for range 100 {
 			now += 10 * time.Millisecond
 			for class, k := range c.Classes {
 				asked++
-				x.Request(now, rules.Request{ID: uint64(asked), Class: class, Tenant: class % (len(c.Tenants) + 1), Session: "s", Group: 1,
+				x.Request(now, routing.Request{ID: uint64(asked), Class: class, Tenant: class % (len(c.Tenants) + 1), Session: "s", Group: 1,
 					Remaining: k.Deadline})
 			}
 			x.Timer(now, "sweep")
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // Event is one event for one instance. What holds one of the types below or of the rules package.
@@ -24,7 +24,7 @@
 // Open starts an instance.
 type Open struct {
 	Seed   uint64
-	Config rules.Config
+	Config routing.Config
 }
 
 // Detach kills an instance.
@@ -65,13 +65,13 @@
 type Reader struct {
 	in        *bufio.Reader
 	line      int
-	tables    map[int][]rules.Entry
+	tables    map[int][]routing.Entry
 	instances map[string]*names
 }
 
 // NewReader returns a reader of r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<20), tables: map[int][]rules.Entry{}, instances: map[string]*names{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<20), tables: map[int][]routing.Entry{}, instances: map[string]*names{}}
 }
 
 // next returns the next line without its end.
@@ -165,7 +165,7 @@
 	case "ack_first":
 		e.What = Started{Request: f.id(), Attempt: f.integer()}
 	case "probed":
-		p := rules.ProbeResult{Member: f.need(), Result: f.result(), Took: f.seconds()}
+		p := routing.ProbeResult{Member: f.need(), Result: f.result(), Took: f.seconds()}
 		p.Report, err = n.report(f.word())
 		e.What = p
 	case "datagram":
@@ -212,7 +212,7 @@
 	return o, nil
 }
 
-var phaseWords = map[string]rules.Phase{"on": rules.PhaseOn, "fading": rules.PhaseDraining, "off": rules.PhaseOff}
+var phaseWords = map[string]routing.Phase{"on": routing.PhaseOn, "fading": routing.PhaseDraining, "off": routing.PhaseOff}
 
 // table reads a list and its entry lines.
 func (r *Reader) table(f *fields) error {
@@ -223,7 +223,7 @@
 	if count < 0 {
 		return fmt.Errorf("a list of %d entries", count)
 	}
-	var entries []rules.Entry
+	var entries []routing.Entry
 	for range count {
 		s, err := r.next()
 		if err != nil {
@@ -237,7 +237,7 @@
 		if !ok {
 			return fmt.Errorf("%q in list %d: unknown phase", s, number)
 		}
-		e := rules.Entry{Phase: phase, Zone: l.word()}
+		e := routing.Entry{Phase: phase, Zone: l.word()}
 		l.word() // the machine kind decides nothing
 		e.Size, e.Leader, e.StartedAt = l.number(), l.number() == 1, l.seconds()
 		e.Member, e.Group = l.need(), l.integer()
@@ -250,19 +250,19 @@
 	return nil
 }
 
-var listWords = map[string]rules.ListKind{"patch": rules.ListPatch, "whole": rules.ListWhole,
-	"stale_copy": rules.ListStale, "broken": rules.ListBroken}
+var listWords = map[string]routing.ListKind{"patch": routing.ListPatch, "whole": routing.ListWhole,
+	"stale_copy": routing.ListStale, "broken": routing.ListBroken}
 
 // roster reads news of the list.
-func (r *Reader) roster(f *fields) (rules.MemberList, error) {
+func (r *Reader) roster(f *fields) (routing.MemberList, error) {
 	how := f.word()
 	kind, ok := listWords[how]
 	if !ok {
-		return rules.MemberList{}, fmt.Errorf("unknown kind of list %q", how)
+		return routing.MemberList{}, fmt.Errorf("unknown kind of list %q", how)
 	}
-	l := rules.MemberList{Kind: kind}
+	l := routing.MemberList{Kind: kind}
 	f.word() // the revision decides nothing: changes come in order
-	if kind == rules.ListBroken {
+	if kind == routing.ListBroken {
 		return l, nil
 	}
 	number := f.integer()
@@ -273,8 +273,8 @@
 }
 
 // knock reads a request.
-func (n *names) knock(f *fields) (rules.Request, error) {
-	q := rules.Request{ID: f.id(), Tenant: -1}
+func (n *names) knock(f *fields) (routing.Request, error) {
+	q := routing.Request{ID: f.id(), Tenant: -1}
 	class, tenant := f.need(), f.word()
 	var ok bool
 	if q.Class, ok = n.classes[class]; !ok && f.err == nil {
@@ -297,19 +297,19 @@
 }
 
 // reply reads the end of an attempt.
-func (n *names) reply(f *fields) (rules.Outcome, error) {
-	o := rules.Outcome{Request: f.id()}
+func (n *names) reply(f *fields) (routing.Outcome, error) {
+	o := routing.Outcome{Request: f.id()}
 	note := int64(f.number())
 	o.Member, o.Attempt, o.Took = f.need(), f.integer(), f.seconds()
 	o.Closed, o.Result = f.number() == 1, f.result()
 	switch o.Result {
-	case rules.ResultOK, rules.ResultMiss, rules.ResultFull, rules.ResultError:
+	case routing.ResultOK, routing.ResultMiss, routing.ResultFull, routing.ResultError:
 		o.Position = note / 4
 		switch note % 4 {
 		case 1:
-			o.Role = rules.RolePrimary
+			o.Role = routing.RolePrimary
 		case 2:
-			o.Role = rules.RoleReplica
+			o.Role = routing.RoleReplica
 		}
 	}
 	var err error
@@ -318,8 +318,8 @@
 }
 
 // report reads a load report by the configured column names.
-func (n *names) report(s string) (rules.Report, error) {
-	var out rules.Report
+func (n *names) report(s string) (routing.Report, error) {
+	var out routing.Report
 	if s == "" {
 		return out, nil
 	}
@@ -338,9 +338,9 @@
 		case "x0":
 			out.HasPosition, out.Position = true, int64(math.Floor(x*1000+1e-6))
 		case "x1":
-			out.Role = rules.RoleReplica
+			out.Role = routing.RoleReplica
 			if x >= 0.5 {
-				out.Role = rules.RolePrimary
+				out.Role = routing.RolePrimary
 			}
 		}
 	}
@@ -412,12 +412,12 @@
 
 func (f *fields) seconds() time.Duration { return seconds(f.number()) }
 
-func (f *fields) result() rules.Result {
+func (f *fields) result() routing.Result {
 	n := f.integer()
-	if (n < int(rules.ResultError) || n > int(rules.ResultMiss)) && f.err == nil {
+	if (n < int(routing.ResultError) || n > int(routing.ResultMiss)) && f.err == nil {
 		f.err = fmt.Errorf("unknown outcome %d", n)
 	}
-	return rules.Result(n)
+	return routing.Result(n)
 }
 
 // seconds turns the wire's seconds into a duration, exact to the microsecond.
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // Settings is a small whole set, in the wire's form.
@@ -38,13 +38,13 @@
 	if b.Now != 8500*time.Millisecond || o.Seed != 42 || c.Gateways != 2 || !c.Subscribe || !c.Remembered {
 		t.Fatalf("batch %v, open %+v", b.Now, o)
 	}
-	if c.Guards != rules.GuardWait || c.ListRole != rules.ListRoleLate || c.PositionZero != 100500*time.Millisecond {
+	if c.Guards != routing.GuardWait || c.ListRole != routing.ListRoleLate || c.PositionZero != 100500*time.Millisecond {
 		t.Errorf("domain settings: %+v", c)
 	}
-	if c.Classes[0].Need != rules.NeedBounded || c.Classes[0].Bound != 800*time.Millisecond {
+	if c.Classes[0].Need != routing.NeedBounded || c.Classes[0].Bound != 800*time.Millisecond {
 		t.Errorf("bounded class: %+v", c.Classes[0])
 	}
-	if k := c.Classes[1]; k.Effect != rules.Keyed || k.KeyAll || k.KeyTTL != 2*time.Second || k.Need != rules.NeedWrite {
+	if k := c.Classes[1]; k.Effect != routing.Keyed || k.KeyAll || k.KeyTTL != 2*time.Second || k.Need != routing.NeedWrite {
 		t.Errorf("keyed class: %+v", k)
 	}
 	if len(c.Tenants) != 1 || c.Tenants[0].Quota != 12.5 {
@@ -75,29 +75,29 @@
 `))
 	read(t, r)
 	e := read(t, r).Events
-	first, second := e[0].What.(rules.MemberList), e[1].What.(rules.MemberList)
+	first, second := e[0].What.(routing.MemberList), e[1].What.(routing.MemberList)
 	if len(first.Entries) != 1 || !first.Entries[0].Leader || first.Entries[0].StartedAt != 7250*time.Millisecond {
 		t.Errorf("first list: %+v", first)
 	}
-	if len(second.Entries) != 2 || second.Entries[0].Phase != rules.PhaseDraining || second.Entries[1].Phase != rules.PhaseOff {
+	if len(second.Entries) != 2 || second.Entries[0].Phase != routing.PhaseDraining || second.Entries[1].Phase != routing.PhaseOff {
 		t.Errorf("second list: %+v", second)
 	}
-	if e[2].What.(rules.MemberList).Kind != rules.ListBroken {
+	if e[2].What.(routing.MemberList).Kind != routing.ListBroken {
 		t.Errorf("broken: %+v", e[2])
 	}
-	want := rules.Request{ID: 77, Session: "s1", Remaining: 250 * time.Millisecond, Work: 12 * time.Millisecond,
+	want := routing.Request{ID: 77, Session: "s1", Remaining: 250 * time.Millisecond, Work: 12 * time.Millisecond,
 		Group: 4, SinceWrite: 12500 * time.Microsecond, Repeat: true}
-	if got := e[3].What.(rules.Request); got != want {
+	if got := e[3].What.(routing.Request); got != want {
 		t.Errorf("request %+v, want %+v", got, want)
 	}
-	o := e[4].What.(rules.Outcome)
-	if o.Role != rules.RoleReplica || o.Position != 6371 || !o.Closed || o.Report.Position != 6204 || o.Report.Role != rules.RolePrimary {
+	o := e[4].What.(routing.Outcome)
+	if o.Role != routing.RoleReplica || o.Position != 6371 || !o.Closed || o.Report.Position != 6204 || o.Report.Role != routing.RolePrimary {
 		t.Errorf("reply: %+v", o)
 	}
-	if o := e[5].What.(rules.Outcome); o.Result != rules.ResultTimeout || o.Role != rules.RoleUnknown || o.Report.Role != rules.RoleUnknown {
+	if o := e[5].What.(routing.Outcome); o.Result != routing.ResultTimeout || o.Role != routing.RoleUnknown || o.Report.Role != routing.RoleUnknown {
 		t.Errorf("timeout: %+v", o)
 	}
-	if p := e[6].What.(rules.ProbeResult); p.Report.Position != 7500 || p.Report.Role != rules.RoleReplica {
+	if p := e[6].What.(routing.ProbeResult); p.Report.Position != 7500 || p.Report.Role != routing.RoleReplica {
 		t.Errorf("probe: %+v", p)
 	}
 	if s := e[7].What.(Started); s.Attempt != 1 {
@@ -140,9 +140,9 @@
 	a := &Actions{Writer: w, Instance: "gateway/3"}
 	a.Send(1564119492, "10.0.0.1:50", 8492250*time.Microsecond, 0)
 	a.Cancel(7, 2)
-	a.Refuse(8, 300*time.Millisecond, rules.ReasonShed)
-	a.Fail(9, rules.ReasonRejected)
-	a.Probe("m", rules.ConnAny)
+	a.Refuse(8, 300*time.Millisecond, routing.ReasonShed)
+	a.Fail(9, routing.ReasonRejected)
+	a.Probe("m", routing.ConnAny)
 	a.SetTimer(10*time.Millisecond, "sweep")
 	a.Subscribe(true)
 	a.LookUp()
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cranegate/internal/zones"
-	"cranegate/rules"
+	"cranegate/routing"
 )
 
 // Writer writes replies.
@@ -38,7 +38,7 @@
 // Bug declares that the decision code failed.
 func (w *Writer) Bug(instance, text string) { w.action("bug", instance, oneLine(text)) }
 
-// Actions is one instance's side of a reply; it implements rules.Gateway.
+// Actions is one instance's side of a reply; it implements routing.Gateway.
 type Actions struct {
 	Writer   *Writer
 	Instance string
@@ -57,18 +57,18 @@
 }
 
 // Refuse writes a busy.
-func (a *Actions) Refuse(request uint64, comeBack time.Duration, _ rules.Reason) {
+func (a *Actions) Refuse(request uint64, comeBack time.Duration, _ routing.Reason) {
 	a.act("busy", id(request), clock(comeBack))
 }
 
 // Fail writes a surrender.
-func (a *Actions) Fail(request uint64, _ rules.Reason) { a.act("surrender", id(request)) }
+func (a *Actions) Fail(request uint64, _ routing.Reason) { a.act("surrender", id(request)) }
 
 // Close writes a close.
 func (a *Actions) Close(member string) { a.act("close", member) }
 
 // Probe writes a sound_out.
-func (a *Actions) Probe(member string, _ rules.Conn) { a.act("sound_out", member) }
+func (a *Actions) Probe(member string, _ routing.Conn) { a.act("sound_out", member) }
 
 // SetTimer writes a set_alarm.
 func (a *Actions) SetTimer(after time.Duration, name string) { a.act("set_alarm", clock(after), name) }
--- a/rules/admit.go
+++ b/routing/admit.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 const (
 	shedBelow, shedRamp = 0.9, 0.3 // expected worth under which a growing share is refused, to a trickle
--- a/rules/interface.go
+++ b/routing/interface.go
@@ -1,4 +1,4 @@
-// Package rules makes the decisions of a query router for sharded, replicated databases.
+// Package routing makes the decisions of a query router for sharded, replicated databases.
 //
 // This file holds the types at the module's edge and nothing else: the configuration, the events that a
 // gateway hands in, and the actions that the module asks for. The decisions stand beside it, a file for each concern:
@@ -16,7 +16,7 @@
 //   - lists.go: the member list, drains and the subscription to it.
 //
 // In their comments "usual" is the learned round trip of a class, the unit of most measures.
-package rules
+package routing
 
 import (
 	"time"
--- a/rules/lists.go
+++ b/routing/lists.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 import "time"
 
--- a/rules/reasons.go
+++ b/routing/reasons.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // Reason says why a request was refused or has failed, for logs and counters. It changes no decision.
 type Reason string
--- a/rules/sizes.go
+++ b/routing/sizes.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // Sizes is the number of entries in each of the maps and slices that the module keeps, by name: what must not grow
 // however long it runs. It is for tests and experiments.
--- a/rules/slow_test.go
+++ b/routing/slow_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package rules
+package routing
 
 // rampSeeds is how many seeds of each day are played with cold members: memory is watched, which takes ten times as long.
 const rampSeeds = 6
