--- a/internal/soak/build.go
+++ b/internal/soak/build.go
@@ -53,7 +53,7 @@
 		[]string{ruleTwice, ruleViolation}, []string{"resets", "bad_answers", "host_dies"}},
 	{"answer-withheld", []Edit{{"internal/frontend/postgres/postgres.go", "	case core.Refused:\n", "	case core.Refused:\n		return errors.New(\"withheld\")\n"}},
 		[]string{ruleLost, ruleTurnedBack, ruleViolation}, nil},
-	{"cold-unheeded", []Edit{{"routing/cold.go", "return m.credit >= 0", "return true"}}, []string{ruleViolation}, nil},
+	{"cold-unheeded", []Edit{{"routing/slowstart.go", "return m.credit >= 0", "return true"}}, []string{ruleViolation}, nil},
 	{"ban-forgotten", []Edit{{"internal/hotrestart/statefile/statefile.go", "	return regs, sequence, nil\n", "	regs = state.Registers{}\n	return regs, sequence, nil\n"}},
 		[]string{ruleBan}, []string{"ban", "kill", "resets"}},
 	{"log-waits", []Edit{{"cmd/cranegate/main.go", "logging.New(logs, ", "logging.New(os.Stderr, "}}, []string{ruleStuck, ruleExit, ruleDeaf, ruleDrain},
--- a/routing/interface.go
+++ b/routing/interface.go
@@ -8,12 +8,12 @@
 //   - evidence.go: the one place where positions, roles, latencies and health are learned;
 //   - primary.go: finding the primary;
 //   - choose.go: the member for a read, by row utility x freshness x chance of answering in time;
-//   - chance.go: that chance;
+//   - latency.go: that chance;
 //   - attempts.go: sends, second copies, cancels and ends;
 //   - admit.go: who is refused while answers come too late;
-//   - cold.go: what cold members may be sent;
-//   - probe.go: who is probed;
-//   - lists.go: the member list, drains and the subscription to it.
+//   - slowstart.go: what warming members may be sent;
+//   - healthcheck.go: who is probed;
+//   - endpoints.go: the endpoint list, drains and the subscription to it.
 //
 // In their comments "usual" is the learned round trip of a class, the unit of most measures.
 package routing
