--- a/cmd/cranegate/adminlistener.go
+++ b/cmd/cranegate/adminlistener.go
@@ -126,17 +126,17 @@
 		known = known || k
 	}
 	if !known {
-		return override.UnknownHost{ID: id}
+		return override.UnknownHostError{ID: id}
 	}
 	if c.hand != nil {
-		return c.hand.Set(ctx, state.Change{Host: id, Out: out})
+		return c.hand.Apply(ctx, state.Change{Host: id, Out: out})
 	}
 	way := core.Attach
 	if out {
-		way = core.Hold
+		way = core.DetachUnlisted
 	}
 	for _, f := range c.lists {
-		if err := f.core.Hand(ctx, id, way); err != nil && !unknown(err) {
+		if err := f.core.SetOverride(ctx, id, way); err != nil && !unknown(err) {
 			return err
 		}
 	}
@@ -145,7 +145,7 @@
 
 // unknown says that it was a host that nobody has.
 func unknown(err error) bool {
-	var u override.UnknownHost
+	var u override.UnknownHostError
 	return errors.As(err, &u)
 }
 
@@ -155,11 +155,11 @@
 		return errors.New("stopping: clients are not taken again; start the gateway anew")
 	}
 	if c.hand != nil {
-		return c.hand.Set(ctx, state.Change{Lameduck: on})
+		return c.hand.Apply(ctx, state.Change{Lameduck: on})
 	}
 	if on {
-		c.room.SendAway()
-	} else if !c.room.TakeBack() {
+		c.room.Drain()
+	} else if !c.room.Undrain() {
 		return errors.New("stopping: clients are not taken again; start the gateway anew")
 	}
 	return nil
--- a/cmd/cranegate/caps_test.go
+++ b/cmd/cranegate/caps_test.go
@@ -15,7 +15,7 @@
 // knows is what a process knows of so many hosts, with a round trip in each place of their windows.
 func knows(hosts, window int) knowledge {
 	k := knowledge{Lists: map[string]discovery.Snapshot{}, Starts: map[string]map[string]time.Time{"postgres": {}},
-		Learned: map[string]routing.Learned{"postgres": {Members: map[string]routing.LearnedMember{}, Usual: []time.Duration{1, 2}}}}
+		Learned: map[string]routing.Learned{"postgres": {Members: map[string]routing.LearnedMember{}, ExpectedLatency: []time.Duration{1, 2}}}}
 	s := discovery.Snapshot{Rev: 1 << 40, All: true}
 	at := 123456789 * time.Second
 	for i := range hosts {
@@ -39,8 +39,8 @@
 // what was learned is left out, and the list stays.
 func TestAThousandHostsAreHandedOver(t *testing.T) {
 	for _, x := range []struct{ hosts, window, learned, windows int }{{100, 8, 100, 8}, {1024, 0, 1024, 0}, {1024, 64, 1024, 0}, {1025, 64, 1025, 0}, {2500, 8, 0, 0}} {
-		text, err := knows(x.hosts, x.window).within(frame.MostBlob)
-		if err != nil || len(text) > frame.MostBlob {
+		text, err := knows(x.hosts, x.window).within(frame.MaxBlob)
+		if err != nil || len(text) > frame.MaxBlob {
 			t.Fatalf("%+v: %d bytes, %v", x, len(text), err)
 		}
 		var w strings.Builder
@@ -53,7 +53,7 @@
 			err = json.Unmarshal(m.Blob, &k)
 		}
 		if err != nil || len(k.Lists["postgres"].Targets) != x.hosts || len(k.Starts["postgres"]) != x.hosts || len(k.Learned["postgres"].Members) != x.learned ||
-			len(k.Learned["postgres"].Usual) != 2 {
+			len(k.Learned["postgres"].ExpectedLatency) != 2 {
 			t.Fatalf("%+v: %d hosts, %d starts, %d learned of, %v", x, len(k.Lists["postgres"].Targets), len(k.Starts["postgres"]), len(k.Learned["postgres"].Members), err)
 		}
 		for id, m := range k.Learned["postgres"].Members {
--- a/cmd/cranegate/descriptors.go
+++ b/cmd/cranegate/descriptors.go
@@ -64,12 +64,12 @@
 	}
 	d.clients = 1
 	for n := left / 2; n > 1; n-- {
-		if n+frontend.Lobby(n)+n <= left {
+		if n+frontend.RejectQueueSize(n)+n <= left {
 			d.clients = n
 			break
 		}
 	}
-	d.servers = max(1, (left-d.clients-frontend.Lobby(d.clients))/fronts)
+	d.servers = max(1, (left-d.clients-frontend.RejectQueueSize(d.clients))/fronts)
 	if d.servers*fronts > d.clients { // as many as clients: one without a host's connection waits for one
 		d.servers = max(1, d.clients/fronts)
 	}
--- a/cmd/cranegate/descriptors_test.go
+++ b/cmd/cranegate/descriptors_test.go
@@ -161,7 +161,7 @@
 					continue
 				}
 				n := max(1, fronts)
-				sum := d.clients + frontend.Lobby(d.clients) + n*(d.servers+forFront+forDiscovery) + forRuntime
+				sum := d.clients + frontend.RejectQueueSize(d.clients) + n*(d.servers+forFront+forDiscovery) + forRuntime
 				for on, cost := range map[*bool]int{&second: forHandover + forAddress + d.staff, &checks: forChecks, &peers: forPeers} {
 					if *on {
 						sum += cost
--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -49,19 +49,19 @@
 	counters *metrics.Counters
 	monitor  *invariant.Monitor
 	status   *agentcheck.Status
-	room     *frontend.Room   // descriptors for clients
-	budget   *framebuf.Budget // bytes for what clients send
-	servers  int              // descriptors for the database hosts of each protocol
-	staff    int              // callers at the second address at once
+	room     *frontend.Limiter // descriptors for clients
+	budget   *framebuf.Budget  // bytes for what clients send
+	servers  int               // descriptors for the database hosts of each protocol
+	staff    int               // callers at the second address at once
 	stop     context.Context
 	work     context.Context     // outlives stop: what was taken is still answered
 	actors   *errgroup.Group     // live as long as work
 	fronts   *errgroup.Group     // end some time after stop
 	lists    map[string]followed // by fleet
-	peers    *gossip.Peers       // nil: the other gateways are not known
+	peers    *gossip.Transport   // nil: the other gateways are not known
 	limits   config.Limits
-	handed               // what passes between processes of this gateway
-	turns    admin.Turns // of what staff ask, at whichever address
+	handed                    // what passes between processes of this gateway
+	turns    admin.Serializer // of what staff ask, at whichever address
 }
 
 // followed is what a reload reaches of a fleet.
@@ -69,7 +69,7 @@
 	watch *discovery.Watcher
 	core  *core.Core
 	pool  *backend.Pool
-	pace  *backoff.Caller
+	pace  *backoff.Backoff
 	front *frontend.Server
 	zone  string // the gateway's own
 }
@@ -82,7 +82,7 @@
 	seed                    uint64
 	known                   discovery.Snapshot
 	start                   backend.Starter
-	front                   frontend.Front
+	front                   frontend.Protocol
 }
 
 // run serves until stop ends and all that was taken is answered. At each signal of a changed configuration it is
@@ -93,7 +93,7 @@
 	if p != nil {
 		limits = p.Limits
 		fleets = append(fleets, fleet{name: "postgres", listen: p.Listen, listener: inherited, discovery: p.Discovery, settings: p.Settings,
-			seed: p.Seed, known: p.Known, start: pgservers.Start, front: postgres.Front{}})
+			seed: p.Seed, known: p.Endpoints, start: pgservers.Start, front: postgres.Protocol{}})
 	} else {
 		limits = o.Limits
 	}
@@ -112,13 +112,13 @@
 	if err != nil {
 		return err
 	}
-	g := &gateway{counters: &metrics.Counters{}, status: &agentcheck.Status{}, room: frontend.NewRoom(d.clients),
+	g := &gateway{counters: &metrics.Counters{}, status: &agentcheck.Status{}, room: frontend.NewLimiter(d.clients),
 		budget: framebuf.NewBudget(int64(limits.MemoryMB) << 20 / 4), servers: d.servers, staff: d.staff, stop: stop, work: work, fronts: &errgroup.Group{},
 		lists: map[string]followed{}, limits: limits, handed: handed{places: d.clients}}
 	logs.Count(g.counters)
 	g.monitor = &invariant.Monitor{Counters: g.counters}
 	g.actors, _ = errgroup.WithContext(work)
-	g.status.Free = g.room.Free
+	g.status.Free = g.room.FreeShare
 	g.actors.Go(func() error { g.logOnRequest(counters); return nil })
 	defer g.counters.Log("counters")
 	if o != nil {
@@ -132,11 +132,11 @@
 	}
 	for i := range fleets {
 		f := &fleets[i]
-		for _, k := range f.settings.Rules.Classes {
-			g.room.Waits(k.Deadline)
+		for _, k := range f.settings.Routing.Classes {
+			g.room.ObserveDeadline(k.Deadline)
 		}
 		if o != nil {
-			f.settings.Rules.Zones = o.Zones.Options(f.settings.Rules.Zone)
+			f.settings.Routing.Zones = o.Zones.Options(f.settings.Routing.Zone)
 		}
 		if err := g.prepare(f); err != nil {
 			return fmt.Errorf("serving %s: %w", f.name, err)
@@ -197,7 +197,7 @@
 	select {
 	case err := <-ended:
 		return err
-	case <-time.After(max(exitAfter, g.room.Longest()+exitPast)):
+	case <-time.After(max(exitAfter, g.room.MaxDeadline()+exitPast)):
 	}
 	select {
 	case err := <-ended:
@@ -215,8 +215,8 @@
 	opt.Counters = g.counters
 	opt.Counted = func(gateways int, _ float64) {
 		for _, f := range g.lists {
-			f.pool.Gateways(gateways)
-			f.pace.Fleet(gateways)
+			f.pool.SetGateways(gateways)
+			f.pace.SetGateways(gateways)
 		}
 	}
 	p, err := gossip.Listen(opt)
@@ -249,7 +249,7 @@
 		slog.Info("reloaded")
 		for _, f := range g.lists {
 			if o != nil && o.Zones != nil {
-				f.core.Tune(*o.Zones.Options(f.zone))
+				f.core.ConfigureZones(*o.Zones.Options(f.zone))
 			}
 		}
 		if g.peers != nil && o != nil && o.Fleet != nil {
@@ -258,12 +258,12 @@
 			}
 		}
 		if f, ok := g.lists["postgres"]; ok && p != nil && p.Discovery != "" {
-			f.watch.Move(p.Discovery)
+			f.watch.SetAddress(p.Discovery)
 		}
 		if f, ok := g.lists["mysql"]; ok && o != nil && o.MySQL != nil {
-			f.watch.Move(o.MySQL.Discovery)
+			f.watch.SetAddress(o.MySQL.Discovery)
 			if o.MySQL.Discovery == "" {
-				f.core.Members(discovery.Snapshot{All: true, Targets: o.MySQL.Hosts}.List(routing.ListWhole))
+				f.core.UpdateEndpoints(discovery.Snapshot{All: true, Targets: o.MySQL.Hosts}.EndpointList(routing.EndpointListComplete))
 			}
 		}
 	}
@@ -273,24 +273,24 @@
 // are not taken for those of statements.
 func mysqlFleet(o *config.Operator) fleet {
 	m, s := o.MySQL, *o.Settings
-	s.Rules.Classes = append(slices.Clone(s.Rules.Classes), routing.Class{Name: mysql.PrepareClass,
-		Need: routing.NeedAny, Aim: m.PrepareAim(), Deadline: m.PrepareDeadline(), Worth: 1, Effect: routing.Repeatable})
+	s.Routing.Classes = append(slices.Clone(s.Routing.Classes), routing.Class{Name: mysql.PrepareClass,
+		Consistency: routing.ConsistencyAny, LatencyObjective: m.PrepareAim(), Deadline: m.PrepareDeadline(), PriorityWeight: 1, Effect: routing.Idempotent})
 	known := discovery.Snapshot{Rev: -1, All: true, Targets: m.Hosts}
 	password := ""
 	if m.PasswordEnv != "" {
 		password = os.Getenv(m.PasswordEnv)
 	}
-	account := myservers.Account{Password: password, User: m.User, Database: m.Database, Probe: m.Probe, PrepareFor: s.ConnectTimeout}
+	account := myservers.Account{Password: password, User: m.User, Database: m.Database, HealthCheck: m.Probe, PrepareTimeout: s.ConnectTimeout}
 	return fleet{name: "mysql", listen: m.Listen, listener: listenTCP, discovery: m.Discovery, settings: s, seed: o.Seed, known: known,
-		start: account.Start, front: mysql.Front{}}
+		start: account.Start, front: mysql.Protocol{}}
 }
 
 // prepare starts the actors of one fleet. Nothing is sent yet.
 func (g *gateway) prepare(f *fleet) error {
 	pool := backend.New(g.work, backend.Options{Start: f.start, ConnectTimeout: f.settings.ConnectTimeout,
-		IdleFor: f.settings.IdleClose * 2 / 3, MostOpen: g.servers, Gateways: f.settings.Rules.Gateways, Counters: g.counters})
-	c, err := core.New(core.Options{Rules: f.settings.Rules, Seed: f.seed, AnswerSlack: f.settings.AnswerSlack,
-		ProbeTimeout: f.settings.ConnectTimeout, Counters: g.counters, Monitor: g.monitor}, pool)
+		IdleTimeout: f.settings.IdleClose * 2 / 3, MaxOpen: g.servers, Gateways: f.settings.Routing.Gateways, Counters: g.counters})
+	c, err := core.New(core.Options{Routing: f.settings.Routing, Seed: f.seed, AnswerSlack: f.settings.AnswerSlack,
+		HealthCheckTimeout: f.settings.ConnectTimeout, Counters: g.counters, Monitor: g.monitor}, pool)
 	if err != nil {
 		return err
 	}
@@ -298,13 +298,13 @@
 	if known, ok := g.inherited.Lists[f.name]; ok && known.Rev > f.known.Rev && len(known.Targets) > 0 {
 		f.known = known
 	}
-	calls := backoff.New(f.settings.Rules.Gateways, f.seed)
-	front := &frontend.Server{Name: f.name, Front: f.front, Core: c, Room: g.room, Budget: g.budget, Counters: g.counters, Monitor: g.monitor}
+	calls := backoff.New(f.settings.Routing.Gateways, f.seed)
+	front := &frontend.Server{Name: f.name, Protocol: f.front, Core: c, Limiter: g.room, Budget: g.budget, Counters: g.counters, Monitor: g.monitor}
 	if g.hand != nil {
 		front.Pass = g.pass(f.name)
-		front.Shared = f.name == "postgres" && os.Getenv(listenfd.Variable) != ""
+		front.SharedListener = f.name == "postgres" && os.Getenv(listenfd.Variable) != ""
 	}
-	g.lists[f.name] = followed{discovery.NewWatcher(f.discovery, f.known, c.Members, calls, g.counters), c, pool, calls, front, f.settings.Rules.Zone}
+	g.lists[f.name] = followed{discovery.NewWatcher(f.discovery, f.known, c.UpdateEndpoints, calls, g.counters), c, pool, calls, front, f.settings.Routing.Zone}
 	return nil
 }
 
@@ -312,7 +312,7 @@
 func (g *gateway) follow(f fleet) {
 	x := g.lists[f.name]
 	if len(f.known.Targets) > 0 {
-		x.core.Members(f.known.List(routing.ListStale))
+		x.core.UpdateEndpoints(f.known.EndpointList(routing.EndpointListStale))
 	}
 	if l, ok := g.inherited.Learned[f.name]; ok {
 		x.core.Learn(l)
@@ -330,7 +330,7 @@
 		return nil
 	}
 	select { // what discovery holds binds from the first moment of a process, whatever the file says is known
-	case <-x.watch.Tried():
+	case <-x.watch.FirstCallDone():
 	case <-time.After(time.Until(since.Add(tellFor))):
 	case <-g.stop.Done():
 		return nil
--- a/cmd/cranegate/hotrestart.go
+++ b/cmd/cranegate/hotrestart.go
@@ -25,8 +25,8 @@
 
 // handed is what passes between the processes of one gateway.
 type handed struct {
-	hand      *hotrestart.Handover // nil: nothing is passed on
-	folder    string               // which all processes of this gateway share
+	hand      *hotrestart.Coordinator // nil: nothing is passed on
+	folder    string                  // which all processes of this gateway share
 	inherited knowledge
 	places    int // clients that the whole gateway has room for
 
@@ -58,13 +58,13 @@
 		return
 	}
 	g.applied = make(chan struct{})
-	h, err := hotrestart.Open(g.work, hotrestart.Options{Dir: dir, Apply: g.apply, Export: g.export, Newer: g.hasNewer,
-		Lend: g.room.Lend, Superseded: g.superseded, Restored: g.restored, Alone: g.alone, Counters: g.counters})
+	h, err := hotrestart.Open(g.work, hotrestart.Options{Dir: dir, OnState: g.apply, Export: g.export, NewerExists: g.hasNewer,
+		Reserve: g.room.Reserve, Superseded: g.superseded, Restored: g.restored, Alone: g.alone, Counters: g.counters})
 	if err != nil {
 		slog.Warn("handover_off", "error", err)
 		return
 	}
-	for _, err := range h.Doubts() {
+	for _, err := range h.Unconfirmed() {
 		slog.Warn("handover_doubt", "error", err)
 	}
 	if text := h.Inherited(); text != nil {
@@ -124,14 +124,14 @@
 		slog.Warn("passing_off", "error", err)
 		return
 	}
-	r.Lend = g.room.Lend
+	r.Reserve = g.room.Reserve
 	g.mu.Lock()
 	g.receiver = r
 	g.mu.Unlock()
 	g.actors.Go(func() error {
 		return r.Run(g.work, func(c fdpass.Conn) bool {
-			f, ok := g.lists[c.Front]
-			return ok && f.front.TakeOver(c.Conn, c.Started, c.Asked)
+			f, ok := g.lists[c.Protocol]
+			return ok && f.front.Adopt(c.Conn, c.Started, c.Answered)
 		})
 	})
 }
@@ -153,7 +153,7 @@
 			if held[id] {
 				continue
 			}
-			if err := f.core.Hand(ctx, id, core.Hold); err != nil {
+			if err := f.core.SetOverride(ctx, id, core.DetachUnlisted); err != nil {
 				return err
 			}
 		}
@@ -161,7 +161,7 @@
 			if next[id] {
 				continue
 			}
-			if err := f.core.Hand(ctx, id, core.Attach); err != nil && !unknown(err) {
+			if err := f.core.SetOverride(ctx, id, core.Attach); err != nil && !unknown(err) {
 				return err
 			}
 		}
@@ -181,9 +181,9 @@
 // lameduck sends clients away or takes them again, as a state says. g.ducks is held.
 func (g *gateway) lameduck(s state.State) {
 	if s.Lameduck {
-		g.room.SendAway()
+		g.room.Drain()
 	} else {
-		g.room.TakeBack()
+		g.room.Undrain()
 	}
 }
 
@@ -194,7 +194,7 @@
 	k := knowledge{Lists: map[string]discovery.Snapshot{}, Starts: map[string]map[string]time.Time{},
 		Learned: map[string]routing.Learned{}}
 	for name, f := range g.lists {
-		k.Lists[name] = f.watch.Held()
+		k.Lists[name] = f.watch.Snapshot()
 		if starts, err := f.core.Starts(ctx); err == nil {
 			k.Starts[name] = starts
 		}
@@ -202,7 +202,7 @@
 			k.Learned[name] = l
 		}
 	}
-	text, err := k.within(frame.MostBlob)
+	text, err := k.within(frame.MaxBlob)
 	if err != nil {
 		slog.Warn("handover_doubt", "error", err)
 		return nil
@@ -262,7 +262,7 @@
 	g.mu.Lock()
 	g.sender = sender
 	g.mu.Unlock()
-	g.room.Pass()
+	g.room.Handover()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.passed = true
@@ -282,7 +282,7 @@
 		sender.Close()
 	}
 	g.ducks.Lock()
-	g.room.Return()
+	g.room.CancelHandover()
 	g.lameduck(g.hand.State()) // nothing that was said meanwhile held in a room that was left
 	g.ducks.Unlock()
 	for _, f := range g.lists {
@@ -298,7 +298,7 @@
 		g.mu.Lock()
 		s := g.sender
 		g.mu.Unlock()
-		return s != nil && s.Pass(fdpass.Conn{Conn: c, Front: front, Started: started, Asked: asked}) == nil
+		return s != nil && s.Send(fdpass.Conn{Conn: c, Protocol: front, Started: started, Answered: asked}) == nil
 	}
 }
 
@@ -324,7 +324,7 @@
 	case g.newer || g.older && !g.serves:
 		places = g.places / 2
 	}
-	g.room.Thin(!half)
+	g.room.SetEvictIdle(!half)
 	memory, spared := int64(g.limits.MemoryMB)<<20*3/4, 0
 	if half {
 		memory, spared = memory/2, g.servers/2
@@ -332,12 +332,12 @@
 	g.room.Resize(places)
 	debug.SetMemoryLimit(memory)
 	for _, f := range g.lists {
-		f.pool.Spare(spared)
+		f.pool.ReserveDescriptors(spared)
 	}
-	if bytes := g.limits.MemoryMB << 20 / 8; half && g.left == 0 && g.budget.Take(bytes) {
+	if bytes := g.limits.MemoryMB << 20 / 8; half && g.left == 0 && g.budget.Reserve(bytes) {
 		g.left = bytes
 	} else if !half && g.left > 0 {
-		g.budget.Give(g.left)
+		g.budget.Release(g.left)
 		g.left = 0
 	}
 }
--- a/cmd/cranegate/unchecked_test.go
+++ b/cmd/cranegate/unchecked_test.go
@@ -50,7 +50,7 @@
 		h.Act = func(_, text string, _ bool) fake.Act {
 			s, err := sqlcomment.Parse([]byte(text))
 			if err != nil {
-				return fake.Reject
+				return fake.InvalidStatement
 			}
 			return meets(h, s)
 		}
@@ -104,8 +104,8 @@
 				met[i].Add(1)
 			}
 			old := at.Sub(time.UnixMilli(h.position()))
-			if s.Class == "bounded" && old > uncheckedBound+handedLate || s.Class == "session" && s.After > 0 && h.position() < s.After {
-				faults.Store(s.ID, fmt.Sprintf("%s at box-%d, %v old, wanted %d", s.Class, i, old, s.After))
+			if s.Class == "bounded" && old > uncheckedBound+handedLate || s.Class == "session" && s.MinPosition > 0 && h.position() < s.MinPosition {
+				faults.Store(s.ID, fmt.Sprintf("%s at box-%d, %v old, wanted %d", s.Class, i, old, s.MinPosition))
 			}
 		}
 		return fake.Serve
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -64,16 +64,16 @@
 	switch x := e.What.(type) {
 	case simwire.Detach:
 		delete(instances, e.Instance)
-	case routing.MemberList:
-		m.Members(now, x)
+	case routing.EndpointList:
+		m.UpdateEndpoints(now, x)
 	case routing.Request:
 		m.Request(now, x)
 	case routing.Outcome:
 		m.Outcome(now, x)
-	case routing.ProbeResult:
-		m.Probed(now, x)
-	case simwire.ClientGone:
-		m.ClientGone(now, x.Request)
+	case routing.HealthCheckResult:
+		m.HealthChecked(now, x)
+	case simwire.ClientDisconnected:
+		m.ClientDisconnected(now, x.Request)
 	case simwire.TimerDue:
 		m.Timer(now, x.Name)
 	case simwire.Started:
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -46,7 +46,7 @@
 
 // New returns a server for the calls and for pages, by their paths. Servers of the same control share its turns. Places
 // is how many connections it serves at once; one more may be held that waits for a place.
-func New(c Control, turns *Turns, pages map[string]Page, places int) *Server {
+func New(c Control, turns *Serializer, pages map[string]Page, places int) *Server {
 	act := func(key func(id string) string, f func(ctx context.Context, id string) error) route {
 		return route{allow: "POST", run: func(ctx context.Context, id string) (string, func(), error) {
 			release, err := turns.do(ctx, key(id), func() error { return f(ctx, id) })
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -67,7 +67,7 @@
 var bigText = strings.Repeat("member\n", 1<<19) // 3.5 MiB
 
 func staff(t *testing.T, c Control) string {
-	return serve(t, New(c, &Turns{}, map[string]Page{"/big": big}, 24))
+	return serve(t, New(c, &Serializer{}, map[string]Page{"/big": big}, 24))
 }
 
 // call makes a call, and returns its answer with the text read.
@@ -104,8 +104,8 @@
 		{"POST", "/_database-hosts/attach/" + long, nil, 200, "attach " + long, "yes\n"},
 		{"POST", "/_database-hosts/attach/" + long + "x", nil, 404, "", "no database host has"},
 		{"POST", "/_database-hosts/attach/%ff", nil, 400, "", "not valid UTF-8"},
-		{"POST", "/_database-hosts/attach/s-2", fmt.Errorf("host: %w", override.UnknownHost{ID: "s-2"}), 404, "attach s-2", "look it up"},
-		{"POST", "/_database-hosts/detach/s-2", override.TooMany{Out: 4096}, 409, "detach s-2", "call some back"},
+		{"POST", "/_database-hosts/attach/s-2", fmt.Errorf("host: %w", override.UnknownHostError{ID: "s-2"}), 404, "attach s-2", "look it up"},
+		{"POST", "/_database-hosts/detach/s-2", override.LimitError{Detached: 4096}, 409, "detach s-2", "call some back"},
 		{"POST", "/_database-hosts/detach/s-2", context.DeadlineExceeded, 503, "detach s-2", "may be made twice"},
 		{"POST", "/_lameduck/on", nil, 200, "lameduck true", "yes\n"},
 		{"POST", "/_lameduck/off", nil, 200, "lameduck false", "yes\n"},
@@ -220,7 +220,7 @@
 	}{{"detach/slow", 503}, {"attach/slow", 503}, {"attach/quick", 200}} {
 		since := time.Now()
 		if r, text, err := call("POST", "http://"+address+"/_database-hosts/"+c.path, ""); err != nil || r.StatusCode != c.status ||
-			c.status == 503 && text != ErrNotInTime.Error()+"\n" {
+			c.status == 503 && text != ErrTimeout.Error()+"\n" {
 			t.Errorf("%s: %v, %q, %v", c.path, r, text, err)
 		}
 		if took := time.Since(since); took > 2*actFor {
--- a/internal/admin/answer.go
+++ b/internal/admin/answer.go
@@ -20,46 +20,48 @@
 // longestID is the most bytes of a database host's id.
 const longestID = 256
 
-// NotInTime says that a call did not take effect in the time it had. It may or may not hold, now or soon. Ask again: each
+// TimeoutError says that a call did not take effect in the time it had. It may or may not hold, now or soon. Ask again: each
 // call may be made twice.
-type NotInTime struct{ Waited time.Duration }
+type TimeoutError struct{ Waited time.Duration }
 
-// ErrNotInTime is what callers are told.
-var ErrNotInTime = NotInTime{actFor}
+// ErrTimeout is what callers are told.
+var ErrTimeout = TimeoutError{actFor}
 
-func (e NotInTime) Error() string {
+func (e TimeoutError) Error() string {
 	return fmt.Sprintf("not done within %v: it may or may not hold; ask again, the call may be made twice", e.Waited)
 }
 
-// BadID says that an id in a path can't be one of a database host. Give it in UTF-8, escaped for a URL.
-type BadID struct{ ID string }
+// InvalidIDError says that an id in a path can't be one of a database host. Give it in UTF-8, escaped for a URL.
+type InvalidIDError struct{ ID string }
 
-func (e BadID) Error() string {
+func (e InvalidIDError) Error() string {
 	return fmt.Sprintf("the id %.*q is not valid UTF-8; give it as discovery's list has it, escaped for a URL", longestID, e.ID)
 }
 
-// NoSuchCall says that nothing stands at a path. Paths are compared whole.
-type NoSuchCall struct{ Calls []string }
+// NotFoundError says that nothing stands at a path. Paths are compared whole.
+type NotFoundError struct{ Calls []string }
 
-func (e NoSuchCall) Error() string { return "no such call; there are " + strings.Join(e.Calls, ", ") }
+func (e NotFoundError) Error() string {
+	return "no such call; there are " + strings.Join(e.Calls, ", ")
+}
 
-// WrongMethod says that a call is made by other methods.
-type WrongMethod struct{ Allow string }
+// MethodError says that a call is made by other methods.
+type MethodError struct{ Allow string }
 
-func (e WrongMethod) Error() string { return "ask by " + e.Allow }
+func (e MethodError) Error() string { return "ask by " + e.Allow }
 
 // status is the HTTP status for an error.
 func status(err error) int {
 	switch {
 	case err == nil:
 		return http.StatusOK
-	case is[BadID](err):
+	case is[InvalidIDError](err):
 		return http.StatusBadRequest
-	case is[NoSuchCall](err), is[override.UnknownHost](err):
+	case is[NotFoundError](err), is[override.UnknownHostError](err):
 		return http.StatusNotFound
-	case is[WrongMethod](err):
+	case is[MethodError](err):
 		return http.StatusMethodNotAllowed
-	case is[override.TooMany](err):
+	case is[override.LimitError](err):
 		return http.StatusConflict
 	}
 	return http.StatusServiceUnavailable
@@ -94,16 +96,16 @@
 		cut := strings.LastIndexByte(path, '/') + 1
 		x, ok = s.routes[path[:cut]]
 		if id, err = url.PathUnescape(path[cut:]); !ok || !x.takesID || id == "" || err != nil {
-			return route{}, "", NoSuchCall{s.calls()}
+			return route{}, "", NotFoundError{s.calls()}
 		}
 	}
 	switch {
 	case !slices.Contains(strings.Split(x.allow, ", "), r.Method):
-		return x, id, WrongMethod{x.allow}
+		return x, id, MethodError{x.allow}
 	case !utf8.ValidString(id):
-		return x, id, BadID{id}
+		return x, id, InvalidIDError{id}
 	case len(id) > longestID:
-		return x, id, override.UnknownHost{ID: id}
+		return x, id, override.UnknownHostError{ID: id}
 	}
 	return x, id, nil
 }
@@ -139,7 +141,7 @@
 	}
 	// A shorter wait inside may have run out before the call's time: its own words say which, and what can be done.
 	if err == context.DeadlineExceeded || ctx.Err() != nil && errors.Is(err, context.DeadlineExceeded) {
-		err = ErrNotInTime
+		err = ErrTimeout
 	}
 	if r.Method == http.MethodPost {
 		slog.Info("admin", "call", fmt.Sprintf("%.300s", r.URL.Path), "done", err == nil)
@@ -152,7 +154,7 @@
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Cache-Control", "no-store")
 	h.Set("Content-Length", strconv.Itoa(len(text)))
-	if is[WrongMethod](err) || r.Method == http.MethodOptions && x.allow != "" {
+	if is[MethodError](err) || r.Method == http.MethodOptions && x.allow != "" {
 		h.Set("Allow", x.allow)
 	}
 	w.WriteHeader(status(err))
--- a/internal/admin/turns.go
+++ b/internal/admin/turns.go
@@ -10,7 +10,7 @@
 
 // Turns has actions on one thing follow each other: the later yes is to the action that came later. Servers with the
 // same control share one. The zero value is ready.
-type Turns struct {
+type Serializer struct {
 	mu    sync.Mutex
 	acts  int
 	lines map[string]*line // by thing
@@ -22,12 +22,12 @@
 	users int
 }
 
-// do acts in turn, and not beyond the context's end, when it gives NotInTime. Otherwise the turn lasts until the caller
+// do acts in turn, and not beyond the context's end, when it gives TimeoutError. Otherwise the turn lasts until the caller
 // releases it, behind the answer; of an action that goes on beyond its time, until that ends.
-func (t *Turns) do(ctx context.Context, key string, act func() error) (release func(), err error) {
+func (t *Serializer) do(ctx context.Context, key string, act func() error) (release func(), err error) {
 	end, ok := t.take(ctx, key)
 	if !ok {
-		return func() {}, ErrNotInTime
+		return func() {}, ErrTimeout
 	}
 	done := make(chan error, 1)
 	go func() { done <- act() }()
@@ -39,12 +39,12 @@
 			<-done
 			end()
 		}()
-		return func() {}, ErrNotInTime
+		return func() {}, ErrTimeout
 	}
 }
 
 // take waits for a turn.
-func (t *Turns) take(ctx context.Context, key string) (release func(), ok bool) {
+func (t *Serializer) take(ctx context.Context, key string) (release func(), ok bool) {
 	t.mu.Lock()
 	if t.acts >= mostActs {
 		t.mu.Unlock()
--- a/internal/agentcheck/agentcheck.go
+++ b/internal/agentcheck/agentcheck.go
@@ -30,9 +30,9 @@
 )
 
 // Unready says that clients should go elsewhere: the gateway has not started yet, or has begun to stop.
-type Unready struct{ State State }
+type NotReadyError struct{ State State }
 
-func (e Unready) Error() string {
+func (e NotReadyError) Error() string {
 	if e.State == Draining {
 		return "draining"
 	}
@@ -70,7 +70,7 @@
 // Health is a line for a health check, and Unready while clients should go elsewhere.
 func (s *Status) Health() (string, error) {
 	if x := s.State(); x != Ready {
-		return "", Unready{x}
+		return "", NotReadyError{x}
 	}
 	return "ready\n", nil
 }
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -29,7 +29,7 @@
 	Alive() bool
 	// Exchange runs an attempt and reads what comes back. Right before the first byte that may have an effect it looks
 	// whether the connection is Alive, and then calls Begin: what has come to a resting connection must not be taken for an
-	// answer, nor its end for one of a request that may have run. Where the look failed, it returns NeverBegan and the
+	// answer, nor its end for one of a request that may have run. Where the look failed, it returns NotSent and the
 	// attempt goes by another connection. The second result says whether the connection is in step for another attempt. When
 	// the attempt is given up Exchange ends soon.
 	Exchange(a *core.Attempt) (core.Outcome, bool)
@@ -40,28 +40,28 @@
 // connection is closed.
 type Starter func(raw net.Conn) (Conn, error)
 
-// NeverBegan is the outcome of an attempt of which no byte was written and that still may be.
-var NeverBegan = core.Outcome{Result: routing.ResultMoot}
+// NotSent is the outcome of an attempt of which no byte was written and that still may be.
+var NotSent = core.Outcome{Result: routing.ResultNotSent}
 
-// AnswerFor is how long an answer may take from its first byte to its last: hosts write answers whole.
-const AnswerFor = 400 * time.Millisecond
+// AnswerTimeout is how long an answer may take from its first byte to its last: hosts write answers whole.
+const AnswerTimeout = 400 * time.Millisecond
 
 // Spoilt tells an answer that can't be read, or does not end, from a connection that broke under it. Malformed is
 // what the protocol's parser says of the first.
-func Spoilt(err, malformed error) bool {
+func IsMalformed(err, malformed error) bool {
 	return errors.Is(err, malformed) || errors.Is(err, framebuf.ErrTooLarge) || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// ErrTurnedAway is what a Starter returns where the host itself turned the connection away.
-var ErrTurnedAway = errors.New("turned away by the database host")
+// ErrRejected is what a Starter returns where the host itself turned the connection away.
+var ErrRejected = errors.New("turned away by the database host")
 
 // Options are the pool's settings.
 type Options struct {
 	Connect        func(ctx context.Context, address string) (net.Conn, error) // nil for TCP
 	Start          Starter
 	ConnectTimeout time.Duration
-	IdleFor        time.Duration // an idle connection is closed after this, well before the host would
-	MostOpen       int           // connections to all hosts together
+	IdleTimeout    time.Duration // an idle connection is closed after this, well before the host would
+	MaxOpen        int           // connections to all hosts together
 	Gateways       int           // in the fleet, this one included; what each may keep follows from it
 	Counters       *metrics.Counters
 }
@@ -94,41 +94,41 @@
 			return d.DialContext(ctx, "tcp", address)
 		}
 	}
-	opt.IdleFor = min(max(opt.IdleFor, leastIdle), mostIdle)
+	opt.IdleTimeout = min(max(opt.IdleTimeout, leastIdle), mostIdle)
 	g, ctx := errgroup.WithContext(ctx)
-	return &Pool{opt: opt, hosts: map[string]*host{}, slots: make(chan struct{}, opt.MostOpen), group: g, ctx: ctx,
-		keep: sharedKeeper{keeper: poolsize.New(opt.Gateways, opt.IdleFor, time.Now())}}
+	return &Pool{opt: opt, hosts: map[string]*host{}, slots: make(chan struct{}, opt.MaxOpen), group: g, ctx: ctx,
+		keep: sharedKeeper{keeper: poolsize.New(opt.Gateways, opt.IdleTimeout, time.Now())}}
 }
 
 // Wait returns once the actors have ended, after the context.
 func (p *Pool) Wait() error { return p.group.Wait() }
 
 // Gateways takes the number of gateways in the fleet, which has changed. It never blocks.
-func (p *Pool) Gateways(n int) {
+func (p *Pool) SetGateways(n int) {
 	if p.keep.fleet(n) {
 		p.tell(trim{})
 	}
 }
 
 // Update takes news of the list: a new address means new connections, and a host that is gone is let go.
-func (p *Pool) Update(l core.List) {
+func (p *Pool) Update(l core.EndpointList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed := map[string]bool{}
 	for _, x := range l.Hosts {
-		name := x.Entry.Member
+		name := x.Endpoint.Member
 		old := p.hosts[name]
-		if x.Entry.Phase == routing.PhaseOff || old != nil && old.address != x.Address {
+		if x.Endpoint.Phase == routing.PhaseRemoved || old != nil && old.address != x.Address {
 			p.drop(name)
 		}
-		if x.Entry.Phase != routing.PhaseOff {
+		if x.Endpoint.Phase != routing.PhaseRemoved {
 			listed[name] = true
 			if p.hosts[name] == nil {
 				p.add(name, x.Address, max(len(l.Hosts), len(p.hosts)+1))
 			}
 		}
 	}
-	if l.Kind == routing.ListWhole || l.Kind == routing.ListStale {
+	if l.Kind == routing.EndpointListComplete || l.Kind == routing.EndpointListStale {
 		for name := range p.hosts {
 			if !listed[name] {
 				p.drop(name)
--- a/internal/backend/breaks_test.go
+++ b/internal/backend/breaks_test.go
@@ -141,10 +141,10 @@
 }
 
 // tell has the core take a list with the host in some phase, and returns once it has.
-func (r *rig) tell(kind routing.ListKind, phase routing.Phase) {
+func (r *rig) tell(kind routing.EndpointListKind, phase routing.Phase) {
 	r.t.Helper()
-	r.core.Members(core.List{Kind: kind, Hosts: []core.Host{{Address: r.listener.Addr().String(),
-		Entry: routing.Entry{Member: "db-0", Group: 4, Leader: true, Size: 1, Phase: phase}}}})
+	r.core.UpdateEndpoints(core.EndpointList{Kind: kind, Hosts: []core.Host{{Address: r.listener.Addr().String(),
+		Endpoint: routing.Endpoint{Member: "db-0", Group: 4, Primary: true, Capacity: 1, Phase: phase}}}})
 	r.settled()
 }
 
@@ -160,13 +160,13 @@
 // and as its answer has come: in the first case nothing is written, in the others the answer counts.
 func TestDrainCrossesTheAttempt(t *testing.T) {
 	for _, form := range forms {
-		for _, phase := range []routing.Phase{routing.PhaseDraining, routing.PhaseOff} {
+		for _, phase := range []routing.Phase{routing.PhaseDraining, routing.PhaseRemoved} {
 			for _, when := range []string{"before exchange", "at the host", "after exchange"} {
 				var r *rig
 				var once sync.Once
 				drain := func(at string) {
 					if at == when {
-						once.Do(func() { r.tell(routing.ListPatch, phase) })
+						once.Do(func() { r.tell(routing.EndpointListPatch, phase) })
 					}
 				}
 				host := &fake.Host{Act: func(_, _ string, prepare bool) fake.Act {
@@ -179,7 +179,7 @@
 				a := r.wait(r.ask("brief", "q1"))
 				if when != "before exchange" {
 					r.isServed(a, "q1")
-				} else if a.Status != core.Refused || host.Ran("q1") != 0 {
+				} else if a.Status != core.Rejected || host.Ran("q1") != 0 {
 					t.Errorf("%s, phase %d %s: status %d, ran %d times", form, phase, when, a.Status, host.Ran("q1"))
 				}
 			}
@@ -197,7 +197,7 @@
 		var once sync.Once
 		r = newRig(t, form, &fake.Host{}, stage(func(at string, _ backend.Conn) {
 			if at == "after exchange" {
-				once.Do(func() { <-asked; r.core.Gone(q.Load()); r.settled() })
+				once.Do(func() { <-asked; r.core.ClientDisconnected(q.Load()); r.settled() })
 			}
 		}))
 		var answers atomic.Int32
@@ -220,7 +220,7 @@
 // at all requests are served.
 func TestAbsurdTimes(t *testing.T) {
 	for _, idle := range []time.Duration{math.MinInt64, -time.Second, 0, 1, math.MaxInt64} {
-		r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) { opt.IdleFor, opt.ConnectTimeout = idle, math.MaxInt64 })
+		r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) { opt.IdleTimeout, opt.ConnectTimeout = idle, math.MaxInt64 })
 		for _, id := range []string{"q1", "q2", "q3"} {
 			r.served("put", id)
 		}
@@ -230,7 +230,7 @@
 	}
 	for _, connect := range []time.Duration{math.MinInt64, -time.Second, 0} {
 		r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) { opt.ConnectTimeout = connect })
-		if a := r.wait(r.ask("brief", "q1")); a.Status != core.Refused || r.host.Ran("q1") > 0 || r.opened() > 6 {
+		if a := r.wait(r.ask("brief", "q1")); a.Status != core.Rejected || r.host.Ran("q1") > 0 || r.opened() > 6 {
 			t.Errorf("connects of %v: status %d, %d connections", connect, a.Status, r.opened())
 		}
 	}
--- a/internal/backend/caps_test.go
+++ b/internal/backend/caps_test.go
@@ -15,10 +15,10 @@
 func TestAThousandHosts(t *testing.T) {
 	for _, x := range []struct{ hosts, each int }{{1, mailboxSize}, {128, mailboxSize}, {1024, mailboxesAll / 1024}, {1025, mailboxLeast}, {3000, mailboxLeast}} {
 		ctx, cancel := context.WithCancel(context.Background())
-		p := New(ctx, Options{IdleFor: 20 * time.Second, MostOpen: 16, Gateways: 1024})
-		l := core.List{Kind: routing.ListWhole}
+		p := New(ctx, Options{IdleTimeout: 20 * time.Second, MaxOpen: 16, Gateways: 1024})
+		l := core.EndpointList{Kind: routing.EndpointListComplete}
 		for i := range x.hosts {
-			l.Hosts = append(l.Hosts, core.Host{Address: "127.0.0.1:1", Entry: routing.Entry{Member: fmt.Sprint("db-", i), Phase: routing.PhaseOn}})
+			l.Hosts = append(l.Hosts, core.Host{Address: "127.0.0.1:1", Endpoint: routing.Endpoint{Member: fmt.Sprint("db-", i), Phase: routing.PhaseServing}})
 		}
 		p.Update(l)
 		if len(p.hosts) != x.hosts || len(p.slots) != 0 || cap(p.slots) != 16 {
--- a/internal/backend/connect_test.go
+++ b/internal/backend/connect_test.go
@@ -109,7 +109,7 @@
 	failing := <-g.began
 	gone := r.submit("put", "q1")
 	hanging := <-g.began
-	r.core.Gone(gone)
+	r.core.ClientDisconnected(gone)
 	until(t, "the client's leaving is noted", func() bool { return r.counters.Get("clients_gone") == 1 })
 	time.Sleep(300 * time.Millisecond)
 	failing <- errors.New("late")
@@ -123,10 +123,10 @@
 // neither the connection nor its place is lost.
 func TestLateConnect(t *testing.T) {
 	g := &gate{t: t, began: make(chan chan error, 10)}
-	r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) { g.connect(opt); opt.MostOpen = 1 })
+	r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) { g.connect(opt); opt.MaxOpen = 1 })
 	q := r.submit("put", "q0")
 	late := <-g.began
-	r.core.Gone(q)
+	r.core.ClientDisconnected(q)
 	until(t, "the client's leaving is noted", func() bool { return r.counters.Get("clients_gone") == 1 })
 	late <- nil
 	until(t, "the connection is up", func() bool { return r.counters.Get("server_connects") == 1 })
@@ -142,11 +142,11 @@
 	g := &gate{t: t, began: make(chan chan error, 10)}
 	r := newRig(t, "postgres", &fake.Host{}, func(opt *backend.Options) {
 		g.connect(opt)
-		opt.MostOpen, opt.ConnectTimeout = 1, 200*time.Millisecond
+		opt.MaxOpen, opt.ConnectTimeout = 1, 200*time.Millisecond
 	})
 	answers := r.ask("brief", "q0") // its time is up at 0.6 s
 	late := <-g.began
-	if a := r.wait(answers); a.Status != core.Refused {
+	if a := r.wait(answers); a.Status != core.Rejected {
 		t.Errorf("status %d", a.Status)
 	}
 	late <- nil
@@ -168,12 +168,12 @@
 	held, release := make(chan struct{}), make(chan struct{})
 	r.send("no such class", "q0", func(core.Answer) { close(held); <-release }) // holds the core up
 	<-held
-	r.core.Gone(&core.Request{}) // comes before the outcome, and after the time
+	r.core.ClientDisconnected(&core.Request{}) // comes before the outcome, and after the time
 	failing <- errors.New("refused")
 	until(t, "the connect has failed", func() bool { return r.counters.Get("server_connects_failed") == 1 })
 	time.Sleep(700 * time.Millisecond) // its deadline is over
 	close(release)
-	if a := r.wait(answers); a.Status != core.Refused || r.counters.Get("attempts_timed_out") > 0 {
+	if a := r.wait(answers); a.Status != core.Rejected || r.counters.Get("attempts_timed_out") > 0 {
 		t.Errorf("status %d, %d timed out", a.Status, r.counters.Get("attempts_timed_out"))
 	}
 }
@@ -215,7 +215,7 @@
 				}
 				raw.Close()
 			})
-			if a := r.wait(r.ask("brief", "q1")); a.Status != core.Refused || r.counters.Get(c.want) == 0 {
+			if a := r.wait(r.ask("brief", "q1")); a.Status != core.Rejected || r.counters.Get(c.want) == 0 {
 				t.Errorf("status %d, %s %d", a.Status, c.want, r.counters.Get(c.want))
 			}
 		})
--- a/internal/backend/crossing_test.go
+++ b/internal/backend/crossing_test.go
@@ -90,10 +90,10 @@
 				t.Run(fmt.Sprint(form, ", ", event, " ", when), func(t *testing.T) {
 					t.Parallel()
 					var answer atomic.Pointer[[]byte]
-					host := &fake.Host{Spoil: func(_ string, b []byte) fake.Spoilt {
+					host := &fake.Host{Malform: func(_ string, b []byte) fake.Malformed {
 						copied := bytes.Clone(b)
 						answer.CompareAndSwap(nil, &copied)
-						return fake.Spoilt{Answer: b}
+						return fake.Malformed{Answer: b}
 					}}
 					nth := 2 // the first time belongs to the first request
 					if when == "after exchange" {
@@ -143,7 +143,7 @@
 		}
 		c.Close()
 	})
-	if a := r.wait(r.ask("brief", "q1")); a.Status != core.Refused || r.opened() > 6 {
+	if a := r.wait(r.ask("brief", "q1")); a.Status != core.Rejected || r.opened() > 6 {
 		t.Errorf("status %d after %d connections", a.Status, r.opened())
 	}
 }
--- a/internal/backend/fault_test.go
+++ b/internal/backend/fault_test.go
@@ -32,7 +32,7 @@
 			})
 			for n := range 3 {
 				id := fmt.Sprint("short-", n)
-				if a := r.wait(r.ask("brief", id)); a.Status != core.Refused || r.host.Ran(id) != 0 {
+				if a := r.wait(r.ask("brief", id)); a.Status != core.Rejected || r.host.Ran(id) != 0 {
 					t.Errorf("%s: status %d, ran %d times", id, a.Status, r.host.Ran(id))
 				}
 			}
--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -57,9 +57,9 @@
 	host.Primary = true
 	r := &rig{t: t, form: form, host: host, listener: l, counters: &metrics.Counters{},
 		prepared: map[string]*mysqlwire.Statement{}}
-	opt := backend.Options{Start: postgres.Start, ConnectTimeout: soon, IdleFor: soon, MostOpen: 50, Gateways: 1, Counters: r.counters}
+	opt := backend.Options{Start: postgres.Start, ConnectTimeout: soon, IdleTimeout: soon, MaxOpen: 50, Gateways: 1, Counters: r.counters}
 	if form != "postgres" {
-		opt.Start = mysql.Account{User: "svc", Probe: "SHOW pressure", PrepareFor: soon}.Start
+		opt.Start = mysql.Account{User: "svc", HealthCheck: "SHOW pressure", PrepareTimeout: soon}.Start
 	}
 	for _, f := range serve {
 		r.serve = f
@@ -70,11 +70,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	pool := backend.New(ctx, opt)
 	// Deadlines are as long as a busy machine may need.
-	c, err := core.New(core.Options{Rules: routing.Config{Gateways: 1, MaxAttempts: 6, Guards: routing.GuardWait, Positions: true,
-		ListRole: routing.ListRoleLate, MayCancel: true, Classes: []routing.Class{
-			{Name: "put", Need: routing.NeedWrite, Aim: soon / 2, Deadline: soon, Worth: 1, Effect: routing.Once},
-			{Name: "brief", Need: routing.NeedWrite, Aim: 300 * time.Millisecond, Deadline: 600 * time.Millisecond, Worth: 1, Effect: routing.Once},
-		}}, Seed: 1, AnswerSlack: 20 * time.Millisecond, ProbeTimeout: time.Second, Counters: r.counters,
+	c, err := core.New(core.Options{Routing: routing.Config{Gateways: 1, MaxAttempts: 6, StaleReads: routing.StaleReadDelayed, Positions: true,
+		RoleSource: routing.RoleSourceDelayed, AllowCancel: true, Classes: []routing.Class{
+			{Name: "put", Consistency: routing.ConsistencyWrite, LatencyObjective: soon / 2, Deadline: soon, PriorityWeight: 1, Effect: routing.NonIdempotent},
+			{Name: "brief", Consistency: routing.ConsistencyWrite, LatencyObjective: 300 * time.Millisecond, Deadline: 600 * time.Millisecond, PriorityWeight: 1, Effect: routing.NonIdempotent},
+		}}, Seed: 1, AnswerSlack: 20 * time.Millisecond, HealthCheckTimeout: time.Second, Counters: r.counters,
 		Monitor: &invariant.Monitor{Counters: r.counters}}, pool)
 	if err != nil {
 		t.Fatal(err)
@@ -97,8 +97,8 @@
 		pool.Wait()
 		all.Wait()
 	})
-	c.Members(core.List{Kind: routing.ListWhole, Hosts: []core.Host{{Address: l.Addr().String(),
-		Entry: routing.Entry{Member: "db-0", Group: 4, Leader: true, Size: 1}}}})
+	c.UpdateEndpoints(core.EndpointList{Kind: routing.EndpointListComplete, Hosts: []core.Host{{Address: l.Addr().String(),
+		Endpoint: routing.Endpoint{Member: "db-0", Group: 4, Primary: true, Capacity: 1}}}})
 	return r
 }
 
--- a/internal/backend/host.go
+++ b/internal/backend/host.go
@@ -143,7 +143,7 @@
 		return
 	}
 	h.pool.keep.asked(&h.asked)
-	if l := h.link(a.By); l != nil {
+	if l := h.link(a.Conn); l != nil {
 		l.give(a)
 		return
 	}
@@ -173,7 +173,7 @@
 // rested takes the idle connection that was used last of those that have rested since, so that the surplus ages;
 // where many are open and none has, the one that rests longest.
 func (h *host) rested() *link {
-	trusted := h.pool.stale.trusted(h.pool.opt.IdleFor)
+	trusted := h.pool.stale.trusted(h.pool.opt.IdleTimeout)
 	for len(h.idle) > 0 && time.Since(h.idle[0].freedAt) >= trusted {
 		h.closeIdle(len(h.idle) - 1)
 	}
@@ -237,7 +237,7 @@
 	for i, l := range h.idle {
 		next = min(next, h.pool.keep.left(&h.asked, l.freedAt, now, len(h.idle)-1-i))
 	}
-	if at := now.Add(next); len(h.idle) > 0 && next < h.pool.opt.IdleFor && (h.trimAt.IsZero() || at.Before(h.trimAt)) {
+	if at := now.Add(next); len(h.idle) > 0 && next < h.pool.opt.IdleTimeout && (h.trimAt.IsZero() || at.Before(h.trimAt)) {
 		h.trimAt = at
 		h.lookAfter(next)
 	}
@@ -275,11 +275,11 @@
 func (h *host) notOpened(err error) {
 	result, wait := routing.ResultConnectFailed, time.Duration(0)
 	switch {
-	case errors.Is(err, ErrTurnedAway):
-		result = routing.ResultFull
+	case errors.Is(err, ErrRejected):
+		result = routing.ResultOverCapacity
 		h.noRoom()
 	case ownFault(err):
-		result, wait = routing.ResultMoot, ownFaultWait
+		result, wait = routing.ResultNotSent, ownFaultWait
 		h.pool.opt.Counters.Add("server_connects_failed_here", 1)
 	}
 	h.pool.opt.Counters.Add("server_connects_failed", 1)
--- a/internal/backend/keep.go
+++ b/internal/backend/keep.go
@@ -10,7 +10,7 @@
 // sharedKeeper is the rule on idle connections, as the hosts' actors and the connections share it.
 type sharedKeeper struct {
 	mu     sync.Mutex
-	keeper *poolsize.Keeper
+	keeper *poolsize.Sizer
 	hosts  int
 }
 
@@ -25,28 +25,28 @@
 func (s *sharedKeeper) asked(h *poolsize.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keeper.Asked(time.Now(), h, s.hosts)
+	s.keeper.RecordAttempt(time.Now(), h, s.hosts)
 }
 
 // noRoom notes that a host had no room for a new connection, and says whether less may be kept from now on.
 func (s *sharedKeeper) noRoom() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.keeper.NoRoom(time.Now())
+	return s.keeper.RecordRejection(time.Now())
 }
 
 // fleet takes the number of gateways, and says whether less may be kept from now on.
 func (s *sharedKeeper) fleet(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.keeper.Fleet(n)
+	return s.keeper.SetGateways(n)
 }
 
 // found notes that a host had room for a new connection.
 func (s *sharedKeeper) found() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keeper.Found()
+	s.keeper.RecordConnect()
 }
 
 // left is how long a connection that has come free may still stand idle; later is how many of its host's idle ones
@@ -54,5 +54,5 @@
 func (s *sharedKeeper) left(h *poolsize.Host, freedAt, now time.Time, later int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.keeper.For(now, h, later) - now.Sub(freedAt)
+	return s.keeper.IdleTimeout(now, h, later) - now.Sub(freedAt)
 }
--- a/internal/backend/link.go
+++ b/internal/backend/link.go
@@ -81,7 +81,7 @@
 	}()
 	for {
 		since := time.Now()
-		err := l.conn.Park(since.Add(stale.trusted(h.pool.opt.IdleFor)), func() bool { return len(l.jobs) > 0 })
+		err := l.conn.Park(since.Add(stale.trusted(h.pool.opt.IdleTimeout)), func() bool { return len(l.jobs) > 0 })
 		if err != nil || len(l.jobs) == 0 && !l.conn.Alive() {
 			return
 		}
@@ -97,14 +97,14 @@
 		}
 		began := time.Now()
 		out, inStep := l.conn.Exchange(a)
-		if !inStep && out.Result == routing.ResultMoot {
+		if !inStep && out.Result == routing.ResultNotSent {
 			if a.Waiting() {
 				l.jobs <- a // there is room: the host gives none to a link that is not idle
 			}
 			return
 		}
 		out.Opened = l.openedAt
-		if uses++; uses == 1 && out.Result == routing.ResultFull {
+		if uses++; uses == 1 && out.Result == routing.ResultOverCapacity {
 			unwelcome = time.Now()
 		} else if unwelcome = (time.Time{}); uses == 1 {
 			h.pool.keep.found()
--- a/internal/backend/look_test.go
+++ b/internal/backend/look_test.go
@@ -14,7 +14,7 @@
 // once there is room.
 func TestLookSurvivesFullMailbox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		pool := &Pool{opt: Options{IdleFor: 20 * time.Second}, keep: sharedKeeper{keeper: poolsize.New(300, 20*time.Second, time.Now())}}
+		pool := &Pool{opt: Options{IdleTimeout: 20 * time.Second}, keep: sharedKeeper{keeper: poolsize.New(300, 20*time.Second, time.Now())}}
 		h := &host{pool: pool, mailbox: make(chan any, 1), ctx: context.Background()}
 		pool.keep.asked(&h.asked)
 		h.idle = []*link{{freedAt: time.Now()}}
--- a/internal/backend/mysql/mysql.go
+++ b/internal/backend/mysql/mysql.go
@@ -58,8 +58,8 @@
 type Account struct {
 	User, Database string
 	Password       string
-	Probe          string        // the statement that examines a host
-	PrepareFor     time.Duration // a prepare within an attempt takes no longer than a connect may
+	HealthCheck    string        // the statement that examines a host
+	PrepareTimeout time.Duration // a prepare within an attempt takes no longer than a connect may
 }
 
 // Conn is one connection to a database host.
@@ -84,7 +84,7 @@
 		return nil, fmt.Errorf("packet %d in place of %d: %w", b[3], c.seq, mysqlwire.ErrMalformed)
 	}
 	if c.seq == 1 {
-		c.SetReadDeadline(time.Now().Add(backend.AnswerFor))
+		c.SetReadDeadline(time.Now().Add(backend.AnswerTimeout))
 	}
 	c.seq++
 	_, b, err = mysqlwire.ReadPacket(c.Conn)
@@ -152,7 +152,7 @@
 func startError(payload []byte) error {
 	e, err := mysqlwire.ParseErr(payload)
 	if err == nil && (fullErrors[e.Code] || e.State == fullState) {
-		return backend.ErrTurnedAway
+		return backend.ErrRejected
 	}
 	return errors.Join(e, err)
 }
@@ -162,7 +162,7 @@
 	c.w.Reset(0)
 	c.closeDropped()
 	if a.Request == nil {
-		return c.query(a, nil, []byte(c.account.Probe))
+		return c.query(a, nil, []byte(c.account.HealthCheck))
 	}
 	command := a.Request.Payload.(*mysqlwire.Command)
 	switch command.Kind {
@@ -171,7 +171,7 @@
 	case mysqlwire.ComStmtExecute:
 		return c.execute(a, command)
 	}
-	wait := time.Until(a.Until)
+	wait := time.Until(a.Deadline)
 	return c.query(a, attributes(command, wait), command.Meta.Append(nil, wait))
 }
 
@@ -193,7 +193,7 @@
 	c.w.Seq = 0
 	c.w.Query(attributes, text, c.caps)
 	if !c.Alive() {
-		return backend.NeverBegan, false
+		return backend.NotSent, false
 	}
 	if !a.Begin() {
 		return c.leave(closes)
@@ -216,19 +216,19 @@
 // leave gives up what was gathered for an attempt that did not begin, but for what came before it.
 func (c *Conn) leave(before int) (core.Outcome, bool) {
 	c.w.B = c.w.B[:before]
-	return backend.NeverBegan, c.flush() == nil
+	return backend.NotSent, c.flush() == nil
 }
 
 // prepareOnly runs a client's prepare. It is not cut off when it is given up: its answer, if it still comes, is
 // read so that the connection stays in step, and a statement whose client has left meanwhile is closed.
 func (c *Conn) prepareOnly(a *core.Attempt, s *mysqlwire.Statement) (core.Outcome, bool) {
 	if !c.Alive() {
-		return backend.NeverBegan, false
+		return backend.NotSent, false
 	}
 	if !a.Begin() {
 		return c.leave(len(c.w.B))
 	}
-	e, err := c.prepare(s, time.Until(a.Until)+lateFor)
+	e, err := c.prepare(s, time.Until(a.Deadline)+lateFor)
 	if err != nil {
 		return core.Outcome{Result: result(nil, err)}, false
 	}
@@ -252,9 +252,9 @@
 				return c.leave(len(c.w.B))
 			}
 			if !began && !c.Alive() {
-				return backend.NeverBegan, false
+				return backend.NotSent, false
 			}
-			e, err := c.prepare(command.Statement, c.account.PrepareFor)
+			e, err := c.prepare(command.Statement, c.account.PrepareTimeout)
 			if err != nil { // the execute was never written
 				return core.Outcome{Result: routing.ResultConnectFailed}, false
 			} else if e != nil {
@@ -273,10 +273,10 @@
 			c.w.End()
 		}
 		c.w.Seq = 0
-		c.w.Execute(p.id, command.Params, attributes(command, time.Until(a.Until)), c.caps)
+		c.w.Execute(p.id, command.Params, attributes(command, time.Until(a.Deadline)), c.caps)
 		if !c.Alive() {
 			if ok { // it came while the connection rested
-				return backend.NeverBegan, false
+				return backend.NotSent, false
 			}
 			return core.Outcome{Result: routing.ResultConnectFailed}, false // it came behind the prepare's answer
 		}
@@ -422,18 +422,18 @@
 // result is the table of what comes back. An error proves that nothing ran only where it is listed above.
 func result(e *mysqlwire.Error, err error) routing.Result {
 	switch {
-	case err != nil && backend.Spoilt(err, mysqlwire.ErrMalformed):
-		return routing.ResultSpoilt
+	case err != nil && backend.IsMalformed(err, mysqlwire.ErrMalformed):
+		return routing.ResultMalformed
 	case err != nil:
 		return routing.ResultReset
 	case e == nil:
 		return routing.ResultOK
 	case missErrors[e.Code], missStates[e.State]:
-		return routing.ResultMiss
+		return routing.ResultMissed
 	case fullErrors[e.Code], e.State == fullState:
-		return routing.ResultFull
+		return routing.ResultOverCapacity
 	case strings.HasPrefix(e.State, classRejected):
-		return routing.ResultRejected
+		return routing.ResultInvalidStatement
 	}
 	return routing.ResultError
 }
@@ -447,7 +447,7 @@
 	if o.Result != routing.ResultOK {
 		return o
 	}
-	var n backend.Note
+	var n backend.Event
 	for _, v := range r.OK.Session {
 		n.Set(v[0], v[1])
 	}
@@ -459,7 +459,7 @@
 }
 
 // probeRows reads the row that a probe brings.
-func probeRows(n *backend.Note, r *mysqlwire.Result) {
+func probeRows(n *backend.Event, r *mysqlwire.Result) {
 	var names []string
 	for _, b := range r.Columns {
 		c := mysqlwire.Cursor{B: b}
@@ -480,7 +480,7 @@
 			values = append(values, c.String())
 		}
 		if c.Err == nil {
-			n.Row(names, values)
+			n.SetRow(names, values)
 		}
 	}
 }
--- a/internal/backend/note.go
+++ b/internal/backend/note.go
@@ -11,7 +11,7 @@
 
 // Note is what a database host tells of itself beside an answer: in ParameterStatus messages, in tracked session
 // variables, or as a probe's row.
-type Note struct {
+type Event struct {
 	Role     routing.Role
 	Position int64 // Unix time in milliseconds, 0 if not told
 	Report   routing.Report
@@ -28,7 +28,7 @@
 }
 
 // Set takes one value by its name. What can't be read is passed over.
-func (n *Note) Set(name, value string) {
+func (n *Event) Set(name, value string) {
 	switch name {
 	case "replication_role":
 		switch value {
@@ -49,7 +49,7 @@
 }
 
 // Row takes a probe's row: one column with the whole report, or a column a field.
-func (n *Note) Row(names []string, values [][]byte) {
+func (n *Event) SetRow(names []string, values [][]byte) {
 	var pairs []string
 	for i, v := range values {
 		if len(v) > mostReport {
@@ -68,7 +68,7 @@
 
 // report takes a load report, whole or not at all: where one field can't be read the others are not to be trusted.
 // Positions there are in seconds and are rounded down: a member must not seem further ahead than it is.
-func (n *Note) report(pairs []string) {
+func (n *Event) report(pairs []string) {
 	r, ok := routing.Report{}, true
 	for _, pair := range pairs {
 		name, value, found := strings.Cut(pair, "=")
--- a/internal/backend/outcome_test.go
+++ b/internal/backend/outcome_test.go
@@ -36,23 +36,23 @@
 		t.Run(fmt.Sprint(c.form, c.code, "after", c.after, c.tail), func(t *testing.T) {
 			var sent atomic.Int32
 			host := &fake.Host{}
-			host.Spoil = func(_ string, b []byte) fake.Spoilt {
+			host.Malform = func(_ string, b []byte) fake.Malformed {
 				if sent.Add(1) > 1 {
-					return fake.Spoilt{Answer: b}
+					return fake.Malformed{Answer: b}
 				}
 				if c.tail == "break" { // the error alone, and then the connection's end
-					return fake.Spoilt{Answer: messages(c.form, b)[0]}
+					return fake.Malformed{Answer: messages(c.form, b)[0]}
 				}
 				b = failAfter(c.form, b, c.after, c.code)
 				if c.tail == "noise" { // in place of Ready
 					b = append(bytes.Clone(b[:len(b)-6]), "\x97\xd4\x97\xd4\x97\xd4"...)
 				}
-				return fake.Spoilt{Answer: b}
+				return fake.Malformed{Answer: b}
 			}
 			if c.tail == "break" {
 				host.Act = func(string, string, bool) fake.Act {
 					if sent.Load() == 0 {
-						return fake.NoRoom
+						return fake.NoCapacity
 					}
 					return fake.Serve
 				}
@@ -76,11 +76,11 @@
 	for after, want := range map[int]core.Status{0: core.Served, 3: core.Failed} {
 		host := &fake.Host{}
 		var sent atomic.Int32
-		host.Spoil = func(id string, b []byte) fake.Spoilt {
+		host.Malform = func(id string, b []byte) fake.Malformed {
 			if id == "q2" && sent.Add(1) == 1 {
 				b = failAfter("prepared", b, after, "1243")
 			}
-			return fake.Spoilt{Answer: b}
+			return fake.Malformed{Answer: b}
 		}
 		r := newRig(t, "prepared", host, nil)
 		r.served("put", "q1")
--- a/internal/backend/postgres/postgres.go
+++ b/internal/backend/postgres/postgres.go
@@ -58,7 +58,7 @@
 		case kind == 'Z':
 			return nil
 		case kind == 'E' && string(pgwire.Field(body, 'C')) == codeTurnedAway:
-			return backend.ErrTurnedAway
+			return backend.ErrRejected
 		case kind == 'E':
 			return fmt.Errorf("error %s", pgwire.Field(body, 'C'))
 		case kind == 'R' && (len(body) != 4 || body[0]|body[1]|body[2]|body[3] != 0):
@@ -74,16 +74,16 @@
 		c.out = pgwire.Append(c.out[:0], 'Q', probeText, "\x00")
 	} else {
 		s := a.Request.Payload.(*sqlcomment.Statement)
-		text := s.Append(make([]byte, 0, s.Len()), time.Until(a.Until))
+		text := s.Append(make([]byte, 0, s.Len()), time.Until(a.Deadline))
 		c.out = pgwire.Append(c.out[:0], 'Q', string(text), "\x00")
 	}
 	c.SetWriteDeadline(time.Now().Add(writeAtMost))
 	c.SetReadDeadline(time.Time{}) // the core gives attempts up in time
 	if !c.Alive() {
-		return backend.NeverBegan, false
+		return backend.NotSent, false
 	}
 	if !a.Begin() {
-		return backend.NeverBegan, true
+		return backend.NotSent, true
 	}
 	stop := c.watch(a) // this is how an attempt is given up
 	n, err := c.Write(c.out)
@@ -99,7 +99,7 @@
 	if _, err := c.Need(1); err != nil {
 		return r.outcome(a), false
 	}
-	c.SetReadDeadline(time.Now().Add(backend.AnswerFor))
+	c.SetReadDeadline(time.Now().Add(backend.AnswerTimeout))
 	for r.step != ended {
 		size, long, err := c.long()
 		if err == nil && long && !r.probe {
@@ -119,8 +119,8 @@
 			if r.code != "" && !errors.Is(err, pgwire.ErrMalformed) && !errors.Is(err, framebuf.ErrTooLarge) {
 				return r.outcome(a), false // a fatal error needs no Ready
 			}
-			if backend.Spoilt(err, pgwire.ErrMalformed) {
-				return core.Outcome{Result: routing.ResultSpoilt}, false
+			if backend.IsMalformed(err, pgwire.ErrMalformed) {
+				return core.Outcome{Result: routing.ResultMalformed}, false
 			}
 			return core.Outcome{Result: routing.ResultReset}, false
 		}
@@ -167,7 +167,7 @@
 	probe    bool
 	step     step
 	value    []byte // the messages of the answer, copied: they outlive the buffer
-	note     backend.Note
+	note     backend.Event
 	rows     int
 	complete bool
 	code     string
@@ -206,7 +206,7 @@
 		}
 		r.rows++
 		if r.probe {
-			r.note.Row(r.names, columns)
+			r.note.SetRow(r.names, columns)
 		}
 		r.value = pgwire.AppendRaw(r.value, kind, body)
 	case kind == 'C' && r.step < completed:
@@ -238,11 +238,11 @@
 	case r.began:
 		o.Result = routing.ResultError
 	case r.code == codeReadOnly, r.code == codeBehind:
-		o.Result = routing.ResultMiss
+		o.Result = routing.ResultMissed
 	case r.code == codeTurnedAway, r.code == codeNotNow && a.Request == nil:
-		o.Result = routing.ResultFull
+		o.Result = routing.ResultOverCapacity
 	case strings.HasPrefix(r.code, classRejected), r.code == codeProtocol:
-		o.Result = routing.ResultRejected
+		o.Result = routing.ResultInvalidStatement
 	case r.code != "":
 		o.Result = routing.ResultError
 	case r.complete && r.rows == 1:
--- a/internal/backend/postgres/stream.go
+++ b/internal/backend/postgres/stream.go
@@ -24,12 +24,12 @@
 	takenWithin = 2 * time.Second  // a client that is still there begins to take its answer at once
 )
 
-// ErrCut says that a host broke off an answer that had begun to reach its client. Nothing can be done for that request:
+// ErrAnswerCut says that a host broke off an answer that had begun to reach its client. Nothing can be done for that request:
 // the client sees that its answer is not whole.
-var ErrCut = errors.New("the database host broke the answer off")
+var ErrAnswerCut = errors.New("the database host broke the answer off")
 
-// ErrNotTaken says that the client had left before its answer began.
-var ErrNotTaken = errors.New("the client had left")
+// ErrClientDisconnected says that the client had left before its answer began.
+var ErrClientDisconnected = errors.New("the client had left")
 
 // Stream is an answer whose row is too long to be kept. Its head is in hand; the rest passes from the host's connection to
 // the client as it comes. It is written once.
@@ -73,7 +73,7 @@
 	r.value = nil
 	r.tail = s.tail
 	if !a.Stream(s) {
-		return ErrNotTaken
+		return ErrClientDisconnected
 	}
 	r.streamed = true
 	late := time.NewTimer(takenWithin)
@@ -82,7 +82,7 @@
 	case <-s.begun:
 	case <-late.C:
 		if s.taken.CompareAndSwap(false, true) {
-			return ErrNotTaken
+			return ErrClientDisconnected
 		}
 	}
 	err = <-s.done
@@ -94,7 +94,7 @@
 // owns the reading side of the host's connection meanwhile.
 func (s *Stream) WriteTo(w io.Writer) (n int64, err error) {
 	if !s.taken.CompareAndSwap(false, true) {
-		return 0, ErrNotTaken
+		return 0, ErrClientDisconnected
 	}
 	close(s.begun)
 	if n, err = s.row(w); err != nil {
@@ -104,7 +104,7 @@
 	s.done <- nil
 	tail, ok := <-s.tail
 	if !ok {
-		return n, ErrCut
+		return n, ErrAnswerCut
 	}
 	m, err := w.Write(tail)
 	return n + int64(m), err
@@ -136,7 +136,7 @@
 			}
 		}
 		if err != nil && s.left > 0 {
-			return n, fmt.Errorf("%w: %w", ErrCut, err)
+			return n, fmt.Errorf("%w: %w", ErrAnswerCut, err)
 		}
 	}
 	return n, nil
@@ -146,10 +146,10 @@
 func (r *reply) cut(err error) core.Outcome {
 	o := core.Outcome{Role: r.note.Role, Position: r.note.Position, Report: r.note.Report, Result: routing.ResultReset}
 	switch {
-	case errors.Is(err, ErrNotTaken) || !errors.Is(err, ErrCut): // it is the client that went
+	case errors.Is(err, ErrClientDisconnected) || !errors.Is(err, ErrAnswerCut): // it is the client that went
 		o.Result = routing.ResultCancelled
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		o.Result = routing.ResultSpoilt
+		o.Result = routing.ResultMalformed
 	}
 	return o
 }
--- a/internal/backend/row_test.go
+++ b/internal/backend/row_test.go
@@ -27,8 +27,8 @@
 	for _, sent := range []int{head, head + 5, head + 11, most / 2, len(row) - 7, len(row)} {
 		t.Run(fmt.Sprint(sent), func(t *testing.T) {
 			t.Parallel()
-			host := &fake.Host{Spoil: func(string, []byte) fake.Spoilt {
-				return fake.Spoilt{Answer: row[:sent], Dead: sent < len(row)}
+			host := &fake.Host{Malform: func(string, []byte) fake.Malformed {
+				return fake.Malformed{Answer: row[:sent], Dead: sent < len(row)}
 			}}
 			r := newRig(t, "postgres", host, nil)
 			asked := time.Now()
--- a/internal/backend/spare.go
+++ b/internal/backend/spare.go
@@ -18,7 +18,7 @@
 
 // Spare leaves so many of the connections unused from now on, as soon as there are as few open. Idle ones give way. It
 // never waits.
-func (p *Pool) Spare(n int) {
+func (p *Pool) ReserveDescriptors(n int) {
 	s := &p.spare
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -19,16 +19,18 @@
 	// Apart is the most from a call that was turned away to the next, whatever the service asks for, and twoApart that to
 	// the one after it. With a connect and a call that goes unanswered either fits into the 6 s. Callers that come more often
 	// than every 2.85 s are too many for a service of 60 ms a call once they are 80: it never gets free.
-	Apart    = 3000 * time.Millisecond
-	twoApart = 5800 * time.Millisecond
-	spread   = 300 * time.Millisecond // over which those who reach the bound first come again, at random
+	MaxRejectedDelay = 3000 * time.Millisecond
+	twoApart         = 5800 * time.Millisecond
+	spread           = 300 * time.Millisecond // over which those who reach the bound first come again, at random
 )
 
 // Broke is the most that Failed gives after so many calls in a row that were not turned away.
-func Broke(failures int) time.Duration { return quickly << min(max(failures, 1)-1, doublings) }
+func MaxFailureDelay(failures int) time.Duration {
+	return quickly << min(max(failures, 1)-1, doublings)
+}
 
 // Caller is the pace of one gateway's calls. One goroutine uses it; Fleet alone may be called by others.
-type Caller struct {
+type Backoff struct {
 	fleet    atomic.Int64
 	rng      *rand.Rand
 	failures int           // in a row
@@ -36,39 +38,39 @@
 }
 
 // New makes the pace of one of so many gateways. The seed has to differ from gateway to gateway.
-func New(fleet int, seed uint64) *Caller {
-	c := &Caller{rng: rand.New(rand.NewPCG(seed, 1))}
-	c.Fleet(fleet)
+func New(fleet int, seed uint64) *Backoff {
+	c := &Backoff{rng: rand.New(rand.NewPCG(seed, 1))}
+	c.SetGateways(fleet)
 	return c
 }
 
 // Fleet takes the number of gateways.
-func (c *Caller) Fleet(n int) { c.fleet.Store(int64(max(1, n))) }
+func (c *Backoff) SetGateways(n int) { c.fleet.Store(int64(max(1, n))) }
 
 // Answered notes a call that was answered.
-func (c *Caller) Answered() { c.failures, c.apart = 0, 0 }
+func (c *Backoff) Succeeded() { c.failures, c.apart = 0, 0 }
 
 // Failed is the wait after a call that failed and was neither answered nor turned away.
-func (c *Caller) Failed() time.Duration {
+func (c *Backoff) Failed() time.Duration {
 	c.apart = 0
 	c.failures++
-	most := Broke(c.failures)
+	most := MaxFailureDelay(c.failures)
 	if c.failures == 1 {
 		return most
 	}
 	return most/2 + c.upTo(most/2)
 }
 
-// TurnedAway is the wait after a call that the service had no room for: only then does it grow with the fleet, as a
+// Rejected is the wait after a call that the service had no room for: only then does it grow with the fleet, as a
 // service that is merely away is not brought back by waiting. Took is the time since the call was made, and asked the
 // wait that the service asked for, 0 for none.
-func (c *Caller) TurnedAway(took, asked time.Duration) time.Duration {
+func (c *Backoff) Rejected(took, asked time.Duration) time.Duration {
 	c.failures++
-	wait := max(quickly, time.Duration(min(c.fleet.Load(), int64(Apart/failEach)))*failEach) << min(c.failures-1, doublings)
+	wait := max(quickly, time.Duration(min(c.fleet.Load(), int64(MaxRejectedDelay/failEach)))*failEach) << min(c.failures-1, doublings)
 	wait = wait/2 + c.upTo(wait)
-	asked = min(max(asked, 0), Apart)
+	asked = min(max(asked, 0), MaxRejectedDelay)
 	wait = max(wait, asked+c.upTo(asked/4))
-	most := min(Apart, twoApart-c.apart)
+	most := min(MaxRejectedDelay, twoApart-c.apart)
 	if c.apart == 0 {
 		most -= c.upTo(spread)
 	}
@@ -78,6 +80,6 @@
 }
 
 // upTo is a time of d at most, at random.
-func (c *Caller) upTo(d time.Duration) time.Duration {
+func (c *Backoff) upTo(d time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(d) + 1))
 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -55,11 +55,11 @@
 func TestAFleetThatStartsAtOnceIsAnswered(t *testing.T) {
 	const fleet, over = 80, 20 * time.Second
 	for round := range uint64(50) {
-		callers := make([]*Caller, fleet)
+		callers := make([]*Backoff, fleet)
 		for i := range callers {
 			callers[i] = New(fleet, round<<32|uint64(i))
 		}
-		n, last := played(fleet, over, func(i int, took time.Duration) time.Duration { return callers[i].TurnedAway(took, 0) })
+		n, last := played(fleet, over, func(i int, took time.Duration) time.Duration { return callers[i].Rejected(took, 0) })
 		if n < fleet || last > 15*time.Second {
 			t.Errorf("round %d: %d of %d answered, the last after %v", round, n, fleet, last)
 		}
@@ -75,8 +75,8 @@
 // it is Apart at most, whatever the fleet, the failures and the wait asked for; up to there waits grow, and an
 // answer ends that.
 func TestWaitsGrowUpToTheBound(t *testing.T) {
-	if Apart > 3*time.Second || twoApart > 5800*time.Millisecond {
-		t.Errorf("turned away calls are %v apart, and two %v: with a connect and a silent call that is over 6 s", Apart, twoApart)
+	if MaxRejectedDelay > 3*time.Second || twoApart > 5800*time.Millisecond {
+		t.Errorf("turned away calls are %v apart, and two %v: with a connect and a silent call that is over 6 s", MaxRejectedDelay, twoApart)
 	}
 	const s = time.Second
 	for _, fleet := range []int{1, 4, 20, 80, 300, 1 << 40} {
@@ -85,17 +85,17 @@
 				c := New(fleet, uint64(fleet))
 				before := time.Duration(0)
 				for i := range 40 {
-					d, most, least := c.TurnedAway(took, asked), max(quickly, Apart-took), max(quickly, Apart-spread-took)
+					d, most, least := c.Rejected(took, asked), max(quickly, MaxRejectedDelay-took), max(quickly, MaxRejectedDelay-spread-took)
 					if i > 0 {
-						least = max(quickly, twoApart-Apart-took)
+						least = max(quickly, twoApart-MaxRejectedDelay-took)
 					}
 					if d > most || d < quickly || d < min(asked, least) || i > 0 && d > quickly && before+took+d > twoApart {
 						t.Fatalf("%d gateways, failure %d, a call of %v, asked for %v: waits %v", fleet, i+1, took, asked, d)
 					}
 					before = took + d
 				}
-				if c.Answered(); fleet == 4 && took == 0 && asked == 0 {
-					if d := c.TurnedAway(0, 0); d > 300*time.Millisecond {
+				if c.Succeeded(); fleet == 4 && took == 0 && asked == 0 {
+					if d := c.Rejected(0, 0); d > 300*time.Millisecond {
 						t.Errorf("one of four, turned away after an answer, waits %v", d)
 					}
 				}
@@ -104,7 +104,7 @@
 	}
 	c := New(80, 1)
 	for i := range 20 {
-		if d, most := c.Failed(), Broke(i+1); d > most || d < most/2 || i == 0 && d != quickly || most > 400*time.Millisecond {
+		if d, most := c.Failed(), MaxFailureDelay(i+1); d > most || d < most/2 || i == 0 && d != quickly || most > 400*time.Millisecond {
 			t.Errorf("call %d that broke is made again after %v", i+1, d)
 		}
 	}
@@ -112,9 +112,9 @@
 		for seed := range uint64(100) {
 			c := New(8, seed)
 			for range failures - 1 {
-				c.TurnedAway(0, 0)
+				c.Rejected(0, 0)
 			}
-			sum += c.TurnedAway(0, 0)
+			sum += c.Rejected(0, 0)
 		}
 		return sum
 	}
@@ -130,7 +130,7 @@
 		for _, asked := range []time.Duration{0, time.Second, time.Hour} {
 			var waits []time.Duration
 			for seed := range uint64(300) {
-				waits = append(waits, New(300, seed).TurnedAway(took, asked))
+				waits = append(waits, New(300, seed).Rejected(took, asked))
 			}
 			low, high := slices.Min(waits), slices.Max(waits)
 			if span := high - low; span < spread*9/10 {
@@ -154,7 +154,7 @@
 	for seed := range uint64(100) {
 		few, many := New(4, seed), New(80, seed)
 		for range 20 {
-			if d := few.TurnedAway(0, 0); d > 1300*time.Millisecond {
+			if d := few.Rejected(0, 0); d > 1300*time.Millisecond {
 				t.Errorf("one of four waits %v after failures", d)
 			}
 			if d := many.Failed(); d > 700*time.Millisecond {
--- a/internal/config/caps_test.go
+++ b/internal/config/caps_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	_, err = LoadOperator(fleetFile(t, 1025), nil)
-	var many TooManyJoins
+	var many JoinLimitError
 	if !errors.As(err, &many) || many.Listed != 1025 || !strings.Contains(err.Error(), "leave some out") {
 		t.Error(err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,7 +27,7 @@
 
 // Settings are the rules' configuration and what else the settings hold for a gateway on sockets.
 type Settings struct {
-	Rules          routing.Config
+	Routing        routing.Config
 	ConnectTimeout time.Duration
 	IdleClose      time.Duration // database hosts close idle connections after this at the latest
 	AnswerSlack    time.Duration
@@ -39,7 +39,7 @@
 	Admin                   string // the second address; empty: none
 	Seed                    uint64
 	Limits                  Limits
-	Known                   discovery.Snapshot
+	Endpoints               discovery.Snapshot
 	Settings                Settings
 }
 
@@ -87,7 +87,7 @@
 	if err := d.Decode(&in); err != nil {
 		return nil, fmt.Errorf("reading the configuration: %w", err)
 	}
-	p := &Platform{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery, Admin: in.Admin, Limits: in.Limits, Known: in.Known}
+	p := &Platform{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery, Admin: in.Admin, Limits: in.Limits, Endpoints: in.Known}
 	for name, to := range map[string]*string{"PROXY_NAME": &p.Name, "PROXY_LISTEN": &p.Listen,
 		"PROXY_ADMIN": &p.Admin, discoveryVariable: &p.Discovery} {
 		if v := env(name); v != "" {
@@ -134,7 +134,7 @@
 	flatten(pairs, "", in)
 	var s Settings
 	var err error
-	if s.Rules, err = simwire.Config(pairs); err != nil {
+	if s.Routing, err = simwire.Config(pairs); err != nil {
 		return s, err
 	}
 	for path, to := range map[string]*time.Duration{"policyLimits.connectTimeoutS": &s.ConnectTimeout,
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("%q: %+v", text, o.Zones)
 		}
 	}
-	if o := (&Zones{HoldMS: 500, Tiers: [][]string{{"a"}}}).Options("x"); o.Hold != 500*time.Millisecond || o.Own != "x" || len(o.Tiers) != 1 {
+	if o := (&Zones{HoldMS: 500, Tiers: [][]string{{"a"}}}).Options("x"); o.RecoveryDelay != 500*time.Millisecond || o.Own != "x" || len(o.Tiers) != 1 {
 		t.Errorf("%+v", o)
 	}
 }
@@ -90,11 +90,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := p.Settings.Rules
-	if p.Listen != "127.0.0.1:1" || p.Seed != 0x8c1f30d27a5be964 || len(p.Known.Targets) != 3 || p.Limits.Sockets != 1024 {
+	c := p.Settings.Routing
+	if p.Listen != "127.0.0.1:1" || p.Seed != 0x8c1f30d27a5be964 || len(p.Endpoints.Targets) != 3 || p.Limits.Sockets != 1024 {
 		t.Errorf("%+v", p)
 	}
-	if len(c.Classes) != 5 || c.Classes[4].Effect != routing.Once || c.Classes[0].Bound != 3*time.Second || c.Guards != routing.GuardWait {
+	if len(c.Classes) != 5 || c.Classes[4].Effect != routing.NonIdempotent || c.Classes[0].StalenessBound != 3*time.Second || c.StaleReads != routing.StaleReadDelayed {
 		t.Errorf("%+v", c)
 	}
 	if p.Settings.IdleClose != 30*time.Second || p.Settings.ConnectTimeout != 250*time.Millisecond {
@@ -104,7 +104,7 @@
 		t.Error(err)
 	}
 	o, err := LoadOperator("../../deploy/operator.toml", nil)
-	if err != nil || len(o.Settings.Rules.Classes) != 5 || o.MySQL.Probe != "SHOW pressure" || o.MySQL.Hosts[0].State != "SERVING" {
+	if err != nil || len(o.Settings.Routing.Classes) != 5 || o.MySQL.Probe != "SHOW pressure" || o.MySQL.Hosts[0].State != "SERVING" {
 		t.Errorf("%+v, %v", o, err)
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -52,7 +52,7 @@
 		return nil
 	}
 	return &zones.Options{Own: own, Tiers: z.Tiers, Overprovision: z.Overprovision, DetectOnly: z.DetectOnly,
-		Hold: time.Duration(z.HoldMS) * time.Millisecond, Ramp: time.Duration(z.RampMS) * time.Millisecond}
+		RecoveryDelay: time.Duration(z.HoldMS) * time.Millisecond, RecoveryRamp: time.Duration(z.RampMS) * time.Millisecond}
 }
 
 // Fleet is how this gateway and the others know each other.
@@ -81,20 +81,20 @@
 // mostJoin bounds the addresses to join: every gateway of the largest fleet (members.Options.Most).
 const mostJoin = 1024
 
-// TooManyJoins says that join lists more addresses than a fleet may have gateways.
-type TooManyJoins struct{ Listed int }
+// JoinLimitError says that join lists more addresses than a fleet may have gateways.
+type JoinLimitError struct{ Listed int }
 
-func (e TooManyJoins) Error() string {
+func (e JoinLimitError) Error() string {
 	return fmt.Sprintf("join has %d addresses, %d are the most; leave some out: any gateway that is reached tells of all others", e.Listed, mostJoin)
 }
 
 // check fills in defaults, reads the keys and names what is wrong.
 func (f *Fleet) check(s *Settings) error {
 	if f.Zone == "" && s != nil {
-		f.Zone = s.Rules.Zone
+		f.Zone = s.Routing.Zone
 	}
 	if s != nil {
-		f.Gateways = s.Rules.Gateways
+		f.Gateways = s.Routing.Gateways
 	}
 	f.Fleet, f.Advertise = cmp.Or(f.Fleet, "cranegate"), cmp.Or(f.Advertise, f.Listen)
 	if f.Name == "" {
@@ -106,7 +106,7 @@
 		}
 	}
 	if len(f.Join) > mostJoin {
-		return TooManyJoins{len(f.Join)}
+		return JoinLimitError{len(f.Join)}
 	}
 	outside := false
 	for i, x := range append([]string{f.Listen, f.Advertise}, f.Join...) {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -26,10 +26,10 @@
 // Attempt is one try of a request at a database host, or a probe where Request is nil. The host's connection
 // calls Begin before the first byte and Done at the end.
 type Attempt struct {
-	Request *Request
-	Member  string
-	Until   time.Time    // when the gateway stops waiting for it
-	By      routing.Conn // the connection that a probe goes by
+	Request  *Request
+	Member   string
+	Deadline time.Time    // when the gateway stops waiting for it
+	Conn     routing.Conn // the connection that a probe goes by
 
 	core   *Core
 	number int
@@ -93,7 +93,7 @@
 // within gives an attempt the time before which it has to begin.
 func (a *Attempt) within(latest time.Duration) {
 	a.latest = latest
-	a.unbegun = a.core.timers.add(latest, func() { a.neverBegins(routing.ResultMoot, "past_latest") })
+	a.unbegun = a.core.timers.add(latest, func() { a.neverBegins(routing.ResultNotSent, "past_latest") })
 }
 
 // neverBegan ends the wait of an attempt, and says whether no byte of it has been or will be written.
@@ -137,7 +137,7 @@
 
 // attempt makes an attempt that is given up at a time.
 func (c *Core) attempt(q *Request, member string, until time.Duration) *Attempt {
-	a := &Attempt{Request: q, Member: member, Until: c.clock.time(until), core: c, sentAt: c.now}
+	a := &Attempt{Request: q, Member: member, Deadline: c.clock.time(until), core: c, sentAt: c.now}
 	a.ctx, a.cancel = context.WithCancel(c.ctx)
 	a.timeout = c.timers.add(until, func() { a.abandon(routing.ResultTimeout) })
 	return a
@@ -165,7 +165,7 @@
 		return
 	}
 	if a.neverBegan(resultNames[result]) {
-		result = routing.ResultMoot
+		result = routing.ResultNotSent
 	}
 	a.finish(Outcome{Result: result})
 }
@@ -175,7 +175,7 @@
 // its connection says, which may come before the timer's word.
 func (a *Attempt) settle(o Outcome) {
 	if a.current() == stateUnsent {
-		o = Outcome{Result: routing.ResultMoot}
+		o = Outcome{Result: routing.ResultNotSent}
 	}
 	if !a.closed && a.current() == stateWaiting && a.Request.hasLeft() {
 		a.core.gone(a.Request)
@@ -196,7 +196,7 @@
 	}
 	c.ended = append(c.ended, func() {
 		if a.Request == nil {
-			c.router.Probed(c.now, routing.ProbeResult{Member: a.Member, Result: o.Result, Took: c.now - a.sentAt,
+			c.router.HealthChecked(c.now, routing.HealthCheckResult{Member: a.Member, Result: o.Result, Latency: c.now - a.sentAt,
 				Report: o.Report, Opened: c.opened(o)})
 			return
 		}
@@ -216,7 +216,7 @@
 			took = a.first
 		}
 		c.router.Outcome(c.now, routing.Outcome{Request: q.id, Attempt: a.number, Member: a.Member, Result: o.Result,
-			Took: took, Closed: q.ended, Role: o.Role, Position: o.Position, Report: o.Report,
+			Latency: took, Closed: q.ended, Role: o.Role, Position: o.Position, Report: o.Report,
 			Opened: c.opened(o)})
 		c.forget(q)
 	})
@@ -232,8 +232,8 @@
 
 // resultNames are the counters of outcomes.
 var resultNames = map[routing.Result]string{routing.ResultOK: "attempts_ok", routing.ResultError: "attempts_error",
-	routing.ResultFull: "attempts_turned_away", routing.ResultTimeout: "attempts_timed_out",
+	routing.ResultOverCapacity: "attempts_turned_away", routing.ResultTimeout: "attempts_timed_out",
 	routing.ResultConnectFailed: "attempts_not_connected", routing.ResultReset: "attempts_reset",
-	routing.ResultCancelled: "attempts_cancelled", routing.ResultMoot: "attempts_never_sent",
-	routing.ResultMiss: "attempts_missed", routing.ResultRejected: "attempts_rejected",
-	routing.ResultSpoilt: "attempts_spoilt"}
+	routing.ResultCancelled: "attempts_cancelled", routing.ResultNotSent: "attempts_never_sent",
+	routing.ResultMissed: "attempts_missed", routing.ResultInvalidStatement: "attempts_rejected",
+	routing.ResultMalformed: "attempts_spoilt"}
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// ErrEnded says that the core has ended: the program is about to exit, and nothing goes out any more.
-var ErrEnded = errors.New("the gateway has ended")
+// ErrStopped says that the core has ended: the program is about to exit, and nothing goes out any more.
+var ErrStopped = errors.New("the gateway has ended")
 
 // Hand says what to do with a member by hand.
-type Hand int
+type Override int
 
 // The ways.
 const (
-	Detach Hand = iota // leave it out; one that nobody has is an error
-	Hold               // leave it out even if nobody has it yet
-	Attach             // it may serve again
+	Detach         Override = iota // leave it out; one that nobody has is an error
+	DetachUnlisted                 // leave it out even if nobody has it yet
+	Attach                         // it may serve again
 )
 
 // Hand takes a member out or calls it back. It returns once that holds in the module: from a nil on nothing is begun at
 // a member that is out. It waits no longer than the context.
-func (c *Core) Hand(ctx context.Context, id string, way Hand) error {
+func (c *Core) SetOverride(ctx context.Context, id string, way Override) error {
 	var failed error
 	err := c.ask(ctx, func() {
-		act := []func(time.Duration, string) ([]routing.Entry, error){c.hands.Detach, c.hands.Hold, c.hands.Attach}[way]
-		var entries []routing.Entry
+		act := []func(time.Duration, string) ([]routing.Endpoint, error){c.hands.Detach, c.hands.DetachUnlisted, c.hands.Attach}[way]
+		var entries []routing.Endpoint
 		if entries, failed = act(c.now, id); len(entries) > 0 {
-			c.entries(routing.MemberList{Kind: routing.ListPatch, Entries: entries})
+			c.entries(routing.EndpointList{Kind: routing.EndpointListPatch, Endpoints: entries})
 		}
 	})
 	if err != nil {
@@ -46,7 +46,7 @@
 	select {
 	case c.mailbox <- func() { event(); close(done) }:
 	case <-c.done:
-		return ErrEnded
+		return ErrStopped
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -54,7 +54,7 @@
 	case <-done:
 		return nil
 	case <-c.done:
-		return ErrEnded
+		return ErrStopped
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -99,18 +99,18 @@
 func (c *Core) Started(ctx context.Context, starts map[string]time.Time) error {
 	return c.ask(ctx, func() {
 		for id, at := range starts {
-			c.hands.Started(id, c.clock.at(at))
+			c.hands.SetStarted(id, c.clock.at(at))
 		}
 	})
 }
 
 // Tune replaces how zones are judged and reads are shared out among them. The options have been checked; where the
 // core was started without zones nothing changes.
-func (c *Core) Tune(o zones.Options) {
+func (c *Core) ConfigureZones(o zones.Options) {
 	c.post(func() {
 		if z := c.router.Zones(); z == nil {
 			slog.Warn("zones_off", "detail", "the program was started without zones; a restart turns them on")
-		} else if err := z.Tune(o); err != nil {
+		} else if err := z.Configure(o); err != nil {
 			slog.Warn("zones_refused", "error", err)
 		}
 	})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -21,20 +21,20 @@
 
 // Host is a database host as discovery lists it.
 type Host struct {
-	Address string
-	Entry   routing.Entry
+	Address  string
+	Endpoint routing.Endpoint
 }
 
 // List is news of the hosts.
-type List struct {
-	Kind  routing.ListKind
+type EndpointList struct {
+	Kind  routing.EndpointListKind
 	Hosts []Host
 }
 
 // Servers runs attempts at database hosts. None of its calls may block.
-type Servers interface {
+type Backend interface {
 	// Update takes news of the list, before the module does.
-	Update(List)
+	Update(EndpointList)
 	// Start hands an attempt to a host; false says that it can't be taken and never ran.
 	Start(*Attempt) bool
 	// CloseIdle shuts idle connections to a host.
@@ -43,12 +43,12 @@
 
 // Options are what the core needs beside the module's own configuration.
 type Options struct {
-	Rules        routing.Config
-	Seed         uint64
-	AnswerSlack  time.Duration // a final answer may come this much after the client's deadline
-	ProbeTimeout time.Duration
-	Counters     *metrics.Counters
-	Monitor      *invariant.Monitor // takes violations of the rules; nil: they are not counted
+	Routing            routing.Config
+	Seed               uint64
+	AnswerSlack        time.Duration // a final answer may come this much after the client's deadline
+	HealthCheckTimeout time.Duration
+	Counters           *metrics.Counters
+	Monitor            *invariant.Monitor // takes violations of the rules; nil: they are not counted
 }
 
 // mailboxSize bounds what waits for the module's actor. Senders wait when it is full.
@@ -59,7 +59,7 @@
 	opt      Options
 	classes  map[string]int
 	mailbox  chan func()
-	servers  Servers
+	servers  Backend
 	router   *routing.Router
 	clock    clock
 	now      time.Duration
@@ -69,25 +69,25 @@
 	notices  notices
 	ended    []func() // outcomes for the module, after the event in hand
 	lastID   uint64
-	zonesAt  time.Duration   // when their reads are counted next
-	ctx      context.Context // of all attempts; ends with the actor
-	hands    override.Hands  // which members are out by hand; the module's actor alone uses it
-	ready    chan struct{}   // closed when the first list has come
+	zonesAt  time.Duration      // when their reads are counted next
+	ctx      context.Context    // of all attempts; ends with the actor
+	hands    override.Overrides // which members are out by hand; the module's actor alone uses it
+	ready    chan struct{}      // closed when the first list has come
 	done     chan struct{}
 }
 
 // New makes the actor; Run starts it.
-func New(opt Options, servers Servers) (*Core, error) {
-	opt.Rules.PositionZero = 0 // the module's clock counts from the Unix epoch, and so do positions on sockets
+func New(opt Options, servers Backend) (*Core, error) {
+	opt.Routing.PositionZero = 0 // the module's clock counts from the Unix epoch, and so do positions on sockets
 	c := &Core{opt: opt, classes: map[string]int{}, mailbox: make(chan func(), mailboxSize), servers: servers,
 		clock: newClock(), requests: map[uint64]*Request{}, waiting: map[string][]*Attempt{},
 		ready: make(chan struct{}), done: make(chan struct{})}
-	for i, k := range opt.Rules.Classes {
+	for i, k := range opt.Routing.Classes {
 		c.classes[k.Name] = i
 	}
 	c.now = c.clock.now()
 	var err error
-	c.router, err = routing.New(c.now, opt.Rules, opt.Seed, (*gateway)(c))
+	c.router, err = routing.New(c.now, opt.Routing, opt.Seed, (*gateway)(c))
 	return c, err
 }
 
@@ -108,15 +108,15 @@
 }
 
 // Wait is how long a request waits by itself: as its client says, and its class's deadline at most.
-func (c *Core) Wait(q *Request) time.Duration {
+func (c *Core) Timeout(q *Request) time.Duration {
 	i, ok := c.classes[q.Class]
 	if !ok {
-		return q.Wait
+		return q.Timeout
 	}
-	if d := c.opt.Rules.Classes[i].Deadline; q.Wait <= 0 || q.Wait > d { // later the answer is worth nothing
+	if d := c.opt.Routing.Classes[i].Deadline; q.Timeout <= 0 || q.Timeout > d { // later the answer is worth nothing
 		return d
 	}
-	return q.Wait
+	return q.Timeout
 }
 
 // Submit hands in a request. False says that the core has ended and no answer will come.
@@ -124,13 +124,13 @@
 
 // Gone tells that the client has left: no answer is owed. No attempt of the request begins once it is called, however
 // long the module's actor takes to hear of it.
-func (c *Core) Gone(q *Request) {
+func (c *Core) ClientDisconnected(q *Request) {
 	q.leave(c)
 	c.post(func() { c.gone(q) })
 }
 
 // Members hands in news of the list.
-func (c *Core) Members(l List) { c.post(func() { c.members(l) }) }
+func (c *Core) UpdateEndpoints(l EndpointList) { c.post(func() { c.members(l) }) }
 
 // Run is the actor's life. It ends with the context.
 func (c *Core) Run(ctx context.Context) error {
@@ -164,9 +164,9 @@
 		return
 	}
 	c.zonesAt = c.now + time.Second
-	for t, f := range z.Figures() {
+	for t, f := range z.Metrics() {
 		c.opt.Counters.Add(fmt.Sprintf("tier_%d_reads", t), int64(f.Reads))
-		c.opt.Counters.Add(fmt.Sprintf("tier_%d_stated", t), int64(f.Stated*float64(f.All)+0.5))
+		c.opt.Counters.Add(fmt.Sprintf("tier_%d_stated", t), int64(f.ConfiguredShare*float64(f.All)+0.5))
 	}
 }
 
@@ -193,15 +193,15 @@
 		return
 	}
 	c.lastID++
-	q.id, q.class = c.lastID, &c.opt.Rules.Classes[class]
+	q.id, q.class = c.lastID, &c.opt.Routing.Classes[class]
 	arrived := min(c.now, c.clock.at(q.Arrived))
-	q.Wait = c.Wait(q)
-	q.deadline = arrived + q.Wait
-	in := routing.Request{ID: q.id, Class: class, Tenant: -1, Session: q.Session, Group: q.Group, Repeat: q.Repeat,
+	q.Timeout = c.Timeout(q)
+	q.deadline = arrived + q.Timeout
+	in := routing.Request{ID: q.id, Class: class, Tenant: -1, Session: q.Session, Group: q.Group, Retry: q.Retry,
 		Remaining: q.deadline - c.now}
-	if q.After > 0 {
+	if q.MinPosition > 0 {
 		// A commit is rounded up and may lie a little ahead of this clock; zero would mean that there is none.
-		in.SinceWrite = max(1, c.now-time.Duration(q.After)*time.Millisecond)
+		in.SinceWrite = max(1, c.now-time.Duration(q.MinPosition)*time.Millisecond)
 	}
 	c.requests[q.id] = q
 	q.overdue = c.timers.add(q.deadline+c.opt.AnswerSlack/2, func() { c.overdue(q) })
@@ -217,7 +217,7 @@
 	c.opt.Monitor.Report(invariant.Violation{Rule: invariant.Close, Reason: invariant.LateAnswer, Request: q.ID})
 	slog.Warn("overdue", "id", q.ID, "request", q.id, "class", q.Class, "attempts", q.sent)
 	c.answer(q, Answer{Status: Failed})
-	c.router.ClientGone(c.now, q.id)
+	c.router.ClientDisconnected(c.now, q.id)
 	c.forget(q)
 }
 
@@ -228,20 +228,20 @@
 	}
 	c.opt.Counters.Add("clients_gone", 1)
 	c.end(q)
-	c.router.ClientGone(c.now, q.id)
+	c.router.ClientDisconnected(c.now, q.id)
 	c.forget(q)
 }
 
 // members takes news of the list. What waits for a connection to a host that may not be sent anything new
 // never ran: that guards against a send after a drain was told.
-func (c *Core) members(l List) {
+func (c *Core) members(l EndpointList) {
 	c.servers.Update(l)
-	m := routing.MemberList{Kind: l.Kind}
+	m := routing.EndpointList{Kind: l.Kind}
 	for _, h := range l.Hosts {
-		m.Entries = append(m.Entries, h.Entry)
+		m.Endpoints = append(m.Endpoints, h.Endpoint)
 	}
-	c.entries(c.hands.Take(c.now, m))
-	if l.Kind != routing.ListBroken {
+	c.entries(c.hands.Apply(c.now, m))
+	if l.Kind != routing.EndpointListFailed {
 		select {
 		case <-c.ready:
 		default:
@@ -251,20 +251,20 @@
 }
 
 // entries hands the module what it has to hold of the members.
-func (c *Core) entries(m routing.MemberList) {
+func (c *Core) entries(m routing.EndpointList) {
 	stays := map[string]bool{}
-	for _, e := range m.Entries {
-		stays[e.Member] = e.Phase == routing.PhaseOn
+	for _, e := range m.Endpoints {
+		stays[e.Member] = e.Phase == routing.PhaseServing
 	}
-	c.notices.take(c.now, m, c.opt.Rules.OnlyDrainingBinds)
-	c.router.Members(c.now, m)
+	c.notices.take(c.now, m, c.opt.Routing.OnlyDrainingBinds)
+	c.router.UpdateEndpoints(c.now, m)
 	for member, attempts := range c.waiting {
 		on, listed := stays[member]
-		if on || !listed && m.Kind == routing.ListPatch {
+		if on || !listed && m.Kind == routing.EndpointListPatch {
 			continue
 		}
 		for _, a := range attempts {
-			a.neverBegins(routing.ResultMoot, "host_withdrawn")
+			a.neverBegins(routing.ResultNotSent, "host_withdrawn")
 		}
 		delete(c.waiting, member) // its id may never come again
 	}
@@ -277,9 +277,9 @@
 	}
 	c.end(q)
 	c.opt.Counters.Add(a.Status.String(), 1)
-	c.opt.Counters.Took(c.now - q.deadline + q.Wait)
+	c.opt.Counters.ObserveLatency(c.now - q.deadline + q.Timeout)
 	if logging.Debugs() {
-		slog.Debug("answered", "id", q.ID, "class", q.Class, "status", a.Status, "attempts", q.sent, "took", c.now-q.deadline+q.Wait)
+		slog.Debug("answered", "id", q.ID, "class", q.Class, "status", a.Status, "attempts", q.sent, "took", c.now-q.deadline+q.Timeout)
 	}
 	q.answered.Store(true)
 	q.Reply(a)
@@ -302,7 +302,7 @@
 	q.ended = true
 	q.overdue.cancel()
 	for _, a := range q.out {
-		a.neverBegins(routing.ResultMoot, "request_ended")
+		a.neverBegins(routing.ResultNotSent, "request_ended")
 	}
 	c.forget(q)
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -19,8 +19,8 @@
 	take func(*Attempt) bool
 }
 
-func (s *fakeServers) Update(List)      {}
-func (s *fakeServers) CloseIdle(string) {}
+func (s *fakeServers) Update(EndpointList) {}
+func (s *fakeServers) CloseIdle(string)    {}
 func (s *fakeServers) Start(a *Attempt) bool {
 	if a.Request == nil { // db-0 is the primary, db-1 trails by 400 ms
 		r := routing.Report{HasPosition: true, Position: time.Now().UnixMilli(), Role: routing.RolePrimary}
@@ -39,26 +39,26 @@
 // play runs one request against a core whose attempts are taken as given.
 func play(t *testing.T, q *Request, take func(*Attempt) bool) (answers []Answer, sent []string, took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := routing.Config{Gateways: 1, MaxAttempts: 6, Positions: true, ListRole: routing.ListRoleLate, MayProbe: true,
-			MayCancel: true, MayDuplicate: true, Classes: []routing.Class{
-				{Name: "own", Need: routing.NeedSession, Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1},
-				{Name: "put", Need: routing.NeedWrite, Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1,
-					LateWorth: 0.5, Effect: routing.Once}}}
+		cfg := routing.Config{Gateways: 1, MaxAttempts: 6, Positions: true, RoleSource: routing.RoleSourceDelayed, AllowHealthChecks: true,
+			AllowCancel: true, AllowHedging: true, Classes: []routing.Class{
+				{Name: "own", Consistency: routing.ConsistencySession, LatencyObjective: 500 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
+				{Name: "put", Consistency: routing.ConsistencyWrite, LatencyObjective: 500 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1,
+					LateShare: 0.5, Effect: routing.NonIdempotent}}}
 		s := &fakeServers{take: take}
-		c, err := New(Options{Rules: cfg, Seed: 1, AnswerSlack: 20 * time.Millisecond, ProbeTimeout: 250 * time.Millisecond,
+		c, err := New(Options{Routing: cfg, Seed: 1, AnswerSlack: 20 * time.Millisecond, HealthCheckTimeout: 250 * time.Millisecond,
 			Counters: &metrics.Counters{}}, s)
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go c.Run(ctx)
-		c.Members(List{Kind: routing.ListWhole, Hosts: []Host{{Entry: routing.Entry{Member: "db-0", Leader: true, Size: 1}},
-			{Entry: routing.Entry{Member: "db-1", Size: 1}}}})
+		c.UpdateEndpoints(EndpointList{Kind: routing.EndpointListComplete, Hosts: []Host{{Endpoint: routing.Endpoint{Member: "db-0", Primary: true, Capacity: 1}},
+			{Endpoint: routing.Endpoint{Member: "db-1", Capacity: 1}}}})
 		time.Sleep(50 * time.Millisecond)
 		start := time.Now()
 		q.Arrived = start
-		if q.After != 0 {
-			q.After += start.UnixMilli()
+		if q.MinPosition != 0 {
+			q.MinPosition += start.UnixMilli()
 		}
 		var mu sync.Mutex
 		q.Reply = func(a Answer) {
@@ -100,7 +100,7 @@
 // rounded up is, must not pass for no write at all.
 func TestAfterIsNeverTooLax(t *testing.T) {
 	for after, want := range map[int64]string{3: "db-0", -100: "db-0", -5000: "db-1"} {
-		answers, sent, _ := play(t, &Request{Class: "own", After: after}, serve)
+		answers, sent, _ := play(t, &Request{Class: "own", MinPosition: after}, serve)
 		if len(answers) != 1 || answers[0].Status != Served || fmt.Sprint(sent) != fmt.Sprint([]string{want}) {
 			t.Errorf("after %d ms: %+v from %v, want %s", after, answers, sent, want)
 		}
@@ -114,15 +114,15 @@
 		want Status
 	}{
 		"serves":                  {serve, Served},
-		"cannot take it":          {func(*Attempt) bool { return false }, Refused},
-		"never connects":          {func(*Attempt) bool { return true }, Refused},
+		"cannot take it":          {func(*Attempt) bool { return false }, Rejected},
+		"never connects":          {func(*Attempt) bool { return true }, Rejected},
 		"begins and stays silent": {func(a *Attempt) bool { return a.Begin() }, Failed},
 		"breaks": {func(a *Attempt) bool {
 			go func() { a.Begin(); a.Done(Outcome{Result: routing.ResultReset}) }()
 			return true
 		}, Failed},
 	} {
-		answers, sent, took := play(t, &Request{Class: "put", Wait: 800 * time.Millisecond}, c.take)
+		answers, sent, took := play(t, &Request{Class: "put", Timeout: 800 * time.Millisecond}, c.take)
 		if len(answers) != 1 || answers[0].Status != c.want || took > 820*time.Millisecond {
 			t.Errorf("%s: %+v after %v, sent to %v", name, answers, took, sent)
 		}
@@ -136,8 +136,8 @@
 		t.Errorf("a group without members: %+v from %v", answers, sent)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		c, err := New(Options{Rules: routing.Config{Gateways: 1, MaxAttempts: 6, MayProbe: true, Classes: []routing.Class{
-			{Name: "any", Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1}}}, ProbeTimeout: 250 * time.Millisecond},
+		c, err := New(Options{Routing: routing.Config{Gateways: 1, MaxAttempts: 6, AllowHealthChecks: true, Classes: []routing.Class{
+			{Name: "any", LatencyObjective: 500 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}}}, HealthCheckTimeout: 250 * time.Millisecond},
 			&fakeServers{take: serve})
 		if err != nil {
 			t.Fatal(err)
@@ -145,7 +145,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		go c.Run(ctx)
 		for i := range 50 { // hosts are replaced one after the other, under new ids
-			c.Members(List{Kind: routing.ListWhole, Hosts: []Host{{Entry: routing.Entry{Member: fmt.Sprint("db-", i), Size: 1}}}})
+			c.UpdateEndpoints(EndpointList{Kind: routing.EndpointListComplete, Hosts: []Host{{Endpoint: routing.Endpoint{Member: fmt.Sprint("db-", i), Capacity: 1}}}})
 			time.Sleep(time.Second)
 			c.Submit(&Request{Class: "any", Arrived: time.Now(), Reply: func(Answer) {}})
 			time.Sleep(time.Second)
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -30,8 +30,8 @@
 	q.sent++
 	q.out = append(q.out, a)
 	c.opt.Counters.Add("attempts", 1)
-	if q.ended || a.number >= c.opt.Rules.MaxAttempts || abandonAt <= c.now {
-		a.neverBegins(routing.ResultMoot, "not_started")
+	if q.ended || a.number >= c.opt.Routing.MaxAttempts || abandonAt <= c.now {
+		a.neverBegins(routing.ResultNotSent, "not_started")
 		return
 	}
 	c.checkStart(member)
@@ -50,9 +50,9 @@
 }
 
 // Refuse gives a final answer that promises that nothing ran.
-func (g *gateway) Refuse(id uint64, comeBack time.Duration, why routing.Reason) {
+func (g *gateway) Reject(id uint64, comeBack time.Duration, why routing.Reason) {
 	if q := g.requests[id]; q != nil {
-		(*Core)(g).unserved(q, Answer{Status: Refused, ComeBack: comeBack}, why)
+		(*Core)(g).unserved(q, Answer{Status: Rejected, RetryAfter: comeBack}, why)
 	}
 }
 
@@ -64,14 +64,14 @@
 }
 
 // Close shuts idle connections to a member.
-func (g *gateway) Close(member string) { g.servers.CloseIdle(member) }
+func (g *gateway) CloseIdle(member string) { g.servers.CloseIdle(member) }
 
 // Probe examines a member.
-func (g *gateway) Probe(member string, by routing.Conn) {
+func (g *gateway) CheckHealth(member string, by routing.Conn) {
 	c := (*Core)(g)
 	c.opt.Counters.Add("probes", 1)
-	a := c.attempt(nil, member, c.now+c.opt.ProbeTimeout)
-	a.By = by
+	a := c.attempt(nil, member, c.now+c.opt.HealthCheckTimeout)
+	a.Conn = by
 	c.start(a)
 }
 
@@ -80,9 +80,9 @@
 	g.timers.add(g.now+after, func() { g.router.Timer(g.now, name) })
 }
 
-// Subscribe and LookUp have nothing to do: the list's actor holds a watch all the time.
-func (g *gateway) Subscribe(bool) {}
-func (g *gateway) LookUp()        {}
+// Subscribe and FetchEndpoints have nothing to do: the list's actor holds a watch all the time.
+func (g *gateway) Subscribe(bool)  {}
+func (g *gateway) FetchEndpoints() {}
 
 // ZoneChanged notes that a zone has come into another state.
 func (g *gateway) ZoneChanged(c zones.Change) {
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -19,15 +19,15 @@
 		var stopped []*Attempt // right before Begin
 		s := &fakeServers{take: func(a *Attempt) bool { stopped = append(stopped, a); return true }}
 		counters := &metrics.Counters{}
-		c, err := New(Options{Rules: routing.Config{Gateways: 1, MaxAttempts: 6, MayCancel: true, MayDuplicate: true,
-			Classes: []routing.Class{{Name: "any", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1}}},
-			Counters: counters, ProbeTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond}, s)
+		c, err := New(Options{Routing: routing.Config{Gateways: 1, MaxAttempts: 6, AllowCancel: true, AllowHedging: true,
+			Classes: []routing.Class{{Name: "any", LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}}},
+			Counters: counters, HealthCheckTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond}, s)
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go c.Run(ctx)
-		c.Members(List{Kind: routing.ListWhole, Hosts: []Host{{Entry: routing.Entry{Member: "db-0", Leader: true, Size: 100}}}})
+		c.UpdateEndpoints(EndpointList{Kind: routing.EndpointListComplete, Hosts: []Host{{Endpoint: routing.Endpoint{Member: "db-0", Primary: true, Capacity: 100}}}})
 		request := func() *Request {
 			return &Request{Class: "any", Arrived: time.Now(), Reply: func(a Answer) { t.Errorf("answered: %+v", a) }}
 		}
@@ -50,7 +50,7 @@
 			c.post(func() {})
 		}
 		say := func(q *Request) {
-			go c.Gone(q) // no room in the mailbox: it waits there
+			go c.ClientDisconnected(q) // no room in the mailbox: it waits there
 			synctest.Wait()
 		}
 		for i, a := range stopped {
@@ -117,10 +117,10 @@
 		after  func(*Attempt) // what it does then
 	}{
 		"held":          {class: "any"},
-		"paused":        {class: "put", before: end(routing.ResultFull)},
+		"paused":        {class: "put", before: end(routing.ResultOverCapacity)},
 		"reset":         {class: "any", after: end(routing.ResultReset)},
-		"turned away":   {class: "any", after: end(routing.ResultFull)},
-		"missed":        {class: "any", after: end(routing.ResultMiss)},
+		"turned away":   {class: "any", after: end(routing.ResultOverCapacity)},
+		"missed":        {class: "any", after: end(routing.ResultMissed)},
 		"not connected": {class: "any", after: end(routing.ResultConnectFailed)},
 		"silent":        {class: "any", after: func(*Attempt) {}},
 	} {
@@ -129,19 +129,19 @@
 				started := make(chan *Attempt, 100)
 				s := &fakeServers{take: func(a *Attempt) bool { started <- a; return true }}
 				counters := &metrics.Counters{}
-				c, err := New(Options{Rules: routing.Config{Gateways: 1, MaxAttempts: 6, MayCancel: true, MayDuplicate: true,
-					Classes: []routing.Class{{Name: "any", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1},
-						{Name: "put", Need: routing.NeedWrite, Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1, LateWorth: 0.5}}},
-					Counters: counters, ProbeTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond}, s)
+				c, err := New(Options{Routing: routing.Config{Gateways: 1, MaxAttempts: 6, AllowCancel: true, AllowHedging: true,
+					Classes: []routing.Class{{Name: "any", LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, PriorityWeight: 1},
+						{Name: "put", Consistency: routing.ConsistencyWrite, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, PriorityWeight: 1, LateShare: 0.5}}},
+					Counters: counters, HealthCheckTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond}, s)
 				if err != nil {
 					t.Fatal(err)
 				}
 				ctx, cancel := context.WithCancel(context.Background())
 				go c.Run(ctx)
-				hosts := List{Kind: routing.ListWhole, Hosts: []Host{{Entry: routing.Entry{Member: "db-0", Leader: true, Size: 9}},
-					{Entry: routing.Entry{Member: "db-1", Size: 9}}}}
+				hosts := EndpointList{Kind: routing.EndpointListComplete, Hosts: []Host{{Endpoint: routing.Endpoint{Member: "db-0", Primary: true, Capacity: 9}},
+					{Endpoint: routing.Endpoint{Member: "db-1", Capacity: 9}}}}
 				if name != "held" {
-					c.Members(hosts)
+					c.UpdateEndpoints(hosts)
 					earn(c, x.class, started)
 				}
 				time.Sleep(time.Second)
@@ -161,12 +161,12 @@
 				if len(started) > 0 {
 					t.Fatalf("%s: a second attempt comes too early", name)
 				}
-				c.Gone(q)
+				c.ClientDisconnected(q)
 				synctest.Wait()
 				if x.after != nil {
 					x.after(a)
 				}
-				c.Members(hosts)
+				c.UpdateEndpoints(hosts)
 				time.Sleep(5 * time.Second)
 				cancel()
 				synctest.Wait()
@@ -191,16 +191,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		started := make(chan *Attempt, 100)
 		s := &fakeServers{take: func(a *Attempt) bool { started <- a; return true }}
-		c, err := New(Options{Rules: routing.Config{Gateways: 1, MaxAttempts: 6, MayCancel: true, MayDuplicate: true,
-			Classes: []routing.Class{{Name: "any", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1}}},
-			Counters: &metrics.Counters{}, ProbeTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond}, s)
+		c, err := New(Options{Routing: routing.Config{Gateways: 1, MaxAttempts: 6, AllowCancel: true, AllowHedging: true,
+			Classes: []routing.Class{{Name: "any", LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}}},
+			Counters: &metrics.Counters{}, HealthCheckTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond}, s)
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go c.Run(ctx)
-		c.Members(List{Kind: routing.ListWhole, Hosts: []Host{{Entry: routing.Entry{Member: "db-0", Leader: true, Size: 9}},
-			{Entry: routing.Entry{Member: "db-1", Size: 9}}}})
+		c.UpdateEndpoints(EndpointList{Kind: routing.EndpointListComplete, Hosts: []Host{{Endpoint: routing.Endpoint{Member: "db-0", Primary: true, Capacity: 9}},
+			{Endpoint: routing.Endpoint{Member: "db-1", Capacity: 9}}}})
 		earn(c, "any", started)
 		answers := make(chan Answer, 2)
 		c.Submit(&Request{Class: "any", Arrived: time.Now(), Reply: func(a Answer) { answers <- a }})
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -24,8 +24,8 @@
 const forgottenAfter = time.Minute
 
 // take notes news of the list as the module is told of it. Where only draining binds, a host that is gone may still be used.
-func (n *notices) take(now time.Duration, l routing.MemberList, onlyDraining bool) {
-	if l.Kind == routing.ListBroken {
+func (n *notices) take(now time.Duration, l routing.EndpointList, onlyDraining bool) {
+	if l.Kind == routing.EndpointListFailed {
 		return
 	}
 	n.mu.Lock()
@@ -34,12 +34,12 @@
 		n.hosts = map[string]notice{}
 	}
 	named := map[string]bool{}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		named[e.Member] = true
-		n.note(now, e.Member, e.Phase == routing.PhaseOn || e.Phase == routing.PhaseOff && onlyDraining, e.Phase != routing.PhaseOff)
+		n.note(now, e.Member, e.Phase == routing.PhaseServing || e.Phase == routing.PhaseRemoved && onlyDraining, e.Phase != routing.PhaseRemoved)
 	}
 	for member, x := range n.hosts {
-		if !named[member] && l.Kind != routing.ListPatch && x.listed {
+		if !named[member] && l.Kind != routing.EndpointListPatch && x.listed {
 			n.note(now, member, onlyDraining && x.withdrawn == 0, false)
 		} else if !x.listed && now-x.withdrawn > forgottenAfter {
 			delete(n.hosts, member)
@@ -73,8 +73,8 @@
 	now := c.clock.now()
 	send, by := invariant.CheckSend(invariant.Attempt{Now: now, Deadline: q.deadline, Latest: a.latest, Answered: q.answered.Load(),
 		LeftAt: time.Duration(q.leftAt.Load()), WithdrawnAt: c.notices.since(a.Member)})
-	repeat, written := q.ledger.Begin(a.number, now, invariant.Limits{Effect: q.class.Effect, Window: q.class.KeyTTL,
-		Copies: c.opt.Rules.MayDuplicate, Attempts: c.opt.Rules.MaxAttempts}, write)
+	repeat, written := q.ledger.Begin(a.number, now, invariant.Limits{Effect: q.class.Effect, Window: q.class.IdempotencyTTL,
+		Copies: c.opt.Routing.AllowHedging, Attempts: c.opt.Routing.MaxAttempts}, write)
 	if !written {
 		return false
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -12,36 +12,36 @@
 
 // The statuses.
 const (
-	Served  Status = iota // with a value that a database host made for it
-	Refused               // nothing has run, or a repeat is harmless
-	Failed                // nothing is promised
+	Served   Status = iota // with a value that a database host made for it
+	Rejected               // nothing has run, or a repeat is harmless
+	Failed                 // nothing is promised
 )
 
 func (s Status) String() string { return [...]string{"served", "refused", "failed"}[s] }
 
 // Answer is a request's final answer.
 type Answer struct {
-	Status   Status
-	Value    any           // Served: what the database host gave, in its protocol's form
-	ComeBack time.Duration // Refused: advice when to come back, 0 for none
+	Status     Status
+	Value      any           // Served: what the database host gave, in its protocol's form
+	RetryAfter time.Duration // Refused: advice when to come back, 0 for none
 }
 
 // Request is one request that a front has taken in.
 type Request struct {
-	Class   string
-	Group   int
-	Session string
-	Arrived time.Time     // when its last byte was read
-	Wait    time.Duration // how long the client waits from then on; 0 for the class's deadline, which is the most
-	After   int64         // Unix time in milliseconds that a session's read has to see, 0 for none
-	Repeat  bool
-	Payload any // the statement, in its protocol's form
+	Class       string
+	Group       int
+	Session     string
+	Arrived     time.Time     // when its last byte was read
+	Timeout     time.Duration // how long the client waits from then on; 0 for the class's deadline, which is the most
+	MinPosition int64         // Unix time in milliseconds that a session's read has to see, 0 for none
+	Retry       bool
+	Payload     any // the statement, in its protocol's form
 
 	// ID is the client's own name for the request, for the log. It may be empty.
 	ID string
 
 	// Left says whether the client has gone by now. It is called by any goroutine and must not block; nil: only Gone tells.
-	Left func() bool
+	Disconnected func() bool
 
 	// Reply takes the final answer. It is called once, by the module's actor, and must not block.
 	Reply func(Answer)
@@ -78,7 +78,7 @@
 
 // leaves looks whether the client has gone, where its close may not have been heard of yet.
 func (q *Request) leaves(c *Core) bool {
-	if q != nil && q.Left != nil && !q.hasLeft() && time.Since(q.Arrived) > lookAfter && q.Left() {
+	if q != nil && q.Disconnected != nil && !q.hasLeft() && time.Since(q.Arrived) > lookAfter && q.Disconnected() {
 		q.leave(c)
 	}
 	return q.hasLeft()
--- a/internal/core/window_test.go
+++ b/internal/core/window_test.go
@@ -68,17 +68,17 @@
 				}()
 				return true
 			}}
-			cfg := routing.Config{Gateways: 1, MaxAttempts: 2, Positions: true, MayProbe: true, MayCancel: true, Classes: []routing.Class{
-				{Name: "put", Need: routing.NeedWrite, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: routing.Keyed, KeyTTL: window}}}
+			cfg := routing.Config{Gateways: 1, MaxAttempts: 2, Positions: true, AllowHealthChecks: true, AllowCancel: true, Classes: []routing.Class{
+				{Name: "put", Consistency: routing.ConsistencyWrite, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Effect: routing.IdempotentByKey, IdempotencyTTL: window}}}
 			counters := &metrics.Counters{}
-			k, err := New(Options{Rules: cfg, Seed: 1, AnswerSlack: 20 * time.Millisecond, ProbeTimeout: 250 * time.Millisecond,
+			k, err := New(Options{Routing: cfg, Seed: 1, AnswerSlack: 20 * time.Millisecond, HealthCheckTimeout: 250 * time.Millisecond,
 				Counters: counters}, s)
 			if err != nil {
 				t.Fatal(err)
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			go k.Run(ctx)
-			k.Members(List{Kind: routing.ListWhole, Hosts: []Host{{Entry: routing.Entry{Member: "db-0", Size: 1}}}})
+			k.UpdateEndpoints(EndpointList{Kind: routing.EndpointListComplete, Hosts: []Host{{Endpoint: routing.Endpoint{Member: "db-0", Capacity: 1}}}})
 			time.Sleep(50 * time.Millisecond)
 			k.Submit(&Request{Class: "put", Arrived: time.Now(), Reply: func(a Answer) { answers = append(answers, a) }})
 			time.Sleep(5 * time.Second)
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -14,20 +14,20 @@
 
 // Silent says that discovery has not given a whole answer in time. See whether its agent runs at the address; the old list
 // stays in use meanwhile, and the call is made again.
-type Silent struct {
+type TimeoutError struct {
 	Address string
-	For     time.Duration
+	Timeout time.Duration
 }
 
-func (e Silent) Error() string {
-	return fmt.Sprintf("no whole answer from %s within %v; see whether discovery's agent runs there", e.Address, e.For)
+func (e TimeoutError) Error() string {
+	return fmt.Sprintf("no whole answer from %s within %v; see whether discovery's agent runs there", e.Address, e.Timeout)
 }
 
-// TooLong says that an answer is longer than any list may be. See whether discovery is what answers at the address; a list
+// AnswerTooLongError says that an answer is longer than any list may be. See whether discovery is what answers at the address; a list
 // that is really so long needs fewer entries, or shorter ones.
-type TooLong struct{ Address string }
+type AnswerTooLongError struct{ Address string }
 
-func (e TooLong) Error() string {
+func (e AnswerTooLongError) Error() string {
 	return fmt.Sprintf("the answer of %s is over %d bytes; see whether it is discovery, and how long its list is", e.Address, mostTold)
 }
 
@@ -72,7 +72,7 @@
 			if size, err = strconv.Atoi(value); err != nil || size < 0 {
 				return nil, false, fmt.Errorf("content-length %q", value)
 			} else if size > mostTold {
-				return nil, false, TooLong{host}
+				return nil, false, AnswerTooLongError{host}
 			}
 		case "transfer-encoding":
 			if chunked = value == "chunked"; !chunked {
@@ -88,7 +88,7 @@
 	switch {
 	case chunked:
 		if body, err = chunks(c); errors.Is(err, framebuf.ErrTooLarge) {
-			err = TooLong{host}
+			err = AnswerTooLongError{host}
 		}
 	case size >= 0:
 		if body, err = c.Need(size); err == nil {
@@ -100,7 +100,7 @@
 	default:
 		again = false
 		if body, err = rest(c); errors.Is(err, framebuf.ErrTooLarge) {
-			err = TooLong{host}
+			err = AnswerTooLongError{host}
 		}
 	}
 	if err == nil && (code == "503" || code == "429") {
--- a/internal/discovery/caps_test.go
+++ b/internal/discovery/caps_test.go
@@ -41,8 +41,8 @@
 			for form, whole := range map[string]string{"whole": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body),
 				"in chunks": chunked(body, 4000)} {
 				synctest.Test(t, func(t *testing.T) {
-					var told core.List
-					w := NewWatcher("agent:1", Snapshot{Rev: -1}, func(l core.List) { told = l }, backoff.New(1, 1), &metrics.Counters{})
+					var told core.EndpointList
+					w := NewWatcher("agent:1", Snapshot{Rev: -1}, func(l core.EndpointList) { told = l }, backoff.New(1, 1), &metrics.Counters{})
 					w.dial = host(func(query string) string {
 						if strings.Contains(query, "after") {
 							return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
@@ -51,8 +51,8 @@
 					}, len(whole)/4, 100*time.Millisecond)
 					err := w.follow(t.Context(), "agent:1", true)
 					time.Sleep(10 * time.Second) // the agent sees the end
-					if told.Kind != routing.ListWhole || len(told.Hosts) != n || len(w.Held().Targets) != n || w.Held().Rev != 7 {
-						t.Errorf("%d hosts, %s, %s, %d bytes: told of %d, %d held, %v", n, name, form, len(body), len(told.Hosts), len(w.Held().Targets), err)
+					if told.Kind != routing.EndpointListComplete || len(told.Hosts) != n || len(w.Snapshot().Targets) != n || w.Snapshot().Rev != 7 {
+						t.Errorf("%d hosts, %s, %s, %d bytes: told of %d, %d held, %v", n, name, form, len(body), len(told.Hosts), len(w.Snapshot().Targets), err)
 					}
 				})
 			}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -57,20 +57,20 @@
 	Replication string  `json:"replication" toml:"replication"`
 }
 
-var phases = map[string]routing.Phase{"SERVING": routing.PhaseOn, "DRAINING": routing.PhaseDraining, "DELETED": routing.PhaseOff}
+var phases = map[string]routing.Phase{"SERVING": routing.PhaseServing, "DRAINING": routing.PhaseDraining, "DELETED": routing.PhaseRemoved}
 
 // List turns a snapshot into the core's form. An entry with an unknown state is taken as draining: nothing new
 // may be sent where that is in doubt.
-func (s Snapshot) List(kind routing.ListKind) core.List {
-	l := core.List{Kind: kind}
+func (s Snapshot) EndpointList(kind routing.EndpointListKind) core.EndpointList {
+	l := core.EndpointList{Kind: kind}
 	for _, t := range s.Targets {
 		phase, ok := phases[t.State]
 		if !ok {
 			slog.Warn("list_state_unknown", "member", t.UID, "state", t.State)
 			phase = routing.PhaseDraining
 		}
-		l.Hosts = append(l.Hosts, core.Host{Address: t.Endpoint, Entry: routing.Entry{Member: t.UID, Group: t.Group,
-			Phase: phase, Zone: t.Zone, Size: t.Capacity, Leader: t.Replication == "primary",
+		l.Hosts = append(l.Hosts, core.Host{Address: t.Endpoint, Endpoint: routing.Endpoint{Member: t.UID, Group: t.Group,
+			Phase: phase, Zone: t.Zone, Capacity: t.Capacity, Primary: t.Replication == "primary",
 			StartedAt: time.Duration(t.BootMS) * time.Millisecond}})
 	}
 	return l
@@ -80,9 +80,9 @@
 type Watcher struct {
 	address  string
 	rev      int64
-	tell     func(core.List)
+	tell     func(core.EndpointList)
 	counters *metrics.Counters
-	pace     *backoff.Caller
+	pace     *backoff.Backoff
 	moves    chan string // its mailbox; a newer address takes an older one's place
 	dial     func(ctx context.Context, network, address string) (net.Conn, error)
 	first    chan struct{} // closed once the first call has ended
@@ -94,7 +94,7 @@
 }
 
 // Held is the whole list as last told, with its version; no targets where nothing was told yet.
-func (w *Watcher) Held() Snapshot {
+func (w *Watcher) Snapshot() Snapshot {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := Snapshot{Rev: w.at, All: true}
@@ -120,13 +120,13 @@
 
 // Tried is closed once the first call has ended, with or without an answer: what discovery held at the start has then
 // been told, or can't be had. It is closed too where there is nothing to follow.
-func (w *Watcher) Tried() <-chan struct{} { return w.first }
+func (w *Watcher) FirstCallDone() <-chan struct{} { return w.first }
 
 func (w *Watcher) tried() { w.once.Do(func() { close(w.first) }) }
 
 // NewWatcher makes the actor, which knows a list already, maybe none (of version -1); Run starts it. With no address there is nothing
 // to follow until Move names one.
-func NewWatcher(address string, known Snapshot, tell func(core.List), p *backoff.Caller, counters *metrics.Counters) *Watcher {
+func NewWatcher(address string, known Snapshot, tell func(core.EndpointList), p *backoff.Backoff, counters *metrics.Counters) *Watcher {
 	w := &Watcher{address: address, rev: known.Rev, tell: tell, pace: p, counters: counters, moves: make(chan string, 1),
 		dial: (&net.Dialer{}).DialContext, first: make(chan struct{})}
 	w.keep(known)
@@ -135,7 +135,7 @@
 
 // Move has the watch go on at another address at once. What is known of the list stays, and so does its version,
 // so the new address tells just what has changed since. One goroutine at a time may call it; it never waits.
-func (w *Watcher) Move(address string) {
+func (w *Watcher) SetAddress(address string) {
 	select {
 	case <-w.moves:
 	default:
@@ -176,7 +176,7 @@
 			break
 		}
 		if glance = !errors.Is(err, errClosed); !glance { // all is known up to its answer: the watch goes on
-			wait = backoff.Broke(1)
+			wait = backoff.MaxFailureDelay(1)
 			continue
 		}
 		w.counters.Add("list_calls_failed", 1)
@@ -186,7 +186,7 @@
 		}
 		var away turnedAway
 		if errors.As(err, &away) {
-			wait = w.pace.TurnedAway(away.took, away.after)
+			wait = w.pace.Rejected(away.took, away.after)
 		} else {
 			wait = w.pace.Failed()
 		}
@@ -197,7 +197,7 @@
 // moved goes on at another address, at once.
 func (w *Watcher) moved(address string) {
 	w.address = address
-	w.pace.Answered()
+	w.pace.Succeeded()
 	slog.Info("list_moved", "address", address, "rev", w.rev)
 }
 
@@ -235,7 +235,7 @@
 		body, again, err := get(c, address, "/discovery/hosts"+query)
 		var away turnedAway
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return Silent{address, within}
+			return TimeoutError{address, within}
 		} else if errors.As(err, &away) {
 			away.took = time.Since(made)
 			return away
@@ -249,12 +249,12 @@
 		w.keep(s)
 		if w.rev = s.Rev; s.All {
 			w.counters.Add("list_changes", 1)
-			w.tell(s.List(routing.ListWhole))
+			w.tell(s.EndpointList(routing.EndpointListComplete))
 		} else if len(s.Targets) > 0 {
 			w.counters.Add("list_changes", 1)
-			w.tell(s.List(routing.ListPatch))
+			w.tell(s.EndpointList(routing.EndpointListPatch))
 		}
-		w.pace.Answered()
+		w.pace.Succeeded()
 		w.counters.Add("list_answers", 1)
 		w.tried()
 		made = time.Now()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -118,7 +118,7 @@
 			"chunked": chunked(body, 4000)} {
 			synctest.Test(t, func(t *testing.T) {
 				told := 0
-				w := NewWatcher("agent:1", Snapshot{Rev: -1}, func(l core.List) { told = len(l.Hosts) }, backoff.New(1, 1), &metrics.Counters{})
+				w := NewWatcher("agent:1", Snapshot{Rev: -1}, func(l core.EndpointList) { told = len(l.Hosts) }, backoff.New(1, 1), &metrics.Counters{})
 				w.dial = host(func(query string) string {
 					if strings.Contains(query, "after") {
 						return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
@@ -127,7 +127,7 @@
 				}, len(whole)/4, time.Second)
 				err := w.follow(t.Context(), "agent:1", true)
 				time.Sleep(10 * time.Second) // the agent sees the end
-				var long TooLong
+				var long AnswerTooLongError
 				if tooLong := errors.As(err, &long); tooLong != (over > 0) || (told == 300) != (over == 0) {
 					t.Errorf("%s, %d bytes over: told of %d hosts, %v", name, over, told, err)
 				}
@@ -170,13 +170,13 @@
 // TestEntries guards the reading of states: a word that is not known must not be sent anything new.
 func TestEntries(t *testing.T) {
 	l := Snapshot{Targets: []Target{{UID: "a", State: "SERVING", Replication: "primary", BootMS: 1767225600123},
-		{UID: "b", State: "DRAINING"}, {UID: "c", State: "DELETED"}, {UID: "d", State: "RESTING"}}}.List(routing.ListPatch)
-	for i, want := range []routing.Phase{routing.PhaseOn, routing.PhaseDraining, routing.PhaseOff, routing.PhaseDraining} {
-		if got := l.Hosts[i].Entry.Phase; got != want {
+		{UID: "b", State: "DRAINING"}, {UID: "c", State: "DELETED"}, {UID: "d", State: "RESTING"}}}.EndpointList(routing.EndpointListPatch)
+	for i, want := range []routing.Phase{routing.PhaseServing, routing.PhaseDraining, routing.PhaseRemoved, routing.PhaseDraining} {
+		if got := l.Hosts[i].Endpoint.Phase; got != want {
 			t.Errorf("entry %d: phase %v, want %v", i, got, want)
 		}
 	}
-	if e := l.Hosts[0].Entry; !e.Leader || e.StartedAt != 1767225600123*time.Millisecond {
+	if e := l.Hosts[0].Endpoint; !e.Primary || e.StartedAt != 1767225600123*time.Millisecond {
 		t.Errorf("entry %+v", e)
 	}
 }
--- a/internal/discovery/end_test.go
+++ b/internal/discovery/end_test.go
@@ -101,9 +101,9 @@
 			}
 			defer l.Close()
 			told, dialled := make(chan string, 10), make(chan *counted, 10)
-			w := NewWatcher(l.Addr().String(), Snapshot{Rev: 1, All: true}, func(l core.List) {
+			w := NewWatcher(l.Addr().String(), Snapshot{Rev: 1, All: true}, func(l core.EndpointList) {
 				for _, h := range l.Hosts {
-					told <- h.Entry.Member
+					told <- h.Endpoint.Member
 				}
 			}, backoff.New(1, 1), &metrics.Counters{})
 			w.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -185,9 +185,9 @@
 				}
 			}()
 			told := make(chan struct{})
-			w := NewWatcher(l.Addr().String(), Snapshot{Rev: 2, All: true}, func(x core.List) {
+			w := NewWatcher(l.Addr().String(), Snapshot{Rev: 2, All: true}, func(x core.EndpointList) {
 				for _, h := range x.Hosts {
-					if h.Entry.Member == "r3" {
+					if h.Endpoint.Member == "r3" {
 						close(told)
 					}
 				}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -168,12 +168,12 @@
 	told := map[string]time.Duration{}
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		w := NewWatcher("agent:1", Snapshot{Rev: known, All: true}, func(l core.List) {
+		w := NewWatcher("agent:1", Snapshot{Rev: known, All: true}, func(l core.EndpointList) {
 			mu.Lock()
 			defer mu.Unlock()
 			for _, h := range l.Hosts {
-				if _, ok := told[h.Entry.Member]; !ok {
-					told[h.Entry.Member] = time.Since(start)
+				if _, ok := told[h.Endpoint.Member]; !ok {
+					told[h.Endpoint.Member] = time.Since(start)
 				}
 			}
 		}, backoff.New(300, seed), &metrics.Counters{})
@@ -325,7 +325,7 @@
 				told := watched(t, a, 2, seed, at+movedTold, func(w *Watcher) {
 					time.Sleep(at)
 					a.become(3, next, "live")
-					w.Move("agent:2")
+					w.SetAddress("agent:2")
 				})
 				if _, ok := told["r3"]; !ok {
 					t.Fatalf("from %s to %s, seed %d: not told within %v", old, next, seed, movedTold)
@@ -343,7 +343,7 @@
 		a := &agent{words: []string{word}, rev: 2}
 		watched(t, a, 2, 1, 5*time.Second, func(w *Watcher) {
 			start := time.Now()
-			<-w.Tried()
+			<-w.FirstCallDone()
 			if d := time.Since(start); d > most {
 				t.Errorf("%s: the first call ended after %v", word, d)
 			}
@@ -360,28 +360,28 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go w.Run(ctx)
-	<-w.Tried()
+	<-w.FirstCallDone()
 }
 
 // TestCallsFit holds the figures against the page: the times of one call, and of all orders in which two calls fail, whatever
 // the seeds. The third is answered at once.
 func TestCallsFit(t *testing.T) {
 	const again = 100 * time.Millisecond // pace's first wait, once a call was answered
-	first, later := backoff.Broke(1), backoff.Broke(1000)
-	second, glance, watch := backoff.Broke(2), glanceFor+glancePatience, waitFor+patience
+	first, later := backoff.MaxFailureDelay(1), backoff.MaxFailureDelay(1000)
+	second, glance, watch := backoff.MaxFailureDelay(2), glanceFor+glancePatience, waitFor+patience
 	if first != again || patience > waitTold || glance > movedTold-again-dialFor-second {
 		t.Error("a call may be silent for longer than its wait and 2 s, or a move for longer than 4 s")
 	}
 	const busy = 100 * time.Millisecond // for the machine
 	for order, sum := range map[string]time.Duration{
 		"a silent watch, a silent connection":                        watch + first + dialFor + glance + second,
-		"a silent watch, a call turned away":                         watch + first + backoff.Apart,
+		"a silent watch, a call turned away":                         watch + first + backoff.MaxRejectedDelay,
 		"a silent watch, no connect":                                 watch + first + dialFor + second,
-		"turned away, a silent connection":                           backoff.Apart + dialFor + glance + second,
-		"turned away, a call answered late":                          backoff.Apart + dialFor + glance,
+		"turned away, a silent connection":                           backoff.MaxRejectedDelay + dialFor + glance + second,
+		"turned away, a call answered late":                          backoff.MaxRejectedDelay + dialFor + glance,
 		"an outage, its last call made too early, then a silent one": glance + later + dialFor + glance + later,
-		"turned away twice":                                          2*backoff.Apart - 200*time.Millisecond, // pace.TestWaitsGrowUpToTheBound holds it
-		"an outage, then turned away":                                glance + later + backoff.Apart,
+		"turned away twice":                                          2*backoff.MaxRejectedDelay - 200*time.Millisecond, // pace.TestWaitsGrowUpToTheBound holds it
+		"an outage, then turned away":                                glance + later + backoff.MaxRejectedDelay,
 		"a first list that goes silent":                              wholeFor + first + dialFor,
 	} {
 		t.Logf("%-60s %v", order, sum)
@@ -389,7 +389,7 @@
 			t.Errorf("%s: %v", order, sum)
 		}
 	}
-	if backoff.Apart < glanceFor+2*time.Second+again {
+	if backoff.MaxRejectedDelay < glanceFor+2*time.Second+again {
 		t.Error("a service that turns a call away after 2 s is asked again without a wait")
 	}
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -84,7 +84,7 @@
 
 // day is a fleet of the size that the operators run, scaled so that a gateway hears 60 requests a second.
 func day(length time.Duration, faults ...Fault) Spec {
-	return Spec{Zones: threeZones, Hosts: 10, Groups: 3, Gateways: 4, Rate: 60, Length: length, Guards: routing.GuardWait, Faults: faults}
+	return Spec{Zones: threeZones, Hosts: 10, Groups: 3, Gateways: 4, Rate: 60, Length: length, Guards: routing.StaleReadDelayed, Faults: faults}
 }
 
 const sec = time.Second
@@ -192,9 +192,9 @@
 			var stated, placed float64
 			for _, g := range f.gateways {
 				if z := g.router.Zones(); z != nil {
-					for t, x := range z.Figures() {
+					for t, x := range z.Metrics() {
 						if reads += float64(x.Reads); t > 0 {
-							stated, placed = stated+x.Stated*float64(x.All), placed+float64(x.Reads)
+							stated, placed = stated+x.ConfiguredShare*float64(x.All), placed+float64(x.Reads)
 						}
 					}
 				}
@@ -271,7 +271,7 @@
 	}
 	s := e.spec(o.Short)
 	if s.Break = o.Break; o.Break == OldReads {
-		s.Guards = routing.GuardNone
+		s.Guards = routing.StaleReadServed
 	}
 	r := &Result{Experiment: e.Name, About: e.About, Seed: o.Seed, Seeds: o.Seeds, Driver: driver, Version: o.Version,
 		Size:    fmt.Sprintf("%d hosts, %d groups, %d gateways, %.0f requests/s each", s.Hosts, s.Groups, s.Gateways, s.Rate),
@@ -417,7 +417,7 @@
 	asked, earned := make([]float64, n), make([]float64, n)
 	for _, a := range j.asks {
 		if i := int((a.arrived - epoch).Seconds()); i < n {
-			asked[i], earned[i] = asked[i]+a.class.Worth, earned[i]+a.earned
+			asked[i], earned[i] = asked[i]+a.class.PriorityWeight, earned[i]+a.earned
 		}
 	}
 	for i := range earned {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -79,7 +79,7 @@
 		return day(30*sec, Fault{Kind: Silent, Zone: "nuernberg", At: 8 * sec, For: 10 * sec, Cold: true},
 			Fault{Kind: Retune, At: 12 * sec, Retune: func(r *routing.Router) {
 				if z := r.Zones(); z != nil {
-					z.Tune(zones.Options{Tiers: [][]string{{"nuernberg"}, {"augsburg", "muenchen-nord"}}})
+					z.Configure(zones.Options{Tiers: [][]string{{"nuernberg"}, {"augsburg", "muenchen-nord"}}})
 				}
 			}})
 	}},
@@ -96,7 +96,7 @@
 			t.Parallel()
 			now, was, most := 0.0, 0.0, 0.03
 			for i, load := range []float64{0.5, 0.7} {
-				guards := []routing.Guard{routing.GuardNone, routing.GuardWait}[i]
+				guards := []routing.StaleReadPolicy{routing.StaleReadServed, routing.StaleReadDelayed}[i]
 				s := c.spec()
 				s.Load, s.Guards, s.Join = load, guards, tiered
 				f := newFleet(s, 11)
@@ -106,7 +106,7 @@
 						t.Errorf("load %.1f, guards %d: %s %.0f %v", load, guards, name, n, f.judge.notes)
 					}
 				}
-				lost := f.states(c.zone, zones.Lost)
+				lost := f.states(c.zone, zones.Down)
 				if c.lost == 0 && lost > 0 || c.lost == 1 && lost*10 < len(f.gateways)*9 {
 					t.Errorf("load %.1f, guards %d: %d of %d gateways condemned %q", load, guards, lost, len(f.gateways), c.zone)
 				}
@@ -168,7 +168,7 @@
 	read := write(0)
 	f.judge.served(read, try(read, f.now), f.now-sec) // old, and it never ran
 	g.overdue(write(2))
-	f.judge.told(g, routing.Entry{Member: h.id, Phase: routing.PhaseDraining})
+	f.judge.told(g, routing.Endpoint{Member: h.id, Phase: routing.PhaseDraining})
 	f.now += sec
 	f.judge.sent(try(write(2), 0))
 	h.started = f.now
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -30,7 +30,7 @@
 	Load     float64 // work asked for, of what all hosts can do
 	Length   time.Duration
 	Faults   []Fault
-	Guards   routing.Guard
+	Guards   routing.StaleReadPolicy
 	NoZone   bool     // hosts are listed without a zone
 	Sockets  bool     // gateways are real: see live
 	Layout   []string // the zone of each host; none: in turn
@@ -98,16 +98,16 @@
 }
 
 var classes = []class{
-	{routing.Class{Name: "platzsuche", Need: routing.NeedBounded, Bound: 3 * time.Second, Aim: 600 * time.Millisecond,
-		Deadline: 2 * time.Second, Worth: 1}, 0.41, 87 * time.Millisecond, 150 * time.Millisecond},
-	{routing.Class{Name: "eigener-antrag", Need: routing.NeedSession, Aim: 750 * time.Millisecond,
-		Deadline: 2500 * time.Millisecond, Worth: 2, LateWorth: 0.2}, 0.20, 130 * time.Millisecond, 230 * time.Millisecond},
-	{routing.Class{Name: "statistik", Need: routing.NeedAny, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
+	{routing.Class{Name: "platzsuche", Consistency: routing.ConsistencyBounded, StalenessBound: 3 * time.Second, LatencyObjective: 600 * time.Millisecond,
+		Deadline: 2 * time.Second, PriorityWeight: 1}, 0.41, 87 * time.Millisecond, 150 * time.Millisecond},
+	{routing.Class{Name: "eigener-antrag", Consistency: routing.ConsistencySession, LatencyObjective: 750 * time.Millisecond,
+		Deadline: 2500 * time.Millisecond, PriorityWeight: 2, LateShare: 0.2}, 0.20, 130 * time.Millisecond, 230 * time.Millisecond},
+	{routing.Class{Name: "statistik", Consistency: routing.ConsistencyAny, LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
 		0.20, 52 * time.Millisecond, 90 * time.Millisecond},
-	{routing.Class{Name: "angebot-pruefen", Need: routing.NeedFresh, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second,
-		Worth: 3}, 0.05, 87 * time.Millisecond, 150 * time.Millisecond},
-	{routing.Class{Name: "zusage", Need: routing.NeedWrite, Aim: 750 * time.Millisecond, Deadline: 2 * time.Second, Worth: 6,
-		LateWorth: 0.5, Effect: routing.Once}, 0.14, 87 * time.Millisecond, 150 * time.Millisecond},
+	{routing.Class{Name: "angebot-pruefen", Consistency: routing.ConsistencyStrong, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second,
+		PriorityWeight: 3}, 0.05, 87 * time.Millisecond, 150 * time.Millisecond},
+	{routing.Class{Name: "zusage", Consistency: routing.ConsistencyWrite, LatencyObjective: 750 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 6,
+		LateShare: 0.5, Effect: routing.NonIdempotent}, 0.14, 87 * time.Millisecond, 150 * time.Millisecond},
 }
 
 // event is a call at a time; those of one time run in the order in which they were asked for.
@@ -171,7 +171,7 @@
 	between  time.Duration
 	deaf     bool
 	rush     float64 // added to the rate
-	listed   func(*host, routing.Entry)
+	listed   func(*host, routing.Endpoint)
 	changed  func(*host) // told of a host that has died, started, been cut or restored, or that the list names anew
 }
 
@@ -461,14 +461,14 @@
 // ok says that a host runs and can be reached.
 func (h *host) ok() bool { return h.up && h.cut == 0 }
 
-func (h *host) entry() routing.Entry {
-	e := routing.Entry{Member: h.id, Group: h.group.number, Zone: h.zone, Size: 1, Leader: h.group.primary == h, StartedAt: h.started}
+func (h *host) entry() routing.Endpoint {
+	e := routing.Endpoint{Member: h.id, Group: h.group.number, Zone: h.zone, Capacity: 1, Primary: h.group.primary == h, StartedAt: h.started}
 	if h.f.NoZone {
 		e.Zone = ""
 	}
 	switch {
 	case !h.up:
-		e.Phase = routing.PhaseOff
+		e.Phase = routing.PhaseRemoved
 	case h.draining:
 		e.Phase = routing.PhaseDraining
 	}
@@ -534,17 +534,17 @@
 	}
 	c := a.q.class
 	switch {
-	case c.Need == routing.NeedWrite && h.group.primary != h, c.Need == routing.NeedFresh && h.group.primary != h && h.f.Guards != routing.GuardNone:
-		h.answer(a, routing.ResultMiss, 0)
+	case c.Consistency == routing.ConsistencyWrite && h.group.primary != h, c.Consistency == routing.ConsistencyStrong && h.group.primary != h && h.f.Guards != routing.StaleReadServed:
+		h.answer(a, routing.ResultMissed, 0)
 	case len(h.waiting) >= waitingRoom:
-		h.answer(a, routing.ResultFull, 0)
-	case h.f.Guards != routing.GuardNone && h.position < a.need:
+		h.answer(a, routing.ResultOverCapacity, 0)
+	case h.f.Guards != routing.StaleReadServed && h.position < a.need:
 		life := h.life
 		h.f.after(catchUpWait, func() {
 			if h.life != life {
 				return
 			} else if h.position < a.need {
-				h.answer(a, routing.ResultMiss, 0)
+				h.answer(a, routing.ResultMissed, 0)
 			} else {
 				h.enqueue(a, work)
 			}
@@ -581,7 +581,7 @@
 			if h.group.primary == h {
 				at = h.f.now
 			}
-			if j.a.q.class.Need == routing.NeedWrite {
+			if j.a.q.class.Consistency == routing.ConsistencyWrite {
 				if h.group.primary != h { // it lost its role while it held the write
 					h.answer(j.a, routing.ResultError, 0)
 					h.next()
@@ -601,7 +601,7 @@
 	if h.group.primary == h {
 		o.Role = routing.RolePrimary
 	}
-	if r == routing.ResultOK && a.q.class.Need == routing.NeedWrite {
+	if r == routing.ResultOK && a.q.class.Consistency == routing.ConsistencyWrite {
 		o.Position = position.Milliseconds() + 1
 	}
 	life := h.life
--- a/internal/experiment/fleetdays.go
+++ b/internal/experiment/fleetdays.go
@@ -105,7 +105,7 @@
 	s := e.spec(o.Short)
 	s.Load, s.Break = e.loads[0], o.Break
 	if o.Break == OldReads {
-		s.Guards = routing.GuardNone // hosts that check would hide it
+		s.Guards = routing.StaleReadServed // hosts that check would hide it
 	}
 	r := &Result{Experiment: e.Name, About: e.About, Seed: o.Seed, Seeds: o.Seeds, Driver: "virtual", Version: o.Version,
 		Size: fmt.Sprintf("%d hosts with room for %d connections, %d groups, %d gateways, %.0f requests/s each, load %.1f",
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -21,7 +21,7 @@
 	part     float64 // of the mean traffic
 	router   *routing.Router
 	cfg      routing.Config
-	keeper   *poolsize.Keeper
+	keeper   *poolsize.Sizer
 	down     bool // its process does not run, or takes no more clients
 	life     int  // of its process
 	arrivals *rand.Rand
@@ -98,10 +98,10 @@
 func newGateway(f *fleet, n int, arrivals *rand.Rand) *gateway {
 	g := &gateway{f: f, number: n, part: 1, zone: f.Zones[n%len(f.Zones)], arrivals: arrivals, pools: map[*host]*pool{},
 		hosts: map[string]*host{}, requests: map[uint64]*request{}}
-	cfg := routing.Config{Gateways: f.Gateways, Zone: g.zone, Guards: f.Guards, CatchUpWait: catchUpWait, Positions: true,
-		ListRole: routing.ListRoleLate, MayCancel: true, MayDuplicate: true, MayProbe: true, MaxAttempts: 6,
-		MaxComeBack: 500 * time.Millisecond, CrossZoneCost: 0.01, ColdFrom: coldFrom, ColdFor: coldFor,
-		TipMultiple: tipMultiple, TipAfter: tipAfter}
+	cfg := routing.Config{Gateways: f.Gateways, Zone: g.zone, StaleReads: f.Guards, CatchUpWait: catchUpWait, Positions: true,
+		RoleSource: routing.RoleSourceDelayed, AllowCancel: true, AllowHedging: true, AllowHealthChecks: true, MaxAttempts: 6,
+		MaxRetryAfter: 500 * time.Millisecond, CrossZoneCost: 0.01, SlowStartCapacity: coldFrom, SlowStartDuration: coldFor,
+		OverloadFactor: tipMultiple, OverloadWindow: tipAfter}
 	for _, c := range classes {
 		cfg.Classes = append(cfg.Classes, c.Class)
 	}
@@ -133,21 +133,21 @@
 	if g.router, err = routing.New(f.now, g.cfg, g.arrivals.Uint64(), g); err != nil {
 		panic(err) // the configuration is this package's own
 	}
-	l := routing.MemberList{Kind: routing.ListWhole}
+	l := routing.EndpointList{Kind: routing.EndpointListComplete}
 	for _, h := range f.hosts {
 		if g.hosts[h.id] != nil && !h.removed {
-			l.Entries = append(l.Entries, h.entry())
+			l.Endpoints = append(l.Endpoints, h.entry())
 			f.judge.told(g, h.entry())
 		}
 	}
-	g.router.Members(f.now, l)
+	g.router.UpdateEndpoints(f.now, l)
 }
 
 // clock is the model's time as the pure parts take it.
 func clock(at time.Duration) time.Time { return time.Unix(0, 0).Add(at) }
 
 // told hands one entry of the list over.
-func (g *gateway) told(e routing.Entry) {
+func (g *gateway) told(e routing.Endpoint) {
 	if g.router == nil {
 		if g.f.Sockets {
 			g.f.judge.told(g, e)
@@ -156,9 +156,9 @@
 	}
 	g.f.judge.told(g, e)
 	if g.f.Break == NoDrains && e.Phase == routing.PhaseDraining {
-		e.Phase = routing.PhaseOn
+		e.Phase = routing.PhaseServing
 	}
-	g.router.Members(g.f.now, routing.MemberList{Kind: routing.ListPatch, Entries: []routing.Entry{e}})
+	g.router.UpdateEndpoints(g.f.now, routing.EndpointList{Kind: routing.EndpointListPatch, Endpoints: []routing.Endpoint{e}})
 }
 
 // arrive draws the next client's request, whatever has become of those before.
@@ -177,7 +177,7 @@
 	a := &ask{class: c, number: n, gateway: g.number, group: f.hosts[r.IntN(len(f.hosts))].group, arrived: f.now,
 		work: time.Duration(float64(draw(r, c.from, c.to)) * f.scale)}
 	follows, gap := r.Float64() < 0.78, time.Duration(r.ExpFloat64()*float64(400*time.Millisecond))
-	if p := a.group.primary; c.Need == routing.NeedSession && follows && p != nil {
+	if p := a.group.primary; c.Consistency == routing.ConsistencySession && follows && p != nil {
 		a.token = min(f.now-gap, p.position) // there was no commit while no primary ran
 	}
 	f.judge.asked(a)
@@ -220,7 +220,7 @@
 		g.f.judge.unanswered++
 		g.f.judge.note("%s at gateway %d got no answer %v after it was sent", q.class.Name, g.number, g.f.now-q.taken)
 		if g.router != nil {
-			g.router.ClientGone(g.f.now, q.id)
+			g.router.ClientDisconnected(g.f.now, q.id)
 		}
 	}
 	delete(g.requests, q.id)
@@ -252,7 +252,7 @@
 // again has the client ask once more, if it may and still wants to.
 func (g *gateway) again(q *request, harmless bool, comeBack time.Duration) {
 	f := g.f
-	if q.settled || q.tries > 3 || !harmless && q.class.Effect == routing.Once {
+	if q.settled || q.tries > 3 || !harmless && q.class.Effect == routing.NonIdempotent {
 		return
 	}
 	wait := comeBack
@@ -275,7 +275,7 @@
 // dial comes by a connection: an idle one at once, or a new one if the host can be reached.
 func (g *gateway) dial(h *host, by routing.Conn, then func(opened time.Duration)) {
 	p, f := g.pools[h], g.f
-	g.keeper.Asked(clock(f.now), &p.asked, len(g.hosts))
+	g.keeper.RecordAttempt(clock(f.now), &p.asked, len(g.hosts))
 	switch n := len(p.idle) - 1; {
 	case n >= 0 && by == routing.ConnOldest:
 		i := slices.IndexFunc(p.idle, func(c open) bool {
@@ -295,12 +295,12 @@
 			if room := cmp.Or(f.Room, mostConns); h.ok() && h.conns < room {
 				h.conns++
 				f.judge.connects++
-				g.keeper.Found()
+				g.keeper.RecordConnect()
 				f.judge.fullest = max(f.judge.fullest, h.conns)
 				then(f.now)
 			} else if h.ok() {
 				f.judge.noRoom++
-				if g.keeper.NoRoom(clock(f.now)) {
+				if g.keeper.RecordRejection(clock(f.now)) {
 					for _, x := range f.hosts {
 						g.trim(x)
 					}
@@ -331,10 +331,10 @@
 // attempt makes the next attempt of a request, with the position that its data must have when it is sent now.
 func (g *gateway) attempt(q *request, h *host, until time.Duration) *attempt {
 	a := &attempt{g: g, process: g.life, q: q, h: h, number: q.sent, sentAt: g.f.now, until: until, need: q.token}
-	switch q.class.Need {
-	case routing.NeedBounded:
-		a.need = g.f.now - q.class.Bound
-	case routing.NeedFresh:
+	switch q.class.Consistency {
+	case routing.ConsistencyBounded:
+		a.need = g.f.now - q.class.StalenessBound
+	case routing.ConsistencyStrong:
 		a.need = q.taken
 	}
 	q.sent++
@@ -357,12 +357,12 @@
 		a.done(routing.Outcome{Result: routing.ResultConnectFailed}, 0)
 		return
 	} else if opened == noRoom {
-		f.after(2*g.distance(h), func() { a.done(routing.Outcome{Result: routing.ResultFull}, 0) })
+		f.after(2*g.distance(h), func() { a.done(routing.Outcome{Result: routing.ResultOverCapacity}, 0) })
 		return
 	}
 	if a.latest > 0 && f.now >= a.latest {
 		g.free(h, opened)
-		a.done(routing.Outcome{Result: routing.ResultMoot}, 0)
+		a.done(routing.Outcome{Result: routing.ResultNotSent}, 0)
 		return
 	}
 	a.begun = true
@@ -379,7 +379,7 @@
 // abandon gives an attempt up; its connection closes. One without a byte written has never run.
 func (a *attempt) abandon(r routing.Result) {
 	if !a.begun {
-		r = routing.ResultMoot
+		r = routing.ResultNotSent
 	}
 	a.done(routing.Outcome{Result: r}, 0)
 }
@@ -410,7 +410,7 @@
 		if o.Result == routing.ResultOK && !q.ended {
 			g.answer(q, true, false, 0, a, position)
 		}
-		o.Request, o.Attempt, o.Member, o.Took, o.Closed = q.id, a.number, a.h.id, f.now-a.sentAt, q.ended
+		o.Request, o.Attempt, o.Member, o.Latency, o.Closed = q.id, a.number, a.h.id, f.now-a.sentAt, q.ended
 		if a.process == g.life {
 			g.router.Outcome(f.now, o)
 		}
@@ -428,7 +428,7 @@
 func (g *gateway) trim(h *host) {
 	p, f := g.pools[h], g.f
 	left := func(i int) time.Duration {
-		return g.keeper.For(clock(f.now), &p.asked, len(p.idle)-1-i) - (f.now - p.idle[i].freed)
+		return g.keeper.IdleTimeout(clock(f.now), &p.asked, len(p.idle)-1-i) - (f.now - p.idle[i].freed)
 	}
 	for len(p.idle) > 0 && left(0) <= 0 {
 		p.idle = p.idle[1:]
@@ -473,7 +473,7 @@
 }
 
 // Refuse is a final answer that promises that nothing ran.
-func (g *gateway) Refuse(id uint64, comeBack time.Duration, _ routing.Reason) {
+func (g *gateway) Reject(id uint64, comeBack time.Duration, _ routing.Reason) {
 	if q := g.requests[id]; q != nil {
 		g.answer(q, false, true, comeBack, nil, 0)
 	}
@@ -487,13 +487,13 @@
 }
 
 // Close shuts idle connections.
-func (g *gateway) Close(member string) {
+func (g *gateway) CloseIdle(member string) {
 	h := g.hosts[member]
 	h.conns, g.pools[h].idle = h.conns-len(g.pools[h].idle), nil
 }
 
 // Probe asks a host for its report.
-func (g *gateway) Probe(member string, by routing.Conn) {
+func (g *gateway) CheckHealth(member string, by routing.Conn) {
 	h, f := g.hosts[member], g.f
 	at := f.now
 	f.judge.probes++
@@ -502,11 +502,11 @@
 	end := func(r routing.Result, p routing.Report) {
 		if !over && process == g.life {
 			over = true
-			x := routing.ProbeResult{Member: member, Result: r, Took: f.now - at, Report: p}
+			x := routing.HealthCheckResult{Member: member, Result: r, Latency: f.now - at, Report: p}
 			if r == routing.ResultOK {
 				x.Opened = up
 			}
-			g.router.Probed(f.now, x)
+			g.router.HealthChecked(f.now, x)
 		}
 	}
 	f.after(connectFor, func() { end(routing.ResultTimeout, routing.Report{}) })
@@ -545,10 +545,10 @@
 	})
 }
 
-// Subscribe and LookUp have nothing to do.
-func (g *gateway) Subscribe(bool) {}
-func (g *gateway) LookUp()        {}
-func (g *gateway) Log(string)     {}
+// Subscribe and FetchEndpoints have nothing to do.
+func (g *gateway) Subscribe(bool)  {}
+func (g *gateway) FetchEndpoints() {}
+func (g *gateway) Log(string)      {}
 
 // ZoneChanged notes what the module has come to hold of a zone.
 func (g *gateway) ZoneChanged(c zones.Change) {
--- a/internal/experiment/gateways.go
+++ b/internal/experiment/gateways.go
@@ -29,7 +29,7 @@
 	gatewayDay
 }{
 	{"gateways-cut", gatewayDay{
-		spec: Spec{Zones: threeZones, Hosts: 12, Groups: 4, Gateways: 7, Rate: 30, Load: 0.5, Length: 32 * sec, Guards: routing.GuardWait,
+		spec: Spec{Zones: threeZones, Hosts: 12, Groups: 4, Gateways: 7, Rate: 30, Load: 0.5, Length: 32 * sec, Guards: routing.StaleReadDelayed,
 			Faults: []Fault{{Kind: Crash, Zone: "nuernberg", At: 10 * sec, For: 4 * sec}}},
 		members: mustDay(`
 about = "seven gateways are cut in two while hosts of a zone start cold; one-sided cuts, lost messages and a standstill"
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -63,12 +63,12 @@
 func (j *Judge) asked(a *ask) { j.asks = append(j.asks, a) }
 
 // told notes what a gateway was told; from drainGrace on nothing new may come to a host that drains or is gone.
-func (j *Judge) told(g *gateway, e routing.Entry) {
+func (j *Judge) told(g *gateway, e routing.Endpoint) {
 	if j.bound[g] == nil {
 		j.bound[g] = map[*host]time.Duration{}
 	}
 	j.knows(g, g.hosts[e.Member], e.StartedAt)
-	if e.Phase == routing.PhaseOn {
+	if e.Phase == routing.PhaseServing {
 		delete(j.bound[g], g.hosts[e.Member])
 	} else if _, ok := j.bound[g][g.hosts[e.Member]]; !ok {
 		j.bound[g][g.hosts[e.Member]] = j.f.now
@@ -77,7 +77,7 @@
 
 func (j *Judge) sent(a *attempt) {
 	j.attempts = append(j.attempts, tried{j.f.now, a.g.number, a.h.zone, a.number == 0,
-		a.q.class.Need != routing.NeedWrite && a.q.class.Need != routing.NeedFresh, a.h != a.q.group.primary, a.h.zone == a.g.zone})
+		a.q.class.Consistency != routing.ConsistencyWrite && a.q.class.Consistency != routing.ConsistencyStrong, a.h != a.q.group.primary, a.h.zone == a.g.zone})
 	if at, ok := j.bound[a.g][a.h]; ok && j.f.now > at+drainGrace {
 		j.drained++
 		j.note("gateway %d sent to %s, which it knows to drain", a.g.number, a.h.id)
@@ -86,7 +86,7 @@
 
 // begun counts copies that are out together where none may be.
 func (j *Judge) begun(a *attempt) {
-	if a.q.class.Effect == routing.Once {
+	if a.q.class.Effect == routing.NonIdempotent {
 		for _, x := range a.q.out {
 			if x != a && x.begun && !x.over {
 				j.second++
@@ -99,7 +99,7 @@
 // ran counts the runs of a request at hosts.
 func (j *Judge) ran(a *attempt, h *host) {
 	j.runs[a.q]++
-	if j.runs[a.q] > 1 && a.q.class.Effect == routing.Once {
+	if j.runs[a.q] > 1 && a.q.class.Effect == routing.NonIdempotent {
 		j.second++
 		j.note("a write ran again at %s", h.id)
 	}
@@ -113,7 +113,7 @@
 // served takes an answer with data of a position.
 func (j *Judge) served(q *request, a *attempt, position time.Duration) {
 	need := a.need // as of the send
-	if q.class.Need == routing.NeedAny || q.class.Need == routing.NeedWrite {
+	if q.class.Consistency == routing.ConsistencyAny || q.class.Consistency == routing.ConsistencyWrite {
 		need = 0
 	}
 	if position < need {
@@ -126,17 +126,17 @@
 	}
 	switch d := j.f.now - q.arrived; {
 	case q.settled:
-	case d <= q.class.Aim:
-		q.earned = q.class.Worth
+	case d <= q.class.LatencyObjective:
+		q.earned = q.class.PriorityWeight
 	case d <= q.class.Deadline:
-		q.earned = q.class.Worth * q.class.LateWorth
+		q.earned = q.class.PriorityWeight * q.class.LateShare
 	}
 	q.settled = true
 }
 
 // turnedDown takes a refusal or a failure. A refused request must not have run where that matters.
 func (j *Judge) turnedDown(q *request, harmless bool) {
-	if harmless && q.class.Effect == routing.Once && j.runs[q] > 0 {
+	if harmless && q.class.Effect == routing.NonIdempotent && j.runs[q] > 0 {
 		j.wrongAnswer++
 		j.note("a write was refused though it ran")
 	}
@@ -164,12 +164,12 @@
 	for ; i < len(j.snaps) && j.snaps[i].at <= a.arrived+within-a.work; i++ {
 		s, g := j.snaps[i], a.group.number
 		ok := s.primary[g]
-		switch a.class.Need {
-		case routing.NeedAny:
+		switch a.class.Consistency {
+		case routing.ConsistencyAny:
 			ok = s.newest[g] > 0
-		case routing.NeedBounded:
-			ok = ok || s.newest[g] >= s.at-a.class.Bound
-		case routing.NeedSession:
+		case routing.ConsistencyBounded:
+			ok = ok || s.newest[g] >= s.at-a.class.StalenessBound
+		case routing.ConsistencySession:
 			ok = ok || s.newest[g] > 0 && s.newest[g] >= a.token
 		}
 		if ok {
@@ -192,7 +192,7 @@
 			room[[2]int{g, int((s.at - from) / slice)}] += c * logTick.Seconds()
 		}
 	}
-	rate := func(a *ask) float64 { return a.class.Worth / a.work.Seconds() }
+	rate := func(a *ask) float64 { return a.class.PriorityWeight / a.work.Seconds() }
 	sorted := slices.SortedStableFunc(slices.Values(asks), func(a, b *ask) int { return cmp.Compare(rate(b), rate(a)) })
 	fit := func(a *ask, within time.Duration) bool {
 		first := j.possible(a, within)
@@ -214,10 +214,10 @@
 		return true
 	}
 	for _, a := range sorted {
-		if fit(a, a.class.Aim) {
-			worth += a.class.Worth
-		} else if a.class.LateWorth > 0 && fit(a, a.class.Deadline) {
-			worth += a.class.Worth * a.class.LateWorth
+		if fit(a, a.class.LatencyObjective) {
+			worth += a.class.PriorityWeight
+		} else if a.class.LateShare > 0 && fit(a, a.class.Deadline) {
+			worth += a.class.PriorityWeight * a.class.LateShare
 		}
 	}
 	return worth
@@ -233,7 +233,7 @@
 func (j *Judge) earned(from, to time.Duration) (in []*ask, asked, earned float64) {
 	for _, a := range j.asks {
 		if a.arrived >= from && a.arrived < to {
-			asked, earned = asked+a.class.Worth, earned+a.earned
+			asked, earned = asked+a.class.PriorityWeight, earned+a.earned
 			in = append(in, a)
 		}
 	}
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -174,8 +174,8 @@
 	d.l.post(func() { d.l.arrived(d.h, id, out) })
 	select {
 	case r := <-out:
-		return map[routing.Result]fake.Act{routing.ResultOK: fake.Serve, routing.ResultMiss: fake.Miss,
-			routing.ResultFull: fake.Full, routing.ResultTimeout: fake.Silent, routing.ResultError: fake.Error}[r]
+		return map[routing.Result]fake.Act{routing.ResultOK: fake.Serve, routing.ResultMissed: fake.Miss,
+			routing.ResultOverCapacity: fake.Reject, routing.ResultTimeout: fake.Silent, routing.ResultError: fake.Error}[r]
 	case <-life.Done():
 	case <-d.l.ctx.Done():
 	}
@@ -286,18 +286,18 @@
 }
 
 // publish puts a host's entry into both lists.
-func (l *live) publish(h *host, e routing.Entry) {
+func (l *live) publish(h *host, e routing.Endpoint) {
 	for i := range l.targets {
 		t := discovery.Target{UID: h.id, Endpoint: l.doors[h].address[i], Zone: e.Zone, Group: e.Group, Capacity: 1, Replication: "standby",
-			State: map[routing.Phase]string{routing.PhaseOn: "SERVING", routing.PhaseDraining: "DRAINING", routing.PhaseOff: "DELETED"}[e.Phase]}
-		if e.Leader {
+			State: map[routing.Phase]string{routing.PhaseServing: "SERVING", routing.PhaseDraining: "DRAINING", routing.PhaseRemoved: "DELETED"}[e.Phase]}
+		if e.Primary {
 			t.Replication = "primary"
 		}
 		if h.started > 0 {
 			t.BootMS = l.unix(h.started)
 		}
 		delete(l.targets[i], h)
-		if e.Phase != routing.PhaseOff {
+		if e.Phase != routing.PhaseRemoved {
 			l.targets[i][h] = t
 		}
 		var all []discovery.Target
@@ -319,7 +319,7 @@
 	if q.token > 0 {
 		text += fmt.Sprintf(",after=%d", l.unix(q.token)+1)
 	}
-	if q.class.Need == routing.NeedWrite {
+	if q.class.Consistency == routing.ConsistencyWrite {
 		text += " */ INSERT INTO records (k, v) VALUES ('" + key + "', 'x') RETURNING v"
 	} else {
 		text += " */ SELECT v FROM records WHERE k = '" + key + "'"
@@ -334,7 +334,7 @@
 			case err != nil:
 				l.judge.note("%s got no answer: %v", q.class.Name, err)
 				return // overdue counts it
-			case r.Outcome == "served" && (q.by == nil || q.class.Need != routing.NeedWrite && r.Value != "value of "+key):
+			case r.Outcome == "served" && (q.by == nil || q.class.Consistency != routing.ConsistencyWrite && r.Value != "value of "+key):
 				l.judge.wrongAnswer++
 				l.judge.note("%s was served %q", q.class.Name, r.Value)
 				return
@@ -395,15 +395,15 @@
 	var all []map[string]any
 	var needs []string
 	var bounds []float64
-	words := map[routing.Need]string{routing.NeedAny: "any", routing.NeedBounded: "bounded", routing.NeedSession: "session", routing.NeedFresh: "fresh", routing.NeedWrite: "write"}
+	words := map[routing.Consistency]string{routing.ConsistencyAny: "any", routing.ConsistencyBounded: "bounded", routing.ConsistencySession: "session", routing.ConsistencyStrong: "fresh", routing.ConsistencyWrite: "write"}
 	for _, c := range classes {
 		repeat := "repeatable"
-		if c.Effect == routing.Once {
+		if c.Effect == routing.NonIdempotent {
 			repeat = "once"
 		}
-		all = append(all, map[string]any{"name": c.Name, "aimS": c.Aim.Seconds(), "deadlineS": c.Deadline.Seconds(), "points": c.Worth,
-			"lateWorth": c.LateWorth, "repeat": repeat})
-		needs, bounds = append(needs, words[c.Need]), append(bounds, c.Bound.Seconds())
+		all = append(all, map[string]any{"name": c.Name, "aimS": c.LatencyObjective.Seconds(), "deadlineS": c.Deadline.Seconds(), "points": c.PriorityWeight,
+			"lateWorth": c.LateShare, "repeat": repeat})
+		needs, bounds = append(needs, words[c.Consistency]), append(bounds, c.StalenessBound.Seconds())
 	}
 	return map[string]any{"balancers": l.Gateways, "zone": zone, "discovery": "automatic", "classes": all,
 		"domain": map[string]any{"needsByClass": needs, "classBoundS": bounds, "guards": "wait", "catchUpWaitS": catchUpWait.Seconds(),
--- a/internal/experiment/memberdays.go
+++ b/internal/experiment/memberdays.go
@@ -37,9 +37,9 @@
 	spoilt  int                       // messages that could not be written or read
 	lies    int                       // live members that were held as failed without an excuse
 	notes   []string
-	died    map[membership.Start]time.Duration
-	knew    map[membership.Start][]time.Duration // after how long, by each
-	bytes   int                                  // sent by all, from restFrom on
+	died    map[membership.Incarnation]time.Duration
+	knew    map[membership.Incarnation][]time.Duration // after how long, by each
+	bytes   int                                        // sent by all, from restFrom on
 	sent    int
 	longest int // the longest datagram
 }
@@ -64,7 +64,7 @@
 func newWorld(d *memberDay, n int, loss float64, plain bool, seed uint64) *world {
 	w := &world{memberDay: d, plain: plain, timeline: timeline{now: epoch}, rng: rand.New(rand.NewPCG(seed, 5)),
 		links:  links{n: n, loss: loss, rng: rand.New(rand.NewPCG(seed, 6)), free: map[[2]int]time.Duration{}},
-		byAddr: map[string]*proc{}, held: map[*memberFault][]func(){}, died: map[membership.Start]time.Duration{}, knew: map[membership.Start][]time.Duration{}}
+		byAddr: map[string]*proc{}, held: map[*memberFault][]func(){}, died: map[membership.Incarnation]time.Duration{}, knew: map[membership.Incarnation][]time.Duration{}}
 	for i := range n {
 		p := &proc{w: w, i: i, addr: fmt.Sprintf("127.0.%d.%d:7946", i/250, i%250+1)}
 		w.procs, w.byAddr[p.addr] = append(w.procs, p), p
@@ -93,12 +93,12 @@
 			p.stopped = true
 		case hit && x.Kind == kill:
 			p.up = false
-			w.died[p.node.Self().Start] = w.now
+			w.died[p.node.Self().Incarnation] = w.now
 		case hit && x.Kind == leave:
 			p.node.Leave()
 			p.flush()
 			p.up = false
-			w.died[p.node.Self().Start] = w.now
+			w.died[p.node.Self().Incarnation] = w.now
 		}
 	}
 	w.excuses = append(w.excuses, x.excusesOf(w.now, w.now+x.end(w.memberDay)-x.at())...)
@@ -138,7 +138,7 @@
 	}
 	var err error
 	p.node, err = membership.New(w.now, membership.Options{Fleet: "f", Name: fmt.Sprint("g", p.i), Zone: threeZones[p.i%3], Addr: p.addr,
-		Join: join, Seed: w.rng.Uint64(), Gateways: len(w.procs), Plain: w.plain})
+		Join: join, Seed: w.rng.Uint64(), Gateways: len(w.procs), PlainSWIM: w.plain})
 	if err != nil {
 		panic(err) // the options above are this package's own
 	}
@@ -186,7 +186,7 @@
 		w.note("%d: %v", p.i, err)
 		return
 	}
-	stream := m.Kind == membership.Sync || m.Kind == membership.Synced
+	stream := m.Kind == membership.StateRequest || m.Kind == membership.StateResponse
 	if w.sent++; !stream {
 		w.longest = max(w.longest, len(b))
 	}
@@ -218,27 +218,27 @@
 
 // judge holds a member's verdict against what has become of the accused.
 func (w *world) judge(p *proc, c membership.Change) {
-	if c.Row.State != membership.Failed || c.New {
+	if c.Member.State != membership.Failed || c.New {
 		return
 	}
-	if at, dead := w.died[c.Row.Start]; dead {
-		w.knew[c.Row.Start] = append(w.knew[c.Row.Start], w.now-at)
+	if at, dead := w.died[c.Member.Incarnation]; dead {
+		w.knew[c.Member.Incarnation] = append(w.knew[c.Member.Incarnation], w.now-at)
 		return
 	}
 	for _, x := range w.procs {
-		if x.up && x.node.Self().Start == c.Row.Start && !excused(w.excuses, w.now, p.i, x.i, len(w.procs)) && w.now >= epoch+warmUp {
+		if x.up && x.node.Self().Incarnation == c.Member.Incarnation && !excused(w.excuses, w.now, p.i, x.i, len(w.procs)) && w.now >= epoch+warmUp {
 			w.lies++
-			w.note("%d holds %d as failed, by %q (%s)", p.i, x.i, c.By, c.Why)
+			w.note("%d holds %d as failed, by %q (%s)", p.i, x.i, c.Reporter, c.Reason)
 		}
 	}
 }
 
 // equal counts the members whose view is not just the living.
 func (w *world) unequal() (bad int) {
-	living := map[membership.Start]bool{}
+	living := map[membership.Incarnation]bool{}
 	for _, p := range w.procs {
 		if p.up {
-			living[p.node.Self().Start] = true
+			living[p.node.Self().Incarnation] = true
 		}
 	}
 	for _, p := range w.procs {
@@ -249,7 +249,7 @@
 		wrong := false
 		for _, r := range p.node.Members() {
 			if r.State < membership.Failed {
-				if seen++; !living[r.Start] {
+				if seen++; !living[r.Incarnation] {
 					wrong = true
 				}
 			}
@@ -285,7 +285,7 @@
 		parts := 0.0
 		for _, p := range w.procs {
 			if p.up && !p.stopped {
-				parts += p.node.Part()
+				parts += p.node.BudgetShare()
 			}
 		}
 		x.parts = max(x.parts, parts)
--- a/internal/experiment/procs_test.go
+++ b/internal/experiment/procs_test.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	opt := o.Fleet.Options(o.Seed)
-	opt.Members.Plain = defect == "hasty" // a verdict after one trial, hearsay, and no doubt of itself
+	opt.Members.PlainSWIM = defect == "hasty" // a verdict after one trial, hearsay, and no doubt of itself
 	p, err := gossip.Listen(opt)
 	if err != nil {
 		return err
@@ -51,7 +51,7 @@
 			panic(err)
 		}
 		if defect == "greedy" { // it uses the whole of every budget
-			v.Part = 1
+			v.BudgetShare = 1
 		}
 		for i := range v.Members {
 			if defect == "blind" { // it does not notice who is gone
--- a/internal/experiment/renew.go
+++ b/internal/experiment/renew.go
@@ -28,14 +28,14 @@
 func (b Break) apply(c *routing.Config) {
 	switch b {
 	case ColdRoom:
-		c.TipMultiple *= 7
+		c.OverloadFactor *= 7
 	case OldReads:
 		for i := range c.Classes {
-			c.Classes[i].Bound += 10 * time.Second
+			c.Classes[i].StalenessBound += 10 * time.Second
 		}
 	case TwoRuns:
 		for i := range c.Classes {
-			c.Classes[i].Effect = routing.Repeatable
+			c.Classes[i].Effect = routing.Idempotent
 		}
 	}
 }
--- a/internal/experiment/up.go
+++ b/internal/experiment/up.go
@@ -27,7 +27,7 @@
 // are told of nothing; what they get is on the line. Several gateways know each other, and are cut in two while the zone
 // is lost; the line says how many each counts as there.
 func Up(ctx context.Context, o UpOptions) error {
-	s := Spec{Zones: threeZones, Hosts: 9, Groups: 3, Gateways: max(1, o.Gateways), Rate: o.Rate, Load: 0.3, Length: o.For, Guards: routing.GuardWait}
+	s := Spec{Zones: threeZones, Hosts: 9, Groups: 3, Gateways: max(1, o.Gateways), Rate: o.Rate, Load: 0.3, Length: o.For, Guards: routing.StaleReadDelayed}
 	if s.Length <= 0 {
 		s.Length = 24 * time.Hour
 	}
--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -20,14 +20,14 @@
 
 // The acts.
 const (
-	Serve  Act = iota // run it and answer
-	Miss              // turn it away: not the primary, or too far behind
-	Full              // turn it away: no room
-	Error             // run it and answer with an error
-	Reset             // run it and drop the connection
-	Silent            // run it and never answer
-	Reject            // turn it away: it can't be used
-	NoRoom            // turn it away, and end the connection: there are too many (PostgreSQL alone)
+	Serve            Act = iota // run it and answer
+	Miss                        // turn it away: not the primary, or too far behind
+	Reject                      // turn it away: no room
+	Error                       // run it and answer with an error
+	Reset                       // run it and drop the connection
+	Silent                      // run it and never answer
+	InvalidStatement            // turn it away: it can't be used
+	NoCapacity                  // turn it away, and end the connection: there are too many (PostgreSQL alone)
 )
 
 // Host is a database host.
@@ -43,10 +43,10 @@
 	// Reports has answers carry the report, as a database host does whose load reports come with answers. Its position is told
 	// nowhere else then.
 	Reports bool
-	// PrepareFor is how long a prepare takes.
+	// PrepareTimeout is how long a prepare takes.
 	PrepareFor time.Duration
 	// Spoil makes something else of a request's answer; nil leaves all as they are.
-	Spoil func(id string, answer []byte) Spoilt
+	Malform func(id string, answer []byte) Malformed
 
 	mu       sync.Mutex
 	ran      map[string]int
@@ -57,7 +57,7 @@
 
 // Spoilt is what a host sends in place of an answer, and what follows it after a while though nothing was asked.
 // Where it is dead nothing more is answered on that connection, which stays open.
-type Spoilt struct {
+type Malformed struct {
 	Answer, Surplus []byte
 	After           time.Duration
 	Dead            bool
@@ -65,9 +65,9 @@
 
 // send writes an answer as it is to be spoilt. False says that the connection has ended.
 func (h *Host) send(c *framebuf.Conn, id string, answer []byte) bool {
-	x := Spoilt{Answer: answer}
-	if h.Spoil != nil && id != "" {
-		x = h.Spoil(id, answer)
+	x := Malformed{Answer: answer}
+	if h.Malform != nil && id != "" {
+		x = h.Malform(id, answer)
 	}
 	if _, err := c.Write(x.Answer); err != nil {
 		return false
@@ -132,7 +132,7 @@
 	defer h.mu.Unlock()
 	if prepare {
 		h.prepares++
-	} else if act != Miss && act != Full && act != Reject {
+	} else if act != Miss && act != Reject && act != InvalidStatement {
 		h.ran[id]++
 	}
 	return act
@@ -172,7 +172,7 @@
 // value is the answer to a statement with a key.
 func value(key string) string { return "value of " + key }
 
-var sqlErrors = map[Act][2]string{Full: {"53300", "no room"}, NoRoom: {"53300", "too many connections"}, Error: {"XX000", "it broke"}, Reject: {"42601", "no such thing"}}
+var sqlErrors = map[Act][2]string{Reject: {"53300", "no room"}, NoCapacity: {"53300", "too many connections"}, Error: {"XX000", "it broke"}, InvalidStatement: {"42601", "no such thing"}}
 
 // ServePostgres talks to one connection until it ends.
 func (h *Host) ServePostgres(raw net.Conn) {
@@ -225,7 +225,7 @@
 		for _, v := range h.note() {
 			out = pgwire.AppendParameter(out, v[0], v[1])
 		}
-		if out = pgwire.AppendReady(out); act == NoRoom {
+		if out = pgwire.AppendReady(out); act == NoCapacity {
 			h.send(c, id, out)
 			return
 		}
@@ -431,9 +431,9 @@
 		e = mysqlwire.Error{Code: 1290, State: "HY000", Text: "read-only"}
 	case act == Miss:
 		e.State, e.Text = "72000", "too far behind"
-	case act == Reject:
+	case act == InvalidStatement:
 		e = mysqlwire.Error{Code: 1064, State: "42000", Text: "no such thing"}
-	case act == Full:
+	case act == Reject:
 		e = mysqlwire.Error{Code: 1203, State: "42000", Text: "no room"}
 	}
 	c.w.Err(e, c.caps)
--- a/internal/framebuf/arrivals_test.go
+++ b/internal/framebuf/arrivals_test.go
@@ -16,7 +16,7 @@
 		defer near.Close()
 		defer far.Close()
 		c, start := New(near, 1<<10), time.Now()
-		if !c.Came().IsZero() {
+		if !c.ArrivedAt().IsZero() {
 			t.Error("something has come")
 		}
 		go func() {
@@ -33,8 +33,8 @@
 		time.Sleep(time.Second)
 		for i, want := range []time.Duration{0, 100, 200, 300, 300} {
 			c.Need(4)
-			if c.Skip(4); c.Came().Sub(start) != want*time.Millisecond {
-				t.Errorf("message %d came at %v, want %v ms", i, c.Came().Sub(start), int(want))
+			if c.Skip(4); c.ArrivedAt().Sub(start) != want*time.Millisecond {
+				t.Errorf("message %d came at %v, want %v ms", i, c.ArrivedAt().Sub(start), int(want))
 			}
 		}
 		if len(c.came.reads) != 0 {
@@ -44,8 +44,8 @@
 		if _, err := c.Need(1); err != nil {
 			t.Fatal(err)
 		}
-		if c.Skip(1); time.Since(c.Came()) != 0 {
-			t.Errorf("a message that was waited for is %v old", time.Since(c.Came()))
+		if c.Skip(1); time.Since(c.ArrivedAt()) != 0 {
+			t.Errorf("a message that was waited for is %v old", time.Since(c.ArrivedAt()))
 		}
 	})
 }
--- a/internal/framebuf/framebuf.go
+++ b/internal/framebuf/framebuf.go
@@ -21,8 +21,8 @@
 // ErrTooLarge says that a message does not fit the connection's bound.
 var ErrTooLarge = errors.New("message over the size limit")
 
-// ErrNoRoom says that the budget of all connections together has no room for a message.
-var ErrNoRoom = errors.New("no memory left for a message")
+// ErrBudgetExhausted says that the budget of all connections together has no room for a message.
+var ErrBudgetExhausted = errors.New("no memory left for a message")
 
 var past = time.Unix(1, 0)
 
@@ -37,7 +37,7 @@
 }
 
 // Take takes bytes out of the budget, or says that there are not as many left.
-func (b *Budget) Take(n int) bool {
+func (b *Budget) Reserve(n int) bool {
 	if b == nil || b.left.Add(int64(-n)) >= 0 {
 		return true
 	}
@@ -46,7 +46,7 @@
 }
 
 // Give gives bytes back.
-func (b *Budget) Give(n int) {
+func (b *Budget) Release(n int) {
 	if b != nil {
 		b.left.Add(int64(n))
 	}
@@ -76,7 +76,7 @@
 
 // Release gives back what the buffer has taken; the connection reads no more.
 func (c *Conn) Release() {
-	c.budget.Give(c.taken)
+	c.budget.Release(c.taken)
 	c.came.reads = nil
 	c.buf, c.r, c.w, c.taken = nil, 0, 0, 0
 }
@@ -126,7 +126,7 @@
 // Came is when the last byte that Skip consumed had come, as far as a read told: a message that stands behind others came
 // before its turn. It may be taken for a little older than it is, never for younger than the read that brought it; zero before
 // the first.
-func (c *Conn) Came() time.Time { return c.came.last }
+func (c *Conn) ArrivedAt() time.Time { return c.came.last }
 
 // fill reads once, after making room for n unread bytes in all.
 func (c *Conn) fill(n int) error {
@@ -142,8 +142,8 @@
 		to := c.buf
 		if n > len(c.buf) {
 			size := max(firstSize, min(c.limit, n+n/4))
-			if more := size - firstSize - c.taken; !c.budget.Take(more) {
-				return ErrNoRoom
+			if more := size - firstSize - c.taken; !c.budget.Reserve(more) {
+				return ErrBudgetExhausted
 			} else {
 				c.taken += more
 			}
--- a/internal/framebuf/left.go
+++ b/internal/framebuf/left.go
@@ -10,7 +10,7 @@
 // Left says whether the peer has closed its connection, or reset it, as far as that shows without a wait and without taking
 // any bytes: what it sent before may hide it from a read. A half close shows like a close. A peer that has left once does not
 // come back: the system tells of a reset only once. Any goroutine may call it.
-func (c *Conn) Left() bool {
+func (c *Conn) PeerClosed() bool {
 	if c.left.Load() {
 		return true
 	}
@@ -46,7 +46,7 @@
 		}
 		c.SetReadDeadline(time.Time{}) // one that is over would hide what has come; Park sets its own
 		if c.fill(0) != nil {          // there is no room for it, or the connection is broken
-			return c.Left()
+			return c.PeerClosed()
 		}
 	}
 }
--- a/internal/framebuf/left_test.go
+++ b/internal/framebuf/left_test.go
@@ -33,7 +33,7 @@
 				}
 				defer raw.Close()
 				c := New(raw, 1<<10)
-				if peer.Write([]byte(unread)); c.Left() {
+				if peer.Write([]byte(unread)); c.PeerClosed() {
 					t.Fatal("left, though it is there")
 				}
 				if end == nil {
@@ -43,12 +43,12 @@
 					return
 				}
 				end(peer.(*net.TCPConn))
-				for until := time.Now().Add(10 * time.Second); !c.Left(); time.Sleep(time.Millisecond) {
+				for until := time.Now().Add(10 * time.Second); !c.PeerClosed(); time.Sleep(time.Millisecond) {
 					if time.Now().After(until) {
 						t.Fatal("its end does not show")
 					}
 				}
-				if !c.Left() || !c.Look() {
+				if !c.PeerClosed() || !c.Look() {
 					t.Error("it has come back")
 				}
 			})
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -46,7 +46,7 @@
 	}
 	s.mu.Unlock()
 	<-ctx.Done() // one that is retired before serves those on that it has
-	s.Room.Stop()
+	s.Limiter.Shutdown()
 	s.mu.Lock()
 	s.stopping = true
 	left := s.leaving()
@@ -159,35 +159,35 @@
 func (s *Server) admit(x *Session) {
 	conn := x.Conn.Conn
 	s.Counters.Add(s.Name+"_clients", 1)
-	if s.Room.take(x) {
+	if s.Limiter.take(x) {
 		if !s.spawn(func() { s.serve(x) }) {
-			s.Room.leave(x)
-			brush(s.Front, conn)
+			s.Limiter.leave(x)
+			brush(s.Protocol, conn)
 		}
 		return
 	}
-	if s.Room.lobby.enter() {
+	if s.Limiter.lobby.enter() {
 		if s.spawn(func() { s.await(x) }) {
 			return
 		}
-		s.Room.lobby.leave()
+		s.Limiter.lobby.leave()
 	}
 	s.Counters.Add(s.Name+"_clients_turned_away", 1)
-	brush(s.Front, conn)
+	brush(s.Protocol, conn)
 }
 
 // await has a client wait in the lobby for a place.
 func (s *Server) await(x *Session) {
-	if s.Room.enter(x) {
-		s.Room.lobby.leave()
+	if s.Limiter.enter(x) {
+		s.Limiter.lobby.leave()
 		s.serve(x)
 		return
 	}
-	defer s.Room.lobby.leave()
+	defer s.Limiter.lobby.leave()
 	s.Counters.Add(s.Name+"_clients_turned_away", 1)
 	conn := x.Conn.Conn
 	conn.SetWriteDeadline(time.Now().Add(lingerFor))
-	s.Front.TurnAway(conn)
+	s.Protocol.Reject(conn)
 	linger(conn)
 }
 
@@ -230,7 +230,7 @@
 // shut closes the listener, and keeps a duplicate of a shared one: one of its own would have clients wait in a queue that
 // nobody looks at. s.mu is held.
 func (s *Server) shut() {
-	if l, ok := s.intake.Listener.(interface{ File() (*os.File, error) }); ok && s.Shared {
+	if l, ok := s.intake.Listener.(interface{ File() (*os.File, error) }); ok && s.SharedListener {
 		f, err := l.File()
 		if err != nil {
 			slog.Warn("listener_not_kept", "front", s.Name, "error", err)
--- a/internal/frontend/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	l := &busy{TCPListener: tcp.(*net.TCPListener), held: make(chan struct{}), ends: make(chan struct{}), looks: make(chan struct{}, 1)}
-	s := &frontend.Server{Name: "backlog", Front: postgres.Front{}, Core: rig.core, Room: frontend.NewRoom(50),
+	s := &frontend.Server{Name: "backlog", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: frontend.NewLimiter(50),
 		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -207,8 +207,8 @@
 		inBubble(t, func() error {
 			rig := newRigFor(1, 1, false, &fake.Host{Primary: true})
 			defer rig.close()
-			rig.room.Waits(5 * time.Second)
-			rig.room.Waits(deadline)
+			rig.room.ObserveDeadline(5 * time.Second)
+			rig.room.ObserveDeadline(deadline)
 			a, err := rig.asker("postgres")
 			if err != nil {
 				return err
@@ -243,7 +243,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &frontend.Server{Name: "again", Front: postgres.Front{}, Core: rig.core, Room: frontend.NewRoom(50),
+	s := &frontend.Server{Name: "again", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: frontend.NewLimiter(50),
 		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -289,7 +289,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &frontend.Server{Name: "to", Front: postgres.Front{}, Core: rig.core, Room: frontend.NewRoom(50),
+	s := &frontend.Server{Name: "to", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: frontend.NewLimiter(50),
 		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -317,7 +317,7 @@
 	s.Retire() // the process that goes on says so late
 	near, far := loopback(t)
 	near.Write([]byte(pgQuery(fmt.Sprintf(look, "passed"))))
-	if !s.TakeOver(far, true, true) {
+	if !s.Adopt(far, true, true) {
 		far.Close()
 		t.Error("it is not taken over")
 	}
@@ -330,7 +330,7 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if near, far := loopback(t); s.TakeOver(far, true, true) {
+	if near, far := loopback(t); s.Adopt(far, true, true) {
 		t.Error("it takes over once it has ended")
 	} else {
 		near.Close()
@@ -341,11 +341,11 @@
 // TestStartGuard runs a server before its core has a list: that is counted as a violation of the rule on starts.
 func TestStartGuard(t *testing.T) {
 	counters := &metrics.Counters{}
-	c, err := core.New(core.Options{Rules: testRules, Seed: 1, Counters: counters}, nil)
+	c, err := core.New(core.Options{Routing: testRules, Seed: 1, Counters: counters}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &frontend.Server{Name: "early", Front: postgres.Front{}, Core: c, Room: frontend.NewRoom(5), Counters: counters,
+	s := &frontend.Server{Name: "early", Protocol: postgres.Protocol{}, Core: c, Limiter: frontend.NewLimiter(5), Counters: counters,
 		Monitor: &invariant.Monitor{Counters: counters}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/frontend/ask.go
+++ b/internal/frontend/ask.go
@@ -13,7 +13,7 @@
 const lookEvery = 50 * time.Millisecond
 
 // Ask hands a request to the core and waits for its answer, watching for the client's close. The id is the client's
-// own; ErrOpen says that it is that of an open request, and nothing has run; that of a client that has gone stays open for as
+// own; ErrDuplicateID says that it is that of an open request, and nothing has run; that of a client that has gone stays open for as
 // long as an attempt may be out. The request keeps about so many bytes till then; where there is no room for them it is refused, and nothing has run.
 //
 // A client whose end has come has gone, also one that shut only its sending side: on the wire that looks the same until an
@@ -21,26 +21,26 @@
 func (x *Session) Ask(q *core.Request, id string, size int) (core.Answer, error) {
 	x.lastID = id
 	if !x.server.begin(id) {
-		return core.Answer{}, ErrOpen
+		return core.Answer{}, ErrDuplicateID
 	}
 	over := func() { x.server.end(id) }
 	defer func() { over() }()
 	x.faults, x.proves, x.asked = 0, time.Time{}, true
-	if !x.server.Budget.Take(size) {
+	if !x.server.Budget.Reserve(size) {
 		x.server.Counters.Add(x.server.Name+"_no_room", 1)
-		return core.Answer{Status: core.Refused}, nil
+		return core.Answer{Status: core.Rejected}, nil
 	}
-	over = func() { x.server.end(id); x.server.Budget.Give(size) }
+	over = func() { x.server.end(id); x.server.Budget.Release(size) }
 	if x.Look() { // its close may have come long ago: this process may have been busy, or the request waited behind another
 		x.server.Counters.Add(x.server.Name+"_clients_gone_before", 1)
-		return core.Answer{}, ErrGone
+		return core.Answer{}, ErrDisconnected
 	}
 	answers := make(chan core.Answer, 1)
 	q.Arrived = x.arrived
-	wait := x.server.Room.plan.Load().Wait(x.arrived, x.server.Core.Wait(q))
-	q.Wait = wait
+	wait := x.server.Limiter.plan.Load().RequestTimeout(x.arrived, x.server.Core.Timeout(q))
+	q.Timeout = wait
 	q.ID = id
-	q.Left = x.Left
+	q.Disconnected = x.PeerClosed
 	q.Reply = func(a core.Answer) {
 		answers <- a
 		x.Wake()
@@ -55,18 +55,18 @@
 			return a, nil
 		default:
 		}
-		if errors.Is(err, framebuf.ErrTooLarge) || errors.Is(err, framebuf.ErrNoRoom) {
+		if errors.Is(err, framebuf.ErrTooLarge) || errors.Is(err, framebuf.ErrBudgetExhausted) {
 			if a, ok := x.unread(answers); ok {
 				return a, nil
-			} else if !x.Left() {
+			} else if !x.PeerClosed() {
 				continue // by now there may be room
 			}
 		}
 		if err != nil {
-			x.server.Core.Gone(q)
+			x.server.Core.ClientDisconnected(q)
 			later := over // what has begun goes on at its host: a copy of the id would be taken for another attempt of it
 			over = func() { time.AfterFunc(time.Until(x.arrived.Add(wait)), later) }
-			return core.Answer{}, ErrGone
+			return core.Answer{}, ErrDisconnected
 		}
 	}
 }
--- a/internal/frontend/drain/drain.go
+++ b/internal/frontend/drain/drain.go
@@ -24,7 +24,7 @@
 )
 
 // Plan is when connections end. A nil one says that clients are welcome.
-type Plan struct {
+type Schedule struct {
 	since  time.Time     // when sending away began
 	idle   time.Time     // idle connections end from then on
 	spread time.Duration // and have all ended after so much more
@@ -38,12 +38,12 @@
 
 // Begin sends clients away from now on, until clients are taken again. The longest of their deadlines, zero for one that is
 // not known, says how soon the process may be killed: 0.7 s after that, and 3.7 s after now where it is over 3 s.
-func Begin(now time.Time, longest time.Duration) *Plan {
+func Start(now time.Time, longest time.Duration) *Schedule {
 	ends := max(endsAfter-fullWait+counted(longest), noticeFor)
 	part := func(d time.Duration) time.Duration {
 		return time.Duration(float64(d) * float64(ends) / float64(endsAfter))
 	}
-	return &Plan{since: now, idle: now.Add(part(restFor)), spread: part(spreadOver), read: now.Add(part(readFor)), ends: now.Add(ends)}
+	return &Schedule{since: now, idle: now.Add(part(restFor)), spread: part(spreadOver), read: now.Add(part(readFor)), ends: now.Add(ends)}
 }
 
 // counted is the longest deadline as the kill counts it.
@@ -55,8 +55,8 @@
 }
 
 // Stop sends clients away as the process ends, after a plan that holds already or nil.
-func (p *Plan) Stop(now time.Time, longest time.Duration) *Plan {
-	x := Begin(now, longest)
+func (p *Schedule) Stop(now time.Time, longest time.Duration) *Schedule {
+	x := Start(now, longest)
 	x.last = now.Add(counted(longest) + lastAfter)
 	if x.final = true; p != nil { // the front knows it already
 		x.since, x.idle, x.spread, x.left, x.pass = p.since, p.idle, p.spread, p.left, p.pass
@@ -66,17 +66,17 @@
 
 // Pass sends clients away as another process takes them from now on, after a plan that holds already or nil. No front
 // needs to notice, and there is time: this process is told to end some seconds later.
-func (p *Plan) Pass(now time.Time) *Plan {
+func (p *Schedule) Handover(now time.Time) *Schedule {
 	if p != nil {
 		x := *p
 		x.left = true
 		return &x
 	}
-	return &Plan{since: now.Add(-noticeFor), idle: now.Add(restFor), spread: spreadOver, left: true, pass: true}
+	return &Schedule{since: now.Add(-noticeFor), idle: now.Add(restFor), spread: spreadOver, left: true, pass: true}
 }
 
 // Return is what holds once no other process takes clients any more: what held before Pass.
-func (p *Plan) Return() *Plan {
+func (p *Schedule) CancelHandover() *Schedule {
 	if p == nil || p.final || !p.left {
 		return p
 	} else if p.pass {
@@ -88,17 +88,19 @@
 }
 
 // Passes says that connections with nothing under way go to another process, where that takes them.
-func (p *Plan) Passes() bool { return p != nil && p.pass }
+func (p *Schedule) HandsOver() bool { return p != nil && p.pass }
 
 // Final says that staff can't have clients taken again.
-func (p *Plan) Final() bool { return p != nil && (p.final || p.left) }
+func (p *Schedule) Final() bool { return p != nil && (p.final || p.left) }
 
 // Behind says whether a connection ends right behind its answer.
-func (p *Plan) Behind(now time.Time) bool { return p != nil && now.Sub(p.since) >= noticeFor }
+func (p *Schedule) CloseAfterAnswer(now time.Time) bool {
+	return p != nil && now.Sub(p.since) >= noticeFor
+}
 
 // Idle is when a connection that came at a time ends if it is idle by then; zero: never. The slot, of 0 to Slots-1,
 // spreads connections.
-func (p *Plan) Idle(born time.Time, slot int) time.Time {
+func (p *Schedule) IdleDeadline(born time.Time, slot int) time.Time {
 	if p == nil {
 		return time.Time{}
 	}
@@ -113,7 +115,7 @@
 }
 
 // Read is until when a message may come in that has a time of its own; it is never later than that.
-func (p *Plan) Read(now, until time.Time) time.Time {
+func (p *Schedule) ReadDeadline(now, until time.Time) time.Time {
 	if p == nil || p.read.IsZero() || until.Before(p.read) {
 		return until
 	}
@@ -132,7 +134,7 @@
 }
 
 // Wait is how long a request may take that came at a time and may take so long by itself.
-func (p *Plan) Wait(came time.Time, wait time.Duration) time.Duration {
+func (p *Schedule) RequestTimeout(came time.Time, wait time.Duration) time.Duration {
 	if p == nil || p.ends.IsZero() {
 		return wait
 	}
--- a/internal/frontend/drain/drain_test.go
+++ b/internal/frontend/drain/drain_test.go
@@ -11,14 +11,14 @@
 	start := time.Unix(1000, 0)
 	for longest := 400 * time.Millisecond; longest <= 6*time.Second; longest += 50 * time.Millisecond {
 		kill := start.Add(min(longest, 3*time.Second) + 700*time.Millisecond)
-		for _, p := range []*Plan{(*Plan)(nil).Stop(start, longest), Begin(start.Add(-time.Minute), longest).Stop(start, longest)} {
+		for _, p := range []*Schedule{(*Schedule)(nil).Stop(start, longest), Start(start.Add(-time.Minute), longest).Stop(start, longest)} {
 			for slot := range Slots {
-				last := p.Idle(start.Add(-time.Hour), slot)
+				last := p.IdleDeadline(start.Add(-time.Hour), slot)
 				for came := start; !came.After(last); came = came.Add(10 * time.Millisecond) {
-					if end := came.Add(p.Wait(came, longest)); !end.Before(kill) {
+					if end := came.Add(p.RequestTimeout(came, longest)); !end.Before(kill) {
 						t.Fatalf("deadline %v: what comes after %v is answered %v after the kill", longest, came.Sub(start), end.Sub(kill))
 					}
-					if read := p.Read(came, came.Add(10*time.Second)); !read.Before(kill) {
+					if read := p.ReadDeadline(came, came.Add(10*time.Second)); !read.Before(kill) {
 						t.Fatalf("deadline %v: what begins after %v may come in until the kill", longest, came.Sub(start))
 					}
 				}
@@ -34,19 +34,19 @@
 	start := time.Unix(1000, 0)
 	for longest := 200 * time.Millisecond; longest <= 4*time.Second; longest += 100 * time.Millisecond {
 		kill := start.Add(min(longest, 3*time.Second) + 700*time.Millisecond)
-		for name, p := range map[string]*Plan{"at once": (*Plan)(nil).Stop(start, longest), "sent away before": Begin(start.Add(-time.Minute), longest).Stop(start, longest)} {
+		for name, p := range map[string]*Schedule{"at once": (*Schedule)(nil).Stop(start, longest), "sent away before": Start(start.Add(-time.Minute), longest).Stop(start, longest)} {
 			for born := start; born.Sub(start) <= 520*time.Millisecond; born = born.Add(10 * time.Millisecond) {
-				last := p.Idle(born, Slots-1)
+				last := p.IdleDeadline(born, Slots-1)
 				if born.After(last) {
 					t.Fatalf("deadline %v, %s: who comes after %v is ended unheard", longest, name, born.Sub(start))
 				}
 				for began := born; !began.After(last); began = began.Add(10 * time.Millisecond) {
-					whole := p.Read(began, began.Add(10*time.Second))
+					whole := p.ReadDeadline(began, began.Add(10*time.Second))
 					if whole.Sub(began) < 50*time.Millisecond {
 						t.Fatalf("deadline %v, %s: what begins after %v has %v to come in", longest, name, began.Sub(start), whole.Sub(began))
 					}
 					for _, came := range []time.Time{began, whole} {
-						if left := kill.Sub(came.Add(p.Wait(came, longest))); left < 130*time.Millisecond && came.Sub(start) > 550*time.Millisecond {
+						if left := kill.Sub(came.Add(p.RequestTimeout(came, longest))); left < 130*time.Millisecond && came.Sub(start) > 550*time.Millisecond {
 							t.Fatalf("deadline %v, %s: who comes after %v and asks after %v is answered %v before the kill", longest, name,
 								born.Sub(start), came.Sub(start), left)
 						}
@@ -60,15 +60,15 @@
 // TestReturn: what held before another process took the clients holds once that is gone, unless this one ends.
 func TestReturn(t *testing.T) {
 	now := time.Unix(1000, 0)
-	if p := (*Plan)(nil).Pass(now); !p.Final() || !p.Passes() || p.Return() != nil {
+	if p := (*Schedule)(nil).Handover(now); !p.Final() || !p.HandsOver() || p.CancelHandover() != nil {
 		t.Error("clients are not welcome again")
 	}
-	away := Begin(now, 0)
-	if p := away.Pass(now); !p.Final() || p.Passes() || *p.Return() != *away {
+	away := Start(now, 0)
+	if p := away.Handover(now); !p.Final() || p.HandsOver() || *p.CancelHandover() != *away {
 		t.Error("clients are not sent away as before")
 	}
-	for _, p := range []*Plan{(*Plan)(nil).Pass(now).Stop(now, 0), away.Pass(now).Stop(now, 0)} {
-		if p.Return() != p || !p.Final() {
+	for _, p := range []*Schedule{(*Schedule)(nil).Handover(now).Stop(now, 0), away.Handover(now).Stop(now, 0)} {
+		if p.CancelHandover() != p || !p.Final() {
 			t.Error("a process that ends takes clients again")
 		}
 	}
--- a/internal/frontend/end.go
+++ b/internal/frontend/end.go
@@ -20,7 +20,7 @@
 func (x *Session) close(err error) {
 	conn := x.Conn.Conn
 	switch {
-	case err == nil, errors.Is(err, ErrGone), errors.Is(err, errPassed):
+	case err == nil, errors.Is(err, ErrDisconnected), errors.Is(err, errPassed):
 		conn.Close()
 	case errors.Is(err, errLetGo):
 		end(conn, letGoFor)
@@ -52,9 +52,9 @@
 func linger(conn net.Conn) { pass(conn, lingerFor) }
 
 // brush tells a client that there is no room for it, and takes no longer than a busy accept can bear.
-func brush(f Front, conn net.Conn) {
+func brush(f Protocol, conn net.Conn) {
 	conn.SetWriteDeadline(time.Now().Add(brushFor))
-	f.TurnAway(conn)
+	f.Reject(conn)
 	pass(conn, brushFor)
 }
 
--- a/internal/frontend/ending.go
+++ b/internal/frontend/ending.go
@@ -36,7 +36,7 @@
 	switch {
 	case err == nil:
 		return endedByClient
-	case errors.Is(err, ErrGone):
+	case errors.Is(err, ErrDisconnected):
 		return endedClientLeft
 	case errors.Is(err, errLetGo):
 		return endedIdle
@@ -46,11 +46,11 @@
 		return endedPassed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return endedLate
-	case errors.Is(err, ErrFaults):
+	case errors.Is(err, ErrTooManyFaults):
 		return endedFaults
 	case errors.Is(err, framebuf.ErrTooLarge):
 		return endedTooLarge
-	case errors.Is(err, framebuf.ErrNoRoom):
+	case errors.Is(err, framebuf.ErrBudgetExhausted):
 		return endedNoMemory
 	case errors.Is(err, errPanic):
 		return endedPanic
--- a/internal/frontend/export_test.go
+++ b/internal/frontend/export_test.go
@@ -1,7 +1,7 @@
 package frontend
 
 // Held is how many places clients hold.
-func (r *Room) Held() int {
+func (r *Limiter) Held() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.sessions)
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -31,14 +31,14 @@
 	logEvery   = time.Second             // a line about clients that are at fault
 )
 
-// ErrFaults says that a client has sent nothing but what can't be used for too long.
-var ErrFaults = errors.New("too many messages at fault")
+// ErrTooManyFaults says that a client has sent nothing but what can't be used for too long.
+var ErrTooManyFaults = errors.New("too many messages at fault")
 
-// ErrOpen says that another request of the same id is open.
-var ErrOpen = errors.New("a request with this id is open already")
+// ErrDuplicateID says that another request of the same id is open.
+var ErrDuplicateID = errors.New("a request with this id is open already")
 
-// ErrGone says that the client has left.
-var ErrGone = errors.New("the client has left")
+// ErrProcessEnded says that the client has left.
+var ErrDisconnected = errors.New("the client has left")
 
 // errLetGo says that the client's connection has nothing under way and is ended, as its place is wanted; errSentAway
 // that it is, as all clients are sent away.
@@ -49,21 +49,21 @@
 )
 
 // Front speaks one protocol with clients.
-type Front interface {
+type Protocol interface {
 	// Limit bounds a message's size.
-	Limit() int
+	MaxMessageBytes() int
 	// Serve talks to one client until that leaves or Next returns an error.
 	Serve(*Session) error
-	// TurnAway tells a client that there is no room for it.
-	TurnAway(net.Conn)
+	// Reject tells a client that there is no room for it.
+	Reject(net.Conn)
 }
 
 // Server accepts a front's clients.
 type Server struct {
 	Name     string
-	Front    Front
+	Protocol Protocol
 	Core     *core.Core
-	Room     *Room            // a descriptor for each client; all fronts may share it
+	Limiter  *Limiter         // a descriptor for each client; all fronts may share it
 	Budget   *framebuf.Budget // bytes for all that clients send; all fronts may share it
 	Counters *metrics.Counters
 	Monitor  *invariant.Monitor // takes violations of the rules; nil: they are not counted
@@ -72,7 +72,7 @@
 	// handed over. It is set before Run.
 	Pass func(c net.Conn, started, asked bool) bool
 	// Shared says that other processes hold the listening socket too: clients wait in its queue, whoever closes it.
-	Shared bool
+	SharedListener bool
 
 	mu       sync.Mutex
 	intake   *intake         // of the listener that is open, or was last; nil before Run
@@ -87,9 +87,9 @@
 	logged   time.Time       // when a client at fault was logged last
 }
 
-// TakeOver serves a connection that another process has passed on, with what it knew of it. False says that this server
+// Adopt serves a connection that another process has passed on, with what it knew of it. False says that this server
 // has ended.
-func (s *Server) TakeOver(conn net.Conn, started, asked bool) bool {
+func (s *Server) Adopt(conn net.Conn, started, asked bool) bool {
 	x := s.session(conn)
 	if x.resumes = started; started {
 		x.starts = time.Time{}
@@ -97,9 +97,9 @@
 	if x.asked = asked; asked {
 		x.proves = time.Time{}
 	}
-	s.Room.force(x)
+	s.Limiter.force(x)
 	if !s.spawn(func() { s.serve(x) }) {
-		s.Room.leave(x)
+		s.Limiter.leave(x)
 		return false
 	}
 	s.Counters.Add(s.Name+"_clients_taken_over", 1)
@@ -108,7 +108,7 @@
 
 // session makes a session of a new connection.
 func (s *Server) session(conn net.Conn) *Session {
-	x := &Session{Conn: framebuf.New(conn, s.Front.Limit()), server: s, born: time.Now(), slot: rand.IntN(drain.Slots)}
+	x := &Session{Conn: framebuf.New(conn, s.Protocol.MaxMessageBytes()), server: s, born: time.Now(), slot: rand.IntN(drain.Slots)}
 	x.starts = x.born.Add(startFor)
 	x.proves = x.starts
 	return x
@@ -116,14 +116,14 @@
 
 // serve lives with one connection.
 func (s *Server) serve(x *Session) {
-	defer s.Room.leave(x)
+	defer s.Limiter.leave(x)
 	conn := x.Conn.Conn
 	x.Charge(s.Budget)
 	err := s.talk(x)
 	x.guardClose(err)
 	x.Release()
 	x.close(err)
-	if err != nil && !errors.Is(err, ErrGone) && !errors.Is(err, errLetGo) && !errors.Is(err, errSentAway) && !errors.Is(err, errPassed) {
+	if err != nil && !errors.Is(err, ErrDisconnected) && !errors.Is(err, errLetGo) && !errors.Is(err, errSentAway) && !errors.Is(err, errPassed) {
 		s.fault(conn, err)
 	}
 }
@@ -147,7 +147,7 @@
 			err = fmt.Errorf("%w: %v\n%s", errPanic, p, debug.Stack())
 		}
 	}()
-	return s.Front.Serve(x)
+	return s.Protocol.Serve(x)
 }
 
 // begin marks a request's id as open. False says that it is: database hosts would take the second for an attempt of
--- a/internal/frontend/gone_test.go
+++ b/internal/frontend/gone_test.go
@@ -255,7 +255,7 @@
 			host := &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act {
 				began <- id
 				<-release
-				return fake.Full // another attempt may follow
+				return fake.Reject // another attempt may follow
 			}}
 			r := newRig(mysqlFront, host)
 			t.Cleanup(r.end)
@@ -268,10 +268,10 @@
 			}
 			size := 250 << 10
 			if budget {
-				if size = 8 << 10; !r.budget.Take(rigBudget - 1<<10) {
+				if size = 8 << 10; !r.budget.Reserve(rigBudget - 1<<10) {
 					t.Fatal("the budget is taken already")
 				}
-				defer r.budget.Give(rigBudget - 1<<10)
+				defer r.budget.Release(rigBudget - 1<<10)
 			}
 			client.SetWriteDeadline(time.Now().Add(10 * time.Second))
 			if _, err := client.Write([]byte(strings.Repeat(r.request("look", "q2", strings.Repeat(" ", 1<<10)), size>>10))); err != nil {
@@ -392,7 +392,7 @@
 		host := &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act {
 			began <- id
 			<-release
-			return fake.Full // another attempt may follow
+			return fake.Reject // another attempt may follow
 		}}
 		r := newRig(mysqlFront, host)
 		t.Cleanup(r.end)
