--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -33,14 +33,14 @@
 	flag.Set("rapid.nofailfile", "true")
 }
 
-var testRules = routing.Config{Gateways: 1, MaxAttempts: 6, Guards: routing.GuardWait, Positions: true,
-	ListRole: routing.ListRoleLate, MayCancel: true, MayDuplicate: true, MaxComeBack: 500 * time.Millisecond,
-	ColdFrom: 0.2, ColdFor: 10 * time.Second, TipMultiple: 2.5, TipAfter: time.Second,
+var testRules = routing.Config{Gateways: 1, MaxAttempts: 6, StaleReads: routing.StaleReadDelayed, Positions: true,
+	RoleSource: routing.RoleSourceDelayed, AllowCancel: true, AllowHedging: true, MaxRetryAfter: 500 * time.Millisecond,
+	SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
 	Classes: []routing.Class{
-		{Name: "look", Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1},
-		{Name: "put", Need: routing.NeedWrite, Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 4,
-			LateWorth: 0.5, Effect: routing.Once},
-		{Name: mysql.PrepareClass, Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1},
+		{Name: "look", LatencyObjective: 500 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
+		{Name: "put", Consistency: routing.ConsistencyWrite, LatencyObjective: 500 * time.Millisecond, Deadline: time.Second, PriorityWeight: 4,
+			LateShare: 0.5, Effect: routing.NonIdempotent},
+		{Name: mysql.PrepareClass, LatencyObjective: 500 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
 	}}
 
 // pipes is a listener whose connections are pipes, so that a test's clock can stand in for time.
@@ -73,7 +73,7 @@
 	pool     *backend.Pool
 	counters *metrics.Counters
 	pipes    *pipes
-	room     *frontend.Room
+	room     *frontend.Limiter
 	budget   *framebuf.Budget
 	stop     context.CancelFunc // as SIGTERM does
 	kill     context.CancelFunc
@@ -87,30 +87,30 @@
 // newRigFor has places for a number of clients, and holds itself for one of so many gateways.
 func newRigFor(places, gateways int, mysqlFront bool, hosts ...*fake.Host) *rig {
 	r := &rig{mysql: mysqlFront, hosts: hosts, down: make([]atomic.Bool, len(hosts)), counters: &metrics.Counters{},
-		budget: framebuf.NewBudget(rigBudget), room: frontend.NewRoom(places),
+		budget: framebuf.NewBudget(rigBudget), room: frontend.NewLimiter(places),
 		pipes: &pipes{conns: make(chan net.Conn), done: make(chan struct{})}, ended: make(chan error, 1)}
 	work, kill := context.WithCancel(context.Background())
 	stopped, stop := context.WithCancel(context.Background())
 	r.stop, r.kill = stop, kill
 	var start backend.Starter = pgservers.Start
 	if mysqlFront {
-		start = myservers.Account{User: "svc", Password: rigPassword(hosts), Probe: "SHOW pressure", PrepareFor: 250 * time.Millisecond}.Start
+		start = myservers.Account{User: "svc", Password: rigPassword(hosts), HealthCheck: "SHOW pressure", PrepareTimeout: 250 * time.Millisecond}.Start
 	}
 	r.pool = backend.New(work, backend.Options{Connect: r.dial, Start: start, ConnectTimeout: 250 * time.Millisecond,
-		IdleFor: 20 * time.Second, MostOpen: 100, Gateways: gateways, Counters: r.counters})
-	c, err := core.New(core.Options{Rules: testRules, Seed: 1, AnswerSlack: 20 * time.Millisecond,
-		ProbeTimeout: 250 * time.Millisecond, Counters: r.counters, Monitor: &invariant.Monitor{Counters: r.counters}}, r.pool)
+		IdleTimeout: 20 * time.Second, MaxOpen: 100, Gateways: gateways, Counters: r.counters})
+	c, err := core.New(core.Options{Routing: testRules, Seed: 1, AnswerSlack: 20 * time.Millisecond,
+		HealthCheckTimeout: 250 * time.Millisecond, Counters: r.counters, Monitor: &invariant.Monitor{Counters: r.counters}}, r.pool)
 	if err != nil {
 		panic(err)
 	}
 	r.core = c
 	go c.Run(work)
-	r.list(routing.ListWhole, routing.PhaseOn)
-	var front frontend.Front = postgres.Front{}
+	r.list(routing.EndpointListComplete, routing.PhaseServing)
+	var front frontend.Protocol = postgres.Protocol{}
 	if mysqlFront {
-		front = mysql.Front{}
+		front = mysql.Protocol{}
 	}
-	s := &frontend.Server{Name: "test", Front: front, Core: c, Room: r.room, Budget: r.budget,
+	s := &frontend.Server{Name: "test", Protocol: front, Core: c, Limiter: r.room, Budget: r.budget,
 		Counters: r.counters, Monitor: &invariant.Monitor{Counters: r.counters}}
 	<-c.Ready()
 	go func() { r.ended <- s.Run(stopped, r.pipes) }()
@@ -126,16 +126,16 @@
 }
 
 // list tells of all hosts; phase is that of the last one.
-func (r *rig) list(kind routing.ListKind, phase routing.Phase) {
-	l := core.List{Kind: kind}
+func (r *rig) list(kind routing.EndpointListKind, phase routing.Phase) {
+	l := core.EndpointList{Kind: kind}
 	for i, h := range r.hosts {
-		e := routing.Entry{Member: fmt.Sprint("db-", i), Group: 4, Leader: h.Primary, Size: 1}
+		e := routing.Endpoint{Member: fmt.Sprint("db-", i), Group: 4, Primary: h.Primary, Capacity: 1}
 		if i == len(r.hosts)-1 {
 			e.Phase = phase
 		}
-		l.Hosts = append(l.Hosts, core.Host{Address: e.Member, Entry: e})
+		l.Hosts = append(l.Hosts, core.Host{Address: e.Member, Endpoint: e})
 	}
-	r.core.Members(l)
+	r.core.UpdateEndpoints(l)
 }
 
 func (r *rig) dial(_ context.Context, address string) (net.Conn, error) {
@@ -174,7 +174,7 @@
 	if n := r.counters.Get("violations"); err == nil && n > 0 {
 		err = fmt.Errorf("%d violations: %v", n, r.counters)
 	}
-	if err == nil && !r.budget.Take(rigBudget) {
+	if err == nil && !r.budget.Reserve(rigBudget) {
 		err = errors.New("memory was not given back")
 	}
 	return err
--- a/internal/frontend/idle_test.go
+++ b/internal/frontend/idle_test.go
@@ -40,7 +40,7 @@
 // TestNoRoomForConnections lets a host end new connections with a refusal: that shows that its room is short. Where it
 // turns requests away and leaves connections open, it is the queue that is full.
 func TestNoRoomForConnections(t *testing.T) {
-	for act, want := range map[fake.Act]bool{fake.NoRoom: true, fake.Full: false} {
+	for act, want := range map[fake.Act]bool{fake.NoCapacity: true, fake.Reject: false} {
 		synctest.Test(t, func(t *testing.T) {
 			host := &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act {
 				if id[0] == 'n' {
--- a/internal/frontend/lend.go
+++ b/internal/frontend/lend.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// TooManyLent says that no more places of clients are lent.
-type TooManyLent struct{ Lent, Places int }
+// ReservationLimitError says that no more places of clients are lent.
+type ReservationLimitError struct{ Reserved, Slots int }
 
-func (e TooManyLent) Error() string {
+func (e ReservationLimitError) Error() string {
 	return fmt.Sprintf("%d of %d places for clients are lent to other connections already, which is all that may be; raise limits.sockets or "+
-		"the limit on open files (ulimit -n), or have fewer processes connect", e.Lent, e.Places)
+		"the limit on open files (ulimit -n), or have fewer processes connect", e.Reserved, e.Slots)
 }
 
 // Lend takes a place from the clients for a connection of another kind, so that its descriptor is one that there is. Half of
 // the places may be lent, at most. Where clients hold them all it waits for one: those at rest are let go, the one that has
-// rested longest first, and newcomers get none meanwhile. Errors: TooManyLent, and the context's.
-func (r *Room) Lend(ctx context.Context) (giveBack func(), err error) {
+// rested longest first, and newcomers get none meanwhile. Errors: ReservationLimitError, and the context's.
+func (r *Limiter) Reserve(ctx context.Context) (giveBack func(), err error) {
 	r.mu.Lock()
 	if r.lent >= r.whole/2 {
 		defer r.mu.Unlock()
-		return nil, TooManyLent{r.lent, r.whole}
+		return nil, ReservationLimitError{r.lent, r.whole}
 	}
 	r.lent++
 	for {
@@ -49,7 +49,7 @@
 }
 
 // giveBack returns a place to the clients.
-func (r *Room) giveBack() {
+func (r *Limiter) giveBack() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lent--
@@ -61,7 +61,7 @@
 }
 
 // back says that a place was given back. r.mu is held.
-func (r *Room) back() {
+func (r *Limiter) back() {
 	if r.returned != nil {
 		close(r.returned)
 		r.returned = nil
@@ -69,7 +69,7 @@
 }
 
 // owes is how many clients hold places that are lent, less those that are leaving. r.mu is held.
-func (r *Room) owes() int {
+func (r *Limiter) owes() int {
 	n := len(r.sessions) + r.lent - r.whole
 	if n <= 0 {
 		return 0
@@ -83,7 +83,7 @@
 }
 
 // askFirst asks the session to leave that has rested longest. r.mu is held.
-func (r *Room) askFirst() {
+func (r *Limiter) askFirst() {
 	var first *Session
 	for s := range r.sessions {
 		if !s.resting.IsZero() && (first == nil || s.resting.Before(first.resting)) {
@@ -96,4 +96,4 @@
 }
 
 // places is how many clients the room takes now. r.mu is held.
-func (r *Room) places() int { return max(1, min(r.size, r.whole-r.lent)) }
+func (r *Limiter) places() int { return max(1, min(r.size, r.whole-r.lent)) }
--- a/internal/frontend/lend_test.go
+++ b/internal/frontend/lend_test.go
@@ -26,13 +26,13 @@
 			}
 			defer c.Close()
 		}
-		if free := rig.room.Free(); free != 0 {
+		if free := rig.room.FreeShare(); free != 0 {
 			return fmt.Errorf("%v of the room is free", free)
 		}
 		var back []func()
 		for i := range places / 2 {
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-			giveBack, err := rig.room.Lend(ctx)
+			giveBack, err := rig.room.Reserve(ctx)
 			cancel()
 			if err != nil {
 				return fmt.Errorf("place %d: %w", i, err)
@@ -42,8 +42,8 @@
 			}
 			back = append(back, giveBack)
 		}
-		var many frontend.TooManyLent
-		if _, err := rig.room.Lend(context.Background()); !errors.As(err, &many) || many.Lent != places/2 || !strings.Contains(err.Error(), "limits.sockets") {
+		var many frontend.ReservationLimitError
+		if _, err := rig.room.Reserve(context.Background()); !errors.As(err, &many) || many.Reserved != places/2 || !strings.Contains(err.Error(), "limits.sockets") {
 			return fmt.Errorf("past the half: %v", err)
 		}
 		for i := range 2 { // newcomers take idle clients' places, not lent ones
--- a/internal/frontend/model_test.go
+++ b/internal/frontend/model_test.go
@@ -95,7 +95,7 @@
 		case "drain":
 			if drained.IsZero() {
 				drained = time.Now()
-				rig.list(routing.ListWhole, routing.PhaseDraining)
+				rig.list(routing.EndpointListComplete, routing.PhaseDraining)
 			}
 		default:
 			if !mysqlFront {
--- a/internal/frontend/mysql/mysql.go
+++ b/internal/frontend/mysql/mysql.go
@@ -37,7 +37,7 @@
 var (
 	errTooMany   = mysqlwire.Error{Code: 1040, State: "08004", Text: "too many clients"}
 	errCommand   = mysqlwire.Error{Code: 1047, State: "08S01", Text: "command not served"}
-	errOpen      = mysqlwire.Error{Code: 1062, State: "23000", Text: frontend.ErrOpen.Error()}
+	errOpen      = mysqlwire.Error{Code: 1062, State: "23000", Text: frontend.ErrDuplicateID.Error()}
 	errSyntax    = mysqlwire.Error{Code: 1064, State: "42000"}
 	errFailed    = mysqlwire.Error{Code: 1105, State: "HY000", Text: "failed, it may have run"}
 	errMemory    = mysqlwire.Error{Code: 1041, State: "HY000", Text: "no memory left for it, nothing has run"}
@@ -49,20 +49,20 @@
 )
 
 // Front speaks the MySQL protocol.
-type Front struct{}
+type Protocol struct{}
 
 // Limit bounds a packet's size, with its header.
-func (Front) Limit() int { return mysqlwire.MaxPacket + 4 }
+func (Protocol) MaxMessageBytes() int { return mysqlwire.MaxPacket + 4 }
 
-// TurnAway refuses a client for which there is no room.
-func (Front) TurnAway(c net.Conn) {
+// Reject refuses a client for which there is no room.
+func (Protocol) Reject(c net.Conn) {
 	var w mysqlwire.Writer
 	w.Err(errTooMany, 0)
 	c.Write(w.B)
 }
 
 // Serve talks to one client.
-func (Front) Serve(x *frontend.Session) error {
+func (Protocol) Serve(x *frontend.Session) error {
 	c := &client{Session: x, statements: map[uint32]*prepared{}}
 	defer c.drop()
 	if err := c.login(); err != nil {
@@ -146,11 +146,11 @@
 		c.w.Reset(c.w.Seq)
 		c.w.Err(errTooLarge, c.caps)
 		c.Send(c.w.B)
-	case errors.Is(err, framebuf.ErrNoRoom): // nothing of it was taken
+	case errors.Is(err, framebuf.ErrBudgetExhausted): // nothing of it was taken
 		c.w.Reset(c.w.Seq)
 		c.w.Err(errMemory, c.caps)
 		c.Send(c.w.B)
-	case errors.Is(err, frontend.ErrFaults):
+	case errors.Is(err, frontend.ErrTooManyFaults):
 		c.Send(c.w.B) // the last error ends it
 	case errors.Is(err, mysqlwire.ErrMalformed):
 		c.w.Reset(c.w.Seq)
@@ -172,12 +172,12 @@
 func (c *client) let(s *prepared) {
 	s.Drop()
 	c.forgetLong(s)
-	c.Budget().Give(len(s.Text))
+	c.Budget().Release(len(s.Text))
 }
 
 // forgetLong drops the values that came ahead.
 func (c *client) forgetLong(s *prepared) {
-	c.Budget().Give(s.size)
+	c.Budget().Release(s.size)
 	s.long, s.size, s.spoilt = nil, 0, false
 }
 
@@ -187,7 +187,7 @@
 		e.Text = text
 	}
 	c.w.Err(e, c.caps)
-	c.faults = c.Fault()
+	c.faults = c.RecordFault()
 }
 
 // command answers one command. An error means that the connection must end.
@@ -232,7 +232,7 @@
 
 func (c *client) ok() {
 	c.w.OK(mysqlwire.HeadOK, mysqlwire.OK{}, c.caps)
-	c.Good()
+	c.RecordSuccess()
 }
 
 // statement finds the statement that a command names, or answers that there is none.
@@ -261,7 +261,7 @@
 	if len(bytes.Trim(trimmed, ";")) == 0 {
 		<-c.Core().Ready()
 		c.w.Err(mysqlwire.Error{Code: 1065, State: "42000", Text: "query was empty"}, c.caps)
-		c.Good()
+		c.RecordSuccess()
 		return nil
 	}
 	meta, err := sqlcomment.Parse(text)
@@ -288,7 +288,7 @@
 		return nil
 	}
 	s := &prepared{Statement: &mysqlwire.Statement{Text: string(text), Meta: meta}}
-	if !c.Budget().Take(len(text)) { // it stays as long as the client wants it
+	if !c.Budget().Reserve(len(text)) { // it stays as long as the client wants it
 		c.err(errMemory, "")
 		return nil
 	}
@@ -318,7 +318,7 @@
 	}
 	long, spoilt := s.long, s.spoilt
 	all := cursor.Execute(c.caps, s.Params, s.bound, long)
-	defer c.Budget().Give(s.size) // only once the request has its answer
+	defer c.Budget().Release(s.size) // only once the request has its answer
 	s.size = 0
 	c.forgetLong(s)
 	if cursor.Err != nil || spoilt {
@@ -343,7 +343,7 @@
 		return nil
 	}
 	n := len(cursor.B)
-	if s.spoilt || i >= s.Params || s.size+n > mysqlwire.MaxPacket/2 || !c.Budget().Take(n) {
+	if s.spoilt || i >= s.Params || s.size+n > mysqlwire.MaxPacket/2 || !c.Budget().Reserve(n) {
 		c.forgetLong(s)
 		s.spoilt = true
 		return nil
@@ -374,9 +374,9 @@
 		return nil
 	}
 	command.Meta = meta
-	a, err := c.Ask(&core.Request{Class: meta.Class, Group: meta.Group, Session: meta.Key, Wait: meta.Wait,
-		After: meta.After, Repeat: meta.Repeat, Payload: command}, meta.ID, size)
-	if errors.Is(err, frontend.ErrOpen) {
+	a, err := c.Ask(&core.Request{Class: meta.Class, Group: meta.Group, Session: meta.Key, Timeout: meta.Timeout,
+		MinPosition: meta.MinPosition, Retry: meta.Retry, Payload: command}, meta.ID, size)
+	if errors.Is(err, frontend.ErrDuplicateID) {
 		c.err(errOpen, "")
 		return nil
 	} else if err != nil {
@@ -392,10 +392,10 @@
 
 // unserved writes the answer to a request that was refused or has failed.
 func (c *client) unserved(a core.Answer) {
-	if a.Status == core.Refused && a.ComeBack > 0 {
+	if a.Status == core.Rejected && a.RetryAfter > 0 {
 		c.err(errRefused, fmt.Sprintf("%s; retry_after_ms=%d", errRefused.Text,
-			(a.ComeBack+time.Millisecond-1)/time.Millisecond))
-	} else if a.Status == core.Refused {
+			(a.RetryAfter+time.Millisecond-1)/time.Millisecond))
+	} else if a.Status == core.Rejected {
 		c.err(errRefused, "")
 	} else {
 		c.err(errFailed, "")
--- a/internal/frontend/nodelay_test.go
+++ b/internal/frontend/nodelay_test.go
@@ -90,7 +90,7 @@
 	if taken.(*net.TCPConn).SetNoDelay(false); noDelay(t, taken) {
 		t.Fatal("the option can't be seen")
 	}
-	if err := s.Pass(fdpass.Conn{Conn: taken, Front: "postgres"}); err != nil {
+	if err := s.Send(fdpass.Conn{Conn: taken, Protocol: "postgres"}); err != nil {
 		t.Fatal(err)
 	}
 	select {
--- a/internal/frontend/outcomes_test.go
+++ b/internal/frontend/outcomes_test.go
@@ -17,7 +17,7 @@
 // TestOutcomesAreAlike guards the promise that both protocols, and both ways to send a MySQL statement, turn what
 // a host does into the same answer, and run a statement the same number of times.
 func TestOutcomesAreAlike(t *testing.T) {
-	const s, m, f, e, r, x, j = fake.Serve, fake.Miss, fake.Full, fake.Error, fake.Reset, fake.Silent, fake.Reject
+	const s, m, f, e, r, x, j = fake.Serve, fake.Miss, fake.Reject, fake.Error, fake.Reset, fake.Silent, fake.InvalidStatement
 	for _, c := range []struct {
 		class string
 		acts  []fake.Act // of the attempts in order; the last goes on
@@ -204,7 +204,7 @@
 				return err
 			}
 			defer a.leave()
-			rig.list(routing.ListWhole, routing.PhaseDraining)
+			rig.list(routing.EndpointListComplete, routing.PhaseDraining)
 			synctest.Wait()
 			got, err := a.ask("look", "q1")
 			if err != nil || got.Outcome != "refused" || rig.hosts[0].Ran("q1") != 0 {
--- a/internal/frontend/pipelined_test.go
+++ b/internal/frontend/pipelined_test.go
@@ -39,7 +39,7 @@
 			host.Act = func(id, text string, _ bool) fake.Act {
 				s, _ := sqlcomment.Parse([]byte(text))
 				mu.Lock()
-				told[id] = s.Wait
+				told[id] = s.Timeout
 				mu.Unlock()
 				if id == "slow" {
 					time.Sleep(300 * time.Millisecond)
@@ -126,8 +126,8 @@
 			s, e := sqlcomment.Parse([]byte(text))
 			mu.Lock()
 			left := time.Until(written[i].Add(plan[i].Wait))
-			if e != nil || left < 0 || s.Wait > left+time.Millisecond {
-				fault = cmp.Or(fault, fmt.Errorf("%s is told %v with %v left, %v", id, s.Wait, left, e))
+			if e != nil || left < 0 || s.Timeout > left+time.Millisecond {
+				fault = cmp.Or(fault, fmt.Errorf("%s is told %v with %v left, %v", id, s.Timeout, left, e))
 			}
 			calls[id]++
 			act := plan[i].Acts[min(calls[id], len(plan[i].Acts))-1]
--- a/internal/frontend/postgres/postgres.go
+++ b/internal/frontend/postgres/postgres.go
@@ -29,21 +29,21 @@
 )
 
 // Front speaks the platform's protocol.
-type Front struct{}
+type Protocol struct{}
 
 // Limit bounds a message's size.
-func (Front) Limit() int { return pgwire.MaxMessage }
+func (Protocol) MaxMessageBytes() int { return pgwire.MaxMessage }
 
-// TurnAway refuses a client for which there is no room.
-func (Front) TurnAway(c net.Conn) {
+// Reject refuses a client for which there is no room.
+func (Protocol) Reject(c net.Conn) {
 	c.Write(pgwire.AppendError(nil, "FATAL", codeRefused, "too many clients", ""))
 }
 
 // Serve talks to one client.
-func (Front) Serve(x *frontend.Session) error {
+func (Protocol) Serve(x *frontend.Session) error {
 	c := &client{Session: x}
-	x.Moves = true
-	if !x.Resumes() {
+	x.Transferable = true
+	if !x.Resumed() {
 		if ok, err := c.startup(); !ok || err != nil {
 			return c.fatal(err)
 		}
@@ -51,7 +51,7 @@
 	for {
 		var kind byte
 		var body []byte
-		x.Moves = !c.skipping
+		x.Transferable = !c.skipping
 		err := x.Next(func() (err error) { kind, body, err = pgwire.ReadMessage(x.Conn); return err })
 		if err != nil {
 			return c.fatal(err)
@@ -70,7 +70,7 @@
 			if c.skipping = kind != 'F'; !c.skipping {
 				c.out = pgwire.AppendReady(c.out)
 			}
-			err = c.Fault()
+			err = c.RecordFault()
 		case 'S':
 			c.skipping = false
 			c.out = pgwire.AppendReady(c.out)
@@ -130,9 +130,9 @@
 	switch {
 	case errors.Is(err, framebuf.ErrTooLarge):
 		c.Send(pgwire.AppendError(nil, "FATAL", codeTooLarge, "message too large", ""))
-	case errors.Is(err, framebuf.ErrNoRoom): // nothing of it was taken
+	case errors.Is(err, framebuf.ErrBudgetExhausted): // nothing of it was taken
 		c.Send(pgwire.AppendError(nil, "FATAL", codeRefused, "no memory for a message", ""))
-	case errors.Is(err, frontend.ErrFaults):
+	case errors.Is(err, frontend.ErrTooManyFaults):
 		c.Send(pgwire.AppendError(nil, "FATAL", codeSyntax, "too many messages at fault", ""))
 	case errors.Is(err, pgwire.ErrMalformed):
 		c.Send(pgwire.AppendError(nil, "FATAL", codeProtocol, "malformed message", ""))
@@ -148,7 +148,7 @@
 	}
 	if len(bytes.Trim(text, " \t\r\n;")) == 0 {
 		<-c.Core().Ready()
-		if c.Good(); c.Away() {
+		if c.RecordSuccess(); c.Draining() {
 			c.out = pgwire.AppendError(c.out, "ERROR", codeAway, "this gateway sends its clients away", "")
 		} else {
 			c.out = pgwire.Append(c.out, 'I')
@@ -164,32 +164,32 @@
 	}
 	var a core.Answer
 	if err == nil {
-		a, err = c.Ask(&core.Request{Class: s.Class, Group: s.Group, Session: s.Key, Wait: s.Wait, After: s.After,
-			Repeat: s.Repeat, Payload: s}, s.ID, len(text))
-		if err != nil && !errors.Is(err, frontend.ErrOpen) {
+		a, err = c.Ask(&core.Request{Class: s.Class, Group: s.Group, Session: s.Key, Timeout: s.Timeout, MinPosition: s.MinPosition,
+			Retry: s.Retry, Payload: s}, s.ID, len(text))
+		if err != nil && !errors.Is(err, frontend.ErrDuplicateID) {
 			return err
 		}
 	}
 	if err != nil {
 		c.Counters().Add("postgres_statements_unknown", 1)
 		c.out = pgwire.AppendReady(pgwire.AppendError(c.out, "ERROR", codeSyntax, err.Error(), ""))
-		return c.Fault()
+		return c.RecordFault()
 	}
 	switch a.Status {
 	case core.Served:
 		if long, ok := a.Value.(io.WriterTo); ok {
-			if n, err := long.WriteTo(c.Session.Slowly()); err != nil { // the client sees that it is not whole
+			if n, err := long.WriteTo(c.Session.StreamWriter()); err != nil { // the client sees that it is not whole
 				c.Counters().Add("streams_cut", 1)
 				slog.Warn("stream_cut", "id", s.ID, "bytes", n, "error", err)
-				return frontend.ErrGone
+				return frontend.ErrDisconnected
 			}
 			break
 		}
 		c.out = append(c.out, a.Value.([]byte)...)
-	case core.Refused:
+	case core.Rejected:
 		after := ""
-		if a.ComeBack > 0 {
-			after = strconv.FormatInt(int64((a.ComeBack+time.Millisecond-1)/time.Millisecond), 10)
+		if a.RetryAfter > 0 {
+			after = strconv.FormatInt(int64((a.RetryAfter+time.Millisecond-1)/time.Millisecond), 10)
 		}
 		c.out = pgwire.AppendError(c.out, "ERROR", codeRefused, "refused, nothing has run", after)
 	case core.Failed:
--- a/internal/frontend/room.go
+++ b/internal/frontend/room.go
@@ -20,11 +20,11 @@
 
 // Room is the places of all fronts' clients, a descriptor for each. Where none is left, a client that has nothing
 // open is let go for the next: silent and forgotten connections must not keep others out.
-type Room struct {
+type Limiter struct {
 	whole int // places in all, a descriptor each
 	lobby lobby
 
-	plan atomic.Pointer[drain.Plan] // nil: clients are welcome
+	plan atomic.Pointer[drain.Schedule] // nil: clients are welcome
 
 	mu       sync.Mutex
 	size     int           // places for clients, where none is lent
@@ -39,9 +39,9 @@
 	keeps    bool // idle clients are not let go before there is no place left
 }
 
-// NewRoom returns a room with a number of places.
-func NewRoom(size int) *Room {
-	return &Room{whole: size, size: size, lobby: make(lobby, Lobby(size)), sessions: map[*Session]bool{}}
+// NewLimiter returns a room with a number of places.
+func NewLimiter(size int) *Limiter {
+	return &Limiter{whole: size, size: size, lobby: make(lobby, RejectQueueSize(size)), sessions: map[*Session]bool{}}
 }
 
 // lobby holds one for each client in it.
@@ -60,11 +60,11 @@
 func (l lobby) leave() { <-l }
 
 // Lobby is how many clients a room of so many places turns away at once. Each of them holds a descriptor beside the places.
-func Lobby(size int) int { return max(1, min(mostLobby, size/4)) }
+func RejectQueueSize(size int) int { return max(1, min(mostLobby, size/4)) }
 
 // Waits tells of a class's deadline. The longest says how soon after a stop the process may be killed, the shortest how
 // long a new client may wait for its place.
-func (r *Room) Waits(deadline time.Duration) {
+func (r *Limiter) ObserveDeadline(deadline time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.shortest == 0 || deadline < r.shortest {
@@ -74,21 +74,21 @@
 }
 
 // Longest is the longest of these deadlines.
-func (r *Room) Longest() time.Duration {
+func (r *Limiter) MaxDeadline() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.longest
 }
 
 // Free is the share of places that no client holds.
-func (r *Room) Free() float64 {
+func (r *Limiter) FreeShare() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return max(0, 1-float64(len(r.sessions))/float64(r.places()))
 }
 
 // take gives a session a place if there is one.
-func (r *Room) take(x *Session) bool {
+func (r *Limiter) take(x *Session) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.sessions) >= r.places() {
@@ -99,7 +99,7 @@
 }
 
 // enter gives a session a place as soon as there is one. False says that there won't be soon.
-func (r *Room) enter(x *Session) bool {
+func (r *Limiter) enter(x *Session) bool {
 	r.mu.Lock()
 	r.waiting++
 	wait := roomFor
@@ -131,7 +131,7 @@
 
 // force gives a session a place, also where there is none: it held one in another process till now. The one that has rested
 // longest gives way for it then: two processes' idle clients must not take the descriptors of all else.
-func (r *Room) force(x *Session) {
+func (r *Limiter) force(x *Session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sessions[x] = true
@@ -150,7 +150,7 @@
 
 // try gives a session a place, or asks the one to leave whose time is up first, unless one is leaving for each newcomer that
 // waits. It tells when that is, never if all have something open, and what is closed as a place is given back.
-func (r *Room) try(x *Session, now time.Time) (entered bool, due time.Time, freed <-chan struct{}) {
+func (r *Limiter) try(x *Session, now time.Time) (entered bool, due time.Time, freed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.sessions) < r.places() {
@@ -193,7 +193,7 @@
 // thin asks clients to leave that have been idle longest, where more than half of the places are held by clients
 // that have asked something and are idle. Clients count their own connections too: who has come to the end of them
 // does not come to us for another, and so would never push an idle one out.
-func (r *Room) thin(now time.Time) {
+func (r *Limiter) thin(now time.Time) {
 	if r.keeps {
 		return
 	}
@@ -215,7 +215,7 @@
 }
 
 // leave gives a session's place back.
-func (r *Room) leave(x *Session) {
+func (r *Limiter) leave(x *Session) {
 	r.mu.Lock()
 	delete(r.sessions, x)
 	if x.ending {
@@ -230,7 +230,7 @@
 }
 
 // letGo says that a session ends as its place is wanted. It holds the place until its connection is closed.
-func (r *Room) letGo(x *Session) {
+func (r *Limiter) letGo(x *Session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x.ending = true
@@ -238,7 +238,7 @@
 }
 
 // rest says that a session has nothing open from now on, and work that it has.
-func (r *Room) rest(x *Session) {
+func (r *Limiter) rest(x *Session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x.resting, x.silent = time.Now(), !x.proves.IsZero()
@@ -249,28 +249,28 @@
 	}
 }
 
-func (r *Room) work(x *Session) {
+func (r *Limiter) work(x *Session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x.resting = time.Time{}
 	x.leaving.Store(false)
 }
 
-// SendAway has all clients' connections end, each when that crosses nothing. New ones are still taken, for a request
+// Drain has all clients' connections end, each when that crosses nothing. New ones are still taken, for a request
 // each. Twice is the same as once.
-func (r *Room) SendAway() {
-	r.replan(func(p *drain.Plan) *drain.Plan {
+func (r *Limiter) Drain() {
+	r.replan(func(p *drain.Schedule) *drain.Schedule {
 		if p != nil {
 			return p
 		}
-		return drain.Begin(time.Now(), r.longest)
+		return drain.Start(time.Now(), r.longest)
 	})
 }
 
-// TakeBack has clients welcome again. Connections whose end has begun end. False says that the process ends or has been
+// Undrain has clients welcome again. Connections whose end has begun end. False says that the process ends or has been
 // followed by another, and clients are not taken again.
-func (r *Room) TakeBack() bool {
-	return r.replan(func(p *drain.Plan) *drain.Plan {
+func (r *Limiter) Undrain() bool {
+	return r.replan(func(p *drain.Schedule) *drain.Schedule {
 		if p.Final() {
 			return p
 		}
@@ -279,18 +279,20 @@
 }
 
 // Stop sends clients away for good, as the process ends; Pass does as another process takes them from now on.
-func (r *Room) Stop() {
-	r.replan(func(p *drain.Plan) *drain.Plan { return p.Stop(time.Now(), r.longest) })
+func (r *Limiter) Shutdown() {
+	r.replan(func(p *drain.Schedule) *drain.Schedule { return p.Stop(time.Now(), r.longest) })
 }
 
 // Pass is described at Stop.
-func (r *Room) Pass() { r.replan(func(p *drain.Plan) *drain.Plan { return p.Pass(time.Now()) }) }
+func (r *Limiter) Handover() {
+	r.replan(func(p *drain.Schedule) *drain.Schedule { return p.Handover(time.Now()) })
+}
 
 // Return undoes Pass, as the other process is gone.
-func (r *Room) Return() { r.replan((*drain.Plan).Return) }
+func (r *Limiter) CancelHandover() { r.replan((*drain.Schedule).CancelHandover) }
 
 // replan replaces the plan and has all sessions look anew at what holds.
-func (r *Room) replan(next func(*drain.Plan) *drain.Plan) *drain.Plan {
+func (r *Limiter) replan(next func(*drain.Schedule) *drain.Schedule) *drain.Schedule {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := r.plan.Load()
@@ -306,7 +308,7 @@
 }
 
 // Thin says whether idle clients are let go before there is no place left, as they are at first.
-func (r *Room) Thin(on bool) {
+func (r *Limiter) SetEvictIdle(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.keeps = !on
@@ -314,11 +316,11 @@
 
 // Resize changes the number of places. Where more are held than there are now, idle clients give way as others come to
 // rest.
-func (r *Room) Resize(size int) {
+func (r *Limiter) Resize(size int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.size = max(1, size)
 }
 
 // Away says whether clients are sent away.
-func (r *Room) Away() bool { return r.plan.Load() != nil }
+func (r *Limiter) Draining() bool { return r.plan.Load() != nil }
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -16,18 +16,18 @@
 // is its mailbox.
 type Session struct {
 	*framebuf.Conn
-	server  *Server
-	born    time.Time // when it was taken
-	slot    int       // spreads what many sessions do at one time
-	asked   bool      // it has had an answer
-	resumes bool      // it has started up in another process
-	Moves   bool      // nothing is known of it but what Resumes tells: another process may go on with it; set by the front
-	starts  time.Time // until when the client must have said who it is; zero once it has
-	proves  time.Time // until when a first request must be whole; zero once one was good
-	arrived time.Time // when the last byte of the message in hand came; it may have stood behind others since
-	faults  int       // messages in a row that could not be used
-	owes    bool      // a message was read that has no answer yet, for the guard on closes alone
-	lastID  string    // the id of the last request, for the log
+	server       *Server
+	born         time.Time // when it was taken
+	slot         int       // spreads what many sessions do at one time
+	asked        bool      // it has had an answer
+	resumes      bool      // it has started up in another process
+	Transferable bool      // nothing is known of it but what Resumes tells: another process may go on with it; set by the front
+	starts       time.Time // until when the client must have said who it is; zero once it has
+	proves       time.Time // until when a first request must be whole; zero once one was good
+	arrived      time.Time // when the last byte of the message in hand came; it may have stood behind others since
+	faults       int       // messages in a row that could not be used
+	owes         bool      // a message was read that has no answer yet, for the guard on closes alone
+	lastID       string    // the id of the last request, for the log
 
 	leaving atomic.Bool // its place is wanted: it ends unless something has come
 	resting time.Time   // since when nothing is open, zero while something is; like the next two, owned by the room
@@ -36,7 +36,7 @@
 }
 
 // Away says whether clients are sent away: who asks whether this gateway serves is owed a no.
-func (x *Session) Away() bool { return x.server.Room.Away() }
+func (x *Session) Draining() bool { return x.server.Limiter.Draining() }
 
 // Core is the core that the session asks.
 func (x *Session) Core() *core.Core { return x.server.Core }
@@ -48,7 +48,7 @@
 func (x *Session) Counters() *metrics.Counters { return x.server.Counters }
 
 // Resumes says that the client has started up in another process, and had its welcome there.
-func (x *Session) Resumes() bool { return x.resumes }
+func (x *Session) Resumed() bool { return x.resumes }
 
 // Started says that the client has said who it is.
 func (x *Session) Started() { x.starts = time.Time{} }
@@ -59,14 +59,14 @@
 func (x *Session) Next(read func() error) error {
 	x.owes = false // the front has come back: it has answered, or nothing was owed
 	if x.Buffered() == 0 {
-		x.server.Room.rest(x)
+		x.server.Limiter.rest(x)
 	}
 	// An answer has gone out just now, or nothing has been asked. Later is no time to end for one that is idle: its
 	// client may be about to ask.
-	behind := x.asked && x.server.Room.plan.Load().Behind(time.Now())
+	behind := x.asked && x.server.Limiter.plan.Load().CloseAfterAnswer(time.Now())
 	for x.Buffered() == 0 {
-		plan := x.server.Room.plan.Load()
-		if plan.Passes() && x.Moves && x.server.Pass != nil && x.server.Pass(x.Conn.Conn, x.starts.IsZero(), x.asked) {
+		plan := x.server.Limiter.plan.Load()
+		if plan.HandsOver() && x.Transferable && x.server.Pass != nil && x.server.Pass(x.Conn.Conn, x.starts.IsZero(), x.asked) {
 			x.server.Counters.Add(x.server.Name+"_clients_passed", 1)
 			return errPassed
 		}
@@ -76,14 +76,14 @@
 			}
 			break
 		}
-		until, idle := x.starts, plan.Idle(x.born, x.slot)
+		until, idle := x.starts, plan.IdleDeadline(x.born, x.slot)
 		if !idle.IsZero() && (until.IsZero() || idle.Before(until)) {
 			until = idle
 		}
 		// What holds now may change before the wait begins: a wake is missed only if it does not.
-		err := x.Park(until, func() bool { return x.leaving.Load() || x.server.Room.plan.Load() != plan })
+		err := x.Park(until, func() bool { return x.leaving.Load() || x.server.Limiter.plan.Load() != plan })
 		if err != nil && errors.Is(err, os.ErrDeadlineExceeded) && until.Equal(idle) {
-			if x.server.Room.plan.Load() == nil { // taken back meanwhile
+			if x.server.Limiter.plan.Load() == nil { // taken back meanwhile
 				continue
 			} else if err := x.endIdle(); err != nil {
 				return err
@@ -94,9 +94,9 @@
 			return x.gone(err)
 		}
 	}
-	x.server.Room.work(x)
+	x.server.Limiter.work(x)
 	err := x.whole(read)
-	if x.arrived = x.Came(); err != nil {
+	if x.arrived = x.ArrivedAt(); err != nil {
 		return x.gone(err)
 	}
 	x.owes = true
@@ -105,7 +105,7 @@
 
 // whole calls read until it has a whole message, the message's time is up, or nothing of it has come for stalledFor.
 func (x *Session) whole(read func() error) error {
-	end := x.server.Room.plan.Load().Read(time.Now(), x.messageUntil())
+	end := x.server.Limiter.plan.Load().ReadDeadline(time.Now(), x.messageUntil())
 	for {
 		had := x.Buffered()
 		x.SetReadDeadline(earlier(end, time.Now().Add(stalledFor)))
@@ -150,9 +150,9 @@
 	if !x.Alive() {
 		return nil
 	}
-	if x.server.Room.plan.Load() == nil {
+	if x.server.Limiter.plan.Load() == nil {
 		x.server.Counters.Add(x.server.Name+"_clients_let_go", 1)
-		x.server.Room.letGo(x)
+		x.server.Limiter.letGo(x)
 		return errLetGo
 	}
 	x.server.Counters.Add(x.server.Name+"_clients_sent_away", 1)
@@ -161,30 +161,30 @@
 
 // gone names an error that only says that the client has left.
 func (x *Session) gone(err error) error {
-	if errors.Is(err, framebuf.ErrTooLarge) || errors.Is(err, framebuf.ErrNoRoom) || errors.Is(err, os.ErrDeadlineExceeded) {
+	if errors.Is(err, framebuf.ErrTooLarge) || errors.Is(err, framebuf.ErrBudgetExhausted) || errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
 	var op *net.OpError
 	if errors.As(err, &op) || errors.Is(err, net.ErrClosed) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrClosedPipe) {
-		return ErrGone
+		return ErrDisconnected
 	}
 	return err
 }
 
-// Fault counts a message that could not be used. ErrFaults says that the client has sent enough of them.
-func (x *Session) Fault() error {
+// Fault counts a message that could not be used. ErrTooManyFaults says that the client has sent enough of them.
+func (x *Session) RecordFault() error {
 	if x.faults++; x.faults >= mostFaults {
-		return ErrFaults
+		return ErrTooManyFaults
 	}
 	return nil
 }
 
 // Good says that a message could be used.
-func (x *Session) Good() { x.faults, x.asked = 0, true }
+func (x *Session) RecordSuccess() { x.faults, x.asked = 0, true }
 
 // Slowly returns a writer for answers that are passed on as they come: a client may be as slow as it likes, so long as it
 // takes something.
-func (x *Session) Slowly() io.Writer { return slowly{x} }
+func (x *Session) StreamWriter() io.Writer { return slowly{x} }
 
 type slowly struct{ x *Session }
 
@@ -195,7 +195,7 @@
 		m, err := s.x.Write(b[n:])
 		n += m
 		if err != nil && (m == 0 || !errors.Is(err, os.ErrDeadlineExceeded)) {
-			return n, ErrGone
+			return n, ErrDisconnected
 		}
 	}
 	return n, nil
@@ -206,7 +206,7 @@
 	x.owes = false // also where the client takes nothing
 	x.SetWriteDeadline(time.Now().Add(writeFor))
 	if _, err := x.Write(b); err != nil {
-		return ErrGone
+		return ErrDisconnected
 	}
 	return nil
 }
--- a/internal/frontend/spoilt_test.go
+++ b/internal/frontend/spoilt_test.go
@@ -16,29 +16,29 @@
 )
 
 // spoils are the ways in which an answer goes bad. Each gets an answer and a random number.
-var spoils = map[string]func(b []byte, n int) fake.Spoilt{
-	"noise": func(b []byte, n int) fake.Spoilt {
+var spoils = map[string]func(b []byte, n int) fake.Malformed{
+	"noise": func(b []byte, n int) fake.Malformed {
 		out := bytes.Repeat([]byte{byte(n), 0x97, 0xd4}, 20)
-		return fake.Spoilt{Answer: out, Dead: true}
+		return fake.Malformed{Answer: out, Dead: true}
 	},
-	"an unending line": func(b []byte, n int) fake.Spoilt {
-		return fake.Spoilt{Answer: bytes.Repeat([]byte("x"), 300<<10), Dead: true}
+	"an unending line": func(b []byte, n int) fake.Malformed {
+		return fake.Malformed{Answer: bytes.Repeat([]byte("x"), 300<<10), Dead: true}
 	},
-	"cut short": func(b []byte, n int) fake.Spoilt { return fake.Spoilt{Answer: b[:n%len(b)], Dead: true} },
-	"a length that does not fit": func(b []byte, n int) fake.Spoilt {
+	"cut short": func(b []byte, n int) fake.Malformed { return fake.Malformed{Answer: b[:n%len(b)], Dead: true} },
+	"a length that does not fit": func(b []byte, n int) fake.Malformed {
 		out := bytes.Clone(b)
 		at := []int{1, 2, 3, 4, 31, 32, 33, 34}[n%8] // in the description's frame, and in what follows it
 		out[at] ^= byte(1 + n%255)
-		return fake.Spoilt{Answer: out, Dead: true}
+		return fake.Malformed{Answer: out, Dead: true}
 	},
-	"the same twice": func(b []byte, n int) fake.Spoilt {
-		return fake.Spoilt{Answer: b, Surplus: b, After: time.Duration(n%90) * time.Millisecond}
+	"the same twice": func(b []byte, n int) fake.Malformed {
+		return fake.Malformed{Answer: b, Surplus: b, After: time.Duration(n%90) * time.Millisecond}
 	},
-	"noise after it": func(b []byte, n int) fake.Spoilt {
-		return fake.Spoilt{Answer: b, Surplus: []byte{byte(n), 7, 7, 7, 7, 7}, After: time.Duration(n%90) * time.Millisecond}
+	"noise after it": func(b []byte, n int) fake.Malformed {
+		return fake.Malformed{Answer: b, Surplus: []byte{byte(n), 7, 7, 7, 7, 7}, After: time.Duration(n%90) * time.Millisecond}
 	},
-	"all in one piece": func(b []byte, n int) fake.Spoilt {
-		return fake.Spoilt{Answer: append(bytes.Clone(b), b...)}
+	"all in one piece": func(b []byte, n int) fake.Malformed {
+		return fake.Malformed{Answer: append(bytes.Clone(b), b...)}
 	},
 }
 
@@ -59,13 +59,13 @@
 	for _, mysqlFront := range []bool{false, true} {
 		check(t, plans, func(plan []step) error {
 			var ways sync.Map
-			spoil := func(id string, b []byte) fake.Spoilt {
+			spoil := func(id string, b []byte) fake.Malformed {
 				if s, ok := ways.LoadAndDelete(id); ok { // only its first answer
 					return spoils[s.(step).How](b, s.(step).N)
 				}
-				return fake.Spoilt{Answer: b}
+				return fake.Malformed{Answer: b}
 			}
-			rig := newRig(mysqlFront, &fake.Host{Primary: true, Spoil: spoil}, &fake.Host{Spoil: spoil})
+			rig := newRig(mysqlFront, &fake.Host{Primary: true, Malform: spoil}, &fake.Host{Malform: spoil})
 			defer rig.close()
 			for i, s := range plan {
 				if !mysqlFront {
@@ -103,11 +103,11 @@
 func TestSpoiltAnswerIsNoFault(t *testing.T) {
 	inBubble(t, func() error {
 		var sent atomic.Int32
-		rig := newRig(false, &fake.Host{Primary: true, Spoil: func(_ string, b []byte) fake.Spoilt {
+		rig := newRig(false, &fake.Host{Primary: true, Malform: func(_ string, b []byte) fake.Malformed {
 			if sent.Add(1) <= 3 {
 				return spoils["noise"](b, 1)
 			}
-			return fake.Spoilt{Answer: b}
+			return fake.Malformed{Answer: b}
 		}})
 		defer rig.close()
 		for i, want := range []string{"failed", "failed", "failed", "served", "served"} {
--- a/internal/frontend/stream_test.go
+++ b/internal/frontend/stream_test.go
@@ -41,11 +41,11 @@
 func TestLongValues(t *testing.T) {
 	want := longAnswer(longValue)
 	inBubble(t, func() error {
-		host := &fake.Host{Primary: true, Spoil: func(id string, b []byte) fake.Spoilt {
+		host := &fake.Host{Primary: true, Malform: func(id string, b []byte) fake.Malformed {
 			if id == "long" { // what follows a pause counts as surplus here: it belongs to the answer
-				return fake.Spoilt{Answer: want[:longValue/2], After: 3 * time.Second, Surplus: want[longValue/2:]}
+				return fake.Malformed{Answer: want[:longValue/2], After: 3 * time.Second, Surplus: want[longValue/2:]}
 			}
-			return fake.Spoilt{Answer: b}
+			return fake.Malformed{Answer: b}
 		}}
 		rig := newRig(false, host)
 		a, err := rig.long("long")
@@ -103,16 +103,16 @@
 	for _, who := range []string{"host", "client", "client before it begins"} {
 		inBubble(t, func() error {
 			host := &fake.Host{Primary: true}
-			host.Spoil = func(id string, b []byte) fake.Spoilt {
+			host.Malform = func(id string, b []byte) fake.Malformed {
 				if id != "long" {
-					return fake.Spoilt{Answer: b}
+					return fake.Malformed{Answer: b}
 				}
 				if who == "host" {
 					go func() { time.Sleep(200 * time.Millisecond); host.Die() }()
-					return fake.Spoilt{Answer: want[:longValue/2], Dead: true}
+					return fake.Malformed{Answer: want[:longValue/2], Dead: true}
 				}
 				time.Sleep(50 * time.Millisecond)
-				return fake.Spoilt{Answer: want}
+				return fake.Malformed{Answer: want}
 			}
 			rig := newRig(false, host)
 			a, err := rig.long("long")
@@ -143,8 +143,8 @@
 func TestLongValueAtAStop(t *testing.T) {
 	want := longAnswer(longValue)
 	inBubble(t, func() error {
-		rig := newRig(false, &fake.Host{Primary: true, Spoil: func(string, []byte) fake.Spoilt {
-			return fake.Spoilt{Answer: want[:longValue/2], After: 2500 * time.Millisecond, Surplus: want[longValue/2:]}
+		rig := newRig(false, &fake.Host{Primary: true, Malform: func(string, []byte) fake.Malformed {
+			return fake.Malformed{Answer: want[:longValue/2], After: 2500 * time.Millisecond, Surplus: want[longValue/2:]}
 		}})
 		a, err := rig.long("long")
 		if err != nil {
--- a/internal/frontend/takeover_test.go
+++ b/internal/frontend/takeover_test.go
@@ -31,9 +31,9 @@
 		defer rig.close()
 		answer := sync.OnceFunc(func() { close(hold) })
 		defer answer()
-		room := frontend.NewRoom(places)
-		room.Thin(false) // as while both processes live
-		s := &frontend.Server{Name: "newer", Front: postgres.Front{}, Core: rig.core, Room: room, Budget: rig.budget, Counters: rig.counters}
+		room := frontend.NewLimiter(places)
+		room.SetEvictIdle(false) // as while both processes live
+		s := &frontend.Server{Name: "newer", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: room, Budget: rig.budget, Counters: rig.counters}
 		var ended, faults atomic.Int64
 		var ends []net.Conn
 		defer func() {
@@ -44,7 +44,7 @@
 		for i := range passed {
 			near, far := net.Pipe()
 			ends = append(ends, near)
-			if !s.TakeOver(far, true, true) {
+			if !s.Adopt(far, true, true) {
 				return errors.New("a client was not taken over")
 			}
 			if i == 0 { // it asks
@@ -91,15 +91,15 @@
 func TestNewerServesWhileTheListenerCloses(t *testing.T) {
 	rig := newRig(false, &fake.Host{Primary: true})
 	defer rig.close()
-	s := &frontend.Server{Name: "ends", Front: postgres.Front{}, Core: rig.core, Room: frontend.NewRoom(50),
-		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}, Shared: true}
+	s := &frontend.Server{Name: "ends", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: frontend.NewLimiter(50),
+		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}, SharedListener: true}
 	l := hungListener{closing: make(chan struct{}, 10), free: make(chan struct{})}
 	stopped, stop := context.WithCancel(context.Background())
 	defer stop()
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(stopped, l) }()
 	near, far := loopback(t)
-	if !s.TakeOver(far, true, false) {
+	if !s.Adopt(far, true, false) {
 		t.Fatal("it is not taken over")
 	}
 	stop()
--- a/internal/gossip/caps_test.go
+++ b/internal/gossip/caps_test.go
@@ -31,15 +31,15 @@
 	t.Cleanup(logging.Use(logging.New(&log, slog.LevelInfo)))
 	p := listen(t, "a", nil)
 	run(t, p)
-	row := func(i int) membership.Row {
-		return membership.Row{Start: membership.Start(i + 1), Name: fmt.Sprintf("gateway-%04d", i), Zone: fmt.Sprint("zone-", i%3),
-			Addr: fmt.Sprintf("127.0.0.1:%d", 1+i%2), Beat: 1}
+	row := func(i int) membership.MemberState {
+		return membership.MemberState{Incarnation: membership.Incarnation(i + 1), Name: fmt.Sprintf("gateway-%04d", i), Zone: fmt.Sprint("zone-", i%3),
+			Addr: fmt.Sprintf("127.0.0.1:%d", 1+i%2), Heartbeat: 1}
 	}
 	first := row(0)
 	first.Addr = "127.0.0.1:1"
-	m := membership.Message{Kind: membership.Synced, Fleet: "f", From: first}
+	m := membership.Message{Kind: membership.StateResponse, Fleet: "f", From: first}
 	for i := 1; i < 1023; i++ {
-		m.Rows = append(m.Rows, row(i))
+		m.Members = append(m.Members, row(i))
 	}
 	text, err := membership.Encode(m)
 	if err != nil {
@@ -53,15 +53,15 @@
 		}
 		return len(v.Members) >= 1023 && v.Size >= 1024 // it counts on them with its next probe
 	})
-	if len(v.Members) != 1023 || v.Size != 1024 || v.Refused != 0 || strings.Contains(log.String(), "fleet_full") {
-		t.Errorf("counts on %d, refused %d", v.Size, v.Refused)
+	if len(v.Members) != 1023 || v.Size != 1024 || v.Rejected != 0 || strings.Contains(log.String(), "fleet_full") {
+		t.Errorf("counts on %d, refused %d", v.Size, v.Rejected)
 	}
 	if b, err := json.Marshal(v); err != nil || len(b) > 4<<20 { // what cranegate members reads at most
 		t.Errorf("the view takes %d bytes, %v", len(b), err)
 	}
 	for beat := range 3 {
 		late := row(2000)
-		late.Beat = uint64(beat + 1)
+		late.Heartbeat = uint64(beat + 1)
 		b, err := membership.Encode(membership.Message{Kind: membership.Ping, Fleet: "f", From: late})
 		if err != nil {
 			t.Fatal(err)
@@ -70,9 +70,9 @@
 	}
 	eventually(t, "the 1,025th is refused", func() bool {
 		v, err = p.View(context.Background())
-		return err == nil && v.Refused >= 3 && strings.Contains(log.String(), "fleet_full")
+		return err == nil && v.Rejected >= 3 && strings.Contains(log.String(), "fleet_full")
 	})
-	if told := log.String(); strings.Count(told, "fleet_full") != 1 || !strings.Contains(told, FleetFull{1024}.Error()) || len(v.Members) != 1023 {
+	if told := log.String(); strings.Count(told, "fleet_full") != 1 || !strings.Contains(told, FleetFullError{1024}.Error()) || len(v.Members) != 1023 {
 		t.Errorf("%d members; the log says it %d times: %.300s", len(v.Members), strings.Count(told, "fleet_full"), told[strings.Index(told, "fleet_full"):])
 	}
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -49,7 +49,7 @@
 }
 
 // Peers is one gateway's end of the fleet.
-type Peers struct {
+type Transport struct {
 	opt     Options
 	sealer  *sealer
 	udp     *net.UDPConn
@@ -74,32 +74,32 @@
 
 // View is what a gateway holds of its fleet.
 type View struct {
-	Self      Member   `json:"self"`
-	Members   []Member `json:"members"`
-	Cut       bool     `json:"cut"`       // it hears nobody
-	Unheard   bool     `json:"unheard"`   // nobody answers it
-	Conflicts []string `json:"conflicts"` // names that two live members bear
-	Share     float64  `json:"share"`     // of the last settled view that is there
-	Size      int      `json:"size"`      // gateways to count on
-	Part      float64  `json:"part"`      // of a common budget that this one may use
-	Refused   int      `json:"refused"`   // members for which there was no room
+	Self        Member   `json:"self"`
+	Members     []Member `json:"members"`
+	Isolated    bool     `json:"cut"`       // it hears nobody
+	Unanswered  bool     `json:"unheard"`   // nobody answers it
+	Conflicts   []string `json:"conflicts"` // names that two live members bear
+	LiveShare   float64  `json:"share"`     // of the last settled view that is there
+	Size        int      `json:"size"`      // gateways to count on
+	BudgetShare float64  `json:"part"`      // of a common budget that this one may use
+	Rejected    int      `json:"refused"`   // members for which there was no room
 }
 
 // Member is one line of a View.
 type Member struct {
-	Name      string  `json:"name"`
-	Zone      string  `json:"zone"`
-	Address   string  `json:"address"`
-	Start     string  `json:"start"` // tells one start of a process from another
-	State     string  `json:"state"`
-	Age       float64 `json:"age_s"` // since it was heard of; of one that failed: since when it was tried in vain
-	Suspect   bool    `json:"suspect"`
-	Unreached bool    `json:"unreached"` // it answers others, and not this one
+	Name        string  `json:"name"`
+	Zone        string  `json:"zone"`
+	Address     string  `json:"address"`
+	Incarnation string  `json:"start"` // tells one start of a process from another
+	State       string  `json:"state"`
+	Age         float64 `json:"age_s"` // since it was heard of; of one that failed: since when it was tried in vain
+	Suspect     bool    `json:"suspect"`
+	Indirect    bool    `json:"unreached"` // it answers others, and not this one
 }
 
 // Listen opens the sockets; Run serves them.
-func Listen(opt Options) (*Peers, error) {
-	p := &Peers{opt: opt, began: time.Now(), mail: make(chan membership.Message, mailboxSize), calls: make(chan func(), 16), done: make(chan struct{})}
+func Listen(opt Options) (*Transport, error) {
+	p := &Transport{opt: opt, began: time.Now(), mail: make(chan membership.Message, mailboxSize), calls: make(chan func(), 16), done: make(chan struct{})}
 	var err error
 	if p.sealer, err = newSealer(opt.Members.Fleet, opt.Keys); err != nil {
 		return nil, err
@@ -124,10 +124,10 @@
 }
 
 // Addr is the address of the sockets.
-func (p *Peers) Addr() netip.AddrPort { return p.udp.LocalAddr().(*net.UDPAddr).AddrPort() }
+func (p *Transport) Addr() netip.AddrPort { return p.udp.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Run lives until the context ends.
-func (p *Peers) Run(ctx context.Context) error {
+func (p *Transport) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, func() { p.udp.Close(); p.tcp.Close() })()
 	group.Go(func() error { return p.hear(ctx) })
@@ -139,7 +139,7 @@
 }
 
 // act is the actor.
-func (p *Peers) act(ctx context.Context) error {
+func (p *Transport) act(ctx context.Context) error {
 	tick, paced := time.NewTicker(tickEvery), time.NewTimer(burstEvery)
 	defer tick.Stop()
 	defer paced.Stop()
@@ -167,10 +167,10 @@
 }
 
 // now is the node's clock: it is monotonic, so that a stepped clock changes nothing.
-func (p *Peers) now() time.Duration { return time.Since(p.began) }
+func (p *Transport) now() time.Duration { return time.Since(p.began) }
 
 // collect takes what the node wants sent and told.
-func (p *Peers) collect() {
+func (p *Transport) collect() {
 	out, changes := p.node.Ready()
 	for _, c := range changes {
 		p.tell(c)
@@ -179,7 +179,7 @@
 		p.send(m)
 	}
 	p.tellRefused()
-	if size, part := p.node.Size(), p.node.Part(); size != p.size || part != p.part {
+	if size, part := p.node.Size(), p.node.BudgetShare(); size != p.size || part != p.part {
 		if p.size != 0 {
 			slog.Info("fleet_counted", "gateways", size, "part", part, "before", p.size)
 		}
@@ -191,37 +191,37 @@
 }
 
 // tellRefused logs that there was no room for a member: each that goes on speaking is refused many times a second.
-func (p *Peers) tellRefused() {
-	n, now := p.node.Refused(), p.now()
+func (p *Transport) tellRefused() {
+	n, now := p.node.Rejected(), p.now()
 	if n == p.refused || p.refused > 0 && now-p.toldAt < refusedGap {
 		return
 	}
 	p.refused, p.toldAt = n, now
-	slog.Warn("fleet_full", "error", FleetFull{1 + len(p.node.Members())}, "refused", n)
+	slog.Warn("fleet_full", "error", FleetFullError{1 + len(p.node.Members())}, "refused", n)
 }
 
-// FleetFull says that a gateway was not taken in, as the view is full.
-type FleetFull struct{ Gateways int }
+// FleetFullError says that a gateway was not taken in, as the view is full.
+type FleetFullError struct{ Gateways int }
 
-func (e FleetFull) Error() string {
+func (e FleetFullError) Error() string {
 	return fmt.Sprintf("the fleet has %d gateways, the most that one may have; end some, or give those beyond a fleet (fleet.fleet) of their own", e.Gateways)
 }
 
 // tell logs and counts a change.
-func (p *Peers) tell(c membership.Change) {
+func (p *Transport) tell(c membership.Change) {
 	from := c.From.String()
 	if c.New {
 		from = "new"
 	}
-	p.opt.Counters.Add("peers_changes_to_"+c.Row.State.String(), 1)
-	slog.Info("member", "name", c.Row.Name, "start", start(c.Row.Start), "address", c.Row.Addr, "zone", c.Row.Zone, "from", from,
-		"to", c.Row.State.String(), "by", c.By, "why", c.Why, "after", c.Took.Round(time.Millisecond).String())
+	p.opt.Counters.Add("peers_changes_to_"+c.Member.State.String(), 1)
+	slog.Info("member", "name", c.Member.Name, "start", start(c.Member.Incarnation), "address", c.Member.Addr, "zone", c.Member.Zone, "from", from,
+		"to", c.Member.State.String(), "by", c.Reporter, "why", c.Reason, "after", c.SinceHeard.Round(time.Millisecond).String())
 }
 
-func start(s membership.Start) string { return fmt.Sprintf("%016x", uint64(s)) }
+func start(s membership.Incarnation) string { return fmt.Sprintf("%016x", uint64(s)) }
 
 // send seals a message, and lets a datagram wait for its turn.
-func (p *Peers) send(m membership.Message) {
+func (p *Transport) send(m membership.Message) {
 	text, err := membership.Encode(m)
 	to, bad := netip.ParseAddrPort(m.To)
 	if err := errors.Join(err, bad); err != nil { // a member may say what it likes of its address
@@ -229,7 +229,7 @@
 		return
 	}
 	switch text = p.sealer.seal(text); {
-	case m.Kind == membership.Sync || m.Kind == membership.Synced:
+	case m.Kind == membership.StateRequest || m.Kind == membership.StateResponse:
 		if !p.sending.TryGo(func() error { p.stream(to, text); return nil }) {
 			p.opt.Counters.Add("peers_streams_dropped", 1)
 		}
@@ -241,7 +241,7 @@
 }
 
 // flush sends as many datagrams as may go at once.
-func (p *Peers) flush() {
+func (p *Transport) flush() {
 	n := min(burst, len(p.queue))
 	for _, d := range p.queue[:n] {
 		if _, err := p.udp.WriteToUDPAddrPort(d.text, d.to); err != nil {
@@ -257,7 +257,7 @@
 }
 
 // stream sends one exchange of all rows: its length in four bytes, and the sealed message.
-func (p *Peers) stream(to netip.AddrPort, text []byte) {
+func (p *Transport) stream(to netip.AddrPort, text []byte) {
 	d := net.Dialer{Timeout: dialFor}
 	if ip := p.Addr().Addr().Unmap(); !ip.IsUnspecified() {
 		d.LocalAddr = &net.TCPAddr{IP: ip.AsSlice()} // as datagrams, from where we listen
@@ -280,7 +280,7 @@
 }
 
 // hear takes datagrams until the socket is closed.
-func (p *Peers) hear(ctx context.Context) error {
+func (p *Transport) hear(ctx context.Context) error {
 	b := make([]byte, membership.MaxDatagram+membership.Overhead+1) // what is longer is cut off there, and opens no more
 	for {
 		n, _, err := p.udp.ReadFromUDPAddrPort(b)
@@ -297,14 +297,14 @@
 }
 
 // take opens and reads a message, and hands it to the actor.
-func (p *Peers) take(b []byte, stream bool) {
+func (p *Transport) take(b []byte, stream bool) {
 	text, err := p.sealer.open(b)
 	if err != nil {
 		p.opt.Counters.Add("peers_unopened", 1)
 		return
 	}
 	m, err := membership.Decode(text)
-	if err != nil || stream != (m.Kind == membership.Sync || m.Kind == membership.Synced) {
+	if err != nil || stream != (m.Kind == membership.StateRequest || m.Kind == membership.StateResponse) {
 		p.opt.Counters.Add("peers_malformed", 1)
 		return
 	}
@@ -316,7 +316,7 @@
 }
 
 // accept takes streams until the listener is closed.
-func (p *Peers) accept(ctx context.Context) error {
+func (p *Transport) accept(ctx context.Context) error {
 	var group errgroup.Group
 	group.SetLimit(streamsIn)
 	defer group.Wait()
@@ -337,7 +337,7 @@
 }
 
 // receive reads one exchange. Memory is taken as bytes come, not as its length claims.
-func (p *Peers) receive(conn net.Conn) {
+func (p *Transport) receive(conn net.Conn) {
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(streamFor))
 	var head [4]byte
@@ -357,16 +357,16 @@
 	p.take(b.Bytes(), true)
 }
 
-// ErrEnded says that the actor has ended.
-var ErrEnded = errors.New("peers: ended")
+// ErrStopped says that the actor has ended.
+var ErrStopped = errors.New("peers: ended")
 
 // call runs a function in the actor, and waits for it.
-func (p *Peers) call(ctx context.Context, f func()) error {
+func (p *Transport) call(ctx context.Context, f func()) error {
 	ran := make(chan struct{})
 	select {
 	case p.calls <- func() { f(); close(ran) }:
 	case <-p.done:
-		return ErrEnded
+		return ErrStopped
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -374,43 +374,43 @@
 	case <-ran:
 		return nil
 	case <-p.done:
-		return ErrEnded
+		return ErrStopped
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
 // View is what this gateway holds of its fleet now.
-func (p *Peers) View(ctx context.Context) (v View, err error) {
+func (p *Transport) View(ctx context.Context) (v View, err error) {
 	err = p.call(ctx, func() {
 		n := p.node
 		n.Tick(p.now()) // what holds now, also when the process has just stood still
-		v = View{Self: member(n.Self()), Members: []Member{}, Cut: n.Cut(), Unheard: n.Unheard(), Conflicts: append([]string{}, n.Conflicts()...), Share: n.Share(),
-			Size: n.Size(), Part: n.Part(), Refused: n.Refused()}
+		v = View{Self: member(n.Self()), Members: []Member{}, Isolated: n.Isolated(), Unanswered: n.Unanswered(), Conflicts: append([]string{}, n.Conflicts()...), LiveShare: n.LiveShare(),
+			Size: n.Size(), BudgetShare: n.BudgetShare(), Rejected: n.Rejected()}
 		suspects, unreached := set(n.Suspects()), set(n.Unreached())
 		for _, r := range n.Members() {
 			m := member(r)
-			m.Suspect, m.Unreached = suspects[r.Start], unreached[r.Start]
+			m.Suspect, m.Indirect = suspects[r.Incarnation], unreached[r.Incarnation]
 			v.Members = append(v.Members, m)
 		}
 	})
 	return v, err
 }
 
-func set(starts []membership.Start) map[membership.Start]bool {
-	s := map[membership.Start]bool{}
+func set(starts []membership.Incarnation) map[membership.Incarnation]bool {
+	s := map[membership.Incarnation]bool{}
 	for _, x := range starts {
 		s[x] = true
 	}
 	return s
 }
 
-func member(r membership.Row) Member {
-	return Member{Name: r.Name, Zone: r.Zone, Address: r.Addr, Start: start(r.Start), State: r.State.String(), Age: r.Age.Round(time.Millisecond).Seconds()}
+func member(r membership.MemberState) Member {
+	return Member{Name: r.Name, Zone: r.Zone, Address: r.Addr, Incarnation: start(r.Incarnation), State: r.State.String(), Age: r.Age.Round(time.Millisecond).Seconds()}
 }
 
 // Reload takes other addresses to join and other keys.
-func (p *Peers) Reload(ctx context.Context, join []string, keys Keys) error {
+func (p *Transport) Reload(ctx context.Context, join []string, keys Keys) error {
 	if err := p.sealer.replace(keys); err != nil {
 		return err
 	}
@@ -418,14 +418,14 @@
 }
 
 // Drain tells the others that this gateway takes nothing new.
-func (p *Peers) Drain() {
+func (p *Transport) Drain() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveFor)
 	defer cancel()
 	p.call(ctx, p.node.Drain) // one that has ended has nobody to tell
 }
 
 // Leave tells the others that this gateway ends, and returns once that is sent. It takes a fifth of a second at most.
-func (p *Peers) Leave() {
+func (p *Transport) Leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveFor)
 	defer cancel()
 	p.call(ctx, func() {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-func listen(t *testing.T, name string, keys Keys, join ...string) *Peers {
+func listen(t *testing.T, name string, keys Keys, join ...string) *Transport {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -116,7 +116,7 @@
 	return p
 }
 
-func run(t *testing.T, p *Peers) {
+func run(t *testing.T, p *Transport) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- p.Run(ctx) }()
@@ -137,7 +137,7 @@
 	}
 }
 
-func states(t *testing.T, p *Peers) map[string]string {
+func states(t *testing.T, p *Transport) map[string]string {
 	t.Helper()
 	v, err := p.View(context.Background())
 	if err != nil {
@@ -158,7 +158,7 @@
 	c := listen(t, "ccc", Keys{key(9)}, a.Addr().String())
 	counted := make(chan int, 64)
 	a.opt.Counted = func(n int, _ float64) { counted <- n }
-	for _, p := range []*Peers{a, b, c} {
+	for _, p := range []*Transport{a, b, c} {
 		run(t, p)
 	}
 	for range 100 {
@@ -199,7 +199,7 @@
 	p := listen(t, "a", nil)
 	defer p.udp.Close()
 	defer p.tcp.Close()
-	b, err := membership.Encode(membership.Message{Kind: membership.Ping, Fleet: "f", From: membership.Row{Start: 1, Name: "x", Addr: "127.0.0.1:1"}})
+	b, err := membership.Encode(membership.Message{Kind: membership.Ping, Fleet: "f", From: membership.MemberState{Incarnation: 1, Name: "x", Addr: "127.0.0.1:1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/hotrestart/caps_test.go
+++ b/internal/hotrestart/caps_test.go
@@ -85,7 +85,7 @@
 		if err != nil {
 			return
 		}
-		if m.Kind == frame.Registry && frame.Write(x, frame.Message{Kind: frame.Holding, Registers: m.Registers}) != nil {
+		if m.Kind == frame.Update && frame.Write(x, frame.Message{Kind: frame.Acknowledge, Registers: m.Registers}) != nil {
 			return
 		}
 	}
@@ -108,10 +108,10 @@
 }
 
 // yes makes a call until it gets its yes: on a busy machine a thousand processes may not all have answered within its time.
-func yes(t *testing.T, h *Handover, c state.Change) {
+func yes(t *testing.T, h *Coordinator, c state.Change) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); ; {
-		err := h.Set(context.Background(), c)
+		err := h.Apply(context.Background(), c)
 		if err == nil {
 			return
 		}
@@ -127,7 +127,7 @@
 	dir, told := t.TempDir(), heard(t)
 	var lent, most atomic.Int64
 	counters := &metrics.Counters{}
-	h := open(t, Options{Dir: dir, Counters: counters, Lend: func(context.Context) (func(), error) {
+	h := open(t, Options{Dir: dir, Counters: counters, Reserve: func(context.Context) (func(), error) {
 		if n := lent.Add(1); n > most.Load() {
 			most.Store(n)
 		}
@@ -156,8 +156,8 @@
 		t.Errorf("%d connections, %d of them lent", links, n)
 	}
 	c.start(1024)
-	err := h.Set(context.Background(), ban)
-	if !errors.Is(err, ErrCrowd) || !errors.Is(err, ErrUnseen) || !strings.Contains(err.Error(), "end those that are left over") {
+	err := h.Apply(context.Background(), ban)
+	if !errors.Is(err, ErrTooManyProcesses) || !errors.Is(err, ErrUnverified) || !strings.Contains(err.Error(), "end those that are left over") {
 		t.Errorf("with one more: %v", err)
 	}
 	if !strings.Contains(told.String(), "event=handover_refused") || counters.Get("handover_refused") == 0 {
@@ -172,7 +172,7 @@
 	dir, told := t.TempDir(), heard(t)
 	full := errors.New("raise limits.sockets")
 	var free atomic.Bool
-	h := open(t, Options{Dir: dir, Counters: &metrics.Counters{}, Lend: func(context.Context) (func(), error) {
+	h := open(t, Options{Dir: dir, Counters: &metrics.Counters{}, Reserve: func(context.Context) (func(), error) {
 		if !free.Load() {
 			return nil, full
 		}
@@ -182,7 +182,7 @@
 	for i := range 5 {
 		c.start(i)
 	}
-	err := h.Set(context.Background(), ban)
+	err := h.Apply(context.Background(), ban)
 	var missing *PeerError
 	if !errors.Is(err, ErrUnacknowledged) || !errors.As(err, &missing) || len(missing.Peers) != 5-ownLinks {
 		t.Errorf("%v", err)
--- a/internal/hotrestart/errors.go
+++ b/internal/hotrestart/errors.go
@@ -21,18 +21,18 @@
 		"it goes on trying; call again to learn whether it holds")
 	// ErrOverruled says that calls of the opposite meaning came to another process at the same time.
 	ErrOverruled = errors.New("an opposite call to another process of this gateway won; look at what is out, then call again")
-	// ErrUnseen says that the folder could not be read in search of processes that have just started.
-	ErrUnseen = errors.New("the folder ($TMPDIR) could not be searched for other processes of this gateway: one that has " +
+	// ErrUnverified says that the folder could not be read in search of processes that have just started.
+	ErrUnverified = errors.New("the folder ($TMPDIR) could not be searched for other processes of this gateway: one that has " +
 		"just started may not know of the change; make the folder readable, then call again")
 	// ErrClosed says that Close was called.
 	ErrClosed = errors.New("the handover of this process is closed; call the process that serves now")
-	// ErrCrowd says that too many processes stand in the folder.
-	ErrCrowd = fmt.Errorf("more than %d other processes of this gateway live in the folder ($TMPDIR): end those that are left over, "+
+	// ErrTooManyProcesses says that too many processes stand in the folder.
+	ErrTooManyProcesses = fmt.Errorf("more than %d other processes of this gateway live in the folder ($TMPDIR): end those that are left over, "+
 		"and give each gateway a folder of its own", mostPeers)
-	// ErrLinks says that no more connections of other processes are taken.
-	ErrLinks = fmt.Errorf("%d connections of other processes of this gateway are open: end those that are left over", mostLinks)
-	// ErrSilent says that an older process lives and has not answered at the start.
-	ErrSilent = errors.New("an older process lives and did not answer: every ban that got its yes is known from the state file, " +
+	// ErrTooManyConnections says that no more connections of other processes are taken.
+	ErrTooManyConnections = fmt.Errorf("%d connections of other processes of this gateway are open: end those that are left over", mostLinks)
+	// ErrUnresponsive says that an older process lives and has not answered at the start.
+	ErrUnresponsive = errors.New("an older process lives and did not answer: every ban that got its yes is known from the state file, " +
 		"what the older one knows of hosts is not; nothing needs to be done, or end it if it hangs")
 )
 
@@ -52,7 +52,7 @@
 // PeerError says what a call or Open met with single processes.
 type PeerError struct {
 	Peers []string // the names of their sockets
-	Cause error    // ErrUnacknowledged or ErrSilent
+	Cause error    // ErrUnacknowledged or ErrUnresponsive
 }
 
 func (e *PeerError) Error() string {
@@ -61,12 +61,12 @@
 
 func (e *PeerError) Unwrap() error { return e.Cause }
 
-// BlobTooLarge says that what a newer process asked for is not told: it learns the list and the hosts anew.
-type BlobTooLarge struct{ Bytes int }
+// BlobSizeError says that what a newer process asked for is not told: it learns the list and the hosts anew.
+type BlobSizeError struct{ Bytes int }
 
-func (e BlobTooLarge) Error() string {
+func (e BlobSizeError) Error() string {
 	return fmt.Sprintf("what this process knows takes %d bytes, %d are the most that a newer process is told; it starts without it, and "+
-		"learns anew; nothing needs to be done", e.Bytes, frame.MostBlob)
+		"learns anew; nothing needs to be done", e.Bytes, frame.MaxBlob)
 }
 
 // because gives a sentence for operators its cause; both are found by errors.Is and errors.As.
--- a/internal/hotrestart/fdpass/fdpass.go
+++ b/internal/hotrestart/fdpass/fdpass.go
@@ -36,14 +36,14 @@
 var (
 	// ErrNoReceiver says that no newer process takes connections: those here have to end.
 	ErrNoReceiver = errors.New("no newer process takes open connections over; clients have to connect anew")
-	// ErrKept says that a connection was not handed over, and is still this process's.
-	ErrKept = errors.New("the connection could not be handed over")
+	// ErrNotPassed says that a connection was not handed over, and is still this process's.
+	ErrNotPassed = errors.New("the connection could not be handed over")
 )
 
 // Crowd says that too many processes hand over at once.
-type Crowd struct{ Processes int }
+type ProcessLimitError struct{ Processes int }
 
-func (e Crowd) Error() string {
+func (e ProcessLimitError) Error() string {
 	return fmt.Sprintf("%d processes of this gateway hand their clients over already; those of further ones have to connect anew; "+
 		"end processes that are left over, and give each gateway a folder of its own", e.Processes)
 }
@@ -51,9 +51,9 @@
 // Conn is a connection that passes, with what is known of it.
 type Conn struct {
 	net.Conn
-	Front   string // whose client it is
-	Started bool   // the client has said who it is
-	Asked   bool   // and has had an answer
+	Protocol string // whose client it is
+	Started  bool   // the client has said who it is
+	Answered bool   // and has had an answer
 }
 
 // at is the path of the socket in a folder, however long that folder's own path is.
@@ -63,7 +63,7 @@
 type Receiver struct {
 	// Lend gives a descriptor for a process that hands over beside another, or an error that says what an operator can do;
 	// nil: as many as the system gives.
-	Lend func(context.Context) (giveBack func(), err error)
+	Reserve func(context.Context) (giveBack func(), err error)
 
 	l  *net.UnixListener
 	at os.FileInfo // its socket in the folder, which tells it from any other's
@@ -138,13 +138,13 @@
 	none := func() {}
 	switch {
 	case n > mostFrom:
-		return none, Crowd{mostFrom}
-	case n <= ownFrom || r.Lend == nil:
+		return none, ProcessLimitError{mostFrom}
+	case n <= ownFrom || r.Reserve == nil:
 		return none, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, lendFor)
 	defer cancel()
-	if giveBack, err = r.Lend(ctx); err != nil {
+	if giveBack, err = r.Reserve(ctx); err != nil {
 		return none, err
 	}
 	return giveBack, nil
@@ -165,7 +165,7 @@
 			}
 			return
 		}
-		if !take(Conn{Conn: c, Front: string(b[2:n]), Started: b[1]&started != 0, Asked: b[1]&asked != 0}) {
+		if !take(Conn{Conn: c, Protocol: string(b[2:n]), Started: b[1]&started != 0, Answered: b[1]&asked != 0}) {
 			c.Close()
 		}
 		if _, err := from.Write([]byte{version}); err != nil {
@@ -229,31 +229,31 @@
 }
 
 // Pass hands a connection over. From a nil on it is the other process's: the caller closes its own copy, and must neither
-// read, write nor shut it down. ErrKept says that it is still the caller's. It waits 0.3 s at most for those before it, and
+// read, write nor shut it down. ErrNotPassed says that it is still the caller's. It waits 0.3 s at most for those before it, and
 // as long for the answer; one that gets none counts as handed over, as it may have been.
-func (s *Sender) Pass(c Conn) error {
+func (s *Sender) Send(c Conn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	raw, ok := c.Conn.(syscall.Conn)
-	if !ok || s.to == nil || len(c.Front) > longest {
-		return ErrKept
+	if !ok || s.to == nil || len(c.Protocol) > longest {
+		return ErrNotPassed
 	}
 	control, err := raw.SyscallConn()
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrKept, err)
+		return fmt.Errorf("%w: %w", ErrNotPassed, err)
 	}
-	b := append([]byte{version, 0}, c.Front...)
+	b := append([]byte{version, 0}, c.Protocol...)
 	if c.Started {
 		b[1] |= started
 	}
-	if c.Asked {
+	if c.Answered {
 		b[1] |= asked
 	}
 	s.to.SetDeadline(time.Now().Add(passFor))
 	sent := errors.New("the connection is closed")
 	if err := control.Control(func(fd uintptr) { _, _, sent = s.to.WriteMsgUnix(b, syscall.UnixRights(int(fd)), nil) }); err != nil || sent != nil {
 		s.drop()
-		return fmt.Errorf("%w: %w", ErrKept, errors.Join(err, sent))
+		return fmt.Errorf("%w: %w", ErrNotPassed, errors.Join(err, sent))
 	}
 	if n, err := s.to.Read(b[:1]); err != nil || n != 1 {
 		s.drop()
--- a/internal/hotrestart/fdpass/fdpass_test.go
+++ b/internal/hotrestart/fdpass/fdpass_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Lend = lend
+	r.Reserve = lend
 	ctx, cancel := context.WithCancel(context.Background())
 	ended, taken := make(chan error, 1), &atomic.Int64{}
 	go func() {
@@ -103,7 +103,7 @@
 	for i := range 1024 {
 		s := sender(t, dir)
 		until(t, "a connection is taken", func() bool {
-			if s.Pass(Conn{Conn: client, Front: "postgres"}) != nil { // a busy machine has not answered in 0.3 s
+			if s.Send(Conn{Conn: client, Protocol: "postgres"}) != nil { // a busy machine has not answered in 0.3 s
 				s = sender(t, dir)
 			}
 			return taken.Load() > int64(i)
@@ -116,10 +116,10 @@
 	before := taken.Load()
 	late := sender(t, dir)
 	until(t, "the 1,025th is refused", func() bool { return strings.Contains(told.String(), "event=passing_refused") })
-	if err := late.Pass(Conn{Conn: client, Front: "postgres"}); !errors.Is(err, ErrKept) || taken.Load() != before {
+	if err := late.Send(Conn{Conn: client, Protocol: "postgres"}); !errors.Is(err, ErrNotPassed) || taken.Load() != before {
 		t.Errorf("the 1,025th: %v, %d taken", err, taken.Load()-before)
 	}
-	if !strings.Contains(told.String(), fmt.Sprintf("%q", Crowd{1024})) {
+	if !strings.Contains(told.String(), fmt.Sprintf("%q", ProcessLimitError{1024})) {
 		t.Errorf("the log says %q", told)
 	}
 }
@@ -134,25 +134,25 @@
 		return nil, errors.New("none left")
 	})
 	first := sender(t, dir)
-	if err := first.Pass(Conn{Conn: client, Front: "postgres"}); err != nil {
+	if err := first.Send(Conn{Conn: client, Protocol: "postgres"}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the first is taken", func() bool { return taken.Load() == 1 })
 	second := sender(t, dir)
 	passed := make(chan error, 1)
-	go func() { passed <- second.Pass(Conn{Conn: client, Front: "postgres"}) }()
+	go func() { passed <- second.Send(Conn{Conn: client, Protocol: "postgres"}) }()
 	time.Sleep(50 * time.Millisecond) // it has written; if it has not, it is refused below, which is as good
 	close(hold)
 	wrote := <-passed
 	if wrote == nil {
 		until(t, "what was sent before is taken", func() bool { return taken.Load() == 2 })
-	} else if !errors.Is(wrote, ErrKept) {
+	} else if !errors.Is(wrote, ErrNotPassed) {
 		t.Fatal(wrote)
 	}
-	if err := second.Pass(Conn{Conn: client, Front: "postgres"}); !errors.Is(err, ErrKept) {
+	if err := second.Send(Conn{Conn: client, Protocol: "postgres"}); !errors.Is(err, ErrNotPassed) {
 		t.Error(err)
 	}
-	if err := first.Pass(Conn{Conn: client, Front: "postgres"}); err != nil {
+	if err := first.Send(Conn{Conn: client, Protocol: "postgres"}); err != nil {
 		t.Error(err)
 	}
 }
@@ -175,7 +175,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if err := s.Pass(Conn{Conn: conn(t), Front: "postgres"}); err != nil {
+	if err := s.Send(Conn{Conn: conn(t), Protocol: "postgres"}); err != nil {
 		t.Errorf("to a newer one: %v", err)
 	}
 }
--- a/internal/hotrestart/frame/format_test.go
+++ b/internal/hotrestart/frame/format_test.go
@@ -26,8 +26,8 @@
 	}{
 		{Message{Kind: Hello, Version: Version, Name: "cranegate-1.sock", Ready: true, Ask: true}, "0000001ba50101020103706372616e65676174652d312e736f636b04f505f5"},
 		{Message{Kind: Blob, Blob: []byte("{}")}, "00000007a2010206427b7d"},
-		{Message{Kind: Registry, Registers: &s}, "00000024a2010307a3010202a403f40400010002000381a5056464622d3103f5041903e801020207"},
-		{Message{Kind: Holding, Registers: &s}, "00000024a2010407a3010202a403f40400010002000381a5056464622d3103f5041903e801020207"},
+		{Message{Kind: Update, Registers: &s}, "00000024a2010307a3010202a403f40400010002000381a5056464622d3103f5041903e801020207"},
+		{Message{Kind: Acknowledge, Registers: &s}, "00000024a2010407a3010202a403f40400010002000381a5056464622d3103f5041903e801020207"},
 		{Message{Kind: Ready}, "00000003a10105"},
 	} {
 		var b bytes.Buffer
--- a/internal/hotrestart/frame/frame.go
+++ b/internal/hotrestart/frame/frame.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	Version  = 1
-	most     = 1 << 20      // bytes of a frame, which processes of all versions take
-	MostBlob = most - 16384 // bytes of a Blob: what the rest of its frame leaves
+	Version = 1
+	most    = 1 << 20      // bytes of a frame, which processes of all versions take
+	MaxBlob = most - 16384 // bytes of a Blob: what the rest of its frame leaves
 )
 
 // ErrFrame says that a peer sent something that is no message.
@@ -25,11 +25,11 @@
 type Kind uint8
 
 const (
-	Hello    Kind = 1 // the first of each side: Version, Name, Ready, Ask
-	Blob     Kind = 2 // the answer to Ask: what Export gave
-	Registry Kind = 3 // Registers to take; answered with Holding once they hold
-	Holding  Kind = 4 // Registers that the sender's module holds
-	Ready    Kind = 5 // the sender serves
+	Hello       Kind = 1 // the first of each side: Version, Name, Ready, Ask
+	Blob        Kind = 2 // the answer to Ask: what Export gave
+	Update      Kind = 3 // Registers to take; answered with Holding once they hold
+	Acknowledge Kind = 4 // Registers that the sender's module holds
+	Ready       Kind = 5 // the sender serves
 )
 
 // Message is one message. Fields that its kind does not name are empty.
--- a/internal/hotrestart/frame/frame_test.go
+++ b/internal/hotrestart/frame/frame_test.go
@@ -12,7 +12,7 @@
 func FuzzRead(f *testing.F) {
 	_, regs, _ := state.Registers{}.Reserve(state.Change{Host: "a", Out: true}, 1, 1)
 	s := regs.Snapshot()
-	for _, m := range []Message{{Kind: Hello, Version: 1, Name: "n", Ask: true}, {Kind: Registry, Registers: &s}, {Kind: Blob, Blob: []byte("b")}} {
+	for _, m := range []Message{{Kind: Hello, Version: 1, Name: "n", Ask: true}, {Kind: Update, Registers: &s}, {Kind: Blob, Blob: []byte("b")}} {
 		var b bytes.Buffer
 		Write(&b, m)
 		f.Add(b.Bytes())
--- a/internal/hotrestart/harness_test.go
+++ b/internal/hotrestart/harness_test.go
@@ -59,7 +59,7 @@
 	}
 	began := time.Now()
 	h, err := Open(context.Background(), Options{Dir: dir, Counters: &metrics.Counters{},
-		Apply: func(_ context.Context, s state.State) error {
+		OnState: func(_ context.Context, s state.State) error {
 			mu.Lock()
 			defer mu.Unlock()
 			held = s
@@ -82,7 +82,7 @@
 		for id := range held.Out {
 			a.Out = append(a.Out, id)
 		}
-		for _, d := range h.Doubts() {
+		for _, d := range h.Unconfirmed() {
 			a.Doubts = append(a.Doubts, d.Error())
 		}
 		if err != nil {
@@ -96,9 +96,9 @@
 		began = time.Now()
 		switch words[0] {
 		case "out", "back":
-			err = h.Set(context.Background(), state.Change{Host: words[1], Out: words[0] == "out"})
+			err = h.Apply(context.Background(), state.Change{Host: words[1], Out: words[0] == "out"})
 		case "lame":
-			err = h.Set(context.Background(), state.Change{Lameduck: words[1] == "on"})
+			err = h.Apply(context.Background(), state.Change{Lameduck: words[1] == "on"})
 		case "ready":
 			h.Ready()
 		case "close":
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -23,7 +23,7 @@
 )
 
 // Handover is one process's end. All calls are safe from any goroutine.
-type Handover struct {
+type Coordinator struct {
 	opt      Options
 	name     rendezvous.Name
 	folder   *rendezvous.Folder
@@ -55,39 +55,39 @@
 }
 
 // State is what is known: learned at Open, and since.
-func (h *Handover) State() state.State {
+func (h *Coordinator) State() state.State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.regs.State()
 }
 
 // Older says whether an older process lives, also one that hangs.
-func (h *Handover) Older() bool {
+func (h *Coordinator) Older() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.older()
 }
 
 // Role is which of the gateway's processes this one is.
-func (h *Handover) Role() state.Role {
+func (h *Coordinator) Role() state.Role {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return state.RoleOf(h.older(), h.newerReady())
 }
 
 // Inherited is what the Export of the youngest older process gave at Open; nil if none.
-func (h *Handover) Inherited() []byte { return h.inherited }
+func (h *Coordinator) Inherited() []byte { return h.inherited }
 
-// Doubts are what could not be known so far: a *record.BadFile, a *PeerError of ErrSilent, and what else went
+// Doubts are what could not be known so far: a *record.InvalidFileError, a *PeerError of ErrUnresponsive, and what else went
 // wrong without an answer to give it to. Each is a sentence for operators. At most 32 are kept, the first ones.
-func (h *Handover) Doubts() []error {
+func (h *Coordinator) Unconfirmed() []error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]error(nil), h.doubts...)
 }
 
 // Ready says that this process serves: every older one is told, and its Superseded is called.
-func (h *Handover) Ready() {
+func (h *Coordinator) Ready() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.serving = true
@@ -100,7 +100,7 @@
 
 // Close takes the socket away, so that the others know that this process is gone, and waits for all goroutines but
 // those of Run, which end by themselves. Call it when the last request is answered.
-func (h *Handover) Close() error {
+func (h *Coordinator) Close() error {
 	h.mu.Lock()
 	if h.closed {
 		h.mu.Unlock()
@@ -109,7 +109,7 @@
 	h.closed = true
 	h.signal()
 	h.mu.Unlock()
-	h.folder.Hide(h.name)
+	h.folder.Unregister(h.name)
 	err := h.listener.Close()
 	h.end()
 	h.work.Wait()
@@ -118,12 +118,12 @@
 
 // The calls below want h.mu held.
 
-func (h *Handover) signal() {
+func (h *Coordinator) signal() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-func (h *Handover) older() bool {
+func (h *Coordinator) older() bool {
 	for n := range h.peers {
 		if n.Before(h.name) {
 			return true
@@ -132,7 +132,7 @@
 	return false
 }
 
-func (h *Handover) newer() bool {
+func (h *Coordinator) newer() bool {
 	for n := range h.peers {
 		if h.name.Before(n) {
 			return true
@@ -141,7 +141,7 @@
 	return false
 }
 
-func (h *Handover) newerReady() bool {
+func (h *Coordinator) newerReady() bool {
 	for n, p := range h.peers {
 		if p.ready && h.name.Before(n) {
 			return true
@@ -150,7 +150,7 @@
 	return false
 }
 
-func (h *Handover) doubt(err error) {
+func (h *Coordinator) doubt(err error) {
 	if len(h.doubts) < 32 {
 		h.doubts = append(h.doubts, err)
 	}
@@ -159,7 +159,7 @@
 
 // refuse counts a connection or a process that is not taken, and logs why, once a second at most: whoever is refused tries
 // again.
-func (h *Handover) refuse(why error) {
+func (h *Coordinator) refuse(why error) {
 	h.opt.Counters.Add("handover_refused", 1)
 	if now := time.Now(); now.Sub(h.refusedAt) >= time.Second {
 		h.refusedAt = now
@@ -168,7 +168,7 @@
 }
 
 // adopt merges registers into those of this process, and tells the others where that brings news.
-func (h *Handover) adopt(regs state.Registers) (news bool, err error) {
+func (h *Coordinator) adopt(regs state.Registers) (news bool, err error) {
 	merged, err := h.regs.Merge(regs)
 	if err != nil {
 		return false, err
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -20,10 +20,10 @@
 )
 
 // open gives a Handover that runs until the test ends.
-func open(t *testing.T, o Options) *Handover {
+func open(t *testing.T, o Options) *Coordinator {
 	t.Helper()
-	if o.Apply == nil {
-		o.Apply = func(context.Context, state.State) error { return nil }
+	if o.OnState == nil {
+		o.OnState = func(context.Context, state.State) error { return nil }
 	}
 	h, err := Open(context.Background(), o)
 	if err != nil {
@@ -51,18 +51,18 @@
 				t.Fatal(err)
 			}
 			h := open(t, Options{Dir: dir, Counters: &metrics.Counters{}})
-			var bad *statefile.BadFile
-			if doubts := h.Doubts(); len(doubts) != 1 || !errors.As(doubts[0], &bad) {
+			var bad *statefile.InvalidFileError
+			if doubts := h.Unconfirmed(); len(doubts) != 1 || !errors.As(doubts[0], &bad) {
 				t.Fatal(doubts)
 			}
-			if _, err := os.Stat(filepath.Join(dir, statefile.Aside)); err != nil {
+			if _, err := os.Stat(filepath.Join(dir, statefile.InvalidName)); err != nil {
 				t.Fatal(err)
 			}
-			if err := h.Set(context.Background(), ban); err != nil {
+			if err := h.Apply(context.Background(), ban); err != nil {
 				t.Fatal(err)
 			}
-			if next := open(t, Options{Dir: dir}); len(next.Doubts()) != 0 || len(next.State().Out) != 1 {
-				t.Fatal(next.Doubts(), next.State())
+			if next := open(t, Options{Dir: dir}); len(next.Unconfirmed()) != 0 || len(next.State().Out) != 1 {
+				t.Fatal(next.Unconfirmed(), next.State())
 			}
 		})
 	}
@@ -90,7 +90,7 @@
 	if b := open(t, Options{Dir: long}); !b.Older() {
 		t.Fatal("not found over a long path")
 	}
-	if err := a.Set(context.Background(), ban); err != nil {
+	if err := a.Apply(context.Background(), ban); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -108,7 +108,7 @@
 	}
 	var alone atomic.Int32
 	h := open(t, Options{Dir: dir, Alone: func() { alone.Add(1) }})
-	if err := h.Set(context.Background(), ban); err != nil || h.Older() || h.Role() != state.Alone {
+	if err := h.Apply(context.Background(), ban); err != nil || h.Older() || h.Role() != state.Alone {
 		t.Fatal(err)
 	}
 	names, err := h.folder.Names(h.name)
@@ -124,7 +124,7 @@
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	if err := h.Set(context.Background(), ban); !errors.Is(err, ErrNotPersisted) || !errors.Is(err, ErrUnseen) {
+	if err := h.Apply(context.Background(), ban); !errors.Is(err, ErrNotPersisted) || !errors.Is(err, ErrUnverified) {
 		t.Fatal(err)
 	}
 	if len(h.State().Out) != 1 {
@@ -137,25 +137,25 @@
 	dir := t.TempDir()
 	var fail atomic.Bool
 	broken := errors.New("broken")
-	old := open(t, Options{Dir: dir, Apply: func(context.Context, state.State) error {
+	old := open(t, Options{Dir: dir, OnState: func(context.Context, state.State) error {
 		if fail.Load() {
 			return broken
 		}
 		return nil
 	}})
 	young := open(t, Options{Dir: dir})
-	if err := young.Set(context.Background(), ban); err != nil {
+	if err := young.Apply(context.Background(), ban); err != nil {
 		t.Fatal(err)
 	}
 	fail.Store(true)
-	if err := old.Set(context.Background(), state.Change{Host: "db2", Out: true}); !errors.Is(err, ErrNotApplied) || !errors.Is(err, broken) {
+	if err := old.Apply(context.Background(), state.Change{Host: "db2", Out: true}); !errors.Is(err, ErrNotApplied) || !errors.Is(err, broken) {
 		t.Fatal(err)
 	}
-	if err := young.Set(context.Background(), state.Change{Host: "db3", Out: true}); !errors.Is(err, ErrUnacknowledged) {
+	if err := young.Apply(context.Background(), state.Change{Host: "db3", Out: true}); !errors.Is(err, ErrUnacknowledged) {
 		t.Fatal(err)
 	}
 	fail.Store(false)
-	if err := young.Set(context.Background(), state.Change{Host: "db3"}); err != nil {
+	if err := young.Apply(context.Background(), state.Change{Host: "db3"}); err != nil {
 		t.Fatal(err)
 	}
 	if out := old.State().Out; len(out) != 2 {
@@ -165,11 +165,11 @@
 
 // TestBlob: one at the bound arrives, one over it does not, and both leave the start in time.
 func TestBlob(t *testing.T) {
-	for _, c := range []struct{ size, want int }{{frame.MostBlob, frame.MostBlob}, {frame.MostBlob + 1, 0}} {
+	for _, c := range []struct{ size, want int }{{frame.MaxBlob, frame.MaxBlob}, {frame.MaxBlob + 1, 0}} {
 		dir := t.TempDir()
 		open(t, Options{Dir: dir, Export: func() []byte { return make([]byte, c.size) }, Counters: &metrics.Counters{}})
-		if h := open(t, Options{Dir: dir}); len(h.Inherited()) != c.want || len(h.Doubts()) != 0 {
-			t.Fatal(len(h.Inherited()), h.Doubts())
+		if h := open(t, Options{Dir: dir}); len(h.Inherited()) != c.want || len(h.Unconfirmed()) != 0 {
+			t.Fatal(len(h.Inherited()), h.Unconfirmed())
 		}
 	}
 }
@@ -187,7 +187,7 @@
 		c.Write([]byte(text))
 	}
 	young := open(t, Options{Dir: dir})
-	if err := young.Set(context.Background(), ban); err != nil || len(h.State().Out) != 1 {
+	if err := young.Apply(context.Background(), ban); err != nil || len(h.State().Out) != 1 {
 		t.Fatal(err)
 	}
 	silent, err := net.Listen("unix", filepath.Join(dir, rendezvous.Name{Born: 1, Nonce: 1}.String()))
@@ -196,7 +196,7 @@
 	}
 	defer silent.Close()
 	began := time.Now()
-	if err := h.Set(context.Background(), ban); !errors.Is(err, ErrUnacknowledged) || time.Since(began) > 5*time.Second {
+	if err := h.Apply(context.Background(), ban); !errors.Is(err, ErrUnacknowledged) || time.Since(began) > 5*time.Second {
 		t.Fatal(err, time.Since(began))
 	}
 }
@@ -218,7 +218,7 @@
 		}
 	}
 	defer func() { atStep = nil }()
-	if err := caller.Set(context.Background(), state.Change{Lameduck: false}); err != nil && !errors.Is(err, context.DeadlineExceeded) {
+	if err := caller.Apply(context.Background(), state.Change{Lameduck: false}); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		t.Error(err)
 	}
 	if written < setFor {
@@ -246,14 +246,14 @@
 		}
 	}
 	defer func() { atStep = nil }()
-	h, openErr := Open(context.Background(), Options{Dir: dir, Counters: &metrics.Counters{}, Apply: func(context.Context, state.State) error { return nil }})
+	h, openErr := Open(context.Background(), Options{Dir: dir, Counters: &metrics.Counters{}, OnState: func(context.Context, state.State) error { return nil }})
 	undo()
 	if openErr != nil {
 		t.Fatal(openErr)
 	}
 	defer h.Close()
-	if len(h.Doubts()) == 0 || len(h.State().Out) != 0 {
-		t.Errorf("doubts %v, out %v", h.Doubts(), h.State().Out)
+	if len(h.Unconfirmed()) == 0 || len(h.State().Out) != 0 {
+		t.Errorf("doubts %v, out %v", h.Unconfirmed(), h.State().Out)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -22,14 +22,14 @@
 // link is one connection to a peer. There may be two to the same one, where both connected at once: then both say
 // the same, which does no harm.
 type link struct {
-	h    *Handover
+	h    *Coordinator
 	peer *peer
 	conn net.Conn
 	wake chan struct{}
 	owed int // h.mu guards it
 }
 
-func newLink(h *Handover, p *peer, c net.Conn) *link {
+func newLink(h *Coordinator, p *peer, c net.Conn) *link {
 	return &link{h: h, peer: p, conn: c, wake: make(chan struct{}, 1)}
 }
 
@@ -111,10 +111,10 @@
 		messages = append(messages, frame.Message{Kind: kind, Registers: &s})
 	}
 	if owed&oweRegistry != 0 {
-		registers(frame.Registry, h.regs)
+		registers(frame.Update, h.regs)
 	}
 	if owed&oweHolding != 0 {
-		registers(frame.Holding, h.holding)
+		registers(frame.Acknowledge, h.holding)
 	}
 	if owed&oweReady != 0 && h.serving {
 		messages = append(messages, frame.Message{Kind: frame.Ready})
@@ -122,16 +122,16 @@
 	return messages
 }
 
-func (h *Handover) export() []byte {
+func (h *Coordinator) export() []byte {
 	if h.opt.Export == nil {
 		return nil
 	}
 	h.exports.Lock()
 	defer h.exports.Unlock()
 	blob := h.opt.Export()
-	if len(blob) > frame.MostBlob {
+	if len(blob) > frame.MaxBlob {
 		h.opt.Counters.Add("handover_blobs_too_large", 1)
-		slog.Warn("handover_blob_too_large", "error", BlobTooLarge{len(blob)})
+		slog.Warn("handover_blob_too_large", "error", BlobSizeError{len(blob)})
 		return nil
 	}
 	return blob
@@ -171,14 +171,14 @@
 		p.blob, p.answered = m.Blob, true
 	case frame.Ready:
 		p.ready = true
-	case frame.Registry, frame.Holding:
+	case frame.Update, frame.Acknowledge:
 		news, err := h.adopt(regs)
 		if err != nil {
 			h.doubt(err)
 			return err
 		}
 		h.overheard = h.overheard || news
-		if m.Kind == frame.Holding {
+		if m.Kind == frame.Acknowledge {
 			if p.holds, err = p.holds.Merge(regs); err != nil { // of two connections one may be behind
 				p.holds = regs
 			}
--- a/internal/hotrestart/open.go
+++ b/internal/hotrestart/open.go
@@ -17,8 +17,8 @@
 
 // Open shows this process to the others in the folder, reads the file, and asks every older process. It takes at
 // most 1 s, also where one hangs, and applies nothing. What could not be learned stands in Doubts.
-// Errors: *FolderError, ErrCrowd, place.ErrPath, and the end of ctx.
-func Open(ctx context.Context, o Options) (*Handover, error) {
+// Errors: *FolderError, ErrTooManyProcesses, place.ErrPath, and the end of ctx.
+func Open(ctx context.Context, o Options) (*Coordinator, error) {
 	ctx, cancel := context.WithTimeout(ctx, openFor)
 	defer cancel()
 	folder, err := rendezvous.Open(o.Dir)
@@ -30,7 +30,7 @@
 		folder.Close()
 		return nil, err
 	}
-	h := &Handover{opt: o, name: name, folder: folder, file: statefile.In(o.Dir), changed: make(chan struct{}),
+	h := &Coordinator{opt: o, name: name, folder: folder, file: statefile.In(o.Dir), changed: make(chan struct{}),
 		peers: map[rendezvous.Name]*peer{}, opening: true}
 	h.life, h.end = context.WithCancel(context.Background())
 	for _, step := range state.Joining() {
@@ -49,13 +49,13 @@
 	return h, nil
 }
 
-func (h *Handover) join(ctx context.Context, step state.Join) error {
+func (h *Coordinator) join(ctx context.Context, step state.Join) error {
 	if atStep != nil {
 		atStep(step.String())
 	}
 	switch step {
 	case state.Show:
-		l, err := h.folder.Show(h.name)
+		l, err := h.folder.Register(h.name)
 		if errors.Is(err, rendezvous.ErrPath) {
 			return err
 		} else if err != nil {
@@ -72,7 +72,7 @@
 		if err != nil {
 			h.doubt(fmt.Errorf("reading the state file: %w", err))
 		}
-		if unread := (*statefile.UnreadFile)(nil); errors.As(err, &unread) {
+		if unread := (*statefile.UnreadableFileError)(nil); errors.As(err, &unread) {
 			h.unwritten = true // Run merges with the file until that succeeds, and so takes what it holds
 		}
 		if _, err := h.adopt(regs); err != nil {
@@ -89,7 +89,7 @@
 }
 
 // look searches the folder for processes that this one has not met.
-func (h *Handover) look() error {
+func (h *Coordinator) look() error {
 	names, err := h.folder.Names(h.name)
 	if err != nil {
 		return err
@@ -108,18 +108,18 @@
 }
 
 // dead says whether a name is left over, and takes it away.
-func (h *Handover) dead(n rendezvous.Name) bool {
+func (h *Coordinator) dead(n rendezvous.Name) bool {
 	ctx, cancel := context.WithTimeout(h.life, dialFor)
 	defer cancel()
 	c, err := h.folder.Dial(ctx, n)
 	if err == nil {
 		c.Close()
 	}
-	return errors.Is(err, rendezvous.ErrGone)
+	return errors.Is(err, rendezvous.ErrProcessEnded)
 }
 
 // hear waits for what older processes were asked, and takes the blob of the youngest of them that sent one.
-func (h *Handover) hear(ctx context.Context) error {
+func (h *Coordinator) hear(ctx context.Context) error {
 	for done := false; ; {
 		h.mu.Lock()
 		var silent []string
@@ -139,7 +139,7 @@
 		if len(silent) == 0 || done {
 			h.hadOlder, h.opening = older, false
 			if len(silent) > 0 {
-				h.doubt(&PeerError{silent, ErrSilent})
+				h.doubt(&PeerError{silent, ErrUnresponsive})
 			}
 			h.mu.Unlock()
 			return nil
@@ -158,7 +158,7 @@
 }
 
 // pause waits, and says no if Close came first.
-func (h *Handover) pause(d time.Duration) bool {
+func (h *Coordinator) pause(d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
--- a/internal/hotrestart/options.go
+++ b/internal/hotrestart/options.go
@@ -35,17 +35,17 @@
 	// Lend gives a descriptor for a connection to another process past the two that are counted on, or an error that says
 	// what an operator can do; nil: as many as the system gives. It is called from many goroutines, and what it returns
 	// once the connection has ended.
-	Lend func(context.Context) (giveBack func(), err error)
+	Reserve func(context.Context) (giveBack func(), err error)
 	// Apply makes the program hold a state and returns once the module does. It is called one at a time, with ever
 	// newer state, also for this process's own changes, and once at the start of Run. The program sends nothing to
 	// hosts before that first call has returned. After an error it is called again, every 100 ms.
-	Apply func(context.Context, state.State) error
-	// Export gives what a newer process should know, at most talk.MostBlob, and none of it arrives if it is more; nil: nothing. It is called
+	OnState func(context.Context, state.State) error
+	// Export gives what a newer process should know, at most talk.MaxBlob, and none of it arrives if it is more; nil: nothing. It is called
 	// one at a time, and has to return within 0.5 s, or the newer process starts without it.
 	Export func() []byte
 	// Newer says that a newer process has shown itself, or that none lives any more: the gateway's limits are shared
 	// between them meanwhile. May be nil.
-	Newer func(lives bool)
+	NewerExists func(lives bool)
 	// Superseded says that a newer process is ready: stop accepting connections. May be nil.
 	Superseded func()
 	// Restored says that no newer process that was ready lives any more: accept connections again. Each call follows one
--- a/internal/hotrestart/peers.go
+++ b/internal/hotrestart/peers.go
@@ -25,7 +25,7 @@
 }
 
 // meet gives the peer of a name; a new one is tended to until it is known to be dead. h.mu is held.
-func (h *Handover) meet(n rendezvous.Name) (*peer, error) {
+func (h *Coordinator) meet(n rendezvous.Name) (*peer, error) {
 	if p, ok := h.peers[n]; ok {
 		return p, nil
 	}
@@ -33,8 +33,8 @@
 		return nil, ErrClosed
 	}
 	if len(h.peers) >= mostPeers {
-		h.refuse(ErrCrowd)
-		return nil, ErrCrowd
+		h.refuse(ErrTooManyProcesses)
+		return nil, ErrTooManyProcesses
 	}
 	p := &peer{name: n, ask: h.opening && n.Before(h.name), links: map[*link]struct{}{}}
 	h.peers[n] = p
@@ -45,7 +45,7 @@
 
 // tend keeps a connection to a peer. The peer is gone when its socket refuses one, and only then: the end of a
 // connection alone proves nothing.
-func (h *Handover) tend(p *peer) {
+func (h *Coordinator) tend(p *peer) {
 	for wait := againFirst; h.life.Err() == nil; {
 		h.mu.Lock()
 		linked, changed := len(p.links) > 0, h.changed
@@ -59,7 +59,7 @@
 			continue
 		}
 		began := time.Now()
-		if err := h.reach(p); errors.Is(err, rendezvous.ErrGone) {
+		if err := h.reach(p); errors.Is(err, rendezvous.ErrProcessEnded) {
 			h.gone(p)
 			return
 		}
@@ -74,7 +74,7 @@
 }
 
 // reach connects to a peer, and speaks with it until the connection ends.
-func (h *Handover) reach(p *peer) error {
+func (h *Coordinator) reach(p *peer) error {
 	leave, err := h.enter()
 	if err != nil {
 		return err
@@ -91,21 +91,21 @@
 
 // enter gives a connection its descriptor: one of the two that are counted on, or one that is lent. What it returns gives
 // that back. Without one it says why, to the log too.
-func (h *Handover) enter() (leave func(), err error) {
+func (h *Coordinator) enter() (leave func(), err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.links >= mostLinks {
-		h.refuse(ErrLinks)
-		return nil, ErrLinks
+		h.refuse(ErrTooManyConnections)
+		return nil, ErrTooManyConnections
 	}
 	h.links++
 	own, giveBack := h.own < ownLinks, func() {}
 	if own {
 		h.own++
-	} else if h.opt.Lend != nil {
+	} else if h.opt.Reserve != nil {
 		h.mu.Unlock()
 		ctx, cancel := context.WithTimeout(h.life, lendFor)
-		giveBack, err = h.opt.Lend(ctx)
+		giveBack, err = h.opt.Reserve(ctx)
 		cancel()
 		h.mu.Lock()
 		if err != nil {
@@ -126,7 +126,7 @@
 }
 
 // gone forgets a peer that is dead, and has the file read for what it wrote last.
-func (h *Handover) gone(p *peer) {
+func (h *Coordinator) gone(p *peer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.peers, p.name)
@@ -136,7 +136,7 @@
 }
 
 // call speaks first on a connection to a peer, until it ends.
-func (h *Handover) call(p *peer, c net.Conn) {
+func (h *Coordinator) call(p *peer, c net.Conn) {
 	l := newLink(h, p, c)
 	h.mu.Lock()
 	h.attach(l)
@@ -145,7 +145,7 @@
 }
 
 // accept takes connections of others.
-func (h *Handover) accept() {
+func (h *Coordinator) accept() {
 	for h.life.Err() == nil {
 		c, err := h.listener.AcceptUnix()
 		if err != nil {
@@ -167,7 +167,7 @@
 }
 
 // answer hears who connected, and then serves it.
-func (h *Handover) answer(c net.Conn) {
+func (h *Coordinator) answer(c net.Conn) {
 	stop := context.AfterFunc(h.life, func() { c.Close() })
 	defer stop()
 	c.SetReadDeadline(time.Now().Add(helloFor))
@@ -196,7 +196,7 @@
 }
 
 // attach counts a connection as one of a peer's. h.mu is held.
-func (h *Handover) attach(l *link) {
+func (h *Coordinator) attach(l *link) {
 	l.peer.links[l] = struct{}{}
 	if !h.opening && l.peer.name.Before(h.name) {
 		h.hadOlder = true // it opened first, and showed itself second
--- a/internal/hotrestart/rendezvous/rendezvous.go
+++ b/internal/hotrestart/rendezvous/rendezvous.go
@@ -19,8 +19,8 @@
 	leftOver = time.Minute // past that such a name is of a process that died as it started
 )
 
-// ErrGone says that no process stands behind a name any more.
-var ErrGone = errors.New("no process stands behind this socket")
+// ErrProcessEnded says that no process stands behind a name any more.
+var ErrProcessEnded = errors.New("no process stands behind this socket")
 
 // ErrPath says that the folder's path is too long for a Unix socket.
 var ErrPath = errors.New("the path of the folder is too long for a Unix socket and /proc is not there to shorten it; " +
@@ -58,7 +58,7 @@
 
 // Show makes a socket that takes connections and puts it into the folder. Closing the listener leaves the name; Hide
 // takes it away. Errors: ErrPath, and those of the system.
-func (f *Folder) Show(n Name) (*net.UnixListener, error) {
+func (f *Folder) Register(n Name) (*net.UnixListener, error) {
 	p, err := f.path(n.String() + pending)
 	if err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 }
 
 // Hide takes a name away.
-func (f *Folder) Hide(n Name) { os.Remove(filepath.Join(f.dir, n.String())) }
+func (f *Folder) Unregister(n Name) { os.Remove(filepath.Join(f.dir, n.String())) }
 
 // Names lists the sockets of the folder, its own left out, and clears away what processes left that died early.
 func (f *Folder) Names(own Name) ([]Name, error) {
@@ -101,7 +101,7 @@
 	return names, nil
 }
 
-// Dial connects. ErrGone proves that the process is dead or has closed; its name is then taken away. Any other error
+// Dial connects. ErrProcessEnded proves that the process is dead or has closed; its name is then taken away. Any other error
 // proves nothing. A process that hangs is connected to all the same: it reads what it was sent once it goes on.
 func (f *Folder) Dial(ctx context.Context, n Name) (net.Conn, error) {
 	p, err := f.path(n.String())
@@ -110,10 +110,10 @@
 	}
 	c, err := (&net.Dialer{}).DialContext(ctx, "unix", p)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		f.Hide(n)
-		return nil, ErrGone
+		f.Unregister(n)
+		return nil, ErrProcessEnded
 	} else if errors.Is(err, fs.ErrNotExist) {
-		return nil, ErrGone
+		return nil, ErrProcessEnded
 	}
 	return c, err
 }
--- a/internal/hotrestart/run.go
+++ b/internal/hotrestart/run.go
@@ -12,7 +12,7 @@
 // Run applies what is learned, calls Superseded and Alone, and writes news to the file, until ctx or the process's
 // life ends. Call it once, and let it run as long as the process sends to hosts: without it nothing is applied, and
 // calls elsewhere are not acknowledged. It gives nil.
-func (h *Handover) Run(ctx context.Context) error {
+func (h *Coordinator) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(h.life, cancel)()
@@ -28,7 +28,7 @@
 }
 
 // applying has the module hold the newest registers, and then tells all peers.
-func (h *Handover) applying(ctx context.Context) {
+func (h *Coordinator) applying(ctx context.Context) {
 	for first := true; ctx.Err() == nil; {
 		h.mu.Lock()
 		regs, changed, done := h.regs, h.changed, !first && h.holding.Covers(h.regs)
@@ -40,7 +40,7 @@
 			}
 			continue
 		}
-		err := h.opt.Apply(ctx, regs.State())
+		err := h.opt.OnState(ctx, regs.State())
 		h.mu.Lock()
 		h.applyErr = err
 		if err == nil {
@@ -65,7 +65,7 @@
 }
 
 // notifying calls Newer, Superseded and Restored at each change, and Alone at most once.
-func (h *Handover) notifying(ctx context.Context) {
+func (h *Coordinator) notifying(ctx context.Context) {
 	for superseded, alone, newer := false, false, false; ctx.Err() == nil; {
 		h.mu.Lock()
 		changed := h.changed
@@ -74,8 +74,8 @@
 		nowAlone := !alone && h.hadOlder && !h.older()
 		h.mu.Unlock()
 		alone = alone || nowAlone
-		if nowNewer != newer && h.opt.Newer != nil {
-			h.opt.Newer(nowNewer)
+		if nowNewer != newer && h.opt.NewerExists != nil {
+			h.opt.NewerExists(nowNewer)
 		}
 		newer = nowNewer
 		if ready && !superseded && h.opt.Superseded != nil {
@@ -97,7 +97,7 @@
 // writing writes what could not be written before, and takes what a dead process wrote last. What came from a peer that
 // lives is its own to write: beside it, on a slow disk, this process would hold the lock for as long as the peer's call waits
 // for it. It is written here once the peer is gone, or where no news has come for as long as a call may take.
-func (h *Handover) writing(ctx context.Context) {
+func (h *Coordinator) writing(ctx context.Context) {
 	var late <-chan time.Time // when what was overheard is written; nil: nothing was
 	for wait := againFirst; ctx.Err() == nil; {
 		h.mu.Lock()
--- a/internal/hotrestart/set.go
+++ b/internal/hotrestart/set.go
@@ -14,8 +14,8 @@
 //
 // With an error the change is not taken back: a ban holds wherever it could be had to hold. Errors: those of
 // state.Registers.Reserve and ErrClosed, when nothing was changed; ErrUnacknowledged (as a *PeerError), ErrNotApplied,
-// ErrNotPersisted, ErrUnseen, which may be joined, and ErrOverruled.
-func (h *Handover) Set(ctx context.Context, c state.Change) error {
+// ErrNotPersisted, ErrUnverified, which may be joined, and ErrOverruled.
+func (h *Coordinator) Apply(ctx context.Context, c state.Change) error {
 	ctx, cancel := context.WithTimeout(ctx, setFor)
 	defer cancel()
 	tries := triesWiden
@@ -37,7 +37,7 @@
 
 // attempt makes the change once. overruled: it was heard that another process holds the opposite with a later stamp,
 // set before this call or during it; this process has moved its clock past that now.
-func (h *Handover) attempt(ctx context.Context, c state.Change) (overruled bool, err error) {
+func (h *Coordinator) attempt(ctx context.Context, c state.Change) (overruled bool, err error) {
 	if err := ctx.Err(); err != nil {
 		return false, err
 	}
@@ -70,7 +70,7 @@
 			h.mu.Unlock()
 		case state.Look:
 			if err = h.look(); err != nil && !errors.Is(err, ErrClosed) {
-				err = because(ErrUnseen, err)
+				err = because(ErrUnverified, err)
 			}
 		case state.Tell:
 			err = h.tell(ctx, delta)
@@ -85,7 +85,7 @@
 }
 
 // persist merges the registers and delta into the file, and takes what else stood there.
-func (h *Handover) persist(ctx context.Context, delta state.Registers) error {
+func (h *Coordinator) persist(ctx context.Context, delta state.Registers) error {
 	ctx, cancel := context.WithTimeout(ctx, lockFor)
 	defer cancel()
 	h.mu.Lock()
@@ -97,7 +97,7 @@
 	held, err := h.file.Update(ctx, regs)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if bad := (*statefile.BadFile)(nil); errors.As(err, &bad) {
+	if bad := (*statefile.InvalidFileError)(nil); errors.As(err, &bad) {
 		h.doubt(err) // the change itself was written
 	} else if err != nil {
 		h.unwritten = true
@@ -110,7 +110,7 @@
 }
 
 // tell waits until this process's module and every live peer hold what delta changes.
-func (h *Handover) tell(ctx context.Context, delta state.Registers) error {
+func (h *Coordinator) tell(ctx context.Context, delta state.Registers) error {
 	ctx, cancel := context.WithTimeout(ctx, tellFor)
 	defer cancel()
 	for {
--- a/internal/hotrestart/statefile/format_test.go
+++ b/internal/hotrestart/statefile/format_test.go
@@ -40,7 +40,7 @@
 	if got, err := In(other).Read(ctx); err != nil || !got.Equal(regs) {
 		t.Errorf("read: %+v, %v", got.State(), err)
 	}
-	for name, want := range map[string]string{Aside: "cranegate-state.json.bad", next: "cranegate-state.json.new", lock: "cranegate-state.lock"} {
+	for name, want := range map[string]string{InvalidName: "cranegate-state.json.bad", next: "cranegate-state.json.new", lock: "cranegate-state.lock"} {
 		if name != want {
 			t.Errorf("a file beside it is called %s, not %s", name, want)
 		}
--- a/internal/hotrestart/statefile/statefile.go
+++ b/internal/hotrestart/statefile/statefile.go
@@ -20,46 +20,46 @@
 )
 
 const (
-	Name  = "cranegate-state.json"     // the file,
-	Aside = "cranegate-state.json.bad" // one that could not be used; the last such one is kept
-	next  = "cranegate-state.json.new" // and what is to replace it
-	lock  = "cranegate-state.lock"
-
-	Most    = 1 << 20 // bytes of the file
-	format  = "cranegate-state"
-	version = 1
+	Name        = "cranegate-state.json"     // the file,
+	InvalidName = "cranegate-state.json.bad" // one that could not be used; the last such one is kept
+	next        = "cranegate-state.json.new" // and what is to replace it
+	lock        = "cranegate-state.lock"
+
+	MaxBytes = 1 << 20 // bytes of the file
+	format   = "cranegate-state"
+	version  = 1
 )
 
-// BadFile says that the file was read, could not be used and what that means.
-type BadFile struct {
+// InvalidFileError says that the file was read, could not be used and what that means.
+type InvalidFileError struct {
 	Path  string // where it lies now
 	Cause error
 }
 
-func (e *BadFile) Error() string {
+func (e *InvalidFileError) Error() string {
 	return fmt.Sprintf("the state file can't be used (%v) and was set aside as %s: hosts taken out by hand and lameduck "+
 		"are known from live processes alone; check the list of hosts that are out and call detach again where one is missing",
 		e.Cause, e.Path)
 }
 
-func (e *BadFile) Unwrap() error { return e.Cause }
+func (e *InvalidFileError) Unwrap() error { return e.Cause }
 
-// UnreadFile says that the file could not be read, which tells nothing of what it holds: it stays as it is.
-type UnreadFile struct {
+// UnreadableFileError says that the file could not be read, which tells nothing of what it holds: it stays as it is.
+type UnreadableFileError struct {
 	Path  string
 	Cause error
 }
 
-func (e *UnreadFile) Error() string {
+func (e *UnreadableFileError) Error() string {
 	return fmt.Sprintf("the state file %s could not be read (%v) and was left as it is: hosts taken out by hand and lameduck are known "+
 		"from live processes alone; mend what the system says, and call again where a call got a no", e.Path, e.Cause)
 }
 
-func (e *UnreadFile) Unwrap() error { return e.Cause }
+func (e *UnreadableFileError) Unwrap() error { return e.Cause }
 
-// What is wrong with a file that was read; BadFile wraps them.
+// What is wrong with a file that was read; InvalidFileError wraps them.
 var (
-	ErrTorn    = errors.New("torn, or not JSON of this format")
+	ErrPartial = errors.New("torn, or not JSON of this format")
 	ErrForeign = errors.New("of a version that this program does not know")
 	ErrLarge   = errors.New("larger than 1 MiB")
 )
@@ -81,12 +81,12 @@
 // In names the file in a folder. It touches nothing.
 func In(dir string) *File { return &File{dir: dir, turn: make(chan struct{}, 1)} }
 
-// Read returns what the file holds; a missing one is empty. With a *BadFile the registers are empty, and the file has
-// been set aside, unless the lock could not be had within ctx: then it still stands. Other errors, *UnreadFile among them, say
+// Read returns what the file holds; a missing one is empty. With a *InvalidFileError the registers are empty, and the file has
+// been set aside, unless the lock could not be had within ctx: then it still stands. Other errors, *UnreadableFileError among them, say
 // nothing of what it holds.
 func (f *File) Read(ctx context.Context) (state.Registers, error) {
 	regs, _, err := f.load()
-	var bad *BadFile
+	var bad *InvalidFileError
 	if !errors.As(err, &bad) {
 		return regs, err
 	}
@@ -102,7 +102,7 @@
 }
 
 // Update merges regs into the file and returns what the file then holds. ctx bounds the wait for the lock. With a
-// *BadFile the update was made and what stood there before is set aside; with any other error nothing was changed.
+// *InvalidFileError the update was made and what stood there before is set aside; with any other error nothing was changed.
 func (f *File) Update(ctx context.Context, regs state.Registers) (state.Registers, error) {
 	free, err := f.lock(ctx)
 	if err != nil {
@@ -110,7 +110,7 @@
 	}
 	defer free()
 	was, sequence, err := f.load()
-	var bad *BadFile
+	var bad *InvalidFileError
 	if errors.As(err, &bad) {
 		f.setAside(bad)
 	} else if err != nil {
@@ -157,28 +157,28 @@
 		return state.Registers{}, 0, err
 	}
 	if !info.Mode().IsRegular() { // a pipe would block, a folder can't be replaced
-		return state.Registers{}, 0, &BadFile{path, fmt.Errorf("%w: not a regular file", ErrTorn)}
+		return state.Registers{}, 0, &InvalidFileError{path, fmt.Errorf("%w: not a regular file", ErrPartial)}
 	}
 	r, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) { // another process has just set it aside
 		return state.Registers{}, 0, nil
 	} else if err != nil {
-		return state.Registers{}, 0, &UnreadFile{path, err}
+		return state.Registers{}, 0, &UnreadableFileError{path, err}
 	}
 	defer r.Close()
-	text, err := io.ReadAll(io.LimitReader(r, Most+1))
+	text, err := io.ReadAll(io.LimitReader(r, MaxBytes+1))
 	if err != nil {
-		return state.Registers{}, 0, &UnreadFile{path, err}
+		return state.Registers{}, 0, &UnreadableFileError{path, err}
 	}
 	regs, sequence, err := decode(text)
 	if err != nil {
-		return state.Registers{}, 0, &BadFile{path, err}
+		return state.Registers{}, 0, &InvalidFileError{path, err}
 	}
 	return regs, sequence, nil
 }
 
-func (f *File) setAside(bad *BadFile) {
-	to := filepath.Join(f.dir, Aside)
+func (f *File) setAside(bad *InvalidFileError) {
+	to := filepath.Join(f.dir, InvalidName)
 	if os.Rename(bad.Path, to) == nil {
 		bad.Path = to
 	}
@@ -191,33 +191,33 @@
 	}
 	sum := sha256.Sum256(body)
 	text, err := json.Marshal(file{format, version, sequence, hex.EncodeToString(sum[:]), body})
-	if err == nil && len(text) > Most {
+	if err == nil && len(text) > MaxBytes {
 		err = ErrLarge
 	}
 	return text, err
 }
 
 func decode(text []byte) (state.Registers, uint64, error) {
-	if len(text) > Most {
+	if len(text) > MaxBytes {
 		return state.Registers{}, 0, ErrLarge
 	}
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil || f.Format != format {
-		return state.Registers{}, 0, ErrTorn
+		return state.Registers{}, 0, ErrPartial
 	}
 	if f.Version != version {
 		return state.Registers{}, 0, fmt.Errorf("%w: version %d", ErrForeign, f.Version)
 	}
 	if sum := sha256.Sum256(f.State); hex.EncodeToString(sum[:]) != f.SHA256 {
-		return state.Registers{}, 0, fmt.Errorf("%w: the checksum does not match", ErrTorn)
+		return state.Registers{}, 0, fmt.Errorf("%w: the checksum does not match", ErrPartial)
 	}
 	var s state.Snapshot
 	if err := json.Unmarshal(f.State, &s); err != nil {
-		return state.Registers{}, 0, fmt.Errorf("%w: %w", ErrTorn, err)
+		return state.Registers{}, 0, fmt.Errorf("%w: %w", ErrPartial, err)
 	}
 	regs, err := s.Registers()
 	if err != nil {
-		return state.Registers{}, 0, fmt.Errorf("%w: %w", ErrTorn, err)
+		return state.Registers{}, 0, fmt.Errorf("%w: %w", ErrPartial, err)
 	}
 	return regs, max(f.Sequence, 1), nil
 }
--- a/internal/hotrestart/statefile/statefile_test.go
+++ b/internal/hotrestart/statefile/statefile_test.go
@@ -61,7 +61,7 @@
 		if readErr == nil && files == 0 || updateErr == nil {
 			t.Errorf("%d files: read %v, update %v", files, readErr, updateErr)
 		}
-		if _, err := os.Stat(filepath.Join(dir, Aside)); !os.IsNotExist(err) {
+		if _, err := os.Stat(filepath.Join(dir, InvalidName)); !os.IsNotExist(err) {
 			t.Errorf("%d files: the file was set aside: %v", files, err)
 		}
 		got, err := In(dir).Read(context.Background())
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -32,26 +32,26 @@
 const (
 	None Reason = ""
 
-	HostWithdrawn  Reason = "host_withdrawn"  // Send: the host drains or is off the list, and this gateway has known for longer than Grace
-	RequestEnded   Reason = "request_ended"   // Send: the request has had its final answer
-	ClientGone     Reason = "client_gone"     // Send: the client left longer ago than GoneGrace
-	PastDeadline   Reason = "past_deadline"   // Send: the client's wait is over
-	PastLatest     Reason = "past_latest"     // Send: the attempt should have begun earlier, or not at all
-	SecondRun      Reason = "second_run"      // Repeat: a request that may run once may have run already
-	WindowOver     Reason = "window_over"     // Repeat: the hosts no longer recognise the idempotency key
-	CopiesOut      Reason = "copies_out"      // Repeat: another attempt is out where copies are not allowed
-	TooMany        Reason = "too_many"        // Repeat: more attempts than the settings allow
-	Unanswered     Reason = "unanswered"      // Close: a request was read, its client is there, and it got no answer
-	LateAnswer     Reason = "late_answer"     // Close: the core's watchdog had to answer
-	NotReady       Reason = "not_ready"       // Start: a listener opened before a list was known
-	BudgetOverdraw Reason = "budget_overdraw" // Start: a host in slow start was sent more than its budget
+	HostWithdrawn      Reason = "host_withdrawn"  // Send: the host drains or is off the list, and this gateway has known for longer than Grace
+	RequestEnded       Reason = "request_ended"   // Send: the request has had its final answer
+	ClientDisconnected Reason = "client_gone"     // Send: the client left longer ago than RemovedGrace
+	PastDeadline       Reason = "past_deadline"   // Send: the client's wait is over
+	PastLatest         Reason = "past_latest"     // Send: the attempt should have begun earlier, or not at all
+	DuplicateRun       Reason = "second_run"      // Repeat: a request that may run once may have run already
+	WindowOver         Reason = "window_over"     // Repeat: the hosts no longer recognise the idempotency key
+	AttemptsInFlight   Reason = "copies_out"      // Repeat: another attempt is out where copies are not allowed
+	TooMany            Reason = "too_many"        // Repeat: more attempts than the settings allow
+	Unanswered         Reason = "unanswered"      // Close: a request was read, its client is there, and it got no answer
+	LateAnswer         Reason = "late_answer"     // Close: the core's watchdog had to answer
+	NotReady           Reason = "not_ready"       // Start: a listener opened before a list was known
+	BudgetOverdraw     Reason = "budget_overdraw" // Start: a host in slow start was sent more than its budget
 )
 
-// The times that the rules grant. HoldUp is how long the process may be held up between reading its clock and writing.
+// The times that the rules grant. Stall is how long the process may be held up between reading its clock and writing.
 const (
-	Grace     = 250 * time.Millisecond // from when a drain was notified
-	GoneGrace = 100 * time.Millisecond // from when a client closed
-	HoldUp    = 150 * time.Millisecond
+	Grace        = 250 * time.Millisecond // from when a drain was notified
+	RemovedGrace = 100 * time.Millisecond // from when a client closed
+	Stall        = 150 * time.Millisecond
 )
 
 // Violation is one violation of a rule.
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -23,11 +23,11 @@
 		"answered":              {Attempt{Now: now, Deadline: now, Answered: true}, RequestEnded},
 		"drained just now":      {Attempt{Now: now, Deadline: now, WithdrawnAt: now - Grace}, None},
 		"drained":               {Attempt{Now: now, Deadline: now, WithdrawnAt: now - Grace - ms}, HostWithdrawn},
-		"client left just now":  {Attempt{Now: now, Deadline: now, LeftAt: now - GoneGrace}, None},
-		"client left":           {Attempt{Now: now, Deadline: now, LeftAt: now - GoneGrace - ms}, ClientGone},
-		"held up":               {Attempt{Now: now, Deadline: now - HoldUp, Latest: now - HoldUp}, None},
-		"past its latest begin": {Attempt{Now: now, Deadline: now, Latest: now - HoldUp - ms}, PastLatest},
-		"past its deadline":     {Attempt{Now: now, Deadline: now - HoldUp - ms}, PastDeadline},
+		"client left just now":  {Attempt{Now: now, Deadline: now, LeftAt: now - RemovedGrace}, None},
+		"client left":           {Attempt{Now: now, Deadline: now, LeftAt: now - RemovedGrace - ms}, ClientDisconnected},
+		"held up":               {Attempt{Now: now, Deadline: now - Stall, Latest: now - Stall}, None},
+		"past its latest begin": {Attempt{Now: now, Deadline: now, Latest: now - Stall - ms}, PastLatest},
+		"past its deadline":     {Attempt{Now: now, Deadline: now - Stall - ms}, PastDeadline},
 	} {
 		if got, _ := CheckSend(c.a); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
@@ -47,17 +47,17 @@
 		after  time.Duration
 		want   Reason
 	}{
-		{"once, turned away", routing.Once, false, true, routing.ResultFull, ms, None},
-		{"once, never written", routing.Once, false, true, routing.ResultMoot, ms, None},
-		{"once, reset", routing.Once, false, true, routing.ResultReset, ms, SecondRun},
-		{"once, timed out", routing.Once, true, true, routing.ResultTimeout, ms, SecondRun},
-		{"once, out", routing.Once, true, false, 0, ms, SecondRun},
-		{"keyed, inside its window", routing.Keyed, false, true, routing.ResultReset, window + HoldUp, None},
-		{"keyed, past its window", routing.Keyed, false, true, routing.ResultReset, window + HoldUp + ms, WindowOver},
-		{"keyed, missed before", routing.Keyed, false, true, routing.ResultMiss, 9 * window, None},
-		{"read, reset", routing.Repeatable, false, true, routing.ResultReset, 9 * window, None},
-		{"read, a copy", routing.Repeatable, true, false, 0, ms, None},
-		{"read, a copy that is not allowed", routing.Repeatable, false, false, 0, ms, CopiesOut},
+		{"once, turned away", routing.NonIdempotent, false, true, routing.ResultOverCapacity, ms, None},
+		{"once, never written", routing.NonIdempotent, false, true, routing.ResultNotSent, ms, None},
+		{"once, reset", routing.NonIdempotent, false, true, routing.ResultReset, ms, DuplicateRun},
+		{"once, timed out", routing.NonIdempotent, true, true, routing.ResultTimeout, ms, DuplicateRun},
+		{"once, out", routing.NonIdempotent, true, false, 0, ms, DuplicateRun},
+		{"keyed, inside its window", routing.IdempotentByKey, false, true, routing.ResultReset, window + Stall, None},
+		{"keyed, past its window", routing.IdempotentByKey, false, true, routing.ResultReset, window + Stall + ms, WindowOver},
+		{"keyed, missed before", routing.IdempotentByKey, false, true, routing.ResultMissed, 9 * window, None},
+		{"read, reset", routing.Idempotent, false, true, routing.ResultReset, 9 * window, None},
+		{"read, a copy", routing.Idempotent, true, false, 0, ms, None},
+		{"read, a copy that is not allowed", routing.Idempotent, false, false, 0, ms, AttemptsInFlight},
 	} {
 		var l Ledger
 		limits := Limits{Effect: c.effect, Window: window, Copies: c.copies, Attempts: 2}
@@ -76,7 +76,7 @@
 		t.Error("recorded, though it was not written")
 	}
 	l.Begin(0, 0, Limits{Attempts: 1}, yes)
-	l.End(0, routing.ResultFull)
+	l.End(0, routing.ResultOverCapacity)
 	if got, _ := l.Begin(1, ms, Limits{Attempts: 1}, yes); got != TooMany {
 		t.Errorf("a second of one: %q", got)
 	}
@@ -86,7 +86,7 @@
 func TestViolationsAreCounted(t *testing.T) {
 	m := &Monitor{Counters: &metrics.Counters{}}
 	m.Report(Violation{Rule: Send, Reason: None})
-	m.Report(Violation{Rule: Send, Reason: ClientGone, Request: "a"})
+	m.Report(Violation{Rule: Send, Reason: ClientDisconnected, Request: "a"})
 	m.Report(Violation{Rule: Close, Reason: Unanswered, Request: "b"})
 	(*Monitor)(nil).Report(Violation{Rule: Close, Reason: Unanswered})
 	if m.Counters.Get("violations") != 2 || m.Counters.Get("violations_send") != 1 || m.Counters.Get("violations_close") != 1 {
--- a/internal/invariant/repeat.go
+++ b/internal/invariant/repeat.go
@@ -47,12 +47,12 @@
 	for _, t := range l.tries {
 		switch {
 		case t.harmless:
-		case limits.Effect == routing.Once:
-			return SecondRun
-		case limits.Effect == routing.Keyed && now-t.at > limits.Window+HoldUp:
+		case limits.Effect == routing.NonIdempotent:
+			return DuplicateRun
+		case limits.Effect == routing.IdempotentByKey && now-t.at > limits.Window+Stall:
 			return WindowOver
 		case t.out && !limits.Copies:
-			return CopiesOut
+			return AttemptsInFlight
 		}
 	}
 	if len(l.tries) >= limits.Attempts {
@@ -75,7 +75,7 @@
 // Harmless says that an attempt which ended so has not run.
 func Harmless(result routing.Result) bool {
 	switch result {
-	case routing.ResultFull, routing.ResultMiss, routing.ResultRejected, routing.ResultConnectFailed, routing.ResultMoot:
+	case routing.ResultOverCapacity, routing.ResultMissed, routing.ResultInvalidStatement, routing.ResultConnectFailed, routing.ResultNotSent:
 		return true
 	}
 	return false
--- a/internal/invariant/send.go
+++ b/internal/invariant/send.go
@@ -19,12 +19,12 @@
 		return RequestEnded, 0
 	case a.WithdrawnAt > 0 && a.Now-a.WithdrawnAt > Grace:
 		return HostWithdrawn, a.Now - a.WithdrawnAt - Grace
-	case a.LeftAt > 0 && a.Now-a.LeftAt > GoneGrace:
-		return ClientGone, a.Now - a.LeftAt - GoneGrace
-	case a.Latest > 0 && a.Now-a.Latest > HoldUp:
-		return PastLatest, a.Now - a.Latest - HoldUp
-	case a.Now-a.Deadline > HoldUp:
-		return PastDeadline, a.Now - a.Deadline - HoldUp
+	case a.LeftAt > 0 && a.Now-a.LeftAt > RemovedGrace:
+		return ClientDisconnected, a.Now - a.LeftAt - RemovedGrace
+	case a.Latest > 0 && a.Now-a.Latest > Stall:
+		return PastLatest, a.Now - a.Latest - Stall
+	case a.Now-a.Deadline > Stall:
+		return PastDeadline, a.Now - a.Deadline - Stall
 	}
 	return None, 0
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -46,18 +46,18 @@
 }
 
 // Start names one start of one process: a new one each time, drawn at random and never 0.
-type Start uint64
+type Incarnation uint64
 
 // Row is what is told of a member.
-type Row struct {
-	Start   Start         `cbor:"1,keyasint"`
-	Name    string        `cbor:"2,keyasint"`
-	Zone    string        `cbor:"3,keyasint,omitempty"`
-	Addr    string        `cbor:"4,keyasint"`
-	State   State         `cbor:"5,keyasint,omitempty"`
-	Beat    uint64        `cbor:"6,keyasint,omitempty"` // of its messages, the latest that was heard of
-	Settled bool          `cbor:"8,keyasint,omitempty"` // it belongs to the sender's settled view; told with all rows alone
-	Age     time.Duration `cbor:"7,keyasint,omitempty"` // since it was heard; of one that failed: since when it was tried in vain
+type MemberState struct {
+	Incarnation Incarnation   `cbor:"1,keyasint"`
+	Name        string        `cbor:"2,keyasint"`
+	Zone        string        `cbor:"3,keyasint,omitempty"`
+	Addr        string        `cbor:"4,keyasint"`
+	State       State         `cbor:"5,keyasint,omitempty"`
+	Heartbeat   uint64        `cbor:"6,keyasint,omitempty"` // of its messages, the latest that was heard of
+	Settled     bool          `cbor:"8,keyasint,omitempty"` // it belongs to the sender's settled view; told with all rows alone
+	Age         time.Duration `cbor:"7,keyasint,omitempty"` // since it was heard; of one that failed: since when it was tried in vain
 }
 
 // Kind is what a message asks or answers.
@@ -65,40 +65,40 @@
 
 // The kinds of message.
 const (
-	Ping   Kind = iota + 1 // asks To for an Ack
-	Ack                    // answers a Ping, or hands on that a Relay was answered
-	Relay                  // asks To to ping About and to hand the answer on
-	Vain                   // says that a Relay got no answer
-	Other                  // answers a Ping for a start that does not run there (any more)
-	Sync                   // all rows; asks for all in turn
-	Synced                 // answers a Sync
+	Ping             Kind = iota + 1 // asks To for an Ack
+	Ack                              // answers a Ping, or hands on that a Relay was answered
+	PingRequest                      // asks To to ping About and to hand the answer on
+	Unreachable                      // says that a Relay got no answer
+	WrongIncarnation                 // answers a Ping for a start that does not run there (any more)
+	StateRequest                     // all rows; asks for all in turn
+	StateResponse                    // answers a Sync
 )
 
 // Message is one datagram, or one exchange of all rows (Sync and Synced), which goes by a stream.
 type Message struct {
-	Kind  Kind   `cbor:"1,keyasint"`
-	Fleet string `cbor:"2,keyasint,omitempty"`
-	From  Row    `cbor:"3,keyasint"`           // the sender, with its beat
-	To    string `cbor:"-"`                    // the address
-	For   Start  `cbor:"4,keyasint,omitempty"` // whom a Ping or a Relay is meant for, 0 for whoever is there
-	About Row    `cbor:"5,keyasint,omitzero"`  // whom a Relay is to reach, or whom an Ack that was handed on is about
-	Seq   uint64 `cbor:"6,keyasint,omitempty"`
-	Rows  []Row  `cbor:"7,keyasint,omitempty"`
-	View  uint64 `cbor:"8,keyasint,omitempty"` // tells whether the sender holds the same members for living
+	Kind     Kind          `cbor:"1,keyasint"`
+	Fleet    string        `cbor:"2,keyasint,omitempty"`
+	From     MemberState   `cbor:"3,keyasint"`           // the sender, with its beat
+	To       string        `cbor:"-"`                    // the address
+	Target   Incarnation   `cbor:"4,keyasint,omitempty"` // whom a Ping or a Relay is meant for, 0 for whoever is there
+	Subject  MemberState   `cbor:"5,keyasint,omitzero"`  // whom a Relay is to reach, or whom an Ack that was handed on is about
+	Seq      uint64        `cbor:"6,keyasint,omitempty"`
+	Members  []MemberState `cbor:"7,keyasint,omitempty"`
+	ViewHash uint64        `cbor:"8,keyasint,omitempty"` // tells whether the sender holds the same members for living
 }
 
 // Change is news of a member.
 type Change struct {
-	Row  Row
-	From State
-	By   string        // whose word it is, "" for one's own
-	Why  string        // in a word or two
-	Took time.Duration // since it was heard of last
-	New  bool
+	Member     MemberState
+	From       State
+	Reporter   string        // whose word it is, "" for one's own
+	Reason     string        // in a word or two
+	SinceHeard time.Duration // since it was heard of last
+	New        bool
 }
 
-// DefaultMost is the number of members of the largest fleet. Rows are kept for those alone that are there.
-const DefaultMost = 1024
+// DefaultMaxMembers is the number of members of the largest fleet. Rows are kept for those alone that are there.
+const DefaultMaxMembers = 1024
 
 // Options are the settings. Zero values take the defaults.
 type Options struct {
@@ -106,9 +106,9 @@
 	Join                    []string // addresses to try
 	Gateways                int      // that are expected: counted on until the fleet is known
 	Seed                    uint64
-	Period                  time.Duration // between two probes of one's own; 250 ms
-	Most                    int           // members at most, this one included; DefaultMost
-	Plain                   bool          // for comparisons: SWIM with one trial of each kind, hearsay, and no doubt of oneself
+	ProbeInterval           time.Duration // between two probes of one's own; 250 ms
+	MaxMembers              int           // members at most, this one included; DefaultMaxMembers
+	PlainSWIM               bool          // for comparisons: SWIM with one trial of each kind, hearsay, and no doubt of oneself
 }
 
 const (
@@ -142,13 +142,13 @@
 
 // entry is one member in the table.
 type entry struct {
-	Row                   // Age is unused: heard and since tell it
-	heard   time.Duration // the latest sign of its life, here or elsewhere
-	since   time.Duration // of its state
-	vainly  time.Duration // of one that failed: from when it was tried in vain
-	sends   int           // messages on which its row still rides
-	suspect *suspicion
-	relayed bool // its last answer came through another: we do not reach it ourselves
+	MemberState               // Age is unused: heard and since tell it
+	heard       time.Duration // the latest sign of its life, here or elsewhere
+	since       time.Duration // of its state
+	vainly      time.Duration // of one that failed: from when it was tried in vain
+	sends       int           // messages on which its row still rides
+	suspect     *suspicion
+	relayed     bool // its last answer came through another: we do not reach it ourselves
 }
 
 // suspicion is our own attempt to reach a member that did not answer.
@@ -156,15 +156,15 @@
 	from    time.Duration // the first ping without an answer
 	tryAt   time.Duration
 	tries   int
-	seconds map[Start]bool // who reaches it neither
-	heard   int            // members other than it that answered us since
+	seconds map[Incarnation]bool // who reaches it neither
+	heard   int                  // members other than it that answered us since
 }
 
 // errand is a ping on another's behalf.
 type errand struct {
 	seq, theirs uint64
 	addr        string // who asked
-	about       Start
+	about       Incarnation
 	to          string
 	pings       int
 	at          time.Duration // the next ping, or the end
@@ -174,13 +174,13 @@
 type Node struct {
 	opt                    Options
 	rng                    *rand.Rand
-	self                   Row
-	table                  map[Start]*entry
+	self                   MemberState
+	table                  map[Incarnation]*entry
 	sorted                 []*entry // by start: whatever is drawn must not hang on a map's order
 	hot                    []*entry // whose rows still ride on messages
 	living                 int      // members that are not gone, and the sum of their starts, mixed
 	sum                    uint64
-	order                  []Start // to be probed, shuffled anew each round
+	order                  []Incarnation // to be probed, shuffled anew each round
 	now                    time.Duration
 	heardAt                time.Duration // a word of anybody
 	answerAt               time.Duration // an answer of anybody
@@ -190,17 +190,17 @@
 	syncedAt               time.Duration
 	holdTo                 time.Duration // no verdicts before: one was stopped
 	seq                    uint64
-	pings                  map[uint64]Start // that are out, of the last two periods
-	older                  map[uint64]Start
+	pings                  map[uint64]Incarnation // that are out, of the last two periods
+	older                  map[uint64]Incarnation
 	errands                []errand
 	out                    []Message
 	changes                []Change
 	refused                int
-	settled                map[Start]bool // the last settled view
-	met                    bool           // a member has told all its rows, or there is nobody to ask
-	lesserAt, restrainedTo time.Duration  // since when this may be the lesser side; no part of budgets before
-	quietAt                time.Duration  // of the last change
-	counted                int            // see Size
+	settled                map[Incarnation]bool // the last settled view
+	met                    bool                 // a member has told all its rows, or there is nobody to ask
+	lesserAt, restrainedTo time.Duration        // since when this may be the lesser side; no part of budgets before
+	quietAt                time.Duration        // of the last change
+	counted                int                  // see Size
 }
 
 // New makes a node that has just started.
@@ -213,22 +213,22 @@
 			return nil, fmt.Errorf("members: %q is longer than %d bytes", x, longest)
 		}
 	}
-	if o.Most < 0 || o.Period < 0 {
+	if o.MaxMembers < 0 || o.ProbeInterval < 0 {
 		return nil, errors.New("members: a bound below 0")
 	}
-	o.Period, o.Most = cmp.Or(o.Period, 250*time.Millisecond), cmp.Or(o.Most, DefaultMost)
-	n := &Node{opt: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), table: map[Start]*entry{}, pings: map[uint64]Start{},
-		now: now, heardAt: now, answerAt: now, quietAt: now, syncAt: now + syncGap, settled: map[Start]bool{},
+	o.ProbeInterval, o.MaxMembers = cmp.Or(o.ProbeInterval, 250*time.Millisecond), cmp.Or(o.MaxMembers, DefaultMaxMembers)
+	n := &Node{opt: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), table: map[Incarnation]*entry{}, pings: map[uint64]Incarnation{},
+		now: now, heardAt: now, answerAt: now, quietAt: now, syncAt: now + syncGap, settled: map[Incarnation]bool{},
 		counted: max(1, o.Gateways)}
-	n.self = Row{Start: Start(n.rng.Uint64() | 1), Name: o.Name, Zone: o.Zone, Addr: o.Addr}
-	n.settled[n.self.Start] = true
+	n.self = MemberState{Incarnation: Incarnation(n.rng.Uint64() | 1), Name: o.Name, Zone: o.Zone, Addr: o.Addr}
+	n.settled[n.self.Incarnation] = true
 	n.Join(o.Join)
-	n.nextAt = now + time.Duration(n.rng.Int64N(int64(o.Period)))
+	n.nextAt = now + time.Duration(n.rng.Int64N(int64(o.ProbeInterval)))
 	return n, nil
 }
 
 // Self is the node's own row.
-func (n *Node) Self() Row { return n.self }
+func (n *Node) Self() MemberState { return n.self }
 
 // Ready gives what is to be sent and what has changed, and forgets both.
 func (n *Node) Ready() ([]Message, []Change) {
@@ -238,8 +238,8 @@
 }
 
 // Members are the rows of all others that are known, in order of their starts.
-func (n *Node) Members() []Row {
-	rows := make([]Row, 0, len(n.sorted))
+func (n *Node) Members() []MemberState {
+	rows := make([]MemberState, 0, len(n.sorted))
 	for _, e := range n.sorted {
 		rows = append(rows, n.row(e))
 	}
@@ -247,9 +247,9 @@
 }
 
 // row is what is told of a member: a suspicion is our own affair.
-func (n *Node) row(e *entry) Row {
-	r := e.Row
-	r.Settled = n.settled[e.Start]
+func (n *Node) row(e *entry) MemberState {
+	r := e.MemberState
+	r.Settled = n.settled[e.Incarnation]
 	if r.Age = max(0, n.now-e.heard); r.State == Failed {
 		r.Age = n.now - e.vainly
 	}
@@ -257,20 +257,20 @@
 }
 
 // Suspects are the members that we are trying to reach.
-func (n *Node) Suspects() (out []Start) {
+func (n *Node) Suspects() (out []Incarnation) {
 	for _, e := range n.sorted {
 		if e.suspect != nil {
-			out = append(out, e.Start)
+			out = append(out, e.Incarnation)
 		}
 	}
 	return out
 }
 
 // Unreached are the members that answered us through others alone: facts about links.
-func (n *Node) Unreached() (out []Start) {
+func (n *Node) Unreached() (out []Incarnation) {
 	for _, e := range n.sorted {
 		if e.relayed && e.State < Failed {
-			out = append(out, e.Start)
+			out = append(out, e.Incarnation)
 		}
 	}
 	return out
@@ -295,24 +295,26 @@
 // tally counts a member as living, or no longer.
 func (n *Node) tally(e *entry, lives bool) {
 	if lives {
-		n.living, n.sum = n.living+1, n.sum+mix(e.Start)
+		n.living, n.sum = n.living+1, n.sum+mix(e.Incarnation)
 	} else {
-		n.living, n.sum = n.living-1, n.sum-mix(e.Start)
+		n.living, n.sum = n.living-1, n.sum-mix(e.Incarnation)
 	}
 }
 
 // Cut says that the node takes itself for the one that is cut off: it hears nobody.
-func (n *Node) Cut() bool { return n.there() > 1 && n.now-n.heardAt > cutAfter }
+func (n *Node) Isolated() bool { return n.there() > 1 && n.now-n.heardAt > cutAfter }
 
 // Unheard says that the node hears others and is answered by none: what it sends does not arrive.
-func (n *Node) Unheard() bool { return n.there() > 1 && !n.Cut() && n.now-n.answerAt > 2*cutAfter }
+func (n *Node) Unanswered() bool {
+	return n.there() > 1 && !n.Isolated() && n.now-n.answerAt > 2*cutAfter
+}
 
 // Share is the part of the last settled view that is there, as far as this side knows. With a half or less this may be
 // the smaller side of a cut. Who left has not been cut off.
-func (n *Node) Share() float64 {
+func (n *Node) LiveShare() float64 {
 	k := 0
 	for s := range n.settled {
-		if e := n.table[s]; s == n.self.Start || !n.Cut() && e != nil && e.State != Failed {
+		if e := n.table[s]; s == n.self.Incarnation || !n.Isolated() && e != nil && e.State != Failed {
 			k++
 		}
 	}
@@ -328,7 +330,7 @@
 // the other one shrinks, and so uses more, only after goneAfter, which is longer than it takes to notice a cut and
 // lapse. With just half neither shrinks, and both go on. One that starts, comes back from such a side, or stood still for
 // lapse waits until all others count it again; and one that has met nobody yet does not know who uses what.
-func (n *Node) Part() float64 {
+func (n *Node) BudgetShare() float64 {
 	if !n.met || n.now < n.restrainedTo || n.lesserAt > 0 && n.now-n.lesserAt >= lapse {
 		return 0
 	}
@@ -338,7 +340,7 @@
 // count keeps Size, Part and the settled view. A view is settled when nothing has changed for a while on a side that
 // holds more than half of the one before, so that of two sides at most one goes on to a new one.
 func (n *Node) count() {
-	there, share, alone := n.there(), n.Share(), n.Cut() || n.Unheard()
+	there, share, alone := n.there(), n.LiveShare(), n.Isolated() || n.Unanswered()
 	n.counted = max(n.counted, there)
 	switch lesser := alone || share < 0.5; {
 	case lesser && n.lesserAt == 0:
@@ -359,25 +361,25 @@
 	}
 	n.counted = there
 	clear(n.settled)
-	n.settled[n.self.Start] = true
+	n.settled[n.self.Incarnation] = true
 	for _, e := range n.sorted {
 		if e.State < Failed {
-			n.settled[e.Start] = true
+			n.settled[e.Incarnation] = true
 		}
 	}
 }
 
 // adopt takes over the settled view of the first member that tells all its rows: one that starts on the lesser side of a
 // cut must know that it does.
-func (n *Node) adopt(rows []Row) {
+func (n *Node) adopt(rows []MemberState) {
 	if n.met {
 		return
 	}
 	n.met = true
 	n.restrainedTo = n.now + lapse
 	for _, r := range rows {
-		if r.Settled && r.Start != n.self.Start && len(n.settled) < n.opt.Most {
-			n.settled[r.Start] = true
+		if r.Settled && r.Incarnation != n.self.Incarnation && len(n.settled) < n.opt.MaxMembers {
+			n.settled[r.Incarnation] = true
 		}
 	}
 }
@@ -396,7 +398,7 @@
 	n.self.State = Left
 	for range 2 * helpers {
 		if e := n.pick(nil, func(e *entry) bool { return e.State < Failed }); e != nil {
-			n.send(Message{Kind: Ping, To: e.Addr, For: e.Start, Seq: n.number()})
+			n.send(Message{Kind: Ping, To: e.Addr, Target: e.Incarnation, Seq: n.number()})
 		}
 	}
 }
@@ -405,23 +407,23 @@
 
 // send puts a message on its way, with the rows that most need spreading.
 func (n *Node) send(m Message) {
-	n.self.Beat++
+	n.self.Heartbeat++
 	m.Fleet, m.From = n.opt.Fleet, n.self
-	if m.Kind == Sync || m.Kind == Synced {
-		m.From.Settled = n.settled[n.self.Start]
-		m.Rows = n.Members()
+	if m.Kind == StateRequest || m.Kind == StateResponse {
+		m.From.Settled = n.settled[n.self.Incarnation]
+		m.Members = n.Members()
 	} else {
-		m.Rows = n.gossip(MaxDatagram - headMost - len(m.Fleet) - size(m.From) - size(m.About))
+		m.Members = n.gossip(MaxDatagram - headMost - len(m.Fleet) - size(m.From) - size(m.Subject))
 	}
-	m.View = n.view()
+	m.ViewHash = n.view()
 	n.out = append(n.out, m)
 }
 
 // view sums up who is held for living.
-func (n *Node) view() uint64 { return n.sum + mix(n.self.Start) }
+func (n *Node) view() uint64 { return n.sum + mix(n.self.Incarnation) }
 
 // mix is splitmix64's finalizer: sums of it hide no two differences.
-func mix(s Start) uint64 {
+func mix(s Incarnation) uint64 {
 	x := uint64(s)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -429,14 +431,14 @@
 }
 
 // size bounds a row's bytes on the wire.
-func size(r Row) int { return rowMost + len(r.Name) + len(r.Zone) + len(r.Addr) }
+func size(r MemberState) int { return rowMost + len(r.Name) + len(r.Zone) + len(r.Addr) }
 
 // gossip takes the rows that have been sent on least, as far as they fit into so many bytes.
-func (n *Node) gossip(room int) (rows []Row) {
+func (n *Node) gossip(room int) (rows []MemberState) {
 	hot := n.hot
 	slices.SortStableFunc(hot, func(a, b *entry) int { return cmp.Compare(b.sends, a.sends) })
 	for _, e := range hot[:min(len(hot), perMessage)] {
-		if room -= size(e.Row); room < 0 {
+		if room -= size(e.MemberState); room < 0 {
 			break
 		}
 		e.sends--
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -65,8 +65,8 @@
 func (r *ring) collect(tickNo int, from *Node) {
 	out, changes := from.Ready()
 	for _, c := range changes {
-		if c.Row.State == Failed && !c.New {
-			r.failed = append(r.failed, fmt.Sprintf("%s failed %s at %v", from.Self().Name, c.Row.Name, r.now))
+		if c.Member.State == Failed && !c.New {
+			r.failed = append(r.failed, fmt.Sprintf("%s failed %s at %v", from.Self().Name, c.Member.Name, r.now))
 		}
 	}
 	for _, m := range out {
@@ -128,7 +128,7 @@
 		}
 		parts := 0.0
 		for _, n := range r.nodes {
-			parts += n.Part()
+			parts += n.BudgetShare()
 		}
 		r.most = max(r.most, parts)
 	}
@@ -182,7 +182,7 @@
 func TestLinksAreKnown(t *testing.T) {
 	r := newRing(t, 4, deviation{kind: "cut", at: 30, a: 1, b: 2, ever: 1000})
 	r.run(100)
-	if got := r.nodes[1].Unreached(); !slices.Equal(got, []Start{r.nodes[2].Self().Start}) {
+	if got := r.nodes[1].Unreached(); !slices.Equal(got, []Incarnation{r.nodes[2].Self().Incarnation}) {
 		t.Errorf("1 does not reach %v, want 2 alone", got)
 	}
 	if got := r.nodes[0].Unreached(); len(got) > 0 {
@@ -205,8 +205,8 @@
 		r := newRing(t, 4, devs...)
 		r.run(200)
 		x := r.nodes[0]
-		if x.there() != 4 || c.in && !x.Cut() || !c.in && !x.Unheard() || x.Part() != 0 {
-			t.Errorf("%s: holds %+v, cut %v, unheard %v, part %.2f", name, x.Members(), x.Cut(), x.Unheard(), x.Part())
+		if x.there() != 4 || c.in && !x.Isolated() || !c.in && !x.Unanswered() || x.BudgetShare() != 0 {
+			t.Errorf("%s: holds %+v, cut %v, unheard %v, part %.2f", name, x.Members(), x.Isolated(), x.Unanswered(), x.BudgetShare())
 		}
 		if r.most > 1+1e-9 {
 			t.Errorf("%s: parts add up to %.2f", name, r.most)
@@ -229,7 +229,7 @@
 		r := newRing(t, 6, devs...)
 		r.run(110)
 		n, from := r.nodes[0], r.nodes[1].Self()
-		from.Beat++
+		from.Heartbeat++
 		n.Step(r.now+tick/2, Message{Kind: Ack, From: from})
 		if n.Tick(r.now + tick); n.there() != 6 {
 			t.Errorf("deaf %v: it holds %+v", deaf, n.Members())
@@ -242,12 +242,12 @@
 func TestStartsOfOneName(t *testing.T) {
 	r := newRing(t, 3)
 	r.run(50)
-	old := r.nodes[2].Self().Start
+	old := r.nodes[2].Self().Incarnation
 	again, _ := New(r.now, Options{Name: "g2", Zone: "z2", Addr: "a2", Join: []string{"a0"}, Gateways: 3, Seed: 77})
 	r.nodes[2] = again
 	r.run(30)
 	for _, n := range r.nodes[:2] {
-		if i := slices.IndexFunc(n.Members(), func(x Row) bool { return x.Start == old && x.State < Failed }); i >= 0 || n.there() != 3 {
+		if i := slices.IndexFunc(n.Members(), func(x MemberState) bool { return x.Incarnation == old && x.State < Failed }); i >= 0 || n.there() != 3 {
 			t.Errorf("%s still holds the old start: %+v", n.Self().Name, n.Members())
 		}
 	}
@@ -270,7 +270,7 @@
 	r.nodes[2].ping(r.nodes[2].sorted[0])
 	out, _ := r.nodes[2].Ready()
 	said := out[len(out)-1]
-	dead := r.nodes[2].Self().Start
+	dead := r.nodes[2].Self().Incarnation
 	r.nodes = r.nodes[:2]
 	r.nodes[0].Step(r.now, said) // it was said in time
 	for range 30 {
@@ -288,18 +288,18 @@
 
 // TestFloodsAreBounded invents members without end: those that live are not displaced.
 func TestFloodsAreBounded(t *testing.T) {
-	n, _ := New(0, Options{Name: "g", Addr: "a", Most: 50, Seed: 1})
-	from := Row{Start: 5, Name: "real", Addr: "r"}
+	n, _ := New(0, Options{Name: "g", Addr: "a", MaxMembers: 50, Seed: 1})
+	from := MemberState{Incarnation: 5, Name: "real", Addr: "r"}
 	for i := range 10000 {
-		from.Beat++
-		n.Step(time.Duration(i)*time.Millisecond, Message{Kind: Ack, From: from, Rows: []Row{{Start: Start(100 + i), Name: "x", Addr: "y", Beat: 1}}})
+		from.Heartbeat++
+		n.Step(time.Duration(i)*time.Millisecond, Message{Kind: Ack, From: from, Members: []MemberState{{Incarnation: Incarnation(100 + i), Name: "x", Addr: "y", Heartbeat: 1}}})
 		n.Tick(time.Duration(i) * time.Millisecond)
 		n.Ready()
 	}
-	if len(n.sorted) > 50 || n.table[5] == nil || n.table[5].State != Alive || n.Refused() == 0 {
-		t.Errorf("%d members, the real one %+v, %d refused", len(n.sorted), n.table[5], n.Refused())
+	if len(n.sorted) > 50 || n.table[5] == nil || n.table[5].State != Alive || n.Rejected() == 0 {
+		t.Errorf("%d members, the real one %+v, %d refused", len(n.sorted), n.table[5], n.Rejected())
 	}
-	n.Step(time.Hour, Message{Kind: Ping, Fleet: "another", From: Row{Start: 6, Name: "x", Addr: "y"}})
+	n.Step(time.Hour, Message{Kind: Ping, Fleet: "another", From: MemberState{Incarnation: 6, Name: "x", Addr: "y"}})
 	if n.table[6] != nil {
 		t.Error("a member of another fleet was taken in")
 	}
@@ -308,8 +308,8 @@
 // TestDecodeIsStrict cuts a message at every byte, and flips every bit: what comes back is an error or a message within all
 // bounds.
 func TestDecodeIsStrict(t *testing.T) {
-	m := Message{Kind: Relay, Fleet: "f", From: Row{Start: 1, Name: "a", Zone: "z", Addr: "x:1", Beat: 3}, For: 2, Seq: 9,
-		About: Row{Start: 4, Name: "b", Addr: "y:1", Age: time.Second}, Rows: []Row{{Start: 5, Name: "c", Addr: "z:1", State: Failed}}}
+	m := Message{Kind: PingRequest, Fleet: "f", From: MemberState{Incarnation: 1, Name: "a", Zone: "z", Addr: "x:1", Heartbeat: 3}, Target: 2, Seq: 9,
+		Subject: MemberState{Incarnation: 4, Name: "b", Addr: "y:1", Age: time.Second}, Members: []MemberState{{Incarnation: 5, Name: "c", Addr: "z:1", State: Failed}}}
 	b, err := Encode(m)
 	if err != nil {
 		t.Fatal(err)
@@ -329,7 +329,7 @@
 	}
 	long := m
 	for range 100 {
-		long.Rows = append(long.Rows, m.Rows[0])
+		long.Members = append(long.Members, m.Members[0])
 	}
 	if _, err := Encode(long); err == nil {
 		t.Error("a datagram over the bound is written")
@@ -338,7 +338,7 @@
 
 // FuzzDecode looks for bytes that Decode takes and Encode would not write within its bounds.
 func FuzzDecode(f *testing.F) {
-	b, _ := Encode(Message{Kind: Ping, From: Row{Start: 1, Name: "a", Addr: "b"}, Rows: []Row{{Start: 2, Name: "c", Addr: "d", Age: 5}}})
+	b, _ := Encode(Message{Kind: Ping, From: MemberState{Incarnation: 1, Name: "a", Addr: "b"}, Members: []MemberState{{Incarnation: 2, Name: "c", Addr: "d", Age: 5}}})
 	f.Add(b)
 	odd, _ := hex.DecodeString("01a101ff")
 	f.Add(odd)
@@ -347,7 +347,7 @@
 		if err != nil {
 			return
 		}
-		n, _ := New(0, Options{Name: "g", Addr: "a", Most: 10, Seed: 1})
+		n, _ := New(0, Options{Name: "g", Addr: "a", MaxMembers: 10, Seed: 1})
 		n.Step(time.Second, m)
 		n.Tick(2 * time.Second)
 		if len(n.sorted) > 10 {
@@ -378,21 +378,21 @@
 		r := newRing(t, 4)
 		r.run(100)
 		n, by := r.nodes[0], r.nodes[3]
-		e := n.table[r.nodes[1].Self().Start]
+		e := n.table[r.nodes[1].Self().Incarnation]
 		e.suspect = n.newSuspicion(r.now)
 		e.suspect.heard = 5 // others answered before it stopped
 		gap := 4 * time.Second
 		if long {
 			gap = 12 * time.Second
 		}
-		by.ping(by.table[n.Self().Start])
+		by.ping(by.table[n.Self().Incarnation])
 		out, _ := by.Ready()
 		n.Step(r.now+gap, out[len(out)-1])
 		if n.Tick(r.now + gap); e.State != Alive {
 			t.Errorf("after %v %s is held as %s", gap, e.Name, e.State)
 		}
-		if (n.Part() == 0) != long {
-			t.Errorf("after %v it uses %.2f", gap, n.Part())
+		if (n.BudgetShare() == 0) != long {
+			t.Errorf("after %v it uses %.2f", gap, n.BudgetShare())
 		}
 	}
 }
@@ -410,12 +410,12 @@
 		}
 		for now := time.Duration(0); now <= 4*time.Second; now += tick {
 			n.Tick(now)
-			if n.Part() != c.want {
-				t.Fatalf("joining %v: a part of %v after %v, want %v", c.join, n.Part(), now, c.want)
+			if n.BudgetShare() != c.want {
+				t.Fatalf("joining %v: a part of %v after %v, want %v", c.join, n.BudgetShare(), now, c.want)
 			}
 		}
 		n.Join(nil)
-		if n.Part() == 0 {
+		if n.BudgetShare() == 0 {
 			t.Errorf("joining %v: no part though there is nobody to wait for any more", c.join)
 		}
 	}
@@ -429,9 +429,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := map[Start]bool{}
+	told := map[Incarnation]bool{}
 	for i := range 40 {
-		from := Row{Start: Start(math.MaxUint64 - uint64(i)), Name: long("n", i+1), Zone: long("z", i+1), Addr: long("a", i+1), Beat: math.MaxUint64}
+		from := MemberState{Incarnation: Incarnation(math.MaxUint64 - uint64(i)), Name: long("n", i+1), Zone: long("z", i+1), Addr: long("a", i+1), Heartbeat: math.MaxUint64}
 		n.Step(time.Duration(i)*time.Millisecond, Message{Kind: Ping, Fleet: long("f", 0), From: from, Seq: math.MaxUint64})
 	}
 	for now := tick; now < 20*time.Second; now += tick {
@@ -440,11 +440,11 @@
 		for _, m := range out {
 			if b, err := Encode(m); err != nil {
 				t.Fatal(err)
-			} else if m.Kind != Sync && m.Kind != Synced && len(b) > MaxDatagram {
+			} else if m.Kind != StateRequest && m.Kind != StateResponse && len(b) > MaxDatagram {
 				t.Fatalf("a datagram of %d bytes", len(b))
 			}
-			for _, r := range m.Rows {
-				told[r.Start] = true
+			for _, r := range m.Members {
+				told[r.Incarnation] = true
 			}
 		}
 	}
@@ -476,7 +476,7 @@
 func newSmall(plain bool) *small {
 	s := &small{links: map[[2]int][]waiting{}, spent: map[string]bool{}}
 	for i := range 3 {
-		n, err := New(0, Options{Name: fmt.Sprint("g", i), Zone: fmt.Sprint("z", i), Addr: fmt.Sprint("a", i), Join: []string{"a0", "a1"}, Gateways: 3, Seed: uint64(i + 11), Plain: plain})
+		n, err := New(0, Options{Name: fmt.Sprint("g", i), Zone: fmt.Sprint("z", i), Addr: fmt.Sprint("a", i), Join: []string{"a0", "a1"}, Gateways: 3, Seed: uint64(i + 11), PlainSWIM: plain})
 		if err != nil {
 			panic(err)
 		}
@@ -495,7 +495,7 @@
 func (s *small) flush(i int) {
 	out, changes := s.nodes[i].Ready()
 	for _, c := range changes {
-		if c.Row.State == Failed {
+		if c.Member.State == Failed {
 			s.failed++
 		}
 	}
@@ -561,7 +561,7 @@
 			if s.awake(i) {
 				n.Tick(s.now)
 				s.flush(i)
-				parts += n.Part()
+				parts += n.BudgetShare()
 			}
 		}
 		s.parts = max(s.parts, parts)
@@ -590,9 +590,9 @@
 	var b strings.Builder
 	fmt.Fprint(&b, s.now, s.spent, s.asleep, s.cut, s.cutTo)
 	for _, n := range s.nodes {
-		fmt.Fprint(&b, "|", n.seq, n.self.Beat, n.heardAt, n.answerAt, n.nextAt, n.order, len(n.hot), n.pings, n.older, n.errands)
+		fmt.Fprint(&b, "|", n.seq, n.self.Heartbeat, n.heardAt, n.answerAt, n.nextAt, n.order, len(n.hot), n.pings, n.older, n.errands)
 		for _, e := range n.sorted {
-			fmt.Fprint(&b, ";", e.Row, e.heard, e.since, e.sends, e.relayed)
+			fmt.Fprint(&b, ";", e.MemberState, e.heard, e.since, e.sends, e.relayed)
 			if e.suspect != nil {
 				fmt.Fprint(&b, *e.suspect)
 			}
--- a/internal/membership/step.go
+++ b/internal/membership/step.go
@@ -11,7 +11,7 @@
 // meanwhile is tried anew, and verdicts wait until the others have had time to speak.
 func (n *Node) advance(now time.Duration) {
 	gap := now - n.now
-	if n.now = max(n.now, now); gap <= stallAfter || n.opt.Plain {
+	if n.now = max(n.now, now); gap <= stallAfter || n.opt.PlainSWIM {
 		return
 	}
 	n.heardAt, n.answerAt, n.holdTo = now, now, now+tryMost
@@ -26,7 +26,7 @@
 }
 
 func (n *Node) newSuspicion(from time.Duration) *suspicion {
-	return &suspicion{from: from, seconds: map[Start]bool{}}
+	return &suspicion{from: from, seconds: map[Incarnation]bool{}}
 }
 
 // Tick lets time pass. It is to be called every tenth of a second or more often.
@@ -36,7 +36,7 @@
 		return
 	}
 	if now >= n.nextAt {
-		n.nextAt = max(n.nextAt+n.opt.Period, now)
+		n.nextAt = max(n.nextAt+n.opt.ProbeInterval, now)
 		n.probe()
 		n.count()
 	}
@@ -65,10 +65,10 @@
 			kept = append(kept, r)
 		} else if r.pings < errandPings {
 			r.pings, r.at = r.pings+1, n.now+errandEvery
-			n.send(Message{Kind: Ping, To: r.to, For: r.about, Seq: r.seq})
+			n.send(Message{Kind: Ping, To: r.to, Target: r.about, Seq: r.seq})
 			kept = append(kept, r)
 		} else if e := n.table[r.about]; e != nil {
-			n.send(Message{Kind: Vain, To: r.addr, Seq: r.theirs, About: n.row(e)})
+			n.send(Message{Kind: Unreachable, To: r.addr, Seq: r.theirs, Subject: n.row(e)})
 		}
 	}
 	n.errands = kept
@@ -81,11 +81,11 @@
 			e.suspect = n.newSuspicion(n.now)
 		}
 	}
-	n.older, n.pings = n.pings, map[uint64]Start{}
+	n.older, n.pings = n.pings, map[uint64]Incarnation{}
 	for range len(n.sorted) + 1 {
 		if len(n.order) == 0 {
 			for _, e := range n.sorted {
-				n.order = append(n.order, e.Start)
+				n.order = append(n.order, e.Incarnation)
 			}
 			n.rng.Shuffle(len(n.order), func(i, j int) { n.order[i], n.order[j] = n.order[j], n.order[i] })
 		}
@@ -103,8 +103,8 @@
 
 func (n *Node) ping(e *entry) {
 	seq := n.number()
-	n.pings[seq] = e.Start
-	n.send(Message{Kind: Ping, To: e.Addr, For: e.Start, Seq: seq})
+	n.pings[seq] = e.Incarnation
+	n.send(Message{Kind: Ping, To: e.Addr, Target: e.Incarnation, Seq: seq})
 }
 
 // try goes on trying to reach a suspect, and gives the verdict when that was in vain for long enough. Nobody who gets
@@ -113,7 +113,7 @@
 	s := e.suspect
 	if n.now >= s.tryAt {
 		s.tryAt = n.now + tryEvery
-		if s.tries++; s.tries == 1 || !n.opt.Plain {
+		if s.tries++; s.tries == 1 || !n.opt.PlainSWIM {
 			n.ping(e)
 			taken := []string{}
 			ask := helpers
@@ -131,11 +131,11 @@
 					break
 				}
 				taken = append(taken, h.Zone, "\x00"+h.Addr)
-				n.send(Message{Kind: Relay, To: h.Addr, For: h.Start, Seq: n.number(), About: n.row(e)})
+				n.send(Message{Kind: PingRequest, To: h.Addr, Target: h.Incarnation, Seq: n.number(), Subject: n.row(e)})
 			}
 		}
 	}
-	if !n.opt.Plain && (n.Cut() || n.Unheard()) { // it is we: what was tried meanwhile says nothing, also when it is over
+	if !n.opt.PlainSWIM && (n.Isolated() || n.Unanswered()) { // it is we: what was tried meanwhile says nothing, also when it is over
 		s.from, s.heard = n.now, 0
 		clear(s.seconds)
 		return
@@ -144,7 +144,7 @@
 	others := n.there() > 2
 	switch {
 	case n.now-s.from < least:
-	case n.opt.Plain:
+	case n.opt.PlainSWIM:
 		n.fail(e, s.from, "", "no answer")
 	case n.now < n.holdTo:
 	case others && s.heard == 0: // whether it is they or we, we can't tell
@@ -170,7 +170,7 @@
 	if e.State = s; (old < Failed) != (s < Failed) {
 		n.tally(e, s < Failed)
 	}
-	n.changes = append(n.changes, Change{Row: n.row(e), From: old, By: by, Why: why, Took: n.now - e.since})
+	n.changes = append(n.changes, Change{Member: n.row(e), From: old, Reporter: by, Reason: why, SinceHeard: n.now - e.since})
 	e.since, n.quietAt = n.now, n.now
 }
 
@@ -200,7 +200,7 @@
 	}
 	n.syncedAt = n.now
 	n.syncAt = n.now + syncEvery/2 + time.Duration(n.rng.Int64N(int64(syncEvery)))
-	n.send(Message{Kind: Sync, To: e.Addr, For: e.Start, Seq: n.number()})
+	n.send(Message{Kind: StateRequest, To: e.Addr, Target: e.Incarnation, Seq: n.number()})
 }
 
 func (n *Node) forget(e *entry) {
@@ -208,16 +208,16 @@
 		n.tally(e, false)
 	}
 	e.sends = 0
-	delete(n.table, e.Start)
+	delete(n.table, e.Incarnation)
 	n.sorted = slices.DeleteFunc(n.sorted, func(x *entry) bool { return x == e })
 }
 
 // add takes a member in, unless there are as many as there may be. Those that failed or left make room.
-func (n *Node) add(r Row) *entry {
-	if r.Start == 0 || len(r.Name) == 0 || len(r.Name) > longest || len(r.Addr) == 0 || len(r.Addr) > longest || len(r.Zone) > longest {
+func (n *Node) add(r MemberState) *entry {
+	if r.Incarnation == 0 || len(r.Name) == 0 || len(r.Name) > longest || len(r.Addr) == 0 || len(r.Addr) > longest || len(r.Zone) > longest {
 		return nil
 	}
-	if len(n.sorted)+1 >= n.opt.Most {
+	if len(n.sorted)+1 >= n.opt.MaxMembers {
 		i := slices.IndexFunc(n.sorted, func(e *entry) bool { return e.State >= Failed })
 		if i < 0 {
 			n.refused++
@@ -225,30 +225,30 @@
 		}
 		n.forget(n.sorted[i])
 	}
-	e := &entry{Row: r, since: n.now}
+	e := &entry{MemberState: r, since: n.now}
 	if r.State < Failed {
 		n.tally(e, true)
 	}
-	i, _ := slices.BinarySearchFunc(n.sorted, r.Start, func(e *entry, s Start) int { return cmp.Compare(e.Start, s) })
-	n.table[r.Start], n.sorted = e, slices.Insert(n.sorted, i, e)
-	n.order = append(n.order, r.Start)
+	i, _ := slices.BinarySearchFunc(n.sorted, r.Incarnation, func(e *entry, s Incarnation) int { return cmp.Compare(e.Incarnation, s) })
+	n.table[r.Incarnation], n.sorted = e, slices.Insert(n.sorted, i, e)
+	n.order = append(n.order, r.Incarnation)
 	n.quietAt = n.now
-	n.changes = append(n.changes, Change{Row: r, New: true})
+	n.changes = append(n.changes, Change{Member: r, New: true})
 	n.spread(e)
 	return e
 }
 
 // Refused is the number of members for which there was no room.
-func (n *Node) Refused() int { return n.refused }
+func (n *Node) Rejected() int { return n.refused }
 
 // Step takes a message. What is not of this fleet, or not meant for this start, says nothing of it.
 func (n *Node) Step(now time.Duration, m Message) {
 	n.advance(now)
-	if m.Fleet != n.opt.Fleet || m.From.Start == n.self.Start || m.From.Start == 0 || n.self.State == Left {
+	if m.Fleet != n.opt.Fleet || m.From.Incarnation == n.self.Incarnation || m.From.Incarnation == 0 || n.self.State == Left {
 		return
 	}
-	e := n.table[m.From.Start]
-	if e != nil && m.From.Beat+beatsBack <= e.Beat {
+	e := n.table[m.From.Incarnation]
+	if e != nil && m.From.Heartbeat+beatsBack <= e.Heartbeat {
 		return // replayed
 	}
 	if e == nil && m.From.State >= Failed {
@@ -258,59 +258,59 @@
 		if e = n.add(m.From); e == nil {
 			return
 		}
-		if m.Kind != Sync && m.Kind != Synced {
+		if m.Kind != StateRequest && m.Kind != StateResponse {
 			n.sync(e) // what it knows, and what it should
 		}
 	}
 	n.heardAt = now
 	n.alive(e, m.From, now, true)
-	if m.View != n.view() && now-n.quietAt > unlikeFor && m.Kind != Synced && m.Kind != Sync {
+	if m.ViewHash != n.view() && now-n.quietAt > unlikeFor && m.Kind != StateResponse && m.Kind != StateRequest {
 		n.sync(e)
 	}
-	if m.Kind == Synced || m.Kind == Sync {
-		n.adopt(append([]Row{m.From}, m.Rows...))
+	if m.Kind == StateResponse || m.Kind == StateRequest {
+		n.adopt(append([]MemberState{m.From}, m.Members...))
 	}
-	for _, r := range m.Rows {
+	for _, r := range m.Members {
 		n.hear(r, m.From.Name)
 	}
 	switch m.Kind {
 	case Ping:
-		if m.For != 0 && m.For != n.self.Start {
-			n.send(Message{Kind: Other, To: m.From.Addr, For: m.For, Seq: m.Seq})
+		if m.Target != 0 && m.Target != n.self.Incarnation {
+			n.send(Message{Kind: WrongIncarnation, To: m.From.Addr, Target: m.Target, Seq: m.Seq})
 			return
 		}
-		n.send(Message{Kind: Ack, To: m.From.Addr, For: m.From.Start, Seq: m.Seq})
+		n.send(Message{Kind: Ack, To: m.From.Addr, Target: m.From.Incarnation, Seq: m.Seq})
 	case Ack:
 		n.acked(m, e)
-	case Other: // another start has its place
-		if old := n.table[m.For]; old != nil && old.State < Failed && m.From.Addr == old.Addr {
+	case WrongIncarnation: // another start has its place
+		if old := n.table[m.Target]; old != nil && old.State < Failed && m.From.Addr == old.Addr {
 			n.fail(old, now, m.From.Name, "replaced by another start")
 		}
-	case Relay:
+	case PingRequest:
 		n.errand(m)
-	case Vain:
-		if x := n.table[m.About.Start]; x != nil && x.suspect != nil {
-			x.suspect.seconds[m.From.Start] = true
+	case Unreachable:
+		if x := n.table[m.Subject.Incarnation]; x != nil && x.suspect != nil {
+			x.suspect.seconds[m.From.Incarnation] = true
 		}
 		n.answered(e)
-	case Sync:
-		n.send(Message{Kind: Synced, To: m.From.Addr, For: m.From.Start, Seq: m.Seq})
-	case Synced:
+	case StateRequest:
+		n.send(Message{Kind: StateResponse, To: m.From.Addr, Target: m.From.Incarnation, Seq: m.Seq})
+	case StateResponse:
 		n.answered(e)
 	}
 }
 
 // errand tries to reach a member for another. What is known already is told at once.
 func (n *Node) errand(m Message) {
-	if m.For != n.self.Start || m.About.Start == n.self.Start {
+	if m.Target != n.self.Incarnation || m.Subject.Incarnation == n.self.Incarnation {
 		return
 	}
-	if e := n.table[m.About.Start]; e != nil && e.State < Failed && n.now-e.heard < tryLeast {
-		n.send(Message{Kind: Ack, To: m.From.Addr, Seq: m.Seq, About: n.row(e)})
+	if e := n.table[m.Subject.Incarnation]; e != nil && e.State < Failed && n.now-e.heard < tryLeast {
+		n.send(Message{Kind: Ack, To: m.From.Addr, Seq: m.Seq, Subject: n.row(e)})
 	}
-	same := func(r errand) bool { return r.about == m.About.Start && r.addr == m.From.Addr }
+	same := func(r errand) bool { return r.about == m.Subject.Incarnation && r.addr == m.From.Addr }
 	if len(n.errands) < errandsMost && !slices.ContainsFunc(n.errands, same) {
-		n.errands = append(n.errands, errand{seq: n.number(), theirs: m.Seq, addr: m.From.Addr, about: m.About.Start, to: m.About.Addr})
+		n.errands = append(n.errands, errand{seq: n.number(), theirs: m.Seq, addr: m.From.Addr, about: m.Subject.Incarnation, to: m.Subject.Addr})
 		n.runErrands()
 	}
 }
@@ -327,13 +327,13 @@
 
 // acked takes an answer to a ping of ours, or one that another hands on.
 func (n *Node) acked(m Message, from *entry) {
-	if m.About.Start != 0 && m.About.Start != from.Start { // handed on
+	if m.Subject.Incarnation != 0 && m.Subject.Incarnation != from.Incarnation { // handed on
 		n.answered(from)
-		if x := n.table[m.About.Start]; x != nil {
+		if x := n.table[m.Subject.Incarnation]; x != nil {
 			if x.suspect != nil {
 				x.relayed = true
 			}
-			n.alive(x, m.About, n.now-m.About.Age, false)
+			n.alive(x, m.Subject, n.now-m.Subject.Age, false)
 		}
 		return
 	}
@@ -341,10 +341,10 @@
 		r := n.errands[i]
 		n.errands = slices.Delete(n.errands, i, i+1)
 		from.relayed = false
-		n.send(Message{Kind: Ack, To: r.addr, Seq: r.theirs, About: n.row(from)})
+		n.send(Message{Kind: Ack, To: r.addr, Seq: r.theirs, Subject: n.row(from)})
 		return
 	}
-	if n.pings[m.Seq] == from.Start || n.older[m.Seq] == from.Start {
+	if n.pings[m.Seq] == from.Incarnation || n.older[m.Seq] == from.Incarnation {
 		delete(n.pings, m.Seq)
 		delete(n.older, m.Seq)
 		from.relayed = false
@@ -353,15 +353,15 @@
 }
 
 // alive takes a sign of life as of a time.
-func (n *Node) alive(e *entry, r Row, at time.Duration, direct bool) {
-	if e.State == Left || r.Beat <= e.Beat && !(direct && e.heard == 0) {
+func (n *Node) alive(e *entry, r MemberState, at time.Duration, direct bool) {
+	if e.State == Left || r.Heartbeat <= e.Heartbeat && !(direct && e.heard == 0) {
 		return
 	}
-	e.Beat, e.heard = r.Beat, max(e.heard, at)
+	e.Heartbeat, e.heard = r.Heartbeat, max(e.heard, at)
 	if e.suspect != nil && (direct || e.heard > e.suspect.from+slack) {
 		e.suspect = nil
-		for _, out := range []map[uint64]Start{n.pings, n.older} {
-			maps.DeleteFunc(out, func(_ uint64, s Start) bool { return s == e.Start })
+		for _, out := range []map[uint64]Incarnation{n.pings, n.older} {
+			maps.DeleteFunc(out, func(_ uint64, s Incarnation) bool { return s == e.Incarnation })
 		}
 	}
 	switch {
@@ -382,11 +382,11 @@
 }
 
 // hear takes what another tells of a member.
-func (n *Node) hear(r Row, by string) {
-	if r.Start == n.self.Start || r.Age < 0 || r.State > Left {
+func (n *Node) hear(r MemberState, by string) {
+	if r.Incarnation == n.self.Incarnation || r.Age < 0 || r.State > Left {
 		return
 	}
-	e, at := n.table[r.Start], n.now-r.Age
+	e, at := n.table[r.Incarnation], n.now-r.Age
 	if e == nil {
 		if r.State < Failed && r.Age < forgetAfter || r.State == Failed && r.Settled {
 			if e = n.add(r); e != nil && r.State == Failed {
@@ -401,7 +401,7 @@
 	case r.State == Left && e.State != Left:
 		n.set(e, Left, by, "it said so")
 		n.spread(e)
-	case r.State == Failed && e.State < Failed && !n.opt.Plain && e.heard > at+slack:
+	case r.State == Failed && e.State < Failed && !n.opt.PlainSWIM && e.heard > at+slack:
 		n.spread(e) // it was heard since
 	case r.State == Failed && e.State < Failed:
 		n.fail(e, at, by, "told")
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -45,7 +45,7 @@
 }
 
 func (k Kind) most() int {
-	if k == Sync || k == Synced {
+	if k == StateRequest || k == StateResponse {
 		return MaxStream
 	}
 	return MaxDatagram
@@ -60,13 +60,13 @@
 	if err := decoder.Unmarshal(b[1:], &m); err != nil {
 		return Message{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	rows := append([]Row{m.From}, m.Rows...)
-	if m.About.Start != 0 {
-		rows = append(rows, m.About)
+	rows := append([]MemberState{m.From}, m.Members...)
+	if m.Subject.Incarnation != 0 {
+		rows = append(rows, m.Subject)
 	}
-	ok := m.Kind >= Ping && m.Kind <= Synced && len(b) <= m.Kind.most() && len(m.Fleet) <= longest && len(m.To) <= longest
+	ok := m.Kind >= Ping && m.Kind <= StateResponse && len(b) <= m.Kind.most() && len(m.Fleet) <= longest && len(m.To) <= longest
 	for _, r := range rows {
-		ok = ok && r.Start != 0 && r.State <= Left && r.Age >= 0 && r.Name != "" && r.Addr != "" &&
+		ok = ok && r.Incarnation != 0 && r.State <= Left && r.Age >= 0 && r.Name != "" && r.Addr != "" &&
 			max(len(r.Name), len(r.Zone), len(r.Addr)) <= longest
 	}
 	if !ok {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -36,7 +36,7 @@
 }
 
 // Took counts an answer by the time it took.
-func (c *Counters) Took(d time.Duration) {
+func (c *Counters) ObserveLatency(d time.Duration) {
 	for _, b := range bounds {
 		if d <= b {
 			c.Add(fmt.Sprintf("answered_within_%dms", b/time.Millisecond), 1)
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -19,22 +19,22 @@
 	goneFor   = 60 * time.Second // a host off the list may still be in use for this long
 )
 
-// UnknownHost says that nobody has a database host of this id. Look it up in discovery's list: ids are compared whole.
-type UnknownHost struct{ ID string }
+// UnknownHostError says that nobody has a database host of this id. Look it up in discovery's list: ids are compared whole.
+type UnknownHostError struct{ ID string }
 
-func (e UnknownHost) Error() string {
+func (e UnknownHostError) Error() string {
 	return fmt.Sprintf("no database host has the id %.*q; look it up in discovery's list", longestID, e.ID)
 }
 
-// TooMany says that no more hosts can be out at once. Call some back first.
-type TooMany struct{ Out int }
+// LimitError says that no more hosts can be out at once. Call some back first.
+type LimitError struct{ Detached int }
 
-func (e TooMany) Error() string {
-	return fmt.Sprintf("%d database hosts are out already; call some back first", e.Out)
+func (e LimitError) Error() string {
+	return fmt.Sprintf("%d database hosts are out already; call some back first", e.Detached)
 }
 
 // Hands is the state of all hosts. Its zero value knows none. One goroutine at a time may use it.
-type Hands struct {
+type Overrides struct {
 	listed map[string]host
 	out    map[string]bool
 	back   map[string]time.Duration // when a host was called back
@@ -42,12 +42,12 @@
 
 // host is a host as discovery told of it last.
 type host struct {
-	routing.Entry
+	routing.Endpoint
 	gone time.Duration // since when it is off the list; 0: it is on it
 }
 
 // Out lists the hosts that are out.
-func (h *Hands) Out() []string {
+func (h *Overrides) Detached() []string {
 	var ids []string
 	for id := range h.out {
 		ids = append(ids, id)
@@ -56,25 +56,27 @@
 }
 
 // Known says whether anybody has a host of this id: it is on the list, was so lately, or is out.
-func (h *Hands) Known(now time.Duration, id string) bool {
+func (h *Overrides) Known(now time.Duration, id string) bool {
 	x, ok := h.listed[id]
 	return h.out[id] || ok && (x.gone == 0 || now-x.gone < goneFor)
 }
 
 // Detach takes a host out, and returns what the module has to be told. Twice is the same as once.
-func (h *Hands) Detach(now time.Duration, id string) ([]routing.Entry, error) {
+func (h *Overrides) Detach(now time.Duration, id string) ([]routing.Endpoint, error) {
 	if !h.Known(now, id) || len(id) > longestID {
-		return nil, UnknownHost{id}
+		return nil, UnknownHostError{id}
 	}
 	return h.hold(now, id)
 }
 
 // Hold takes a host out that may come to be listed later: a process before this one has.
-func (h *Hands) Hold(now time.Duration, id string) ([]routing.Entry, error) { return h.hold(now, id) }
+func (h *Overrides) DetachUnlisted(now time.Duration, id string) ([]routing.Endpoint, error) {
+	return h.hold(now, id)
+}
 
-func (h *Hands) hold(now time.Duration, id string) ([]routing.Entry, error) {
+func (h *Overrides) hold(now time.Duration, id string) ([]routing.Endpoint, error) {
 	if len(h.out) >= mostOut && !h.out[id] {
-		return nil, TooMany{len(h.out)}
+		return nil, LimitError{len(h.out)}
 	}
 	if h.out == nil {
 		h.out, h.back = map[string]bool{}, map[string]time.Duration{}
@@ -85,9 +87,9 @@
 }
 
 // Attach calls a host back, and returns what the module has to be told. One that is not out is left as it is.
-func (h *Hands) Attach(now time.Duration, id string) ([]routing.Entry, error) {
+func (h *Overrides) Attach(now time.Duration, id string) ([]routing.Endpoint, error) {
 	if !h.Known(now, id) {
-		return nil, UnknownHost{id}
+		return nil, UnknownHostError{id}
 	}
 	if !h.out[id] {
 		return nil, nil
@@ -102,7 +104,7 @@
 
 // Started says that a host, which may be listed later, is known to have started at a time. It is for a process that takes
 // over from another, before the first list.
-func (h *Hands) Started(id string, at time.Duration) {
+func (h *Overrides) SetStarted(id string, at time.Duration) {
 	if h.back == nil {
 		h.out, h.back = map[string]bool{}, map[string]time.Duration{}
 	}
@@ -112,30 +114,30 @@
 }
 
 // now is a host's entry as the module has to see it; none where it was never listed.
-func (h *Hands) now(id string) []routing.Entry {
+func (h *Overrides) now(id string) []routing.Endpoint {
 	x, ok := h.listed[id]
 	if !ok {
 		return nil
 	}
-	return []routing.Entry{h.seen(x.Entry)}
+	return []routing.Endpoint{h.seen(x.Endpoint)}
 }
 
 // Take notes news of the list and turns its entries, in place, into what the module has to see.
-func (h *Hands) Take(now time.Duration, l routing.MemberList) routing.MemberList {
-	if l.Kind == routing.ListBroken {
+func (h *Overrides) Apply(now time.Duration, l routing.EndpointList) routing.EndpointList {
+	if l.Kind == routing.EndpointListFailed {
 		return l
 	}
 	if h.listed == nil {
 		h.listed = map[string]host{}
 	}
 	named := map[string]bool{}
-	for i, e := range l.Entries {
+	for i, e := range l.Endpoints {
 		named[e.Member] = true
-		l.Entries[i] = h.seen(h.note(now, e))
+		l.Endpoints[i] = h.seen(h.note(now, e))
 	}
 	for id, x := range h.listed {
-		if l.Kind != routing.ListPatch && !named[id] && x.gone == 0 {
-			x.gone, x.Phase = now, routing.PhaseOff
+		if l.Kind != routing.EndpointListPatch && !named[id] && x.gone == 0 {
+			x.gone, x.Phase = now, routing.PhaseRemoved
 			h.listed[id] = x
 		}
 		if x.gone != 0 && now-x.gone >= goneFor {
@@ -147,27 +149,27 @@
 }
 
 // note keeps an entry as discovery's word. An old list does not undo a drain.
-func (h *Hands) note(now time.Duration, e routing.Entry) routing.Entry {
+func (h *Overrides) note(now time.Duration, e routing.Endpoint) routing.Endpoint {
 	old, ok := h.listed[e.Member]
-	x := host{Entry: e}
-	if ok && old.Phase == routing.PhaseDraining && e.Phase == routing.PhaseOn && e.StartedAt <= old.StartedAt {
+	x := host{Endpoint: e}
+	if ok && old.Phase == routing.PhaseDraining && e.Phase == routing.PhaseServing && e.StartedAt <= old.StartedAt {
 		x.Phase = routing.PhaseDraining
 	}
-	if e.Phase == routing.PhaseOff {
+	if e.Phase == routing.PhaseRemoved {
 		if x.gone = old.gone; x.gone == 0 {
 			x.gone = now
 		}
 	}
-	if ok || e.Phase != routing.PhaseOff {
+	if ok || e.Phase != routing.PhaseRemoved {
 		h.listed[e.Member] = x
 	}
-	return x.Entry
+	return x.Endpoint
 }
 
 // seen is an entry as the module has to see it.
-func (h *Hands) seen(e routing.Entry) routing.Entry {
+func (h *Overrides) seen(e routing.Endpoint) routing.Endpoint {
 	switch back, ok := h.back[e.Member]; {
-	case h.out[e.Member] && e.Phase == routing.PhaseOn:
+	case h.out[e.Member] && e.Phase == routing.PhaseServing:
 		e.Phase = routing.PhaseDraining
 	case ok:
 		e.StartedAt = max(e.StartedAt, back)
--- a/internal/poolsize/poolsize.go
+++ b/internal/poolsize/poolsize.go
@@ -22,9 +22,9 @@
 const (
 	// Room is the number of connections for which the fleet counts on room at a host until it sees less. The
 	// protocol's price for open connections counts them by so many a host, and says of no host how many it takes.
-	Room = 100.0
+	DefaultHostCapacity = 100.0
 	// Most is the number of idle connections to a host that any gateway keeps: a bound on its own descriptors.
-	Most = 24
+	MaxIdle = 24
 
 	rateOver  = 10 * time.Second // requests are averaged over this: a quiet gateway has few
 	halvedGap = time.Second      // signs of this time are one: those that come at once have the same cause
@@ -35,7 +35,7 @@
 )
 
 // Keeper is the rule of one gateway for all its hosts. It is not safe for use by several goroutines at once.
-type Keeper struct {
+type Sizer struct {
 	fleet   float64
 	longest time.Duration
 	asked   float64 // attempts that wanted a connection, older ones counting less, as of askedAt
@@ -47,13 +47,13 @@
 }
 
 // New makes the rule for one of so many gateways. Longest is how long a connection may stand idle at all.
-func New(fleet int, longest time.Duration, now time.Time) *Keeper {
-	return &Keeper{fleet: float64(max(1, fleet)), longest: longest, askedAt: now, began: now, part: 1, fellAt: now, after: growAfter}
+func New(fleet int, longest time.Duration, now time.Time) *Sizer {
+	return &Sizer{fleet: float64(max(1, fleet)), longest: longest, askedAt: now, began: now, part: 1, fellAt: now, after: growAfter}
 }
 
 // Fleet takes the number of gateways, which has changed. True says that there are more: idle connections to all hosts are
 // to be looked at again.
-func (k *Keeper) Fleet(n int) bool {
+func (k *Sizer) SetGateways(n int) bool {
 	more := float64(n) > k.fleet
 	k.fleet = float64(max(1, n))
 	return more
@@ -67,7 +67,7 @@
 }
 
 // Asked notes an attempt that wants a connection to a host, of so many in the list.
-func (k *Keeper) Asked(now time.Time, h *Host, hosts int) {
+func (k *Sizer) RecordAttempt(now time.Time, h *Host, hosts int) {
 	k.asked, k.askedAt = k.asked*fade(now.Sub(k.askedAt))+1, now
 	if !h.at.IsZero() {
 		h.asked *= fade(now.Sub(h.at))
@@ -81,11 +81,11 @@
 
 // Found notes that a host had room for a new connection. The part grows by what is seen, not by time: a quiet gateway
 // that sees nothing has no reason to keep more.
-func (k *Keeper) Found() { k.part = min(mostPart, k.part*math.Exp2(1/k.after)) }
+func (k *Sizer) RecordConnect() { k.part = min(mostPart, k.part*math.Exp2(1/k.after)) }
 
-// NoRoom notes that a host had no room for a new connection. True says that the part has fallen: idle connections to
+// NoCapacity notes that a host had no room for a new connection. True says that the part has fallen: idle connections to
 // all hosts are to be looked at again.
-func (k *Keeper) NoRoom(now time.Time) bool {
+func (k *Sizer) RecordRejection(now time.Time) bool {
 	fell := now.Sub(k.fellAt) >= halvedGap
 	if fell {
 		// What has grown past the start goes at once: all gateways have grown alike, and each sees few signs.
@@ -95,10 +95,10 @@
 }
 
 // For is how long a connection to a host may stand idle, of which so many others were used later and are idle too.
-func (k *Keeper) For(now time.Time, h *Host, later int) time.Duration {
-	part := k.part * Room / k.fleet
+func (k *Sizer) IdleTimeout(now time.Time, h *Host, later int) time.Duration {
+	part := k.part * DefaultHostCapacity / k.fleet
 	switch whole := math.Floor(part); {
-	case later >= Most || float64(later) > whole:
+	case later >= MaxIdle || float64(later) > whole:
 		return 0
 	case float64(later) < whole:
 		return k.longest
@@ -109,7 +109,7 @@
 }
 
 // rate is the number of attempts a second that want a connection to any host.
-func (k *Keeper) rate(now time.Time) float64 {
+func (k *Sizer) rate(now time.Time) float64 {
 	seen := 1 - fade(now.Sub(k.began)) // of a full average, for one that started just now
 	return (k.asked*fade(now.Sub(k.askedAt)) + 1) / (rateOver.Seconds()*seen + 1)
 }
--- a/internal/poolsize/poolsize_test.go
+++ b/internal/poolsize/poolsize_test.go
@@ -29,15 +29,15 @@
 		hosts := make([]Host, 10)
 		for i := range 600 { // each of ten hosts once in ten seconds
 			now = now.Add(time.Second)
-			k.Asked(now, &hosts[i%10], 10)
+			k.RecordAttempt(now, &hosts[i%10], 10)
 		}
 		for later, want := range c.want {
-			got := k.For(now, &hosts[9], later)
+			got := k.IdleTimeout(now, &hosts[9], later)
 			if want == 0 && got != 0 || want > 0 && math.Abs(got.Seconds()/want.Seconds()-1) > 0.25 {
 				t.Errorf("%d gateways: the one after %d others is kept for %v, want about %v", c.fleet, later, got, want)
 			}
 		}
-		if k.For(now, &hosts[9], Most) != 0 {
+		if k.IdleTimeout(now, &hosts[9], MaxIdle) != 0 {
 			t.Errorf("%d gateways: keeps more than the bound", c.fleet)
 		}
 	}
@@ -47,7 +47,7 @@
 // of a request.
 type fleet struct {
 	rng                   *rand.Rand
-	keepers               []*Keeper
+	keepers               []*Sizer
 	rates                 []float64 // requests a second, by gateway
 	popular               []float64 // the share of requests that a host gets
 	known                 [][]Host  // by gateway and host
@@ -88,7 +88,7 @@
 
 func (f *fleet) holds(g, host int) bool {
 	used := f.lastUse[g][host]
-	return !used.IsZero() && f.now.Sub(used) < f.keepers[g].For(f.now, &f.known[g][host], 0)
+	return !used.IsZero() && f.now.Sub(used) < f.keepers[g].IdleTimeout(f.now, &f.known[g][host], 0)
 }
 
 // run plays some seconds and counts anew.
@@ -106,17 +106,17 @@
 				host++
 			}
 			held := f.holds(g, host)
-			f.keepers[g].Asked(f.now, &f.known[g][host], len(f.popular))
+			f.keepers[g].RecordAttempt(f.now, &f.known[g][host], len(f.popular))
 			f.tried++
 			if held {
 				f.reused++
 			} else if n := f.kept(host); n >= f.room {
 				f.turned++
-				f.keepers[g].NoRoom(f.now)
+				f.keepers[g].RecordRejection(f.now)
 				continue
 			} else {
 				f.fullest = max(f.fullest, n)
-				f.keepers[g].Found()
+				f.keepers[g].RecordConnect()
 			}
 			f.lastUse[g][host] = f.now
 		}
@@ -151,24 +151,24 @@
 	now := start
 	for range 3000 {
 		now = now.Add(20 * time.Millisecond)
-		k.NoRoom(now)
+		k.RecordRejection(now)
 	}
 	if k.part != leastPart {
 		t.Errorf("the part is %.3f after a minute without room", k.part)
 	}
 	for range 100 {
-		k.Found()
+		k.RecordConnect()
 	}
 	if k.part > 2*leastPart {
 		t.Errorf("the part is %.3f soon after", k.part)
 	}
 	for range 2000 {
-		k.Found()
+		k.RecordConnect()
 	}
 	if k.part != mostPart {
 		t.Errorf("the part is %.3f long after", k.part)
 	}
-	if now = now.Add(time.Minute); !k.NoRoom(now) || k.part != 0.5 {
+	if now = now.Add(time.Minute); !k.RecordRejection(now) || k.part != 0.5 {
 		t.Errorf("the part is %.3f after a sign", k.part)
 	}
 }
@@ -177,14 +177,14 @@
 func TestFleetChanges(t *testing.T) {
 	now := time.Now()
 	k, h := New(10, 20*time.Second, now), Host{}
-	k.Asked(now, &h, 1)
-	if k.For(now, &h, 9) != 20*time.Second {
+	k.RecordAttempt(now, &h, 1)
+	if k.IdleTimeout(now, &h, 9) != 20*time.Second {
 		t.Fatal("of ten gateways each keeps ten connections")
 	}
-	if !k.Fleet(100) || k.For(now, &h, 9) != 0 || k.For(now, &h, 0) != 20*time.Second {
+	if !k.SetGateways(100) || k.IdleTimeout(now, &h, 9) != 0 || k.IdleTimeout(now, &h, 0) != 20*time.Second {
 		t.Error("of a hundred gateways each keeps one, and looks at what it has")
 	}
-	if k.Fleet(10) || k.For(now, &h, 9) != 20*time.Second {
+	if k.SetGateways(10) || k.IdleTimeout(now, &h, 9) != 20*time.Second {
 		t.Error("fewer gateways keep more each, and have nothing to close")
 	}
 }
--- a/internal/processtest/process_test.go
+++ b/internal/processtest/process_test.go
@@ -115,7 +115,7 @@
 		if s == 200 {
 			return
 		}
-		if s != 503 || body != admin.ErrNotInTime.Error()+"\n" || time.Now().After(end) {
+		if s != 503 || body != admin.ErrTimeout.Error()+"\n" || time.Now().After(end) {
 			p.r.t.Fatalf("%s: %d %s", path, s, body)
 		}
 		p.r.t.Logf("%s: not in time on this machine, asked again", path)
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -149,12 +149,12 @@
 }
 
 var (
-	needWords = map[string]routing.Need{"any": routing.NeedAny, "bounded": routing.NeedBounded,
-		"session": routing.NeedSession, "fresh": routing.NeedFresh, "write": routing.NeedWrite}
-	effectWords = map[string]routing.Effect{"repeatable": routing.Repeatable, "by_key": routing.Keyed, "once": routing.Once}
-	guardWords  = map[string]routing.Guard{"none": routing.GuardNone, "refuse": routing.GuardRefuse, "wait": routing.GuardWait}
-	roleWords   = map[string]routing.ListRole{"": routing.ListRoleNone, "none": routing.ListRoleNone,
-		"start": routing.ListRoleStart, "late": routing.ListRoleLate}
+	needWords = map[string]routing.Consistency{"any": routing.ConsistencyAny, "bounded": routing.ConsistencyBounded,
+		"session": routing.ConsistencySession, "fresh": routing.ConsistencyStrong, "write": routing.ConsistencyWrite}
+	effectWords = map[string]routing.Effect{"repeatable": routing.Idempotent, "by_key": routing.IdempotentByKey, "once": routing.NonIdempotent}
+	guardWords  = map[string]routing.StaleReadPolicy{"none": routing.StaleReadServed, "refuse": routing.StaleReadRejected, "wait": routing.StaleReadDelayed}
+	roleWords   = map[string]routing.RoleSource{"": routing.RoleSourceNone, "none": routing.RoleSourceNone,
+		"start": routing.RoleSourceInitial, "late": routing.RoleSourceDelayed}
 	markWords      = map[string]bool{"": false, "carried": false, "remembered": true}
 	scopeWords     = map[string]bool{"": false, "-": false, "cell": false, "all": true}
 	discoveryWords = map[string]bool{"": false, "automatic": false, "subscribe": true}
@@ -165,29 +165,29 @@
 	c := routing.Config{
 		Gateways:          s.count("balancers"),
 		Zone:              s.values["zone"],
-		OverShareWorth:    s.number("overShareWorth", 0, mostNumber),
+		OverQuotaWeight:   s.number("overShareWorth", 0, mostNumber),
 		Subscribe:         word(s, "discovery", discoveryWords),
-		AskWithin:         s.seconds("rules.askWithinS"),
-		Guards:            word(s, "domain.guards", guardWords),
+		MaxPollInterval:   s.seconds("rules.askWithinS"),
+		StaleReads:        word(s, "domain.guards", guardWords),
 		CatchUpWait:       s.seconds("domain.catchUpWaitS"),
 		Positions:         s.flag("domain.positions"),
 		PositionZero:      seconds(s.number("domain.positionZeroS", -mostZero, mostZero)),
-		Remembered:        word(s, "domain.writeMarks", markWords),
-		ListRole:          word(s, "domain.roleInList", roleWords),
-		MayCancel:         s.flag("policyLimits.mayCancel"),
-		MayDuplicate:      s.flag("policyLimits.mayDuplicate"),
-		MayProbe:          s.flag("policyLimits.probes"),
+		LocalSessions:     word(s, "domain.writeMarks", markWords),
+		RoleSource:        word(s, "domain.roleInList", roleWords),
+		AllowCancel:       s.flag("policyLimits.mayCancel"),
+		AllowHedging:      s.flag("policyLimits.mayDuplicate"),
+		AllowHealthChecks: s.flag("policyLimits.probes"),
 		MaxAttempts:       s.count("policyLimits.maxAttempts"),
-		MaxComeBack:       s.seconds("policyLimits.maxRetryAfterS"),
+		MaxRetryAfter:     s.seconds("policyLimits.maxRetryAfterS"),
 		CrossZoneCost:     s.number("deductions.crossZone", -mostNumber, mostNumber),
-		ColdFrom:          s.number("rules.coldFrom", 0, 1),
-		ColdFor:           s.seconds("rules.coldS"),
-		TipMultiple:       s.number("rules.tipMultiple", 0, mostNumber),
-		TipAfter:          s.seconds("rules.fallS"),
+		SlowStartCapacity: s.number("rules.coldFrom", 0, 1),
+		SlowStartDuration: s.seconds("rules.coldS"),
+		OverloadFactor:    s.number("rules.tipMultiple", 0, mostNumber),
+		OverloadWindow:    s.seconds("rules.fallS"),
 		OnlyDrainingBinds: s.flag("rules.onlyDrainingBinds"),
 	}
 	if !s.flag("policyLimits.retryAfter") {
-		c.MaxComeBack = 0 // advice does not reach clients
+		c.MaxRetryAfter = 0 // advice does not reach clients
 	}
 	needs, bounds := s.list("domain.needsByClass"), s.list("domain.classBoundS")
 	n := s.count("classes.count")
@@ -203,9 +203,9 @@
 		names[k.Name] = true
 		c.Classes = append(c.Classes, k)
 	}
-	if c.ColdFor > 0 && c.TipMultiple <= 0 {
+	if c.SlowStartDuration > 0 && c.OverloadFactor <= 0 {
 		s.fail("rules.tipMultiple", "more than 0 where rules.coldS is given")
-	} else if c.ColdFor > 0 && c.TipAfter <= 0 {
+	} else if c.SlowStartDuration > 0 && c.OverloadWindow <= 0 {
 		s.fail("rules.fallS", "more than 0 where rules.coldS is given")
 	}
 	c.Tenants = s.tenants()
@@ -217,22 +217,22 @@
 	p := fmt.Sprintf("classes.%d.", i)
 	s.text(p + "points")
 	c := routing.Class{
-		Name:      s.text(p + "name"),
-		Aim:       s.mustSeconds(p + "aimS"),
-		Stretch:   s.number(p+"aimStretch", 0, mostNumber),
-		Deadline:  s.mustSeconds(p + "deadlineS"),
-		Worth:     s.number(p+"points", 0, mostNumber),
-		LateWorth: s.number(p+"lateWorth", 0, 1),
-		Effect:    word(s, p+"repeat", effectWords),
-		KeyAll:    word(s, p+"keyScope", scopeWords),
-		KeyTTL:    s.seconds(p + "keyTtlS"),
-		Stream:    s.flag(p + "stream"),
+		Name:                s.text(p + "name"),
+		LatencyObjective:    s.mustSeconds(p + "aimS"),
+		ObjectiveWorkFactor: s.number(p+"aimStretch", 0, mostNumber),
+		Deadline:            s.mustSeconds(p + "deadlineS"),
+		PriorityWeight:      s.number(p+"points", 0, mostNumber),
+		LateShare:           s.number(p+"lateWorth", 0, 1),
+		Effect:              word(s, p+"repeat", effectWords),
+		KeyIsGlobal:         word(s, p+"keyScope", scopeWords),
+		IdempotencyTTL:      s.seconds(p + "keyTtlS"),
+		Stream:              s.flag(p + "stream"),
 	}
 	var ok bool
-	if c.Need, ok = needWords[need]; !ok {
+	if c.Consistency, ok = needWords[need]; !ok {
 		s.fail("domain.needsByClass", "a list of "+strings.Join(slices.Sorted(maps.Keys(needWords)), ", "))
 	}
-	if c.Need == routing.NeedBounded {
+	if c.Consistency == routing.ConsistencyBounded {
 		b := math.NaN()
 		if i < len(bounds) {
 			if x, err := strconv.ParseFloat(bounds[i], 64); err == nil {
@@ -243,7 +243,7 @@
 			s.fail("domain.classBoundS", fmt.Sprintf("a list with the bound of class %d, %s: from 0 to %g s", i, c.Name, mostSeconds))
 			return c
 		}
-		c.Bound = seconds(b)
+		c.StalenessBound = seconds(b)
 	}
 	return c
 }
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -101,8 +101,8 @@
 		if err != nil {
 			t.Fatalf("seed %d: taken, and then %v", seed, err)
 		}
-		x.Members(now, routing.MemberList{Kind: routing.ListStale, Entries: []routing.Entry{{Member: "a:1", Group: 1, StartedAt: 99 * time.Second},
-			{Member: "b:1", Group: 1, Size: 1}}})
+		x.UpdateEndpoints(now, routing.EndpointList{Kind: routing.EndpointListStale, Endpoints: []routing.Endpoint{{Member: "a:1", Group: 1, StartedAt: 99 * time.Second},
+			{Member: "b:1", Group: 1, Capacity: 1}}})
 		asked := 0
 		for range 100 {
 			now += 10 * time.Millisecond
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -30,8 +30,8 @@
 // Detach kills an instance.
 type Detach struct{}
 
-// ClientGone tells that a client left.
-type ClientGone struct{ Request uint64 }
+// ClientDisconnected tells that a client left.
+type ClientDisconnected struct{ Request uint64 }
 
 // TimerDue tells that a timer ran out.
 type TimerDue struct{ Name string }
@@ -65,13 +65,13 @@
 type Reader struct {
 	in        *bufio.Reader
 	line      int
-	tables    map[int][]routing.Entry
+	tables    map[int][]routing.Endpoint
 	instances map[string]*names
 }
 
 // NewReader returns a reader of r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<20), tables: map[int][]routing.Entry{}, instances: map[string]*names{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<20), tables: map[int][]routing.Endpoint{}, instances: map[string]*names{}}
 }
 
 // next returns the next line without its end.
@@ -157,7 +157,7 @@
 	case "knock":
 		e.What, err = n.knock(f)
 	case "hangup":
-		e.What = ClientGone{Request: f.id()}
+		e.What = ClientDisconnected{Request: f.id()}
 	case "tick_due":
 		e.What = TimerDue{Name: f.word()}
 	case "reply":
@@ -165,7 +165,7 @@
 	case "ack_first":
 		e.What = Started{Request: f.id(), Attempt: f.integer()}
 	case "probed":
-		p := routing.ProbeResult{Member: f.need(), Result: f.result(), Took: f.seconds()}
+		p := routing.HealthCheckResult{Member: f.need(), Result: f.result(), Latency: f.seconds()}
 		p.Report, err = n.report(f.word())
 		e.What = p
 	case "datagram":
@@ -212,7 +212,7 @@
 	return o, nil
 }
 
-var phaseWords = map[string]routing.Phase{"on": routing.PhaseOn, "fading": routing.PhaseDraining, "off": routing.PhaseOff}
+var phaseWords = map[string]routing.Phase{"on": routing.PhaseServing, "fading": routing.PhaseDraining, "off": routing.PhaseRemoved}
 
 // table reads a list and its entry lines.
 func (r *Reader) table(f *fields) error {
@@ -223,7 +223,7 @@
 	if count < 0 {
 		return fmt.Errorf("a list of %d entries", count)
 	}
-	var entries []routing.Entry
+	var entries []routing.Endpoint
 	for range count {
 		s, err := r.next()
 		if err != nil {
@@ -237,9 +237,9 @@
 		if !ok {
 			return fmt.Errorf("%q in list %d: unknown phase", s, number)
 		}
-		e := routing.Entry{Phase: phase, Zone: l.word()}
+		e := routing.Endpoint{Phase: phase, Zone: l.word()}
 		l.word() // the machine kind decides nothing
-		e.Size, e.Leader, e.StartedAt = l.number(), l.number() == 1, l.seconds()
+		e.Capacity, e.Primary, e.StartedAt = l.number(), l.number() == 1, l.seconds()
 		e.Member, e.Group = l.need(), l.integer()
 		if l.err != nil {
 			return fmt.Errorf("%q in list %d: %w", s, number, l.err)
@@ -250,23 +250,23 @@
 	return nil
 }
 
-var listWords = map[string]routing.ListKind{"patch": routing.ListPatch, "whole": routing.ListWhole,
-	"stale_copy": routing.ListStale, "broken": routing.ListBroken}
+var listWords = map[string]routing.EndpointListKind{"patch": routing.EndpointListPatch, "whole": routing.EndpointListComplete,
+	"stale_copy": routing.EndpointListStale, "broken": routing.EndpointListFailed}
 
 // roster reads news of the list.
-func (r *Reader) roster(f *fields) (routing.MemberList, error) {
+func (r *Reader) roster(f *fields) (routing.EndpointList, error) {
 	how := f.word()
 	kind, ok := listWords[how]
 	if !ok {
-		return routing.MemberList{}, fmt.Errorf("unknown kind of list %q", how)
+		return routing.EndpointList{}, fmt.Errorf("unknown kind of list %q", how)
 	}
-	l := routing.MemberList{Kind: kind}
+	l := routing.EndpointList{Kind: kind}
 	f.word() // the revision decides nothing: changes come in order
-	if kind == routing.ListBroken {
+	if kind == routing.EndpointListFailed {
 		return l, nil
 	}
 	number := f.integer()
-	if l.Entries, ok = r.tables[number]; !ok && f.err == nil {
+	if l.Endpoints, ok = r.tables[number]; !ok && f.err == nil {
 		return l, fmt.Errorf("list %d was never sent", number)
 	}
 	return l, nil
@@ -292,7 +292,7 @@
 	if bits&1 != 0 {
 		q.Work = work
 	}
-	q.Repeat = bits&2 != 0
+	q.Retry = bits&2 != 0
 	return q, nil
 }
 
@@ -300,10 +300,10 @@
 func (n *names) reply(f *fields) (routing.Outcome, error) {
 	o := routing.Outcome{Request: f.id()}
 	note := int64(f.number())
-	o.Member, o.Attempt, o.Took = f.need(), f.integer(), f.seconds()
+	o.Member, o.Attempt, o.Latency = f.need(), f.integer(), f.seconds()
 	o.Closed, o.Result = f.number() == 1, f.result()
 	switch o.Result {
-	case routing.ResultOK, routing.ResultMiss, routing.ResultFull, routing.ResultError:
+	case routing.ResultOK, routing.ResultMissed, routing.ResultOverCapacity, routing.ResultError:
 		o.Position = note / 4
 		switch note % 4 {
 		case 1:
@@ -414,7 +414,7 @@
 
 func (f *fields) result() routing.Result {
 	n := f.integer()
-	if (n < int(routing.ResultError) || n > int(routing.ResultMiss)) && f.err == nil {
+	if (n < int(routing.ResultError) || n > int(routing.ResultMissed)) && f.err == nil {
 		f.err = fmt.Errorf("unknown outcome %d", n)
 	}
 	return routing.Result(n)
