--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -35,16 +35,16 @@
 	b := read(t, NewReader(strings.NewReader(opened)))
 	o := b.Events[0].What.(Open)
 	c := o.Config
-	if b.Now != 8500*time.Millisecond || o.Seed != 42 || c.Gateways != 2 || !c.Subscribe || !c.Remembered {
+	if b.Now != 8500*time.Millisecond || o.Seed != 42 || c.Gateways != 2 || !c.Subscribe || !c.LocalSessions {
 		t.Fatalf("batch %v, open %+v", b.Now, o)
 	}
-	if c.Guards != routing.GuardWait || c.ListRole != routing.ListRoleLate || c.PositionZero != 100500*time.Millisecond {
+	if c.StaleReads != routing.StaleReadDelayed || c.RoleSource != routing.RoleSourceDelayed || c.PositionZero != 100500*time.Millisecond {
 		t.Errorf("domain settings: %+v", c)
 	}
-	if c.Classes[0].Need != routing.NeedBounded || c.Classes[0].Bound != 800*time.Millisecond {
+	if c.Classes[0].Consistency != routing.ConsistencyBounded || c.Classes[0].StalenessBound != 800*time.Millisecond {
 		t.Errorf("bounded class: %+v", c.Classes[0])
 	}
-	if k := c.Classes[1]; k.Effect != routing.Keyed || k.KeyAll || k.KeyTTL != 2*time.Second || k.Need != routing.NeedWrite {
+	if k := c.Classes[1]; k.Effect != routing.IdempotentByKey || k.KeyIsGlobal || k.IdempotencyTTL != 2*time.Second || k.Consistency != routing.ConsistencyWrite {
 		t.Errorf("keyed class: %+v", k)
 	}
 	if len(c.Tenants) != 1 || c.Tenants[0].Quota != 12.5 {
@@ -75,18 +75,18 @@
 `))
 	read(t, r)
 	e := read(t, r).Events
-	first, second := e[0].What.(routing.MemberList), e[1].What.(routing.MemberList)
-	if len(first.Entries) != 1 || !first.Entries[0].Leader || first.Entries[0].StartedAt != 7250*time.Millisecond {
+	first, second := e[0].What.(routing.EndpointList), e[1].What.(routing.EndpointList)
+	if len(first.Endpoints) != 1 || !first.Endpoints[0].Primary || first.Endpoints[0].StartedAt != 7250*time.Millisecond {
 		t.Errorf("first list: %+v", first)
 	}
-	if len(second.Entries) != 2 || second.Entries[0].Phase != routing.PhaseDraining || second.Entries[1].Phase != routing.PhaseOff {
+	if len(second.Endpoints) != 2 || second.Endpoints[0].Phase != routing.PhaseDraining || second.Endpoints[1].Phase != routing.PhaseRemoved {
 		t.Errorf("second list: %+v", second)
 	}
-	if e[2].What.(routing.MemberList).Kind != routing.ListBroken {
+	if e[2].What.(routing.EndpointList).Kind != routing.EndpointListFailed {
 		t.Errorf("broken: %+v", e[2])
 	}
 	want := routing.Request{ID: 77, Session: "s1", Remaining: 250 * time.Millisecond, Work: 12 * time.Millisecond,
-		Group: 4, SinceWrite: 12500 * time.Microsecond, Repeat: true}
+		Group: 4, SinceWrite: 12500 * time.Microsecond, Retry: true}
 	if got := e[3].What.(routing.Request); got != want {
 		t.Errorf("request %+v, want %+v", got, want)
 	}
@@ -97,7 +97,7 @@
 	if o := e[5].What.(routing.Outcome); o.Result != routing.ResultTimeout || o.Role != routing.RoleUnknown || o.Report.Role != routing.RoleUnknown {
 		t.Errorf("timeout: %+v", o)
 	}
-	if p := e[6].What.(routing.ProbeResult); p.Report.Position != 7500 || p.Report.Role != routing.RoleReplica {
+	if p := e[6].What.(routing.HealthCheckResult); p.Report.Position != 7500 || p.Report.Role != routing.RoleReplica {
 		t.Errorf("probe: %+v", p)
 	}
 	if s := e[7].What.(Started); s.Attempt != 1 {
@@ -140,12 +140,12 @@
 	a := &Actions{Writer: w, Instance: "gateway/3"}
 	a.Send(1564119492, "10.0.0.1:50", 8492250*time.Microsecond, 0)
 	a.Cancel(7, 2)
-	a.Refuse(8, 300*time.Millisecond, routing.ReasonShed)
+	a.Reject(8, 300*time.Millisecond, routing.ReasonShed)
 	a.Fail(9, routing.ReasonRejected)
-	a.Probe("m", routing.ConnAny)
+	a.CheckHealth("m", routing.ConnAny)
 	a.SetTimer(10*time.Millisecond, "sweep")
 	a.Subscribe(true)
-	a.LookUp()
+	a.FetchEndpoints()
 	a.Log("two\nlines")
 	w.Bug("gateway/3", "index out of range")
 	if err := w.End(); err != nil {
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -57,7 +57,7 @@
 }
 
 // Refuse writes a busy.
-func (a *Actions) Refuse(request uint64, comeBack time.Duration, _ routing.Reason) {
+func (a *Actions) Reject(request uint64, comeBack time.Duration, _ routing.Reason) {
 	a.act("busy", id(request), clock(comeBack))
 }
 
@@ -65,10 +65,10 @@
 func (a *Actions) Fail(request uint64, _ routing.Reason) { a.act("surrender", id(request)) }
 
 // Close writes a close.
-func (a *Actions) Close(member string) { a.act("close", member) }
+func (a *Actions) CloseIdle(member string) { a.act("close", member) }
 
 // Probe writes a sound_out.
-func (a *Actions) Probe(member string, _ routing.Conn) { a.act("sound_out", member) }
+func (a *Actions) CheckHealth(member string, _ routing.Conn) { a.act("sound_out", member) }
 
 // SetTimer writes a set_alarm.
 func (a *Actions) SetTimer(after time.Duration, name string) { a.act("set_alarm", clock(after), name) }
@@ -82,8 +82,8 @@
 	a.act("keep_informed", "0")
 }
 
-// LookUp writes a lookup.
-func (a *Actions) LookUp() { a.act("lookup") }
+// FetchEndpoints writes a lookup.
+func (a *Actions) FetchEndpoints() { a.act("lookup") }
 
 // ZoneChanged writes a debug line.
 func (a *Actions) ZoneChanged(c zones.Change) { a.Log(c.String()) }
--- a/internal/soak/host.go
+++ b/internal/soak/host.go
@@ -55,7 +55,7 @@
 	came := time.Now()
 	act := h.work(text)
 	switch act {
-	case fake.Miss, fake.Full, fake.NoRoom, fake.Reject:
+	case fake.Miss, fake.Reject, fake.NoCapacity, fake.InvalidStatement:
 	default:
 		h.judge.ran(h, id, came)
 	}
--- a/internal/soak/hosttroubles.go
+++ b/internal/soak/hosttroubles.go
@@ -115,7 +115,7 @@
 
 // badAnswers has a host answer otherwise than it should.
 func badAnswers(s *site, _ *gateway, h *host, rng *rand.Rand) {
-	acts := []fake.Act{fake.Miss, fake.Full, fake.Error, fake.Reset, fake.Silent, fake.NoRoom}
+	acts := []fake.Act{fake.Miss, fake.Reject, fake.Error, fake.Reset, fake.Silent, fake.NoCapacity}
 	act, lasts := acts[rng.IntN(len(acts))], between(rng, 100*time.Millisecond, 1500*time.Millisecond)
 	if !h.take() {
 		return
--- a/internal/sqlcomment/sqlcomment.go
+++ b/internal/sqlcomment/sqlcomment.go
@@ -22,14 +22,14 @@
 
 // Statement is one request as its text tells it. Its texts are copies.
 type Statement struct {
-	ID      string
-	Class   string
-	Wait    time.Duration // d: how long the client waits
-	HasWait bool
-	Group   int
-	After   int64 // Unix time in milliseconds that a read has to see, 0 for none
-	Repeat  bool  // the client marked it as a repeat
-	Key     string
+	ID          string
+	Class       string
+	Timeout     time.Duration // d: how long the client waits
+	HasTimeout  bool
+	Group       int
+	MinPosition int64 // Unix time in milliseconds that a read has to see, 0 for none
+	Retry       bool  // the client marked it as a repeat
+	Key         string
 
 	head, tail string // the text before and after the value of d
 }
@@ -81,13 +81,13 @@
 		if ms, err = strconv.ParseInt(value, 10, 32); err == nil && ms <= 0 {
 			err = errors.New("not positive")
 		}
-		s.Wait, s.HasWait = time.Duration(ms)*time.Millisecond, true
+		s.Timeout, s.HasTimeout = time.Duration(ms)*time.Millisecond, true
 	case "cluster":
 		s.Group, err = strconv.Atoi(value)
 	case "after":
-		s.After, err = strconv.ParseInt(value, 10, 64)
+		s.MinPosition, err = strconv.ParseInt(value, 10, 64)
 	case "r":
-		s.Repeat = value == "1"
+		s.Retry = value == "1"
 	}
 	if err != nil {
 		return fmt.Errorf("field %s=%q: %w", name, value, err)
@@ -98,7 +98,7 @@
 // Append writes the statement with the time that this gateway will wait in place of the client's, rounded up.
 func (s *Statement) Append(b []byte, wait time.Duration) []byte {
 	b = append(b, s.head...)
-	if s.HasWait && s.tail != "" {
+	if s.HasTimeout && s.tail != "" {
 		b = strconv.AppendInt(b, max(1, int64((wait+time.Millisecond-1)/time.Millisecond)), 10)
 	}
 	return append(b, s.tail...)
--- a/internal/sqlcomment/sqlcomment_test.go
+++ b/internal/sqlcomment/sqlcomment_test.go
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		clear(in) // the buffer goes on to other uses
-		if s.ID != "9b1f" || s.Class != "basket" || s.Wait != 480*time.Millisecond || s.Group != 2 || s.After != 1767225600123 || !s.Repeat {
+		if s.ID != "9b1f" || s.Class != "basket" || s.Timeout != 480*time.Millisecond || s.Group != 2 || s.MinPosition != 1767225600123 || !s.Retry {
 			t.Fatalf("%+v", s)
 		}
 		if got := string(s.Append(nil, 399100*time.Microsecond)); got != text("400") {
--- a/internal/zones/spillover.go
+++ b/internal/zones/spillover.go
@@ -21,7 +21,7 @@
 // have it, a tier's health is its usable part scaled by the over-provisioning factor, at most 1; a tier gets its
 // health or what the tiers before it left over, whichever is less. Where all healths together are under 1 they are
 // scaled up, so that nothing is left without a place; where nothing is usable at all every share is 0.
-func (p *Plan) Shares(overprovision float64) []float64 {
+func (p *Plan) Weights(overprovision float64) []float64 {
 	sum := 0.0
 	for t := range p.tiers {
 		p.shares[t] = 0
@@ -46,7 +46,7 @@
 func (z *Zones) Draw(p *Plan, rng *rand.Rand) int {
 	drawn, at, sum, done := -1, rng.Float64(), 0.0, false
 	z.drawn, z.drew = [maxTiers]float64{}, true
-	for t, s := range p.Shares(z.opt.Overprovision) {
+	for t, s := range p.Weights(z.opt.Overprovision) {
 		z.drawn[t] = s
 		if sum += s; s > 0 && !done {
 			drawn, done = t, at < sum
@@ -71,19 +71,19 @@
 func (z *Zones) Forget() { z.drew = false }
 
 // Figure is what one tier got of the reads placed since the last call of Figures.
-type Figure struct {
-	Stated, Placed float64 // parts of all
-	Reads, All     int     // placed in this tier, and in any
+type TierMetrics struct {
+	ConfiguredShare, RoutedShare float64 // parts of all
+	Reads, All                   int     // placed in this tier, and in any
 }
 
 // Figures takes the stated and the actual shares of the tiers.
-func (z *Zones) Figures() []Figure {
-	all, out := 0.0, make([]Figure, z.tiers)
+func (z *Zones) Metrics() []TierMetrics {
+	all, out := 0.0, make([]TierMetrics, z.tiers)
 	for _, n := range z.placed {
 		all += n
 	}
 	for t := range out {
-		out[t] = Figure{Stated: z.stated[t] / max(all, 1), Placed: z.placed[t] / max(all, 1), Reads: int(z.placed[t]), All: int(all)}
+		out[t] = TierMetrics{ConfiguredShare: z.stated[t] / max(all, 1), RoutedShare: z.placed[t] / max(all, 1), Reads: int(z.placed[t]), All: int(all)}
 	}
 	z.stated, z.placed = [maxTiers]float64{}, [maxTiers]float64{}
 	return out
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -24,10 +24,10 @@
 
 // The states, from best to worst but for Returning, which leads from Lost back to Healthy.
 const (
-	Healthy   State = iota // all members that were asked answer
-	Impaired               // some are suspect, cold or behind, but the zone as a whole lives
-	Lost                   // nothing that was asked answers
-	Returning              // it answers again; reads come back step by step
+	Healthy    State = iota // all members that were asked answer
+	Impaired                // some are suspect, cold or behind, but the zone as a whole lives
+	Down                    // nothing that was asked answers
+	Recovering              // it answers again; reads come back step by step
 )
 
 var stateNames = [...]string{"healthy", "impaired", "lost", "returning"}
@@ -37,8 +37,8 @@
 // Defaults of Options.
 const (
 	DefaultOverprovision = 1.4
-	DefaultHold          = 300 * time.Millisecond
-	DefaultRamp          = 3 * time.Second
+	DefaultRecoveryDelay = 300 * time.Millisecond
+	DefaultRecoveryRamp  = 3 * time.Second
 )
 
 // Options are the operator's.
@@ -54,8 +54,8 @@
 	// with 1.4 a tier takes all reads as long as 72% of it is usable. 0: DefaultOverprovision. At least 1.
 	Overprovision float64
 
-	Hold time.Duration // how long a zone must answer again before reads come back; doubled as it flaps. 0: DefaultHold
-	Ramp time.Duration // how long reads then take to come back in full. 0: DefaultRamp
+	RecoveryDelay time.Duration // how long a zone must answer again before reads come back; doubled as it flaps. 0: DefaultRecoveryDelay
+	RecoveryRamp  time.Duration // how long reads then take to come back in full. 0: DefaultRecoveryRamp
 
 	DetectOnly bool // lost zones are found, but reads are not shared out by tiers
 }
@@ -82,10 +82,10 @@
 		return fmt.Errorf("%d tiers are more than %d", len(o.Tiers), maxTiers-1)
 	case o.Overprovision != 0 && !(o.Overprovision >= 1 && o.Overprovision <= 10): // also what is no number
 		return fmt.Errorf("overprovision %g is not between 1 and 10", o.Overprovision)
-	case o.Hold < 0 || o.Hold > time.Minute:
-		return fmt.Errorf("hold %v is not between 0 and a minute", o.Hold)
-	case o.Ramp < 0 || o.Ramp > time.Minute:
-		return fmt.Errorf("ramp %v is not between 0 and a minute", o.Ramp)
+	case o.RecoveryDelay < 0 || o.RecoveryDelay > time.Minute:
+		return fmt.Errorf("hold %v is not between 0 and a minute", o.RecoveryDelay)
+	case o.RecoveryRamp < 0 || o.RecoveryRamp > time.Minute:
+		return fmt.Errorf("ramp %v is not between 0 and a minute", o.RecoveryRamp)
 	}
 	return nil
 }
@@ -112,7 +112,7 @@
 )
 
 // Evidence is what the module knows of one member.
-type Evidence struct {
+type Observation struct {
 	Heard   time.Duration // last sign of life: an answer to a request or a probe
 	Silent  float64       // longest silence of an attempt that is out or ended unanswered, in times usual; 0 for none
 	Asked   bool          // something is out, or ended unanswered or broken since it was heard
@@ -175,22 +175,22 @@
 // New makes the state of one gateway. Its seed draws the jitter that keeps gateways apart.
 func New(o Options, seed uint64) (*Zones, error) {
 	z := &Zones{rng: rand.New(rand.NewPCG(seed, 7))}
-	return z, z.Tune(o)
+	return z, z.Configure(o)
 }
 
 // Tune replaces the options, as at a reload: states stay as they are.
-func (z *Zones) Tune(o Options) error {
+func (z *Zones) Configure(o Options) error {
 	if err := o.Check(); err != nil {
 		return fmt.Errorf("zones: %w", err)
 	}
 	if o.Overprovision == 0 {
 		o.Overprovision = DefaultOverprovision
 	}
-	if o.Hold == 0 {
-		o.Hold = DefaultHold
+	if o.RecoveryDelay == 0 {
+		o.RecoveryDelay = DefaultRecoveryDelay
 	}
-	if o.Ramp == 0 {
-		o.Ramp = DefaultRamp
+	if o.RecoveryRamp == 0 {
+		o.RecoveryRamp = DefaultRecoveryRamp
 	}
 	z.opt, z.retierAt = o, 0
 	z.order()
@@ -269,7 +269,7 @@
 }
 
 // See takes what is known of a member.
-func (z *Zones) See(x *Zone, e Evidence) {
+func (z *Zones) Observe(x *Zone, e Observation) {
 	x.members++
 	x.size, x.usable = x.size+e.Size, x.usable+e.Usable
 	x.last = max(x.last, e.Heard)
@@ -315,12 +315,12 @@
 func (z *Zones) Settle() {
 	living := 0
 	for _, x := range z.zones {
-		if x.members > 0 && x.state != Lost && !x.condemns(z.now) {
+		if x.members > 0 && x.state != Down && !x.condemns(z.now) {
 			living++
 		}
 	}
 	for _, x := range z.zones {
-		x.doubtful = x.Name != "" && x.silent > 0 && x.state != Lost
+		x.doubtful = x.Name != "" && x.silent > 0 && x.state != Down
 		z.step(x, living > 0)
 	}
 	if z.opt.Tiers == nil && z.now >= z.retierAt {
@@ -336,11 +336,11 @@
 		if x.state != Healthy {
 			z.enter(x, Healthy, "it has no members")
 		}
-	case x.state != Lost && may && x.condemns(z.now):
+	case x.state != Down && may && x.condemns(z.now):
 		z.lose(x)
-	case x.state == Lost:
+	case x.state == Down:
 		z.awake(x)
-	case x.state == Returning:
+	case x.state == Recovering:
 		if z.Ramp(x) >= 1 && x.usable >= 0.99*x.size {
 			z.enter(x, Healthy, "")
 		}
@@ -356,7 +356,7 @@
 	x.losses = slices.DeleteFunc(x.losses, func(at time.Duration) bool { return z.now-at > flapMemory })
 	x.losses = append(x.losses, z.now)
 	x.lostAt, x.heardFrom = z.now, 0
-	z.enter(x, Lost, fmt.Sprintf("silent=%d asked=%d joint=%.1f last_heard_ms=%d", x.silent, x.asked, x.joint,
+	z.enter(x, Down, fmt.Sprintf("silent=%d asked=%d joint=%.1f last_heard_ms=%d", x.silent, x.asked, x.joint,
 		(z.now-x.last).Milliseconds()))
 }
 
@@ -375,8 +375,8 @@
 		return
 	}
 	x.rampFrom = z.now
-	x.rampFor = time.Duration(float64(z.opt.Ramp) * (0.75 + 0.5*z.rng.Float64()) * z.flaps(x))
-	z.enter(x, Returning, fmt.Sprintf("heard=%d members=%d away_ms=%d", x.heard, x.members, (z.now-x.lostAt).Milliseconds()))
+	x.rampFor = time.Duration(float64(z.opt.RecoveryRamp) * (0.75 + 0.5*z.rng.Float64()) * z.flaps(x))
+	z.enter(x, Recovering, fmt.Sprintf("heard=%d members=%d away_ms=%d", x.heard, x.members, (z.now-x.lostAt).Milliseconds()))
 }
 
 // flaps is the factor by which repeated losses slow a return: 1, 2, 4 and so on.
@@ -384,12 +384,12 @@
 
 // hold is how long a zone must have answered before reads come back.
 func (z *Zones) hold(x *Zone) time.Duration {
-	return min(holdAtMost, time.Duration(float64(z.opt.Hold)*z.flaps(x)))
+	return min(holdAtMost, time.Duration(float64(z.opt.RecoveryDelay)*z.flaps(x)))
 }
 
 // Spare takes back a verdict: a member has answered what was sent before it, so the zone was slow and not gone.
 func (z *Zones) Spare(x *Zone, sentAt time.Duration) {
-	if x.state == Lost && sentAt < x.lostAt && len(x.losses) > 0 {
+	if x.state == Down && sentAt < x.lostAt && len(x.losses) > 0 {
 		x.losses = x.losses[:len(x.losses)-1]
 		x.lostAt = 0
 		z.enter(x, Impaired, "answered what was sent before")
@@ -412,15 +412,15 @@
 
 // Condemned says that a member goes with its zone: that is lost, or was, and the member has not answered since.
 func (x *Zone) Condemned(heard time.Duration) bool {
-	return x != nil && (x.state == Lost || x.state == Returning) && heard <= x.lostAt
+	return x != nil && (x.state == Down || x.state == Recovering) && heard <= x.lostAt
 }
 
 // Ramp is the share of the reads that a zone would usually get which it gets now.
 func (z *Zones) Ramp(x *Zone) float64 {
 	switch x.state {
-	case Lost:
+	case Down:
 		return 0
-	case Returning:
+	case Recovering:
 		return min(1, max(rampFloor, float64(z.now-x.rampFrom)/float64(max(x.rampFor, 1))))
 	}
 	return 1
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -43,7 +43,7 @@
 		r.z.Begin(r.now)
 		for _, name := range []string{"", "a", "b", "c"} {
 			for i := range r.heard[name] {
-				e := Evidence{Asked: true, Size: 1, Usable: 1, Usual: 100 * ms}
+				e := Observation{Asked: true, Size: 1, Usable: 1, Usual: 100 * ms}
 				dead, broken := i < r.mute[name], i < r.broke[name]
 				if !dead && !broken {
 					r.heard[name][i] = r.now
@@ -57,7 +57,7 @@
 				if e.Suspect {
 					e.Usable = 0
 				}
-				r.z.See(r.z.Zone(name), e)
+				r.z.Observe(r.z.Zone(name), e)
 			}
 		}
 		r.z.Settle()
@@ -82,7 +82,7 @@
 	r.look(2)
 	r.want("b", Healthy)
 	r.look(1)
-	r.want("b", Lost)
+	r.want("b", Down)
 	if !r.z.Zone("b").Condemned(r.heard["b"][0]) || r.z.Zone("b").Condemned(r.now+1) {
 		t.Error("members unheard since go with the zone, and those heard since do not")
 	}
@@ -90,13 +90,13 @@
 	r.look(3)
 	r.broke["c"] = 3
 	r.look(3)
-	r.want("c", Lost)
+	r.want("c", Down)
 	r.want("a", Healthy)
 }
 
 // TestOneBadHost guards against condemning a zone for one member, or for all but one.
 func TestOneBadHost(t *testing.T) {
-	for n, want := range []State{Healthy, Impaired, Impaired, Lost} {
+	for n, want := range []State{Healthy, Impaired, Impaired, Down} {
 		r := newRig(t, Options{}, 1, three)
 		r.mute["b"] = n
 		r.look(40)
@@ -112,7 +112,7 @@
 	r.mute = map[string]int{"a": 3, "b": 3, "c": 3}
 	r.look(20)
 	for _, name := range []string{"a", "b", "c"} {
-		if r.z.Zone(name).State() == Lost {
+		if r.z.Zone(name).State() == Down {
 			t.Errorf("zone %s is lost with all others", name)
 		}
 	}
@@ -133,13 +133,13 @@
 	r.look(10)
 	r.mute["b"] = 3
 	r.look(10)
-	r.want("a", Lost)
-	r.want("b", Lost)
+	r.want("a", Down)
+	r.want("b", Down)
 	r.want("c", Healthy)
 	r.mute["a"] = 0
 	r.look(100)
 	r.want("a", Healthy)
-	r.want("b", Lost)
+	r.want("b", Down)
 }
 
 // TestReturn guards the way back: nothing before the hold, then a ramp, and each loss within a minute doubles both.
@@ -149,20 +149,20 @@
 	for loss := range 4 {
 		r.mute["b"] = 3
 		r.look(10)
-		r.want("b", Lost)
+		r.want("b", Down)
 		r.mute["b"] = 0
 		start := r.now
 		r.look(1)
-		r.want("b", Lost)
-		for r.z.Zone("b").State() == Lost && r.now < start+20*time.Second {
+		r.want("b", Down)
+		for r.z.Zone("b").State() == Down && r.now < start+20*time.Second {
 			r.look(1)
 		}
-		r.want("b", Returning)
+		r.want("b", Recovering)
 		if s := r.z.Ramp(r.z.Zone("b")); s > 0.1 {
 			t.Errorf("loss %d: the return begins with %.2f", loss, s)
 		}
 		ramp := 0.0
-		for r.z.Zone("b").State() == Returning && r.now < start+90*time.Second {
+		for r.z.Zone("b").State() == Recovering && r.now < start+90*time.Second {
 			r.look(1)
 			if s := r.z.Ramp(r.z.Zone("b")); s < ramp {
 				t.Errorf("the ramp falls from %.2f to %.2f", ramp, s)
@@ -189,9 +189,9 @@
 	r.look(10)
 	r.mute["b"] = 2
 	r.look(10)
-	r.want("b", Lost)
+	r.want("b", Down)
 	r.look(20)
-	r.want("b", Returning)
+	r.want("b", Recovering)
 	if !r.z.Zone("b").Condemned(r.heard["b"][0]) {
 		t.Error("a member that has not answered since is used again")
 	}
@@ -203,9 +203,9 @@
 	r.look(3)
 	r.mute["b"] = 3
 	r.look(5)
-	r.want("b", Lost)
+	r.want("b", Down)
 	r.z.Spare(r.z.Zone("b"), r.now) // sent since: no proof
-	r.want("b", Lost)
+	r.want("b", Down)
 	r.z.Spare(r.z.Zone("b"), r.now-time.Second)
 	r.want("b", Impaired)
 	if s := r.z.Ramp(r.z.Zone("b")); s != 1 {
@@ -218,11 +218,11 @@
 	z, _ := New(Options{}, 1)
 	z.Begin(10 * time.Second)
 	for range 2 {
-		z.See(z.Zone("a"), Evidence{Heard: 9 * time.Second, Mute: 500 * ms, Usual: 100 * ms, Size: 1})
-		z.See(z.Zone("b"), Evidence{Heard: 9900 * ms, Size: 1, Usable: 1})
+		z.Observe(z.Zone("a"), Observation{Heard: 9 * time.Second, Mute: 500 * ms, Usual: 100 * ms, Size: 1})
+		z.Observe(z.Zone("b"), Observation{Heard: 9900 * ms, Size: 1, Usable: 1})
 	}
 	z.Settle()
-	if z.Zone("a").State() != Lost || z.Zone("b").State() != Healthy {
+	if z.Zone("a").State() != Down || z.Zone("b").State() != Healthy {
 		t.Errorf("a is %s, b %s", z.Zone("a").State(), z.Zone("b").State())
 	}
 }
@@ -236,7 +236,7 @@
 		r.look(10)
 		r.mute["b"] = 0
 		r.look(6)
-		r.want("b", Returning)
+		r.want("b", Recovering)
 		seen[r.z.Zone("b").rampFor] = true
 	}
 	if len(seen) < 15 {
@@ -256,16 +256,16 @@
 			t.Errorf("zone %s is in tier %d, want %d", name, got, want)
 		}
 	}
-	if err := r.z.Tune(Options{Own: "b", Tiers: [][]string{{"a", "c"}}}); err != nil {
+	if err := r.z.Configure(Options{Own: "b", Tiers: [][]string{{"a", "c"}}}); err != nil {
 		t.Fatal(err)
 	}
-	r.want("c", Lost)
+	r.want("c", Down)
 	for name, want := range map[string]int{"a": 0, "c": 0, "b": 1} {
 		if got := r.z.Zone(name).Tier(); got != want {
 			t.Errorf("tuned: zone %s is in tier %d, want %d", name, got, want)
 		}
 	}
-	if err := r.z.Tune(Options{Tiers: [][]string{{"a"}, {"a"}}}); err == nil || r.z.Zone("b").Tier() != 1 {
+	if err := r.z.Configure(Options{Tiers: [][]string{{"a"}, {"a"}}}); err == nil || r.z.Zone("b").Tier() != 1 {
 		t.Error("options with a fault change something")
 	}
 }
@@ -278,8 +278,8 @@
 		"named before":          {Tiers: [][]string{{"a", "b"}, {"b"}}},
 		"tiers are more than":   {Tiers: [][]string{{"1"}, {"2"}, {"3"}, {"4"}, {"5"}, {"6"}, {"7"}, {"8"}}},
 		"overprovision 0.5":     {Overprovision: 0.5},
-		"hold 2m0s":             {Hold: 2 * time.Minute},
-		"ramp -1s":              {Ramp: -time.Second},
+		"hold 2m0s":             {RecoveryDelay: 2 * time.Minute},
+		"ramp -1s":              {RecoveryRamp: -time.Second},
 		"overprovision NaN is ": {Overprovision: math.NaN()},
 	} {
 		if err := o.Check(); err == nil || !strings.Contains(err.Error(), want) {
@@ -309,7 +309,7 @@
 		for i := range c.usable {
 			p.Add(i, c.total[i], c.usable[i])
 		}
-		for i, got := range p.Shares(DefaultOverprovision) {
+		for i, got := range p.Weights(DefaultOverprovision) {
 			if math.Abs(got-c.want[i]) > 1e-9 {
 				t.Errorf("%v of %v: tier %d gets %.3f, want %.3f", c.usable, c.total, i, got, c.want[i])
 			}
@@ -331,7 +331,7 @@
 			p.Add(i, total, usable)
 		}
 		sum := 0.0
-		before := append([]float64(nil), p.Shares(over)...)
+		before := append([]float64(nil), p.Weights(over)...)
 		for i, s := range before {
 			if sum += s; s < 0 || s > 1+1e-9 || s > 0 && p.Usable[i] == 0 {
 				t.Fatalf("tier %d gets %v of %v", i, s, p)
@@ -342,7 +342,7 @@
 		}
 		i := rapid.IntRange(0, n-1).Draw(t, "raised")
 		p.Usable[i] = p.Total[i]
-		if after := p.Shares(over); after[i] < before[i]-1e-9 {
+		if after := p.Weights(over); after[i] < before[i]-1e-9 {
 			t.Fatalf("tier %d fell from %v to %v as it got better", i, before[i], after[i])
 		}
 	})
@@ -360,8 +360,8 @@
 		p.Add(1, 1, 1)
 		z.Placed(z.Draw(&p, rng))
 	}
-	f := z.Figures()
-	if math.Abs(f[0].Stated-0.7) > 1e-6 || math.Abs(f[0].Placed-0.7) > 0.02 || f[0].All != 10000 {
+	f := z.Metrics()
+	if math.Abs(f[0].ConfiguredShare-0.7) > 1e-6 || math.Abs(f[0].RoutedShare-0.7) > 0.02 || f[0].All != 10000 {
 		t.Errorf("%+v", f)
 	}
 	var none Plan
@@ -380,7 +380,7 @@
 		now := time.Duration(i) * 100 * ms
 		z.Begin(now)
 		for m := range 300 {
-			z.See(at[m%3], Evidence{Heard: now, Asked: true, Silent: 0.5, Size: 1, Usable: 1})
+			z.Observe(at[m%3], Observation{Heard: now, Asked: true, Silent: 0.5, Size: 1, Usable: 1})
 		}
 		z.Settle()
 	}
--- a/routing/admit.go
+++ b/routing/admit.go
@@ -10,15 +10,15 @@
 // admit refuses a share of what would likely come too late, less of what is worth more for its work, past a
 // quota first; some always go, so it ends by itself. Marked retries had their draw: they wait till it has.
 func (r *Router) admit(q *request, m *member) bool {
-	v := 1 - (1-r.product(q, m))*min(1, r.worth/r.weight*q.usual.Seconds()/max(q.class.Worth, 1e-9))
+	v := 1 - (1-r.product(q, m))*min(1, r.worth/r.weight*q.usual.Seconds()/max(q.class.PriorityWeight, 1e-9))
 	if q.over && v < pressedBelow {
-		v *= r.cfg.OverShareWorth
+		v *= r.cfg.OverQuotaWeight
 	}
 	shed := v < shedBelow-shedRamp*r.rng.Float64() && r.rng.Float64() >= trickle
-	if q.Repeat { // one that waits must not keep others waiting
+	if q.Retry { // one that waits must not keep others waiting
 		return v >= shedBelow && r.now >= q.group.shedTo[q.Class]
 	} else if shed {
-		q.group.shedTo[q.Class] = r.now + q.class.Aim
+		q.group.shedTo[q.Class] = r.now + q.class.LatencyObjective
 	}
 	return !shed
 }
--- a/routing/admit_test.go
+++ b/routing/admit_test.go
@@ -31,7 +31,7 @@
 
 func TestWorkPastATenantsShareIsRefusedFirst(t *testing.T) {
 	c := config()
-	c.Tenants, c.OverShareWorth = []Tenant{{Name: "one", Quota: 10}, {Name: "two", Quota: 90}}, 0.1
+	c.Tenants, c.OverQuotaWeight = []Tenant{{Name: "one", Quota: 10}, {Name: "two", Quota: 90}}, 0.1
 	b := newRig(t, c)
 	b.told("a", 10*ms)
 	for _, m := range b.r.sorted {
@@ -71,7 +71,7 @@
 			q := b.ask(class)
 			refused[class] += b.refused[q]
 			if len(b.to(q)) > 0 {
-				b.answer(q, ResultMoot, RoleUnknown, 0)
+				b.answer(q, ResultNotSent, RoleUnknown, 0)
 			}
 		}
 	}
@@ -86,7 +86,7 @@
 func TestMarkedRetriesGetNoSecondDraw(t *testing.T) {
 	b := newRig(t, config())
 	b.told("a", 10*ms)
-	repeat := func(q *Request) { q.Repeat = true }
+	repeat := func(q *Request) { q.Retry = true }
 	b.want("a retry where nothing is known", len(b.to(b.ask(anyRead, repeat))), 1)
 	sent := func(n int, ratio float64, change func(*Request)) (sent int) {
 		for range n {
@@ -110,8 +110,8 @@
 	}
 	b.want("retries sent as answers are in time again, but some were shed just now", sent(10, 0.1, repeat), 0)
 	b.want("first tries then", sent(100, 0.1, func(*Request) {}), 100)
-	b.pass(b.r.cfg.Classes[anyRead].Aim / 2)
+	b.pass(b.r.cfg.Classes[anyRead].LatencyObjective / 2)
 	b.want("retries sent half an aim later", sent(10, 0.1, repeat), 0)
-	b.pass(b.r.cfg.Classes[anyRead].Aim / 2) // those that were refused since keep none waiting
+	b.pass(b.r.cfg.Classes[anyRead].LatencyObjective / 2) // those that were refused since keep none waiting
 	b.want("retries sent an aim later", sent(100, 0.1, repeat), 100)
 }
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -19,10 +19,10 @@
 	switch {
 	case q.ended, q.streaming, r.now < q.pause, r.now >= q.repeatBy(), q.sent >= r.cfg.MaxAttempts,
 		!m.usable, m.group != q.group, // drains, and groups
-		len(q.out) > 0 && (!r.cfg.MayDuplicate || q.class.Effect == Once), // copies out together
+		len(q.out) > 0 && (!r.cfg.AllowHedging || q.class.Effect == NonIdempotent), // copies out together
 		slices.ContainsFunc(q.out, func(a *attempt) bool { return a.m == m }),
-		slices.Contains(q.missed, m) && m.position < r.minimum(q) && m != q.group.primary(), // a sure miss
-		r.cfg.Guards == GuardNone && q.class.Need != NeedWrite && !r.fresh(q, m):            // stale reads
+		slices.Contains(q.missed, m) && m.position < r.minimum(q) && m != q.group.primary(),              // a sure miss
+		r.cfg.StaleReads == StaleReadServed && q.class.Consistency != ConsistencyWrite && !r.fresh(q, m): // stale reads
 		return false
 	}
 	return r.coldRoom(m, r.work[q.Class])
@@ -30,18 +30,18 @@
 
 // repeatBy is when an attempt has to have begun as things are: in time, and inside the window for repeats.
 func (q *request) repeatBy() time.Duration {
-	if q.class.Effect == Repeatable || !q.mayRun {
+	if q.class.Effect == Idempotent || !q.mayRun {
 		return q.limit
-	} else if q.class.Effect == Keyed {
-		return min(q.limit, q.ranAt+q.class.KeyTTL)
+	} else if q.class.Effect == IdempotentByKey {
+		return min(q.limit, q.ranAt+q.class.IdempotencyTTL)
 	}
 	return 0
 }
 
 // beginBy is the same where it waits for a connection: what its member has must be recent enough then too.
 func (r *Router) beginBy(q *request, m *member) time.Duration {
-	holds := r.cfg.PositionZero + time.Duration(m.position)*time.Millisecond + q.class.Bound
-	if r.cfg.Guards != GuardNone || q.class.Need != NeedBounded && m.position >= q.need {
+	holds := r.cfg.PositionZero + time.Duration(m.position)*time.Millisecond + q.class.StalenessBound
+	if r.cfg.StaleReads != StaleReadServed || q.class.Consistency != ConsistencyBounded && m.position >= q.need {
 		return q.repeatBy()
 	} else if m == q.group.primary() {
 		holds = max(holds, r.now+roleHolds)
@@ -70,7 +70,7 @@
 }
 
 func (r *Router) cancel(a *attempt) {
-	if r.cfg.MayCancel && !a.cancelled {
+	if r.cfg.AllowCancel && !a.cancelled {
 		a.cancelled = true
 		r.gw.Cancel(a.q.ID, a.number)
 	}
@@ -79,15 +79,15 @@
 // end is the only way to end a request. Where an answer is owed it is given at once: a refusal where that is
 // true, else a failure. Copies still out are cancelled where they may be.
 func (r *Router) end(q *request, owed bool, why Reason) {
-	harmless := !q.mayRun || q.class.Effect == Keyed && q.class.KeyAll
-	if !q.ended && owed && (harmless || q.class.Effect == Repeatable) {
-		r.gw.Refuse(q.ID, min(time.Duration(adviceShare*float64(q.class.Deadline)), r.cfg.MaxComeBack), why)
+	harmless := !q.mayRun || q.class.Effect == IdempotentByKey && q.class.KeyIsGlobal
+	if !q.ended && owed && (harmless || q.class.Effect == Idempotent) {
+		r.gw.Reject(q.ID, min(time.Duration(adviceShare*float64(q.class.Deadline)), r.cfg.MaxRetryAfter), why)
 	} else if !q.ended && owed {
 		r.gw.Fail(q.ID, why)
 	}
 	q.ended = true
 	for _, a := range q.out {
-		if q.class.Effect == Repeatable && !q.streaming { // what streams is the client's
+		if q.class.Effect == Idempotent && !q.streaming { // what streams is the client's
 			r.cancel(a)
 		}
 	}
@@ -102,21 +102,21 @@
 // afterAttempt decides what follows an attempt that did not answer.
 func (r *Router) afterAttempt(q *request, a *attempt, result Result) {
 	switch result {
-	case ResultMiss:
+	case ResultMissed:
 		q.missed = append(q.missed, a.m)
-	case ResultFull:
+	case ResultOverCapacity:
 		if q.atPrimary {
 			q.pause = r.now + pauseFull
 		}
-	case ResultConnectFailed, ResultMoot:
-	case ResultRejected: // the client's fault: no other member would do better
+	case ResultConnectFailed, ResultNotSent:
+	case ResultInvalidStatement: // the client's fault: no other member would do better
 		r.gw.Fail(q.ID, ReasonRejected)
 		r.end(q, false, ReasonRejected)
 		return
 	default:
 		q.ran = true
 	}
-	q.reached = q.reached || result != ResultConnectFailed && result != ResultMoot
+	q.reached = q.reached || result != ResultConnectFailed && result != ResultNotSent
 	q.mayRun = q.ran || len(q.out) > 0
 	if again := q.ran && !a.cancelled && len(q.out) == 0; again && r.tokens < 1 {
 		r.end(q, true, ReasonRetryBudget)
@@ -168,18 +168,18 @@
 // reconsider moves a request off a silent member, or sends a second copy of a slow one.
 func (r *Router) reconsider(q *request) {
 	a := q.out[len(q.out)-1]
-	slow := r.cfg.MayDuplicate && float64(r.now-a.sentAt) > hedgeAfter*float64(a.usual)
-	if len(q.out) > 1 || q.class.Effect == Once || a.cancelled || r.tokens < 1 || r.now+*q.usual > q.limit ||
+	slow := r.cfg.AllowHedging && float64(r.now-a.sentAt) > hedgeAfter*float64(a.usual)
+	if len(q.out) > 1 || q.class.Effect == NonIdempotent || a.cancelled || r.tokens < 1 || r.now+*q.usual > q.limit ||
 		!slow && !r.suspect(a.m) {
 		return
 	}
 	p := q.group.primary()
-	if r.cfg.MayDuplicate {
+	if r.cfg.AllowHedging {
 		if m := r.choose(q); m != nil && (m == p || !q.atPrimary) {
 			r.tokens--
 			r.send(q, m)
 		}
-	} else if r.cfg.MayCancel && slices.ContainsFunc(q.group.members, func(m *member) bool {
+	} else if r.cfg.AllowCancel && slices.ContainsFunc(q.group.members, func(m *member) bool {
 		return m != a.m && m.usable && !r.suspect(m) && (m == p || !q.atPrimary && r.fresh(q, m))
 	}) {
 		r.tokens--
--- a/routing/attempts_test.go
+++ b/routing/attempts_test.go
@@ -25,9 +25,9 @@
 	w := b.ask(keyedWrite)
 	b.answer(w, ResultReset, RoleUnknown, 0)
 	b.now += 100 * ms
-	b.r.Probed(b.now, ProbeResult{Member: "c", Result: ResultOK,
+	b.r.HealthChecked(b.now, HealthCheckResult{Member: "c", Result: ResultOK,
 		Report: Report{HasPosition: true, Position: b.at(0), Role: RolePrimary}})
-	b.answer(w, ResultMiss, RoleReplica, b.at(0)) // a, tried again, is no primary any more
+	b.answer(w, ResultMissed, RoleReplica, b.at(0)) // a, tried again, is no primary any more
 	b.want("sends", b.to(w), "[a a c]")
 	b.now += 2 * time.Second
 	b.answer(w, ResultReset, RoleUnknown, 0)
@@ -39,11 +39,11 @@
 }
 
 func TestGivenUpAtOnceWithAdvice(t *testing.T) {
-	b := newRig(t, config(), []Entry{}...)
+	b := newRig(t, config(), []Endpoint{}...)
 	q := b.ask(anyRead)
 	b.pass(2 * time.Second)
 	b.want("refusals", b.refused[q], 1)
-	if b.advice <= 0 || b.advice > b.r.cfg.MaxComeBack {
+	if b.advice <= 0 || b.advice > b.r.cfg.MaxRetryAfter {
 		t.Errorf("advice %v", b.advice)
 	}
 }
@@ -51,7 +51,7 @@
 func TestSlowAttemptGetsASecondCopyWhereAllowed(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		c := config()
-		c.MayDuplicate = may
+		c.AllowHedging = may
 		b := newRig(t, c)
 		b.told("a", 10*ms)
 		*b.r.requestUsual(anyRead) = 50 * ms
@@ -67,8 +67,8 @@
 
 func TestSilentMembersRequestMovesWhereCopiesAreNotAllowed(t *testing.T) {
 	c := config()
-	c.MayDuplicate = false
-	c.Classes[anyRead].Aim = 900 * ms
+	c.AllowHedging = false
+	c.Classes[anyRead].LatencyObjective = 900 * ms
 	b := newRig(t, c)
 	b.told("a", 10*ms)
 	*b.r.requestUsual(anyRead) = 50 * ms
@@ -84,7 +84,7 @@
 // TestUnsentRequestIsRefusedByHalfOfItsTime guards against holding a request that no member has had: a client that
 // hears so late that nothing was tried has lost its time. One that a member turned away is held on.
 func TestUnsentRequestIsRefusedByHalfOfItsTime(t *testing.T) {
-	b := newRig(t, config(), Entry{Member: "a", Group: 2, Leader: true, Size: 1}) // none in the request's group
+	b := newRig(t, config(), Endpoint{Member: "a", Group: 2, Primary: true, Capacity: 1}) // none in the request's group
 	w := b.ask(onceWrite)
 	half := b.r.cfg.Classes[onceWrite].Deadline / 2
 	b.pass(half - 100*ms)
@@ -97,9 +97,9 @@
 	}
 	b = newRig(t, config())
 	w = b.ask(onceWrite)
-	b.answer(w, ResultMiss, RoleReplica, b.at(0))
+	b.answer(w, ResultMissed, RoleReplica, b.at(0))
 	for range 3 {
-		b.answer(w, ResultMiss, RoleReplica, b.at(0))
+		b.answer(w, ResultMissed, RoleReplica, b.at(0))
 	}
 	b.pass(half + 50*ms)
 	b.want("refusals after a miss", b.refused[w], 0)
@@ -119,13 +119,13 @@
 	}
 	b.r.Started(b.now, q, 1)
 	b.want("cancelled", b.cancels, fmt.Sprintf("[%d/0]", q))
-	b.r.Outcome(b.now, Outcome{Request: q, Attempt: 0, Member: to[0], Result: ResultCancelled, Took: 500 * ms, Closed: true})
+	b.r.Outcome(b.now, Outcome{Request: q, Attempt: 0, Member: to[0], Result: ResultCancelled, Latency: 500 * ms, Closed: true})
 	b.pass(5 * time.Second)
 	b.want("cancelled in the end", b.cancels, fmt.Sprintf("[%d/0]", q))
 	if b.r.suspect(b.r.members[to[1]]) || b.refused[q]+b.failed[q] > 0 {
 		t.Error("a long answer counts as silence, or its request was answered again")
 	}
-	b.r.Outcome(b.now, Outcome{Request: q, Attempt: 1, Member: to[1], Result: ResultOK, Took: 400 * ms, Closed: true})
+	b.r.Outcome(b.now, Outcome{Request: q, Attempt: 1, Member: to[1], Result: ResultOK, Latency: 400 * ms, Closed: true})
 	if len(b.r.requests) > 0 {
 		t.Error("the request is kept")
 	}
@@ -140,7 +140,7 @@
 		q := b.ask(onceWrite)
 		for since := b.now; ; b.pass(10 * ms) {
 			for n := len(b.to(q)); b.made[q] < n; b.made[q]++ { // whoever it goes to is no primary
-				b.r.Outcome(b.now, Outcome{Request: q, Attempt: b.made[q], Member: b.to(q)[b.made[q]], Result: ResultMiss, Took: ms,
+				b.r.Outcome(b.now, Outcome{Request: q, Attempt: b.made[q], Member: b.to(q)[b.made[q]], Result: ResultMissed, Latency: ms,
 					Role: RoleReplica, Position: b.at(10 * ms)})
 			}
 			if b.refused[q]+b.failed[q] > 0 || b.now-since > 4*time.Second {
@@ -190,10 +190,10 @@
 		}
 		q, since := b.ask(onceWrite), b.now
 		if !c.primary { // it was tried there, and now waits
-			b.answer(q, ResultMiss, RoleReplica, b.at(10*ms))
+			b.answer(q, ResultMissed, RoleReplica, b.at(10*ms))
 			b.r.groups[1].searchAt = b.now + time.Hour
 			for i := 1; i < len(b.to(q)); i++ {
-				b.r.Outcome(b.now, Outcome{Request: q, Attempt: i, Member: b.to(q)[i], Result: ResultMiss, Took: ms, Role: RoleReplica, Position: b.at(10 * ms)})
+				b.r.Outcome(b.now, Outcome{Request: q, Attempt: i, Member: b.to(q)[i], Result: ResultMissed, Latency: ms, Role: RoleReplica, Position: b.at(10 * ms)})
 			}
 			if !b.r.requests[q].reached {
 				t.Fatal("the write has reached nobody")
--- a/routing/check.go
+++ b/routing/check.go
@@ -27,11 +27,11 @@
 		return nil, &ConfigError{"Gateways", "1 at least"}
 	case c.MaxAttempts < 1:
 		return nil, &ConfigError{"MaxAttempts", "1 at least"}
-	case c.ColdFor < 0 || c.ColdFor > 0 && (!(c.TipMultiple > 0) || c.TipAfter <= 0 || !(c.ColdFrom >= 0 && c.ColdFrom <= 1)):
+	case c.SlowStartDuration < 0 || c.SlowStartDuration > 0 && (!(c.OverloadFactor > 0) || c.OverloadWindow <= 0 || !(c.SlowStartCapacity >= 0 && c.SlowStartCapacity <= 1)):
 		return nil, &ConfigError{"ColdFor, ColdFrom, TipMultiple and TipAfter", "given together: more than 0, and ColdFrom from 0 to 1"}
 	}
 	for i, k := range c.Classes {
-		if k.Aim <= 0 || k.Deadline <= 0 {
+		if k.LatencyObjective <= 0 || k.Deadline <= 0 {
 			return nil, &ConfigError{fmt.Sprintf("class %d (%s)", i, k.Name), "given an Aim and a Deadline of more than 0"}
 		}
 	}
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -9,8 +9,8 @@
 
 // minimum is the position that a read needs when sent now.
 func (r *Router) minimum(q *request) int64 {
-	if q.class.Need == NeedBounded {
-		return r.ms(r.now - q.class.Bound)
+	if q.class.Consistency == ConsistencyBounded {
+		return r.ms(r.now - q.class.StalenessBound)
 	}
 	return q.need
 }
@@ -19,7 +19,7 @@
 // when last heard, as long as a primary lives: a quiet gateway hears most seldom. A miss corrects a guess.
 func (r *Router) reached(m *member) int64 {
 	p := m.group.primary()
-	if r.cfg.Guards == GuardNone || p == nil || r.suspect(p) {
+	if r.cfg.StaleReads == StaleReadServed || p == nil || r.suspect(p) {
 		return m.position
 	} else if m.position == 0 {
 		return r.ms(r.now) // unheard: no worse than one not heard for long
@@ -50,7 +50,7 @@
 		case !r.legal(q, m):
 		case !r.fresh(q, m):
 			caught := r.reached(m) + (r.now - m.posAt + r.cfg.CatchUpWait).Milliseconds()
-			may := r.cfg.Guards != GuardNone && caught >= r.minimum(q) && !suspect
+			may := r.cfg.StaleReads != StaleReadServed && caught >= r.minimum(q) && !suspect
 			if may && (hope == nil || m.position > hope.position) {
 				hope = m
 			}
@@ -77,7 +77,7 @@
 	}
 	tied = r.prefer(q.group, p, tied)
 	m := slices.MinFunc(tied, func(a, b *member) int { return cmp.Compare(a.position, b.position) })
-	if q.class.Need != NeedAny || r.ms(m.posAt)-m.position <= laggard { // those serve only such reads
+	if q.class.Consistency != ConsistencyAny || r.ms(m.posAt)-m.position <= laggard { // those serve only such reads
 		m = tied[r.rng.IntN(len(tied))]
 		if b := tied[r.rng.IntN(len(tied))]; r.crowd(b) < r.crowd(m) { // of two the less crowded
 			m = b
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -7,7 +7,7 @@
 
 func TestLaggingReplicaGetsNoSessionRead(t *testing.T) {
 	c := config()
-	c.Guards = GuardNone
+	c.StaleReads = StaleReadServed
 	b := newRig(t, c)
 	b.told("a", time.Second)
 	q := b.ask(sessionRead, func(q *Request) { q.SinceWrite = 500 * ms })
@@ -68,7 +68,7 @@
 	b := newRig(t, config())
 	b.told("a", 10*ms)
 	b.now += 10 * ms
-	b.r.Probed(b.now, ProbeResult{Member: "b", Result: ResultOK,
+	b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultOK,
 		Report: Report{HasPosition: true, Position: b.r.members["b"].position + 1}})
 	b.r.members["b"].position -= 500 // b fell behind
 	for range 10 {
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -5,20 +5,20 @@
 const askAgain = 500 * time.Millisecond // first wait after a failed call to discovery, then doubled
 
 // Members takes news of the list. A drain stops sends at once.
-func (r *Router) Members(now time.Duration, l MemberList) {
+func (r *Router) UpdateEndpoints(now time.Duration, l EndpointList) {
 	r.wake(now)
-	if l.Kind == ListBroken {
+	if l.Kind == EndpointListFailed {
 		r.asking, r.followed = false, false
-		r.askAfter = min(2*r.askAfter, max(r.cfg.AskWithin/2, askAgain))
+		r.askAfter = min(2*r.askAfter, max(r.cfg.MaxPollInterval/2, askAgain))
 		return
 	}
 	seen := map[string]bool{}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		seen[e.Member] = true
 		r.entry(e, l.Kind)
 	}
 	for _, m := range r.sorted {
-		if l.Kind != ListPatch && !seen[m.id] {
+		if l.Kind != EndpointListPatch && !seen[m.id] {
 			r.gone(m)
 		}
 	}
@@ -32,9 +32,9 @@
 }
 
 // entry takes one line of the list.
-func (r *Router) entry(e Entry, kind ListKind) {
+func (r *Router) entry(e Endpoint, kind EndpointListKind) {
 	m := r.members[e.Member]
-	if e.Phase == PhaseOff {
+	if e.Phase == PhaseRemoved {
 		r.gone(m)
 		return
 	}
@@ -47,15 +47,15 @@
 		m.failed, m.lost, m.window, m.creditAt, m.down = 0, 0, nil, 0, false // a new process
 	}
 	drained := e.Phase == PhaseDraining || m.drained && e.StartedAt <= m.startedAt // no old list undoes it
-	m.zone, m.at, m.size, m.startedAt = e.Zone, r.zone(e.Zone), e.Size, max(e.StartedAt, m.startedAt)
-	m.usable, m.drained = e.Phase == PhaseOn && !drained, drained
-	r.hint(m, e.Leader, kind)
+	m.zone, m.at, m.size, m.startedAt = e.Zone, r.zone(e.Zone), e.Capacity, max(e.StartedAt, m.startedAt)
+	m.usable, m.drained = e.Phase == PhaseServing && !drained, drained
+	r.hint(m, e.Primary, kind)
 }
 
 // hint takes the list's word on the primary: only news of it counts, only where the role follows, and only
 // while no primary is known that answers; answers and reports are newer.
-func (r *Router) hint(m *member, leader bool, kind ListKind) {
-	told := r.cfg.ListRole == ListRoleLate || r.cfg.ListRole == ListRoleStart && kind == ListStale
+func (r *Router) hint(m *member, leader bool, kind EndpointListKind) {
+	told := r.cfg.RoleSource == RoleSourceDelayed || r.cfg.RoleSource == RoleSourceInitial && kind == EndpointListStale
 	news := told && leader && !m.leader
 	m.leader = leader
 	if p := m.group.primary(); news && p == nil && m.role == RoleUnknown {
--- a/routing/events.go
+++ b/routing/events.go
@@ -26,23 +26,23 @@
 	c := &r.cfg.Classes[in.Class]
 	q := &request{Request: in, class: c, usual: &r.usual[in.Class], group: r.groupOf(in.Group),
 		deadline: now + in.Remaining, over: r.overShare(in.Tenant)}
-	q.atPrimary = c.Need == NeedWrite || c.Need == NeedFresh
-	q.aimAt = min(now+c.Aim+time.Duration(c.Stretch*float64(in.Work)), q.deadline)
+	q.atPrimary = c.Consistency == ConsistencyWrite || c.Consistency == ConsistencyStrong
+	q.aimAt = min(now+c.LatencyObjective+time.Duration(c.ObjectiveWorkFactor*float64(in.Work)), q.deadline)
 	q.heldTo = now + time.Duration(heldAtMost*float64(in.Remaining)) - sweepEvery
-	if q.limit = q.aimAt; c.LateWorth > 0 {
+	if q.limit = q.aimAt; c.LateShare > 0 {
 		q.limit = q.deadline
 	}
-	if c.Need == NeedFresh {
+	if c.Consistency == ConsistencyStrong {
 		q.need = r.ms(now)
-	} else if c.Need == NeedSession && r.cfg.Remembered {
+	} else if c.Consistency == ConsistencySession && r.cfg.LocalSessions {
 		q.need = r.marks.positions[in.Session]
-	} else if c.Need == NeedSession && in.SinceWrite > 0 {
+	} else if c.Consistency == ConsistencySession && in.SinceWrite > 0 {
 		q.need = r.ms(now - in.SinceWrite)
 	}
-	r.worth += (c.Worth - r.worth) / askedKept
+	r.worth += (c.PriorityWeight - r.worth) / askedKept
 	r.weight += (q.usual.Seconds() - r.weight) / askedKept
 	share := probeShare * min(1, probeMembers/float64(1+len(r.sorted)))
-	if r.cfg.Guards == GuardNone && c.Need == NeedBounded {
+	if r.cfg.StaleReads == StaleReadServed && c.Consistency == ConsistencyBounded {
 		share = 1 // members do not check: one may have to be asked first
 	}
 	r.probes = min(probeBurst, r.probes+share)
@@ -69,7 +69,7 @@
 	before := q.group.primary()
 	r.learn(a, o)
 	if r.now < r.tightUntil && len(a.m.out) == 0 {
-		r.gw.Close(a.m.id) // idle connections of ours would keep other gateways out
+		r.gw.CloseIdle(a.m.id) // idle connections of ours would keep other gateways out
 	}
 	if o.Closed || q.ended {
 		r.end(q, false, "")
@@ -95,8 +95,8 @@
 	}
 }
 
-// ClientGone tells that the client has left: nothing is owed.
-func (r *Router) ClientGone(now time.Duration, id uint64) {
+// ClientDisconnected tells that the client has left: nothing is owed.
+func (r *Router) ClientDisconnected(now time.Duration, id uint64) {
 	r.wake(now)
 	if q := r.requests[id]; q != nil {
 		r.end(q, false, "")
@@ -104,7 +104,7 @@
 }
 
 // Probed takes the end of a probe: it ends doubts of the connection, of silence if the position moved on.
-func (r *Router) Probed(now time.Duration, p ProbeResult) {
+func (r *Router) HealthChecked(now time.Duration, p HealthCheckResult) {
 	r.wake(now)
 	m := r.members[p.Member]
 	if m == nil {
--- a/routing/events_test.go
+++ b/routing/events_test.go
@@ -24,13 +24,13 @@
 	b := newRig(t, config())
 	b.told("a", 10*ms)
 	w := b.ask(onceWrite)
-	b.answer(w, ResultMiss, RoleReplica, b.at(0))
+	b.answer(w, ResultMissed, RoleReplica, b.at(0))
 	for range 3 { // a round of misses finds no primary
-		b.answer(w, ResultMiss, RoleReplica, b.at(0))
+		b.answer(w, ResultMissed, RoleReplica, b.at(0))
 	}
 	b.want("a round by sorted id", b.to(w), "[a a b c]")
 	b.now += 5 * ms
-	b.r.Probed(b.now, ProbeResult{Member: "c", Result: ResultOK,
+	b.r.HealthChecked(b.now, HealthCheckResult{Member: "c", Result: ResultOK,
 		Report: Report{HasPosition: true, Position: b.at(0), Role: RolePrimary}})
 	to := b.to(w)
 	b.want("after the probe named c", to[len(to)-1], "c")
--- a/routing/evidence.go
+++ b/routing/evidence.go
@@ -21,11 +21,11 @@
 
 // learn takes what an attempt's end tells of its member.
 func (r *Router) learn(a *attempt, o Outcome) {
-	m, ratio := a.m, float64(o.Took)/float64(a.usual)
+	m, ratio := a.m, float64(o.Latency)/float64(a.usual)
 	r.learnReport(m, o.Report)
 	r.learnReport(m, Report{HasPosition: true, Position: o.Position}) // its role is dated below
 	role, date := o.Role, cmp.Or(o.Position, r.ms(r.now))
-	if o.Result == ResultMiss && a.q.class.Need == NeedWrite {
+	if o.Result == ResultMissed && a.q.class.Consistency == ConsistencyWrite {
 		role = RoleReplica // it turns writes away, whatever it says
 	}
 	if role != RoleUnknown {
@@ -42,19 +42,19 @@
 		w, since := &r.work[a.q.Class], float64(r.now-r.workAt[a.q.Class])/float64(workOver)
 		r.workAt[a.q.Class] = r.now
 		*w = min(*w+time.Duration(since*float64(*w)), r.usual[a.q.Class])
-		*w -= time.Duration(workGain * float64(max(0, *w-o.Took)))
+		*w -= time.Duration(workGain * float64(max(0, *w-o.Latency)))
 		*u += time.Duration(usualGain * (min(ratio, usualClip)*float64(a.usual) - float64(*u)))
-		if r.cfg.Remembered && a.q.class.Need == NeedWrite && a.q.Session != "" && o.Position > 0 {
+		if r.cfg.LocalSessions && a.q.class.Consistency == ConsistencyWrite && a.q.Session != "" && o.Position > 0 {
 			r.marks.put(a.q.Session, o.Position, sessionsKept)
 		}
-	case ResultMiss, ResultError, ResultRejected, ResultSpoilt: // the last are no sign of load
+	case ResultMissed, ResultError, ResultInvalidStatement, ResultMalformed: // the last are no sign of load
 		if r.hear(m, o.Opened); o.Result == ResultError {
 			r.addSample(m, sample{at: r.now, ratio: 1e9})
 		}
 	case ResultTimeout, ResultCancelled:
 		m.lost, m.trialAt = max(m.lost, r.missing(a)), r.now+trialGap/2 // its next place is no trial here
 		r.addSample(m, sample{at: r.now, ratio: ratio, censored: true})
-	case ResultFull: // a jam, and no proof of service: a hung member fills up too
+	case ResultOverCapacity: // a jam, and no proof of service: a hung member fills up too
 		r.addSample(m, sample{at: r.now, ratio: 1e9})
 	case ResultConnectFailed, ResultReset: // no sign of load: must not feed admission
 		m.failed, m.trialAt = m.failed+1, r.now+trialGap/2
--- a/routing/evidence_test.go
+++ b/routing/evidence_test.go
@@ -10,8 +10,8 @@
 	b := newRig(t, config())
 	b.told("a", 10*ms)
 	w := b.ask(onceWrite)
-	b.answer(w, ResultMiss, RoleReplica, b.at(0))
-	b.r.Probed(b.now, ProbeResult{Member: "a", Result: ResultOK,
+	b.answer(w, ResultMissed, RoleReplica, b.at(0))
+	b.r.HealthChecked(b.now, HealthCheckResult{Member: "a", Result: ResultOK,
 		Report: Report{HasPosition: true, Position: b.at(2 * time.Second), Role: RolePrimary}})
 	if p := b.r.groups[1].primary(); p != nil {
 		t.Errorf("%s is taken for the primary on a report older than its answer", p.id)
@@ -44,7 +44,7 @@
 
 func TestRememberedCommitBindsTheSessionsNextRead(t *testing.T) {
 	c := config()
-	c.Guards, c.Remembered = GuardNone, true
+	c.StaleReads, c.LocalSessions = StaleReadServed, true
 	b := newRig(t, c)
 	b.told("a", 10*ms)
 	w := b.ask(onceWrite, func(q *Request) { q.Session = "s" })
@@ -60,7 +60,7 @@
 	b.told("a", 10*ms)
 	q := b.ask(anyRead)
 	b.answer(q, ResultConnectFailed, RoleUnknown, 0) // goes again at once
-	b.r.Probed(b.now, ProbeResult{Member: b.to(q)[0], Result: ResultOK,
+	b.r.HealthChecked(b.now, HealthCheckResult{Member: b.to(q)[0], Result: ResultOK,
 		Report: Report{HasPosition: true, Position: b.at(0), Role: RoleReplica}})
 	b.answer(b.ask(onceWrite), ResultOK, RolePrimary, b.at(0))
 	b.want("shut after the answer", b.closes, "[a]")
@@ -76,7 +76,7 @@
 		m := b.r.members["b"]
 		b.pass(awayAtLeast)
 		m.failed = failuresMax
-		b.r.Probed(b.now, ProbeResult{Member: "b", Result: ResultOK,
+		b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultOK,
 			Report: Report{HasPosition: true, Position: b.at(lag), Role: RoleReplica}})
 		b.want(fmt.Sprint("cold when it stands ", lag, " behind"), b.r.warmth(m) < 1, lag > time.Second)
 	}
@@ -92,7 +92,7 @@
 	b.told("a", 10*ms)
 	for range failuresMax {
 		q := b.ask(onceWrite)
-		b.r.Outcome(b.now, Outcome{Request: q, Member: "a", Result: ResultReset, Took: 5 * ms, Closed: true})
+		b.r.Outcome(b.now, Outcome{Request: q, Member: "a", Result: ResultReset, Latency: 5 * ms, Closed: true})
 	}
 	b.want("failures", m.failed, failuresMax)
 	b.want("suspect at once", b.r.suspect(m), false)
@@ -100,9 +100,9 @@
 	b.want("suspect without an answer since", b.r.suspect(m), true)
 	b.told("a", 10*ms)
 	b.want("warmth after two breaks and an answer", b.r.warmth(m), 1)
-	b.r.Probed(b.now, ProbeResult{Member: "b", Result: ResultReset})
+	b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultReset})
 	b.pass(2 * time.Second)
-	b.r.Probed(b.now, ProbeResult{Member: "b", Result: ResultOK, Report: Report{HasPosition: true, Position: b.at(10 * ms), Role: RoleReplica}})
+	b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultOK, Report: Report{HasPosition: true, Position: b.at(10 * ms), Role: RoleReplica}})
 	b.want("warmth after a probe that broke", b.r.warmth(b.r.members["b"]), 1)
 	b.want("short of connections", b.r.now < b.r.tightUntil, false)
 	b.r.members["b"].failed, b.r.members["b"].shut = 1, 1
@@ -128,12 +128,12 @@
 	b.told("a", 10*ms)
 	b.pass(2 * time.Second)
 	started := b.now
-	b.r.Members(b.now, MemberList{Kind: ListPatch, Entries: []Entry{{Member: "b", Group: 1, Size: 1, StartedAt: started}}})
+	b.r.UpdateEndpoints(b.now, EndpointList{Kind: EndpointListPatch, Endpoints: []Endpoint{{Member: "b", Group: 1, Capacity: 1, StartedAt: started}}})
 	for range failuresMax { // it still can't be reached from here
-		b.r.Probed(b.now, ProbeResult{Member: "b", Result: ResultConnectFailed})
+		b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultConnectFailed})
 	}
 	b.pass(4 * time.Second)
-	b.r.Probed(b.now, ProbeResult{Member: "b", Result: ResultOK, Report: Report{HasPosition: true, Position: b.at(0)}})
+	b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultOK, Report: Report{HasPosition: true, Position: b.at(0)}})
 	b.want("start", b.r.members["b"].startedAt, started)
 }
 
@@ -141,12 +141,12 @@
 	b := newRig(t, config())
 	b.told("a", 10*ms)
 	m := b.r.members["b"]
-	back := ProbeResult{Member: "b", Result: ResultOK, Report: Report{HasPosition: true, Role: RoleReplica}}
+	back := HealthCheckResult{Member: "b", Result: ResultOK, Report: Report{HasPosition: true, Role: RoleReplica}}
 	for _, cut := range []time.Duration{100 * ms, 5 * time.Second} {
 		b.r.tightUntil, m.failed, m.shut = 0, 1, 1
 		b.pass(cut)
 		m.position, back.Report.Position = b.at(20*ms), b.at(0)
-		b.r.Probed(b.now, back)
+		b.r.HealthChecked(b.now, back)
 		b.want(fmt.Sprint("short of connections after ", cut), b.r.tightUntil > 0, cut < awayAtLeast)
 	}
 }
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -15,28 +15,28 @@
 	fmt.Printf("send %d to %s until %v\n", id, member, abandonAt)
 }
 func (printer) Cancel(id uint64, attempt int) { fmt.Println("cancel", id, attempt) }
-func (printer) Refuse(id uint64, comeBack time.Duration, _ routing.Reason) {
+func (printer) Reject(id uint64, comeBack time.Duration, _ routing.Reason) {
 	fmt.Println("refuse", id, comeBack)
 }
-func (printer) Fail(id uint64, _ routing.Reason)          { fmt.Println("fail", id) }
-func (printer) Close(member string)                       {}
-func (printer) Probe(member string, by routing.Conn)      {}
-func (printer) SetTimer(after time.Duration, name string) {}
-func (printer) Subscribe(on bool)                         {}
-func (printer) LookUp()                                   {}
-func (printer) ZoneChanged(zones.Change)                  {}
-func (printer) Log(text string)                           {}
+func (printer) Fail(id uint64, _ routing.Reason)           { fmt.Println("fail", id) }
+func (printer) CloseIdle(member string)                    {}
+func (printer) CheckHealth(member string, by routing.Conn) {}
+func (printer) SetTimer(after time.Duration, name string)  {}
+func (printer) Subscribe(on bool)                          {}
+func (printer) FetchEndpoints()                            {}
+func (printer) ZoneChanged(zones.Change)                   {}
+func (printer) Log(text string)                            {}
 
 func Example() {
 	config := routing.Config{
 		Gateways:    1,
 		MaxAttempts: 3,
-		Guards:      routing.GuardRefuse,
-		ListRole:    routing.ListRoleLate,
+		StaleReads:  routing.StaleReadRejected,
+		RoleSource:  routing.RoleSourceDelayed,
 		Classes: []routing.Class{
-			{Name: "read", Need: routing.NeedAny, Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1},
-			{Name: "write", Need: routing.NeedWrite, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 4,
-				LateWorth: 0.5, Effect: routing.Once},
+			{Name: "read", Consistency: routing.ConsistencyAny, LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
+			{Name: "write", Consistency: routing.ConsistencyWrite, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 4,
+				LateShare: 0.5, Effect: routing.NonIdempotent},
 		},
 	}
 	now := 10 * time.Second
@@ -45,8 +45,8 @@
 		fmt.Println(err)
 		return
 	}
-	router.Members(now, routing.MemberList{Kind: routing.ListWhole, Entries: []routing.Entry{
-		{Member: "db-1", Group: 4, Leader: true},
+	router.UpdateEndpoints(now, routing.EndpointList{Kind: routing.EndpointListComplete, Endpoints: []routing.Endpoint{
+		{Member: "db-1", Group: 4, Primary: true},
 		{Member: "db-2", Group: 4},
 	}})
 	router.Request(now, routing.Request{ID: 1, Class: 0, Tenant: -1, Group: 4, Remaining: time.Second})
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -35,16 +35,16 @@
 	g.sends = append(g.sends, sent{q, m, at, by})
 }
 func (g *recorder) Cancel(q uint64, n int) { g.cancels = append(g.cancels, fmt.Sprint(q, "/", n)) }
-func (g *recorder) Refuse(q uint64, comeBack time.Duration, why Reason) {
+func (g *recorder) Reject(q uint64, comeBack time.Duration, why Reason) {
 	g.refused[q]++
 	g.advice, g.why = comeBack, why
 }
 func (g *recorder) Fail(q uint64, why Reason)                 { g.failed[q]++; g.why = why }
-func (g *recorder) Close(m string)                            { g.closes = append(g.closes, m) }
-func (g *recorder) Probe(m string, by Conn)                   { g.probes = append(g.probes, m) }
+func (g *recorder) CloseIdle(m string)                        { g.closes = append(g.closes, m) }
+func (g *recorder) CheckHealth(m string, by Conn)             { g.probes = append(g.probes, m) }
 func (g *recorder) SetTimer(after time.Duration, name string) { g.timers++ }
 func (g *recorder) Subscribe(on bool)                         { g.subscribed++ }
-func (g *recorder) LookUp()                                   {}
+func (g *recorder) FetchEndpoints()                           {}
 func (g *recorder) ZoneChanged(c zones.Change)                { g.zones = append(g.zones, c) }
 func (g *recorder) Log(string)                                {}
 
@@ -59,20 +59,20 @@
 )
 
 func config() Config {
-	read := Class{Aim: 400 * ms, Deadline: time.Second, Worth: 1}
-	c := Config{Gateways: 2, Guards: GuardRefuse, Positions: true, ListRole: ListRoleLate, MayCancel: true,
-		MayDuplicate: true, MayProbe: true, MaxAttempts: 10, MaxComeBack: time.Second,
-		ColdFrom: 0.2, ColdFor: 10 * time.Second, TipMultiple: 3, TipAfter: 2 * time.Second}
-	for need := NeedAny; need <= NeedFresh; need++ {
+	read := Class{LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 1}
+	c := Config{Gateways: 2, StaleReads: StaleReadRejected, Positions: true, RoleSource: RoleSourceDelayed, AllowCancel: true,
+		AllowHedging: true, AllowHealthChecks: true, MaxAttempts: 10, MaxRetryAfter: time.Second,
+		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadFactor: 3, OverloadWindow: 2 * time.Second}
+	for need := ConsistencyAny; need <= ConsistencyStrong; need++ {
 		k := read
-		k.Name, k.Need = fmt.Sprint("read", need), need
+		k.Name, k.Consistency = fmt.Sprint("read", need), need
 		c.Classes = append(c.Classes, k)
 	}
-	c.Classes[boundedRead].Bound = 200 * ms
-	write := Class{Name: "once", Need: NeedWrite, Aim: 400 * ms, Deadline: 3 * time.Second, Worth: 4, LateWorth: 0.5,
-		Effect: Once}
+	c.Classes[boundedRead].StalenessBound = 200 * ms
+	write := Class{Name: "once", Consistency: ConsistencyWrite, LatencyObjective: 400 * ms, Deadline: 3 * time.Second, PriorityWeight: 4, LateShare: 0.5,
+		Effect: NonIdempotent}
 	keyed := write
-	keyed.Name, keyed.Effect, keyed.KeyTTL = "keyed", Keyed, 2*time.Second
+	keyed.Name, keyed.Effect, keyed.IdempotencyTTL = "keyed", IdempotentByKey, 2*time.Second
 	c.Classes = append(c.Classes, write, keyed)
 	return c
 }
@@ -87,7 +87,7 @@
 	made map[uint64]int // attempts of each request
 }
 
-func newRig(t *testing.T, c Config, entries ...Entry) *rig {
+func newRig(t *testing.T, c Config, entries ...Endpoint) *rig {
 	t.Helper()
 	b := &rig{T: t, now: 100 * time.Second, made: map[uint64]int{},
 		recorder: &recorder{refused: map[uint64]int{}, failed: map[uint64]int{}}}
@@ -97,10 +97,10 @@
 	}
 	b.r = r
 	if entries == nil {
-		entries = []Entry{{Member: "a", Group: 1, Leader: true, Size: 1}, {Member: "b", Group: 1, Size: 1},
-			{Member: "c", Group: 1, Size: 1}}
+		entries = []Endpoint{{Member: "a", Group: 1, Primary: true, Capacity: 1}, {Member: "b", Group: 1, Capacity: 1},
+			{Member: "c", Group: 1, Capacity: 1}}
 	}
-	r.Members(b.now, MemberList{Kind: ListStale, Entries: entries})
+	r.UpdateEndpoints(b.now, EndpointList{Kind: EndpointListStale, Endpoints: entries})
 	return b
 }
 
@@ -141,7 +141,7 @@
 		b.Fatalf("request %d was not sent", q)
 	}
 	b.r.Outcome(b.now, Outcome{Request: q, Attempt: len(to) - 1, Member: to[len(to)-1], Result: result,
-		Took: ms, Closed: result == ResultOK, Role: role, Position: position})
+		Latency: ms, Closed: result == ResultOK, Role: role, Position: position})
 }
 
 // at is the position of the present, less a lag.
@@ -154,7 +154,7 @@
 		if m.id == primary {
 			p.Role, p.Position = RolePrimary, b.at(0)
 		}
-		b.r.Probed(b.now, ProbeResult{Member: m.id, Result: ResultOK, Report: p})
+		b.r.HealthChecked(b.now, HealthCheckResult{Member: m.id, Result: ResultOK, Report: p})
 	}
 }
 
--- a/routing/healthcheck_test.go
+++ b/routing/healthcheck_test.go
@@ -17,9 +17,9 @@
 }
 
 func TestProbesAreNotEatenByTheFirstMembersInDoubt(t *testing.T) {
-	var entries []Entry
+	var entries []Endpoint
 	for i := range 20 {
-		entries = append(entries, Entry{Member: fmt.Sprint("m", 10+i), Group: i / 5, Leader: i%5 == 0})
+		entries = append(entries, Endpoint{Member: fmt.Sprint("m", 10+i), Group: i / 5, Primary: i%5 == 0})
 	}
 	b := newRig(t, config(), entries...)
 	b.told("", 10*ms)
@@ -37,9 +37,9 @@
 }
 
 func TestLargeFleetIsNotProbedWholeAtEachStart(t *testing.T) {
-	var entries []Entry
+	var entries []Endpoint
 	for i := range 100 {
-		entries = append(entries, Entry{Member: fmt.Sprint("m", 100+i), Group: i / 5, Leader: i%5 == 0})
+		entries = append(entries, Endpoint{Member: fmt.Sprint("m", 100+i), Group: i / 5, Primary: i%5 == 0})
 	}
 	b := newRig(t, config(), entries...)
 	b.want("probes at the start", len(b.probes), 0)
@@ -48,16 +48,16 @@
 		t.Errorf("the first bounded read of a gateway that has heard nobody went %v", to)
 	}
 	c := config()
-	c.Guards = GuardNone
+	c.StaleReads = StaleReadServed
 	b = newRig(t, c, entries...)
 	b.want("probes where members do not check reads", len(b.probes), 100)
 }
 
 func TestALargeSiteIsProbedLessForEachRequest(t *testing.T) {
 	share := func(members int) float64 {
-		var entries []Entry
+		var entries []Endpoint
 		for i := range members {
-			entries = append(entries, Entry{Member: fmt.Sprint("m", 10+i), Group: i / 4, Leader: i%4 == 0, Size: 1})
+			entries = append(entries, Endpoint{Member: fmt.Sprint("m", 10+i), Group: i / 4, Primary: i%4 == 0, Capacity: 1})
 		}
 		b := newRig(t, config(), entries...)
 		for _, m := range b.r.sorted {
@@ -76,7 +76,7 @@
 			b.answer(q, ResultOK, RoleReplica, b.at(0))
 			for _, m := range b.r.sorted {
 				if m.probing {
-					b.r.Probed(b.now, ProbeResult{Member: m.id, Result: ResultOK,
+					b.r.HealthChecked(b.now, HealthCheckResult{Member: m.id, Result: ResultOK,
 						Report: Report{HasPosition: true, Position: b.at(0)}})
 				}
 			}
@@ -91,7 +91,7 @@
 
 func TestAPrimaryIsSoughtByProbesOnlyWhileARequestWantsIt(t *testing.T) {
 	for _, class := range []int{freshRead, sessionRead, boundedRead} {
-		b := newRig(t, config(), Entry{Member: "a", Group: 1}, Entry{Member: "b", Group: 1}, Entry{Member: "c", Group: 1})
+		b := newRig(t, config(), Endpoint{Member: "a", Group: 1}, Endpoint{Member: "b", Group: 1}, Endpoint{Member: "c", Group: 1})
 		b.pass(time.Second)
 		b.probes, b.r.probes = nil, 0 // what is saved up is spent
 		for _, m := range b.r.sorted {
@@ -110,9 +110,9 @@
 // TestStartOfManyProbesNobody starts gateways beside few and beside many others: each probe of a start costs its member the
 // same, and all gateways pay for it together.
 func TestStartOfManyProbesNobody(t *testing.T) {
-	var entries []Entry
+	var entries []Endpoint
 	for i := range 24 {
-		entries = append(entries, Entry{Member: fmt.Sprint("m", i), Group: i / 3, Leader: i%3 == 0, Size: 1})
+		entries = append(entries, Endpoint{Member: fmt.Sprint("m", i), Group: i / 3, Primary: i%3 == 0, Capacity: 1})
 	}
 	for gateways, want := range map[int]int{2: 24, 6: 24, 36: 0} {
 		c := config()
@@ -127,9 +127,9 @@
 // have. No position that it knows is recent enough for a bounded read, and the primary has no room: members of that group are
 // asked, though the budget for probes is spent, and the read goes to one that has told.
 func TestReadsThatMembersDoNotCheckFindFreshOnes(t *testing.T) {
-	for _, guards := range []Guard{GuardNone, GuardWait} {
+	for _, guards := range []StaleReadPolicy{StaleReadServed, StaleReadDelayed} {
 		c := config()
-		c.Guards = guards
+		c.StaleReads = guards
 		b := newRig(t, c)
 		b.told("a", 10*ms)
 		b.pass(10 * time.Second)
@@ -142,11 +142,11 @@
 		}
 		b.probes, b.r.probes = nil, 0
 		q := b.ask(boundedRead)
-		b.want("sent at once where members check", len(b.to(q)) == 1, guards != GuardNone)
-		b.want("it pays for a probe", b.r.probes == 1, guards == GuardNone)
+		b.want("sent at once where members check", len(b.to(q)) == 1, guards != StaleReadServed)
+		b.want("it pays for a probe", b.r.probes == 1, guards == StaleReadServed)
 		b.pass(120 * ms)
-		b.want("probes for the read", len(b.probes) > 0, guards == GuardNone)
-		if guards != GuardNone {
+		b.want("probes for the read", len(b.probes) > 0, guards == StaleReadServed)
+		if guards != StaleReadServed {
 			continue
 		}
 		b.told("a", 10*ms)
--- a/routing/interface.go
+++ b/routing/interface.go
@@ -25,15 +25,15 @@
 )
 
 // Need says how recent the data behind a read must be, or that the request is a write.
-type Need int
+type Consistency int
 
 // The needs of a class.
 const (
-	NeedAny     Need = iota // any member may answer
-	NeedBounded             // no older than Class.Bound at the time of the send
-	NeedSession             // all that the session has written
-	NeedFresh               // all commits before the request's arrival
-	NeedWrite               // the primary only
+	ConsistencyAny     Consistency = iota // any member may answer
+	ConsistencyBounded                    // no older than Class.Bound at the time of the send
+	ConsistencySession                    // all that the session has written
+	ConsistencyStrong                     // all commits before the request's arrival
+	ConsistencyWrite                      // the primary only
 )
 
 // Effect says what a repeat of a request does.
@@ -41,29 +41,29 @@
 
 // The effects of a class.
 const (
-	Repeatable Effect = iota // may be repeated freely
-	Keyed                    // repeats are dropped inside a scope for a time
-	Once                     // must never run twice
+	Idempotent      Effect = iota // may be repeated freely
+	IdempotentByKey               // repeats are dropped inside a scope for a time
+	NonIdempotent                 // must never run twice
 )
 
 // Guard says what a member does with a read for which it lags too far.
-type Guard int
+type StaleReadPolicy int
 
 // The guards of a site.
 const (
-	GuardNone   Guard = iota // answers from what it has
-	GuardRefuse              // misses at once
-	GuardWait                // waits a while, then misses
+	StaleReadServed   StaleReadPolicy = iota // answers from what it has
+	StaleReadRejected                        // misses at once
+	StaleReadDelayed                         // waits a while, then misses
 )
 
-// ListRole says how the member list follows the role of primary.
-type ListRole int
+// RoleSource says how the member list follows the role of primary.
+type RoleSource int
 
 // The ways a list tells roles.
 const (
-	ListRoleNone  ListRole = iota // never told
-	ListRoleStart                 // as at the start of the day
-	ListRoleLate                  // some seconds late
+	RoleSourceNone    RoleSource = iota // never told
+	RoleSourceInitial                   // as at the start of the day
+	RoleSourceDelayed                   // some seconds late
 )
 
 // Role is what a member said it was.
@@ -78,18 +78,18 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name      string
-	Need      Need
-	Bound     time.Duration // for NeedBounded
-	Aim       time.Duration // an answer inside it earns full worth
-	Stretch   float64       // the aim grows by this multiple of the request's own work
-	Deadline  time.Duration
-	Worth     float64
-	LateWorth float64 // share of Worth paid after the aim
-	Effect    Effect
-	KeyAll    bool          // Keyed: every member drops repeats, not only the group
-	KeyTTL    time.Duration // Keyed: how long a repeat is dropped
-	Stream    bool
+	Name                string
+	Consistency         Consistency
+	StalenessBound      time.Duration // for ConsistencyBounded
+	LatencyObjective    time.Duration // an answer inside it earns full worth
+	ObjectiveWorkFactor float64       // the aim grows by this multiple of the request's own work
+	Deadline            time.Duration
+	PriorityWeight      float64
+	LateShare           float64 // share of Worth paid after the aim
+	Effect              Effect
+	KeyIsGlobal         bool          // Keyed: every member drops repeats, not only the group
+	IdempotencyTTL      time.Duration // Keyed: how long a repeat is dropped
+	Stream              bool
 }
 
 // Tenant is one tenant's share.
@@ -100,46 +100,46 @@
 
 // Config is what a gateway is told when it starts.
 type Config struct {
-	Gateways       int // how many gateways there are
-	Zone           string
-	Zones          *zones.Options // nil: zones are not judged, and reads are not shared out by tiers
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64 // worth of a request past its tenant's share
-
-	Subscribe bool          // changes of the list come only to those who ask
-	AskWithin time.Duration // Subscribe: longest time between two questions
-
-	Guards       Guard
-	CatchUpWait  time.Duration
-	Positions    bool // every answer carries a position
-	PositionZero time.Duration
-	Remembered   bool // session marks are this gateway's own memory, not carried by the request
-	ListRole     ListRole
-
-	MayCancel     bool
-	MayDuplicate  bool
-	MayProbe      bool
-	MaxAttempts   int
-	MaxComeBack   time.Duration // longest advice when to come back that clients heed; 0: none reaches them
-	CrossZoneCost float64       // points lost for an attempt across zones
-
-	ColdFrom          float64       // a member starts with at least this share of its capacity
-	ColdFor           time.Duration // and is warm within this time
-	TipMultiple       float64       // sent more than this multiple of its capacity
-	TipAfter          time.Duration // for this long, a cold member falls over
+	Gateways        int // how many gateways there are
+	Zone            string
+	Zones           *zones.Options // nil: zones are not judged, and reads are not shared out by tiers
+	Classes         []Class
+	Tenants         []Tenant
+	OverQuotaWeight float64 // worth of a request past its tenant's share
+
+	Subscribe       bool          // changes of the list come only to those who ask
+	MaxPollInterval time.Duration // Subscribe: longest time between two questions
+
+	StaleReads    StaleReadPolicy
+	CatchUpWait   time.Duration
+	Positions     bool // every answer carries a position
+	PositionZero  time.Duration
+	LocalSessions bool // session marks are this gateway's own memory, not carried by the request
+	RoleSource    RoleSource
+
+	AllowCancel       bool
+	AllowHedging      bool
+	AllowHealthChecks bool
+	MaxAttempts       int
+	MaxRetryAfter     time.Duration // longest advice when to come back that clients heed; 0: none reaches them
+	CrossZoneCost     float64       // points lost for an attempt across zones
+
+	SlowStartCapacity float64       // a member starts with at least this share of its capacity
+	SlowStartDuration time.Duration // and is warm within this time
+	OverloadFactor    float64       // sent more than this multiple of its capacity
+	OverloadWindow    time.Duration // for this long, a cold member falls over
 	OnlyDrainingBinds bool          // gone alone does not forbid a send
 }
 
-// ListKind is the kind of a message about the member list.
-type ListKind int
+// EndpointListKind is the kind of a message about the member list.
+type EndpointListKind int
 
 // The kinds of list message.
 const (
-	ListPatch  ListKind = iota // changed entries only
-	ListWhole                  // the complete list
-	ListStale                  // the complete list as last held, possibly old
-	ListBroken                 // a question or the subscription failed
+	EndpointListPatch    EndpointListKind = iota // changed entries only
+	EndpointListComplete                         // the complete list
+	EndpointListStale                            // the complete list as last held, possibly old
+	EndpointListFailed                           // a question or the subscription failed
 )
 
 // Phase is the state of a list entry.
@@ -147,26 +147,26 @@
 
 // The phases.
 const (
-	PhaseOn Phase = iota
+	PhaseServing Phase = iota
 	PhaseDraining
-	PhaseOff
+	PhaseRemoved
 )
 
 // Entry is one member of the list.
-type Entry struct {
+type Endpoint struct {
 	Member    string
 	Group     int
 	Phase     Phase
 	Zone      string
-	Size      float64
-	Leader    bool
+	Capacity  float64
+	Primary   bool
 	StartedAt time.Duration // 0: long ago
 }
 
-// MemberList is news of the list.
-type MemberList struct {
-	Kind    ListKind
-	Entries []Entry
+// EndpointList is news of the list.
+type EndpointList struct {
+	Kind      EndpointListKind
+	Endpoints []Endpoint
 }
 
 // Request is one client request.
@@ -179,7 +179,7 @@
 	Work       time.Duration // hint, 0 for none
 	Group      int
 	SinceWrite time.Duration // since the session's last commit, 0 for none
-	Repeat     bool          // the client marked it as a repeat
+	Retry      bool          // the client marked it as a repeat
 }
 
 // Result says how an attempt or a probe ended.
@@ -189,15 +189,15 @@
 const (
 	ResultError Result = iota
 	ResultOK
-	ResultFull
+	ResultOverCapacity
 	ResultTimeout
 	ResultConnectFailed
 	ResultReset
 	ResultCancelled
-	ResultMoot
-	ResultMiss
-	ResultSpoilt   // an answer that can't be read: it may have run
-	ResultRejected // no member can use the statement, and nothing ran
+	ResultNotSent
+	ResultMissed
+	ResultMalformed        // an answer that can't be read: it may have run
+	ResultInvalidStatement // no member can use the statement, and nothing ran
 )
 
 // Report is what a member last said of itself, somewhat old.
@@ -224,20 +224,20 @@
 	Attempt  int
 	Member   string
 	Result   Result
-	Took     time.Duration
+	Latency  time.Duration
 	Closed   bool // the request has its final answer
 	Role     Role
 	Position int64 // milliseconds after Config.PositionZero, 0 if not told
 	Report   Report
 }
 
-// ProbeResult is the end of a probe.
-type ProbeResult struct {
-	Opened time.Duration // as an outcome's
-	Member string
-	Result Result
-	Took   time.Duration
-	Report Report
+// HealthCheckResult is the end of a probe.
+type HealthCheckResult struct {
+	Opened  time.Duration // as an outcome's
+	Member  string
+	Result  Result
+	Latency time.Duration
+	Report  Report
 }
 
 // Gateway is what the module may ask of its host.
@@ -248,19 +248,19 @@
 	// Cancel abandons one attempt.
 	Cancel(request uint64, attempt int)
 	// Refuse is a final answer that promises that nothing ran, with advice when to come back.
-	Refuse(request uint64, comeBack time.Duration, why Reason)
+	Reject(request uint64, comeBack time.Duration, why Reason)
 	// Fail is a final answer that promises nothing.
 	Fail(request uint64, why Reason)
 	// Close shuts our idle connections to a member.
-	Close(member string)
+	CloseIdle(member string)
 	// Probe examines a member over a connection of a kind.
-	Probe(member string, by Conn)
+	CheckHealth(member string, by Conn)
 	// SetTimer asks for a Timer event.
 	SetTimer(after time.Duration, name string)
 	// Subscribe asks for changes of the member list.
 	Subscribe(on bool)
-	// LookUp asks for the whole list once.
-	LookUp()
+	// FetchEndpoints asks for the whole list once.
+	FetchEndpoints()
 	// ZoneChanged tells that a zone has come into another state.
 	ZoneChanged(c zones.Change)
 	// Log writes a line for people.
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -62,5 +62,5 @@
 		extra = 1 // reads leave room for an attempt there
 	}
 	aim := r.chance(m, q.aimAt-r.now, *q.usual, extra)
-	return max(aim, q.class.LateWorth*r.chance(m, q.deadline-r.now, *q.usual, extra))
+	return max(aim, q.class.LateShare*r.chance(m, q.deadline-r.now, *q.usual, extra))
 }
--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -8,7 +8,7 @@
 	for b.pass(10 * ms); ; b.pass(10 * ms) { // until b has answered full once
 		q := b.ask(anyRead)
 		if b.to(q)[0] == "b" {
-			b.answer(q, ResultFull, RoleReplica, 0)
+			b.answer(q, ResultOverCapacity, RoleReplica, 0)
 			break
 		}
 		b.answer(q, ResultOK, RoleReplica, 0)
@@ -18,7 +18,7 @@
 		b.pass(10 * ms)
 		q := b.ask(anyRead)
 		if to := b.to(q); len(to) > 0 && to[0] == "b" {
-			b.answer(q, ResultFull, RoleReplica, 0)
+			b.answer(q, ResultOverCapacity, RoleReplica, 0)
 		} else if len(to) > 0 {
 			b.answer(q, ResultOK, RoleReplica, 0)
 		}
@@ -51,8 +51,8 @@
 }
 
 func TestCrowdedPrimariesMakeAnUnseenOneLessLikely(t *testing.T) {
-	b := newRig(t, config(), Entry{Member: "a", Group: 1, Leader: true}, Entry{Member: "b", Group: 2, Leader: true},
-		Entry{Member: "c", Group: 2})
+	b := newRig(t, config(), Endpoint{Member: "a", Group: 1, Primary: true}, Endpoint{Member: "b", Group: 2, Primary: true},
+		Endpoint{Member: "c", Group: 2})
 	for range 20 {
 		b.r.addSample(b.r.members["a"], sample{at: b.now, ratio: 1e3})
 	}
@@ -67,7 +67,7 @@
 	b.told("a", 10*ms)
 	for range 10 {
 		b.r.learn(&attempt{m: b.r.members["a"], usual: 50 * ms, q: &request{class: &b.r.cfg.Classes[onceWrite]}},
-			Outcome{Result: ResultFull})
+			Outcome{Result: ResultOverCapacity})
 	}
 	if v := b.r.chance(b.r.members["a"], 400*ms, 50*ms, 0); v > 0.3 {
 		t.Errorf("chance %.2f at a primary that answered full ten times", v)
--- a/routing/learned.go
+++ b/routing/learned.go
@@ -11,48 +11,61 @@
 // Learned is what a router has learned of its members and its traffic, for a process that takes its place. Times are on
 // the module's clock, which has to be the same for both. It decides nothing.
 type Learned struct {
-	Members              map[string]LearnedMember
-	Usual, Work          []time.Duration // by class
-	WorkAt               []time.Duration
-	Replicas, Primaries  []LearnedSample // the pooled round trips
-	MemberFlow           float64         // work answered a second by a warm member; older versions told that of all as Flow
-	Worth, Weight        float64
-	FlowAt, StartAt      time.Duration
-	TightUntil           time.Duration
-	Searches             map[int]time.Duration // by group: when a request last wanted its primary in vain
-	Vain                 map[int]float64       // by group: the share of requests of late that ended unanswered
-	FurtherTries, Probes float64               // what is left of their budgets
+	Members           map[string]LearnedMember `json:"Members"`
+	ExpectedLatency   []time.Duration          `json:"Usual"` // by class
+	Work              []time.Duration          `json:"Work"`  // by class
+	WorkAt            []time.Duration          `json:"WorkAt"`
+	Replicas          []LearnedSample          `json:"Replicas"`   // the pooled round trips
+	Primaries         []LearnedSample          `json:"Primaries"`  // the pooled round trips
+	MemberFlow        float64                  `json:"MemberFlow"` // work answered a second by a warm member; older versions told that of all as Flow
+	PriorityWeight    float64                  `json:"Worth"`
+	Weight            float64                  `json:"Weight"`
+	FlowAt            time.Duration            `json:"FlowAt"`
+	StartAt           time.Duration            `json:"StartAt"`
+	TightUntil        time.Duration            `json:"TightUntil"`
+	Searches          map[int]time.Duration    `json:"Searches"`     // by group: when a request last wanted its primary in vain
+	UnansweredShare   map[int]float64          `json:"Vain"`         // by group: the share of requests of late that ended unanswered
+	RetryTokens       float64                  `json:"FurtherTries"` // what is left of their budgets
+	HealthCheckTokens float64                  `json:"Probes"`       // what is left of their budgets
 }
 
 // LearnedMember is what is known of one member.
 type LearnedMember struct {
-	Role                           Role
-	RoleDate, Position             int64
-	PosAt, HeardAt, TrialAt        time.Duration
-	Failed, Shut                   int
-	Lost                           float64 // silence, with that of attempts that are still out
-	Down                           bool
-	StartedAt, CreditAt            time.Duration
-	SeenAt, AskedAt, WasAt, AwayAt time.Duration
-	Credit                         float64
-	Window                         []LearnedSample
+	Role      Role            `json:"Role"`
+	RoleDate  int64           `json:"RoleDate"`
+	Position  int64           `json:"Position"`
+	PosAt     time.Duration   `json:"PosAt"`
+	HeardAt   time.Duration   `json:"HeardAt"`
+	TrialAt   time.Duration   `json:"TrialAt"`
+	Failed    int             `json:"Failed"`
+	Shut      int             `json:"Shut"`
+	Lost      float64         `json:"Lost"` // silence, with that of attempts that are still out
+	Down      bool            `json:"Down"`
+	StartedAt time.Duration   `json:"StartedAt"`
+	CreditAt  time.Duration   `json:"CreditAt"`
+	SeenAt    time.Duration   `json:"SeenAt"`
+	AskedAt   time.Duration   `json:"AskedAt"`
+	WasAt     time.Duration   `json:"WasAt"`
+	AwayAt    time.Duration   `json:"AwayAt"`
+	Credit    float64         `json:"Credit"`
+	Window    []LearnedSample `json:"Window"`
 }
 
 // LearnedSample is one round trip over its class's usual.
 type LearnedSample struct {
-	At       time.Duration
-	Ratio    float64
-	Censored bool
+	At       time.Duration `json:"At"`
+	Ratio    float64       `json:"Ratio"`
+	Censored bool          `json:"Censored"`
 }
 
 // Learned returns what has been learned so far.
 func (r *Router) Learned() Learned {
-	l := Learned{Members: map[string]LearnedMember{}, Usual: slices.Clone(r.usual), Work: slices.Clone(r.work),
+	l := Learned{Members: map[string]LearnedMember{}, ExpectedLatency: slices.Clone(r.usual), Work: slices.Clone(r.work),
 		WorkAt: slices.Clone(r.workAt), Replicas: exported(r.pools[false]),
-		Primaries: exported(r.pools[true]), MemberFlow: r.flow.sum, Worth: r.worth, Weight: r.weight, FlowAt: r.flow.at, StartAt: r.startAt,
-		TightUntil: r.tightUntil, Searches: map[int]time.Duration{}, Vain: map[int]float64{}, FurtherTries: r.tokens, Probes: r.probes}
+		Primaries: exported(r.pools[true]), MemberFlow: r.flow.sum, PriorityWeight: r.worth, Weight: r.weight, FlowAt: r.flow.at, StartAt: r.startAt,
+		TightUntil: r.tightUntil, Searches: map[int]time.Duration{}, UnansweredShare: map[int]float64{}, RetryTokens: r.tokens, HealthCheckTokens: r.probes}
 	for id, g := range r.groups {
-		l.Vain[id] = g.vain
+		l.UnansweredShare[id] = g.vain
 		if g.soughtAt > 0 {
 			l.Searches[id] = g.soughtAt
 		}
@@ -69,21 +82,21 @@
 // Learn takes over what another process's router had learned of members that this one knows. It comes right after the
 // first list; what this router has learned itself is newer.
 func (r *Router) Learn(l Learned) {
-	if len(l.Usual) != len(r.usual) || len(l.Work) != len(r.work) || len(l.WorkAt) != len(r.workAt) {
+	if len(l.ExpectedLatency) != len(r.usual) || len(l.Work) != len(r.work) || len(l.WorkAt) != len(r.workAt) {
 		return // of another configuration
 	}
-	copy(r.usual, l.Usual)
+	copy(r.usual, l.ExpectedLatency)
 	copy(r.work, l.Work)
 	copy(r.workAt, l.WorkAt)
 	r.pools[false], r.pools[true] = imported(l.Replicas), imported(l.Primaries)
 	r.flow, r.startAt = decaying{l.MemberFlow, l.FlowAt}, min(r.startAt, l.StartAt)
-	r.worth, r.weight, r.tokens, r.probes, r.tightUntil = l.Worth, l.Weight, l.FurtherTries, l.Probes, l.TightUntil
+	r.worth, r.weight, r.tokens, r.probes, r.tightUntil = l.PriorityWeight, l.Weight, l.RetryTokens, l.HealthCheckTokens, l.TightUntil
 	for id, at := range l.Searches {
 		if g := r.groups[id]; g != nil {
 			g.soughtAt = at
 		}
 	}
-	for id, vain := range l.Vain {
+	for id, vain := range l.UnansweredShare {
 		if g := r.groups[id]; g != nil {
 			g.vain = vain
 		}
--- a/routing/learned_test.go
+++ b/routing/learned_test.go
@@ -10,9 +10,9 @@
 // TestLearnedPassesOn has a router learn, of a primary, of one that is silent and of one that is cold, and hands that to
 // another as text: the other decides alike from its first request on.
 func TestLearnedPassesOn(t *testing.T) {
-	entries := []Entry{{Member: "a", Group: 1, Size: 1}, {Member: "b", Group: 1, Size: 1}, {Member: "c", Group: 1, Size: 1}}
+	entries := []Endpoint{{Member: "a", Group: 1, Capacity: 1}, {Member: "b", Group: 1, Capacity: 1}, {Member: "c", Group: 1, Capacity: 1}}
 	c := config()
-	c.ListRole = ListRoleNone
+	c.RoleSource = RoleSourceNone
 	b := newRig(t, c, entries...)
 	b.told("b", 10*ms)
 	for range 60 {
@@ -27,7 +27,7 @@
 			result = ResultReset
 		}
 		b.answer(q, result, RoleReplica, b.at(10*ms))
-		b.r.ClientGone(b.now, q)
+		b.r.ClientDisconnected(b.now, q)
 	}
 	text, err := json.Marshal(b.r.Learned())
 	if err != nil {
@@ -40,7 +40,7 @@
 	next := newRig(t, c, entries...)
 	next.now = b.now + 100*ms
 	next.r.Learn(l)
-	if got := next.r.Learned(); !reflect.DeepEqual(got.Members["b"], l.Members["b"]) || !reflect.DeepEqual(got.Usual, l.Usual) {
+	if got := next.r.Learned(); !reflect.DeepEqual(got.Members["b"], l.Members["b"]) || !reflect.DeepEqual(got.ExpectedLatency, l.ExpectedLatency) {
 		t.Errorf("learned %+v, want %+v", got.Members["b"], l.Members["b"])
 	}
 	w := next.ask(onceWrite)
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -22,7 +22,7 @@
 		return p
 	}
 	g.soughtAt = r.now
-	if q.class.Need != NeedWrite || p != nil && !r.suspect(p) || g.seeking != nil || r.now < g.searchAt {
+	if q.class.Consistency != ConsistencyWrite || p != nil && !r.suspect(p) || g.seeking != nil || r.now < g.searchAt {
 		return nil
 	}
 	for g.next < len(g.members) {
@@ -40,9 +40,9 @@
 // trial lets one request through to a suspect member now and then, so that it can come back: one that may
 // be repeated, or any where connections fail, as it hardly gets written then.
 func (r *Router) trial(q *request, m *member) bool {
-	if q.class.Effect != Repeatable && m.shut < failuresMax ||
+	if q.class.Effect != Idempotent && m.shut < failuresMax ||
 		r.now < m.trialAt || r.now+4**q.usual > q.limit ||
-		r.cfg.MayProbe && m.at.Condemned(m.seenAt) { // probes cost clients nothing
+		r.cfg.AllowHealthChecks && m.at.Condemned(m.seenAt) { // probes cost clients nothing
 		return false
 	}
 	m.trialAt = r.now + trialGap
--- a/routing/random_test.go
+++ b/routing/random_test.go
@@ -13,9 +13,9 @@
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		c := config()
-		c.Guards, c.MayDuplicate = Guard(rng.IntN(3)), rng.IntN(2) == 0
-		c.MayCancel, c.Remembered, c.Subscribe = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
-		c.ListRole = ListRole(rng.IntN(3))
+		c.StaleReads, c.AllowHedging = StaleReadPolicy(rng.IntN(3)), rng.IntN(2) == 0
+		c.AllowCancel, c.LocalSessions, c.Subscribe = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
+		c.RoleSource = RoleSource(rng.IntN(3))
 		if seed%2 == 1 {
 			drawClasses(&c, rng)
 		}
@@ -45,16 +45,16 @@
 func drawClasses(c *Config, rng *rand.Rand) {
 	for i := range c.Classes {
 		k := &c.Classes[i]
-		k.Effect, k.KeyAll = Effect(rng.IntN(3)), rng.IntN(2) == 0
-		k.KeyTTL = time.Duration(rng.IntN(1000)) * ms
+		k.Effect, k.KeyIsGlobal = Effect(rng.IntN(3)), rng.IntN(2) == 0
+		k.IdempotencyTTL = time.Duration(rng.IntN(1000)) * ms
 		k.Deadline = time.Duration(200+rng.IntN(2000)) * ms
-		k.Aim = time.Duration(100+rng.IntN(3000)) * ms
-		k.Worth, k.LateWorth = float64(rng.IntN(7)), float64(rng.IntN(3))/2
+		k.LatencyObjective = time.Duration(100+rng.IntN(3000)) * ms
+		k.PriorityWeight, k.LateShare = float64(rng.IntN(7)), float64(rng.IntN(3))/2
 	}
 	for i := range rng.IntN(4) {
 		c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("t", i), Quota: float64(rng.IntN(3))})
 	}
-	c.OverShareWorth = rng.Float64()
+	c.OverQuotaWeight = rng.Float64()
 }
 
 // life is what the account knows of a request.
@@ -95,10 +95,10 @@
 		id := w.next + 1
 		since := time.Duration(1+w.rng.IntN(2000)) * ms
 		q := &life{class: class, deadline: w.now + w.r.cfg.Classes[class].Deadline}
-		switch need := w.r.cfg.Classes[class].Need; {
-		case need == NeedFresh:
+		switch need := w.r.cfg.Classes[class].Consistency; {
+		case need == ConsistencyStrong:
 			q.need = w.at(0)
-		case need == NeedSession && !w.r.cfg.Remembered:
+		case need == ConsistencySession && !w.r.cfg.LocalSessions:
 			q.need = w.at(since)
 		}
 		w.requests[id] = q
@@ -111,24 +111,24 @@
 	case 7:
 		name := names[w.rng.IntN(len(names))]
 		phase := Phase(w.rng.IntN(3))
-		w.off[name] = phase != PhaseOn
+		w.off[name] = phase != PhaseServing
 		leader := w.rng.IntN(3) == 0
 		w.primary[name] = w.primary[name] || leader
-		w.r.Members(w.now, MemberList{Kind: ListPatch, Entries: []Entry{{Member: name, Group: 1, Phase: phase,
-			Leader: leader, StartedAt: time.Duration(w.rng.IntN(2)) * w.now}}})
+		w.r.UpdateEndpoints(w.now, EndpointList{Kind: EndpointListPatch, Endpoints: []Endpoint{{Member: name, Group: 1, Phase: phase,
+			Primary: leader, StartedAt: time.Duration(w.rng.IntN(2)) * w.now}}})
 	case 8:
-		p := ProbeResult{Member: names[w.rng.IntN(4)], Result: Result(w.rng.IntN(9)), Report: Report{
+		p := HealthCheckResult{Member: names[w.rng.IntN(4)], Result: Result(w.rng.IntN(9)), Report: Report{
 			HasPosition: true, Position: w.at(time.Duration(w.rng.IntN(3000)) * ms), Role: RoleReplica}}
 		if w.rng.IntN(4) == 0 {
 			p.Report.Role = RolePrimary
 		}
 		w.told[p.Member] = max(w.told[p.Member], p.Report.Position)
 		w.primary[p.Member] = w.primary[p.Member] || p.Report.Role == RolePrimary
-		w.r.Probed(w.now, p)
+		w.r.HealthChecked(w.now, p)
 	case 9:
 		w.r.Timer(w.now, "sweep")
 		w.r.Timer(w.now, "stale")
-		w.r.Members(w.now, MemberList{Kind: ListBroken})
+		w.r.UpdateEndpoints(w.now, EndpointList{Kind: EndpointListFailed})
 	}
 	w.check()
 	w.late()
@@ -146,7 +146,7 @@
 		result := Result(w.rng.IntN(9))
 		closed := result == ResultOK || w.done[id] || q.over > 0
 		switch result {
-		case ResultFull, ResultConnectFailed, ResultMoot, ResultMiss:
+		case ResultOverCapacity, ResultConnectFailed, ResultNotSent, ResultMissed:
 		default:
 			q.mayRan[n] = true
 		}
@@ -192,21 +192,21 @@
 			w.Errorf("send to %s, which drains or is gone", s.member)
 		case w.done[s.request] || q.over > 0 || w.now >= q.deadline:
 			w.Errorf("send of %d after its end", s.request)
-		case len(q.out) > 0 && (!w.r.cfg.MayDuplicate || k.Effect == Once):
+		case len(q.out) > 0 && (!w.r.cfg.AllowHedging || k.Effect == NonIdempotent):
 			w.Errorf("two attempts of %d out together", s.request)
 		}
 		need := q.need
-		if k.Need == NeedBounded {
-			need = w.at(k.Bound)
+		if k.Consistency == ConsistencyBounded {
+			need = w.at(k.StalenessBound)
 		}
-		if w.r.cfg.Guards == GuardNone && k.Need != NeedWrite && w.told[s.member] < need && !w.primary[s.member] {
+		if w.r.cfg.StaleReads == StaleReadServed && k.Consistency != ConsistencyWrite && w.told[s.member] < need && !w.primary[s.member] {
 			w.Errorf("read %d sent to %s, which may be too far behind", s.request, s.member)
 		}
 		for i, ran := range q.mayRan {
-			if ran && (k.Effect == Once || k.Effect == Keyed && w.now >= q.sentAt[i]+k.KeyTTL) {
+			if ran && (k.Effect == NonIdempotent || k.Effect == IdempotentByKey && w.now >= q.sentAt[i]+k.IdempotencyTTL) {
 				w.Errorf("%d sent again though it may have run", s.request)
-			} else if ran && k.Effect == Keyed && s.beginBy > q.sentAt[i]+k.KeyTTL {
-				w.Errorf("%d may begin again %v after its window", s.request, s.beginBy-q.sentAt[i]-k.KeyTTL)
+			} else if ran && k.Effect == IdempotentByKey && s.beginBy > q.sentAt[i]+k.IdempotencyTTL {
+				w.Errorf("%d may begin again %v after its window", s.request, s.beginBy-q.sentAt[i]-k.IdempotencyTTL)
 			}
 		}
 		q.out = append(q.out, len(q.sentAt))
@@ -230,7 +230,9 @@
 }
 
 // harmless says that a repeat by the client does no harm.
-func harmless(k Class) bool { return k.Effect == Repeatable || k.Effect == Keyed && k.KeyAll }
+func harmless(k Class) bool {
+	return k.Effect == Idempotent || k.Effect == IdempotentByKey && k.KeyIsGlobal
+}
 
 func contains(list []int, n int) bool {
 	for _, x := range list {
@@ -248,15 +250,15 @@
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		c := config()
-		c.Gateways, c.Guards, c.OnlyDrainingBinds = 40, Guard(rng.IntN(3)), rng.IntN(2) == 0
-		c.MayProbe, c.MayDuplicate, c.Positions = rng.IntN(3) > 0, rng.IntN(2) == 0, rng.IntN(2) == 0
+		c.Gateways, c.StaleReads, c.OnlyDrainingBinds = 40, StaleReadPolicy(rng.IntN(3)), rng.IntN(2) == 0
+		c.AllowHealthChecks, c.AllowHedging, c.Positions = rng.IntN(3) > 0, rng.IntN(2) == 0, rng.IntN(2) == 0
 		group := func(name string) int { return int(name[1]-'0') % 6 }
-		entry := func() Entry {
+		entry := func() Endpoint {
 			name := fmt.Sprint("m", rng.IntN(10), rng.IntN(4)) // the last quarter are ghosts: nobody answers there
-			return Entry{Member: name, Group: group(name), Leader: rng.IntN(4) == 0, Size: 1}
+			return Endpoint{Member: name, Group: group(name), Primary: rng.IntN(4) == 0, Capacity: 1}
 		}
 		for range 4 { // gateways, one after another: they share nothing
-			var entries []Entry
+			var entries []Endpoint
 			for range 60 {
 				entries = append(entries, entry())
 			}
@@ -276,9 +278,9 @@
 					e := entry()
 					e.Phase = Phase(rng.IntN(2))
 					drained[e.Member] = drained[e.Member] || e.Phase == PhaseDraining
-					b.r.Members(b.now, MemberList{Kind: ListPatch, Entries: []Entry{e}})
+					b.r.UpdateEndpoints(b.now, EndpointList{Kind: EndpointListPatch, Endpoints: []Endpoint{e}})
 				case 3:
-					b.r.Probed(b.now, ProbeResult{Member: entry().Member, Result: Result(rng.IntN(9)), Report: Report{
+					b.r.HealthChecked(b.now, HealthCheckResult{Member: entry().Member, Result: Result(rng.IntN(9)), Report: Report{
 						HasPosition: rng.IntN(2) == 0, Position: b.at(time.Duration(rng.IntN(9000)) * ms), Role: Role(rng.IntN(3))}})
 				case 4:
 					if n := len(b.sends); n > 0 {
--- a/routing/router.go
+++ b/routing/router.go
@@ -44,7 +44,7 @@
 		members: map[string]*member{}, pools: map[bool][]sample{}, asked: make([]float64, len(cfg.Tenants)),
 		groups: map[int]*group{}, requests: map[uint64]*request{}, tokens: retryBurst / 2, askAfter: askAgain}
 	for i, c := range cfg.Classes {
-		r.usual = append(r.usual, time.Duration(float64(min(c.Aim, c.Deadline))*firstUsual))
+		r.usual = append(r.usual, time.Duration(float64(min(c.LatencyObjective, c.Deadline))*firstUsual))
 		r.work, r.workAt = append(r.work, r.usual[i]), append(r.workAt, now)
 	}
 	r.setTimer()
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -8,10 +8,10 @@
 
 // warmth is the share of its capacity that a member has at the least.
 func (r *Router) warmth(m *member) float64 {
-	if m.startedAt <= 0 || r.cfg.ColdFor <= 0 || r.now >= m.startedAt+r.cfg.ColdFor {
+	if m.startedAt <= 0 || r.cfg.SlowStartDuration <= 0 || r.now >= m.startedAt+r.cfg.SlowStartDuration {
 		return 1
 	}
-	return r.cfg.ColdFrom + (1-r.cfg.ColdFrom)*float64(max(0, r.now-m.startedAt))/float64(r.cfg.ColdFor)
+	return r.cfg.SlowStartCapacity + (1-r.cfg.SlowStartCapacity)*float64(max(0, r.now-m.startedAt))/float64(r.cfg.SlowStartDuration)
 }
 
 const flowOver = 10 * time.Second // answered work is averaged over this: a quiet gateway has little
@@ -49,17 +49,17 @@
 		m.credit, m.creditAt = -r.rng.Float64()*work.Seconds(), r.now
 	}
 	held := time.Duration(heldAtMost * float64(r.cfg.longest()))
-	known := min(1, max(r.now-r.startAt, r.cfg.TipAfter).Seconds()/flowOver.Seconds()) // a new gateway's flow
-	least := work.Seconds() / max(r.cfg.TipAfter, held).Seconds() / float64(len(r.sorted))
-	rate := r.cfg.TipMultiple * coldSafety * share * max(r.flow.now(r.now, flowOver)/known, least)
+	known := min(1, max(r.now-r.startAt, r.cfg.OverloadWindow).Seconds()/flowOver.Seconds()) // a new gateway's flow
+	least := work.Seconds() / max(r.cfg.OverloadWindow, held).Seconds() / float64(len(r.sorted))
+	rate := r.cfg.OverloadFactor * coldSafety * share * max(r.flow.now(r.now, flowOver)/known, least)
 	if n, size := r.warm(); size > 0 && m.size > 0 {
 		rate *= min(1, m.size*n/size) // sizes may be rough, or shrink under load
 	}
 	m.credit += rate * (r.now - m.creditAt).Seconds()
 	m.creditAt = r.now
 	kept, fleet := 1.0, float64(r.cfg.Gateways)
-	if 2*r.cfg.TipMultiple*share*r.cfg.TipAfter.Seconds() < (r.cfg.TipAfter + held).Seconds() {
-		n := rate / work.Seconds() * r.cfg.TipAfter.Seconds() * fleet
+	if 2*r.cfg.OverloadFactor*share*r.cfg.OverloadWindow.Seconds() < (r.cfg.OverloadWindow + held).Seconds() {
+		n := rate / work.Seconds() * r.cfg.OverloadWindow.Seconds() * fleet
 		kept = min(1, ((1-coldSafety)*n+math.Sqrt(n)/2+2)/fleet)
 	}
 	m.credit -= work.Seconds() * max(0, math.Ceil(m.credit/work.Seconds()-kept))
--- a/routing/slowstart_fleet_test.go
+++ b/routing/slowstart_fleet_test.go
@@ -35,7 +35,7 @@
 func newColdFleet(t *testing.T, seed uint64, n int, window time.Duration) *coldFleet {
 	f := &coldFleet{c: config(), rng: rand.New(rand.NewPCG(seed, 9)), capacity: 25, work: 40 * ms, load: 0.95,
 		starts: map[string]time.Duration{}, sent: map[string][]time.Duration{}, held: map[waits][]time.Duration{}, now: 100 * time.Second, worst: math.Inf(-1)}
-	f.c.Gateways, f.c.TipMultiple, f.c.TipAfter, f.c.ColdFrom, f.c.ColdFor = n, 2.5, window, 0.15, 18*time.Second
+	f.c.Gateways, f.c.OverloadFactor, f.c.OverloadWindow, f.c.SlowStartCapacity, f.c.SlowStartDuration = n, 2.5, window, 0.15, 18*time.Second
 	for i := range f.c.Classes {
 		f.c.Classes[i].Deadline = 2 * time.Second
 	}
@@ -54,10 +54,10 @@
 
 // process is a gateway that has just started: it knows the list and nothing else.
 func (f *coldFleet) process(t *testing.T) *rig {
-	var entries []Entry
+	var entries []Endpoint
 	for i := range coldMembers {
 		id := fmt.Sprint("m", i)
-		entries = append(entries, Entry{Member: id, Group: 1, Size: 1, StartedAt: f.starts[id]})
+		entries = append(entries, Endpoint{Member: id, Group: 1, Capacity: 1, StartedAt: f.starts[id]})
 	}
 	b := newRig(t, f.module, entries...)
 	b.now = f.now
@@ -82,7 +82,7 @@
 	}
 	for _, b := range f.gateways {
 		b.r.now = f.now
-		b.r.Members(f.now, MemberList{Kind: ListPatch, Entries: []Entry{{Member: id, Group: 1, Size: 1, StartedAt: f.now}}})
+		b.r.UpdateEndpoints(f.now, EndpointList{Kind: EndpointListPatch, Endpoints: []Endpoint{{Member: id, Group: 1, Capacity: 1, StartedAt: f.now}}})
 	}
 }
 
@@ -126,16 +126,16 @@
 
 // judge holds what came to a cold member in the last window against N + 2 root of N + 2.
 func (f *coldFleet) judge(id string, started time.Duration) {
-	warmth := f.c.ColdFrom + (1-f.c.ColdFrom)*float64(f.now-started)/float64(f.c.ColdFor)
+	warmth := f.c.SlowStartCapacity + (1-f.c.SlowStartCapacity)*float64(f.now-started)/float64(f.c.SlowStartDuration)
 	if warmth >= 1 {
 		return
 	}
-	for len(f.sent[id]) > 0 && f.sent[id][0] <= f.now-f.c.TipAfter {
+	for len(f.sent[id]) > 0 && f.sent[id][0] <= f.now-f.c.OverloadWindow {
 		f.sent[id] = f.sent[id][1:]
 	}
-	n, sent := f.c.TipMultiple*warmth*f.capacity*f.c.TipAfter.Seconds(), float64(len(f.sent[id]))
+	n, sent := f.c.OverloadFactor*warmth*f.capacity*f.c.OverloadWindow.Seconds(), float64(len(f.sent[id]))
 	if x := sent - n - 2*math.Sqrt(n) - 2; x > f.worst {
-		f.worst, f.what = x, fmt.Sprintf("%s: %.0f calls within %v, %v after its start, N is %.1f", id, sent, f.c.TipAfter, f.now-started, n)
+		f.worst, f.what = x, fmt.Sprintf("%s: %.0f calls within %v, %v after its start, N is %.1f", id, sent, f.c.OverloadWindow, f.now-started, n)
 	}
 	f.used = max(f.used, sent/n)
 }
@@ -216,10 +216,10 @@
 		window  time.Duration
 		without func(*Config)
 	}{
-		{"five times the budget", 0, time.Second, func(c *Config) { c.TipMultiple *= 5 }},
+		{"five times the budget", 0, time.Second, func(c *Config) { c.OverloadFactor *= 5 }},
 		{"all that is unused saved up", 3, 200 * ms, func(c *Config) { c.Gateways = 1 }}, // each takes itself for alone
-		{"a ramp of a tenth of the time", 3, time.Second, func(c *Config) { c.ColdFor /= 10 }},
-		{"a start that nobody heeds", 1, time.Second, func(c *Config) { c.ColdFor = 0 }},
+		{"a ramp of a tenth of the time", 3, time.Second, func(c *Config) { c.SlowStartDuration /= 10 }},
+		{"a start that nobody heeds", 1, time.Second, func(c *Config) { c.SlowStartDuration = 0 }},
 	} {
 		found := 0
 		for seed := range uint64(5) {
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestColdMemberIsNotPushedOver(t *testing.T) {
-	b := newRig(t, config(), Entry{Member: "a", Group: 1, Leader: true}, Entry{Member: "b", Group: 1},
-		Entry{Member: "c", Group: 1, StartedAt: 99 * time.Second})
+	b := newRig(t, config(), Endpoint{Member: "a", Group: 1, Primary: true}, Endpoint{Member: "b", Group: 1},
+		Endpoint{Member: "c", Group: 1, StartedAt: 99 * time.Second})
 	b.told("a", 10*ms)
 	*b.r.requestUsual(anyRead), b.r.work[anyRead] = ms, ms
 	warm, cold := 0, 0
@@ -33,7 +33,7 @@
 }
 
 // gateways makes n routers over the same three members, each with a gateway and a seed of its own.
-func gateways(t *testing.T, n int, c Config, entries ...Entry) (all []*rig) {
+func gateways(t *testing.T, n int, c Config, entries ...Endpoint) (all []*rig) {
 	for i := range n {
 		b := newRig(t, c, entries...)
 		b.r.rng = rand.New(rand.NewPCG(uint64(i), 5))
@@ -46,7 +46,7 @@
 	c := config()
 	c.Gateways = 300
 	n := 0
-	for _, b := range gateways(t, 300, c, Entry{Member: "a", Group: 1, Leader: true, StartedAt: 99999 * ms}) {
+	for _, b := range gateways(t, 300, c, Endpoint{Member: "a", Group: 1, Primary: true, StartedAt: 99999 * ms}) {
 		b.told("a", 0)
 		n += len(b.to(b.ask(onceWrite)))
 	}
@@ -58,17 +58,17 @@
 func TestMemberThatComesBackUnannouncedIsCold(t *testing.T) {
 	b := newRig(t, config())
 	b.told("a", 10*ms)
-	b.r.Probed(b.now, ProbeResult{Member: "b", Result: ResultConnectFailed})
+	b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultConnectFailed})
 	b.pass(time.Second)
 	b.want("warmth while it was never down", b.r.warmth(b.r.members["c"]), 1)
-	b.r.Probed(b.now, ProbeResult{Member: "b", Result: ResultOK})
-	b.want("warmth once reached again", b.r.warmth(b.r.members["b"]), b.r.cfg.ColdFrom)
+	b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultOK})
+	b.want("warmth once reached again", b.r.warmth(b.r.members["b"]), b.r.cfg.SlowStartCapacity)
 }
 
 func TestQueuesDoNotShrinkTheBudgetOfColdMembers(t *testing.T) {
 	reads := func(usual time.Duration) (cold int) {
-		b := newRig(t, config(), Entry{Member: "a", Group: 1, Leader: true}, Entry{Member: "b", Group: 1},
-			Entry{Member: "c", Group: 1, StartedAt: 99 * time.Second})
+		b := newRig(t, config(), Endpoint{Member: "a", Group: 1, Primary: true}, Endpoint{Member: "b", Group: 1},
+			Endpoint{Member: "c", Group: 1, StartedAt: 99 * time.Second})
 		b.told("a", 10*ms)
 		for range 400 {
 			*b.r.requestUsual(anyRead), b.r.work[anyRead] = usual, ms
@@ -89,8 +89,8 @@
 }
 
 func TestColdReplicaBesideWarmOnesTakesWhatItCan(t *testing.T) {
-	b := newRig(t, config(), Entry{Member: "a", Group: 1, Leader: true}, Entry{Member: "b", Group: 1},
-		Entry{Member: "c", Group: 1, StartedAt: 100 * time.Second})
+	b := newRig(t, config(), Endpoint{Member: "a", Group: 1, Primary: true}, Endpoint{Member: "b", Group: 1},
+		Endpoint{Member: "c", Group: 1, StartedAt: 100 * time.Second})
 	b.told("a", 10*ms)
 	m, sent, ordinary := b.r.members["c"], 0.0, 0.0
 	for range 5000 {
@@ -103,7 +103,7 @@
 			sent += 0.005
 		}
 	}
-	if sent < 1.5*ordinary || sent > b.r.cfg.TipMultiple*ordinary {
+	if sent < 1.5*ordinary || sent > b.r.cfg.OverloadFactor*ordinary {
 		t.Errorf("%.2f s of work for a cold replica whose part of ordinary work is %.2f", sent, ordinary)
 	}
 }
@@ -113,10 +113,10 @@
 func TestFleetKeepsAColdMembersBudget(t *testing.T) {
 	const members, perMember, work = 20, 40.0, 25 * ms // requests a second that a warm one takes
 	c := config()
-	c.Gateways, c.TipMultiple, c.TipAfter, c.ColdFrom, c.ColdFor = 300, 2.5, time.Second, 0.15, 18*time.Second
-	entries := []Entry{{Member: "cold", Group: 1, StartedAt: 100 * time.Second}}
+	c.Gateways, c.OverloadFactor, c.OverloadWindow, c.SlowStartCapacity, c.SlowStartDuration = 300, 2.5, time.Second, 0.15, 18*time.Second
+	entries := []Endpoint{{Member: "cold", Group: 1, StartedAt: 100 * time.Second}}
 	for i := range members - 1 {
-		entries = append(entries, Entry{Member: fmt.Sprint("m", i), Group: 1})
+		entries = append(entries, Endpoint{Member: fmt.Sprint("m", i), Group: 1})
 	}
 	fleet := gateways(t, 300, c, entries...)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -137,12 +137,12 @@
 				sent = append(sent, now)
 			}
 		}
-		for len(sent) > 0 && sent[0] <= now-c.TipAfter {
+		for len(sent) > 0 && sent[0] <= now-c.OverloadWindow {
 			sent = sent[1:]
 		}
-		n := c.TipMultiple * fleet[0].r.warmth(fleet[0].r.members["cold"]) * perMember * c.TipAfter.Seconds()
+		n := c.OverloadFactor * fleet[0].r.warmth(fleet[0].r.members["cold"]) * perMember * c.OverloadWindow.Seconds()
 		if bound := n + 3*math.Sqrt(n) + 3; float64(len(sent)) > bound {
-			t.Fatalf("%d requests within %v after %v, and %.1f are borne", len(sent), c.TipAfter, now-100*time.Second, bound)
+			t.Fatalf("%d requests within %v after %v, and %.1f are borne", len(sent), c.OverloadWindow, now-100*time.Second, bound)
 		}
 		most = max(most, len(sent))
 	}
@@ -156,8 +156,8 @@
 func TestSmallColdMemberHasASmallBudget(t *testing.T) {
 	sent := map[float64]int{}
 	for _, size := range []float64{0, 0.5, 1, 2} {
-		b := newRig(t, config(), Entry{Member: "a", Group: 1, Leader: true, Size: 1}, Entry{Member: "b", Group: 1, Size: 1},
-			Entry{Member: "c", Group: 1, Size: size, StartedAt: 100 * time.Second})
+		b := newRig(t, config(), Endpoint{Member: "a", Group: 1, Primary: true, Capacity: 1}, Endpoint{Member: "b", Group: 1, Capacity: 1},
+			Endpoint{Member: "c", Group: 1, Capacity: size, StartedAt: 100 * time.Second})
 		b.told("a", 10*ms)
 		for range 5000 {
 			b.now += ms
--- a/routing/window_test.go
+++ b/routing/window_test.go
@@ -13,7 +13,7 @@
 func TestAttemptsBeginInsideTheirWindow(t *testing.T) {
 	for _, window := range []time.Duration{150 * ms, 400 * ms, 2 * time.Second, time.Minute} {
 		c := config()
-		c.Classes[keyedWrite].KeyTTL = window
+		c.Classes[keyedWrite].IdempotencyTTL = window
 		b := newRig(t, c)
 		b.told("a", 10*ms)
 		first := b.now
@@ -29,18 +29,18 @@
 		b.want("and is given up at", b.sends[1].abandonAt, limit)
 	}
 	c := config()
-	c.Guards = GuardNone
+	c.StaleReads = StaleReadServed
 	b := newRig(t, c)
 	b.told("a", 60*ms)
 	q := b.ask(boundedRead)
 	b.want("a read of a replica", b.to(q)[0] != "a", true)
-	b.want("begins while its data is recent enough", b.sends[0].beginBy, b.now-60*ms+c.Classes[boundedRead].Bound)
+	b.want("begins while its data is recent enough", b.sends[0].beginBy, b.now-60*ms+c.Classes[boundedRead].StalenessBound)
 	b.ask(anyRead)
-	b.want("any read begins by its aim", b.sends[1].beginBy, b.now+c.Classes[anyRead].Aim)
+	b.want("any read begins by its aim", b.sends[1].beginBy, b.now+c.Classes[anyRead].LatencyObjective)
 
 	// A primary may be read from whatever its position is known to be, as long as nobody has told of another.
 	c = config()
-	c.Guards = GuardNone
+	c.StaleReads = StaleReadServed
 	b = newRig(t, c)
 	b.told("a", 10*ms)
 	b.now += 50 * ms
@@ -57,7 +57,7 @@
 // clients wait, or each request would be hopeless and nothing ever learned.
 func TestAimPastTheDeadline(t *testing.T) {
 	c := config()
-	c.Classes[anyRead].Aim, c.Classes[anyRead].Deadline = 10*time.Second, 200*ms
+	c.Classes[anyRead].LatencyObjective, c.Classes[anyRead].Deadline = 10*time.Second, 200*ms
 	b := newRig(t, c)
 	b.told("a", 10*ms)
 	if q := b.ask(anyRead); len(b.to(q)) != 1 {
@@ -68,9 +68,9 @@
 // TestConfigurationsThatCannotServe names what a configuration lacks that decisions divide by or wait for.
 func TestConfigurationsThatCannotServe(t *testing.T) {
 	for i, spoil := range []func(*Config){func(c *Config) { c.Classes = nil }, func(c *Config) { c.Gateways = 0 },
-		func(c *Config) { c.MaxAttempts = 0 }, func(c *Config) { c.TipAfter = 0 }, func(c *Config) { c.TipMultiple = 0 },
-		func(c *Config) { c.TipMultiple = math.NaN() }, func(c *Config) { c.ColdFrom = 2 }, func(c *Config) { c.ColdFor = -1 },
-		func(c *Config) { c.Classes[0].Aim = 0 }, func(c *Config) { c.Classes[0].Deadline = -1 }} {
+		func(c *Config) { c.MaxAttempts = 0 }, func(c *Config) { c.OverloadWindow = 0 }, func(c *Config) { c.OverloadFactor = 0 },
+		func(c *Config) { c.OverloadFactor = math.NaN() }, func(c *Config) { c.SlowStartCapacity = 2 }, func(c *Config) { c.SlowStartDuration = -1 },
+		func(c *Config) { c.Classes[0].LatencyObjective = 0 }, func(c *Config) { c.Classes[0].Deadline = -1 }} {
 		c := config()
 		spoil(&c)
 		if _, err := New(0, c, 1, &recorder{}); !errors.As(err, new(*ConfigError)) {
@@ -78,8 +78,8 @@
 		}
 	}
 	c := config() // without a rule on cold members they are warm, also one that starts a little ahead of this clock
-	c.ColdFrom, c.ColdFor, c.TipMultiple, c.TipAfter = 0, 0, 0, 0
-	b := newRig(t, c, Entry{Member: "a", Group: 1, Leader: true, StartedAt: 101 * time.Second})
+	c.SlowStartCapacity, c.SlowStartDuration, c.OverloadFactor, c.OverloadWindow = 0, 0, 0, 0
+	b := newRig(t, c, Endpoint{Member: "a", Group: 1, Primary: true, StartedAt: 101 * time.Second})
 	b.told("a", 0)
 	b.want("sent", len(b.to(b.ask(onceWrite))), 1)
 }
@@ -88,12 +88,12 @@
 // misses and by probes, and bounded reads keep to what members are known to have.
 func TestPrimaryThatNoListNames(t *testing.T) {
 	c := config()
-	c.ListRole, c.Guards = ListRoleNone, GuardNone
-	b := newRig(t, c, Entry{Member: "a", Group: 1, Leader: true}, Entry{Member: "b", Group: 1}, Entry{Member: "c", Group: 1})
+	c.RoleSource, c.StaleReads = RoleSourceNone, StaleReadServed
+	b := newRig(t, c, Endpoint{Member: "a", Group: 1, Primary: true}, Endpoint{Member: "b", Group: 1}, Endpoint{Member: "c", Group: 1})
 	b.want("the primary before any answer", b.r.groups[1].primary() == nil, true)
 	w := b.ask(onceWrite)
-	b.answer(w, ResultMiss, RoleReplica, b.at(50*ms))
-	b.answer(w, ResultMiss, RoleReplica, b.at(50*ms))
+	b.answer(w, ResultMissed, RoleReplica, b.at(50*ms))
+	b.answer(w, ResultMissed, RoleReplica, b.at(50*ms))
 	b.answer(w, ResultOK, RolePrimary, b.at(0))
 	b.want("a write looks for it", b.to(w), "[a b c]")
 	b.want("the next finds it", b.to(b.ask(onceWrite)), "[c]")
--- a/routing/zones.go
+++ b/routing/zones.go
@@ -10,10 +10,10 @@
 // This file brings what is known of members to the zones; what follows from it is decided there and in the files of decisions.
 
 // seen notes the end of a probe.
-func (r *Router) seen(m *member, p ProbeResult) {
+func (r *Router) seen(m *member, p HealthCheckResult) {
 	if p.Result == ResultOK {
 		m.seenAt, m.askedAt = r.now, 0
-		m.at.Timed(p.Took)
+		m.at.Timed(p.Latency)
 	}
 }
 
@@ -40,13 +40,13 @@
 	r.zones.Begin(r.now)
 	for _, m := range r.sorted {
 		if m.usable {
-			e := zones.Evidence{Heard: max(m.heardAt, m.seenAt), Silent: r.silence(m), Asked: len(m.out) > 0 || m.lost > 0 || m.failed > 0,
+			e := zones.Observation{Heard: max(m.heardAt, m.seenAt), Silent: r.silence(m), Asked: len(m.out) > 0 || m.lost > 0 || m.failed > 0,
 				Broken: m.failed > 0 && r.now-m.heardAt >= heardLately, Suspect: r.suspect(m), Size: m.size,
 				Mute: r.mute(m), Usual: slices.Min(r.usual)}
 			if !e.Suspect {
 				e.Usable = m.size * r.warmth(m)
 			}
-			r.zones.See(m.at, e)
+			r.zones.Observe(m.at, e)
 		}
 	}
 	r.zones.Settle()
@@ -85,7 +85,7 @@
 }
 
 // away says that a result shows nothing of a member but that it could not be reached.
-func away(r Result) bool { return r == ResultConnectFailed || r == ResultReset || r == ResultMoot }
+func away(r Result) bool { return r == ResultConnectFailed || r == ResultReset || r == ResultNotSent }
 
 // Zones is what is held of zones; nil where they are not judged. Only the module's actor may use it.
 func (r *Router) Zones() *zones.Zones { return r.zones }
--- a/routing/zones_test.go
+++ b/routing/zones_test.go
@@ -20,10 +20,10 @@
 func newZoned(t *testing.T, own string) *zoned {
 	c := config()
 	c.Zone, c.Zones = own, &zones.Options{Own: own}
-	var all []Entry
+	var all []Endpoint
 	for _, z := range []string{"a", "b", "c"} {
 		for _, n := range []string{"1", "2"} {
-			all = append(all, Entry{Member: z + n, Group: 1, Zone: z, Size: 1, Leader: z+n == "a1"})
+			all = append(all, Endpoint{Member: z + n, Group: 1, Zone: z, Capacity: 1, Primary: z+n == "a1"})
 		}
 	}
 	b := &zoned{newRig(t, c, all...), map[string]bool{}, map[string]time.Duration{}, 0}
@@ -40,8 +40,8 @@
 		asked := b.probes
 		b.probes = nil
 		for _, m := range asked {
-			if p := (ProbeResult{Member: m, Result: ResultTimeout}); !b.alive[m] {
-				b.r.Probed(b.now+200*ms, p)
+			if p := (HealthCheckResult{Member: m, Result: ResultTimeout}); !b.alive[m] {
+				b.r.HealthChecked(b.now+200*ms, p)
 			} else {
 				role := RoleReplica
 				if m == "a1" {
@@ -49,7 +49,7 @@
 				}
 				p.Result, p.Opened = ResultOK, b.opened[m]
 				p.Report = Report{HasPosition: true, Position: b.r.ms(b.now), Role: role}
-				b.r.Probed(b.now, p)
+				b.r.HealthChecked(b.now, p)
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 				if s.member == "a1" {
 					role = RolePrimary
 				}
-				b.r.Outcome(b.now, Outcome{Request: s.request, Attempt: number, Member: s.member, Result: ResultOK, Took: ms,
+				b.r.Outcome(b.now, Outcome{Request: s.request, Attempt: number, Member: s.member, Result: ResultOK, Latency: ms,
 					Closed: true, Role: role, Position: b.at(0)})
 			}
 		}
@@ -88,13 +88,13 @@
 	}
 	b.alive["b1"], b.alive["b2"] = false, false
 	b.placed(60)
-	if b.r.Zones().Zone("b").State() != zones.Lost {
+	if b.r.Zones().Zone("b").State() != zones.Down {
 		t.Fatalf("zone b is %s", b.r.Zones().Zone("b").State())
 	}
 	if at := b.placed(100); at["b1"]+at["b2"] > 0 || at["c1"] < 15 || at["c2"] < 15 || at["a2"] < 15 {
 		t.Errorf("with the own zone lost: %v", at)
 	}
-	if !slices.ContainsFunc(b.zones, func(c zones.Change) bool { return c.Zone == "b" && c.To == zones.Lost }) {
+	if !slices.ContainsFunc(b.zones, func(c zones.Change) bool { return c.Zone == "b" && c.To == zones.Down }) {
 		t.Error("nobody was told")
 	}
 }
@@ -170,7 +170,7 @@
 	b := newZoned(t, "b")
 	b.live(time.Second)
 	for _, only := range []bool{true, false} {
-		if err := b.r.Zones().Tune(zones.Options{Own: "b", DetectOnly: only}); err != nil {
+		if err := b.r.Zones().Configure(zones.Options{Own: "b", DetectOnly: only}); err != nil {
 			t.Fatal(err)
 		}
 		if at := b.placed(200); only != (at["b1"]+at["b2"] < 150) {
