--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("%q: %+v", text, o.Zones)
 		}
 	}
-	if o := (&Zones{HoldMS: 500, Tiers: [][]string{{"a"}}}).Options("x"); o.RecoveryDelay != 500*time.Millisecond || o.Own != "x" || len(o.Tiers) != 1 {
+	if o := (&Zones{HoldMS: 500, Tiers: [][]string{{"a"}}}).Options("x"); o.RecoveryDelay != 500*time.Millisecond || o.OwnZone != "x" || len(o.Tiers) != 1 {
 		t.Errorf("%+v", o)
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -51,7 +51,7 @@
 	if z == nil {
 		return nil
 	}
-	return &zones.Options{Own: own, Tiers: z.Tiers, Overprovision: z.Overprovision, DetectOnly: z.DetectOnly,
+	return &zones.Options{OwnZone: own, Tiers: z.Tiers, Overprovision: z.Overprovision, DetectOnly: z.DetectOnly,
 		RecoveryDelay: time.Duration(z.HoldMS) * time.Millisecond, RecoveryRamp: time.Duration(z.RampMS) * time.Millisecond}
 }
 
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -179,7 +179,7 @@
 	if o != nil {
 		s.Join = func(c *routing.Config) {
 			z := *o
-			z.Own = c.Zone
+			z.OwnZone = c.Zone
 			c.Zones = &z
 		}
 	}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -12,7 +12,7 @@
 )
 
 // tiered turns zones on.
-func tiered(c *routing.Config) { c.Zones = &zones.Options{Own: c.Zone} }
+func tiered(c *routing.Config) { c.Zones = &zones.Options{OwnZone: c.Zone} }
 
 // states counts the gateways that have come to hold a state of a zone.
 func (f *fleet) states(zone string, s zones.State) (n int) {
--- /dev/null
+++ b/internal/zones/detection.go
@@ -0,0 +1,150 @@
+package zones
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// How zone outages are detected. Silences are multiples of a member's expected latency.
+const (
+	minSilence         = 1.5                    // from which a member counts as silent
+	maxSilence         = 5.0                    // the most that one member contributes to the joint silence
+	brokenSilence      = 4.5                    // silence that a broken or refused connection stands for
+	downThreshold      = 9.0                    // joint silence at which a zone is down: two broken members or three silent ones
+	silentMemberShare  = 0.6                    // share of the contacted members that must be silent
+	minExpectedLatency = 25 * time.Millisecond  // lower bound for the expected latency of a health check
+	recentlyHeardGrace = 250 * time.Millisecond // a zone heard from this recently is up: its other members' health checks were answered
+	flapMemory         = time.Minute            // outages within this time slow down the next recovery
+)
+
+// fullyUsable is the share of a zone's capacity from which it counts as usable in full.
+const fullyUsable = 0.99
+
+// Observation is what is known of one member.
+type Observation struct {
+	LastHeard       time.Duration // last sign of life: an answer to a request or a health check
+	Silence         float64       // longest silence of an attempt that is in flight or ended unanswered, in multiples of its expected latency; 0 for none
+	Pending         bool          // something is in flight, or ended unanswered or broken, since the member was heard
+	Broken          bool          // connections broke or were refused since the member was heard
+	UnansweredFor   time.Duration // how long health checks have gone unanswered without any sign of life
+	ExpectedLatency time.Duration // the shortest expected latency of a class, which bounds that of a health check
+	Unhealthy       bool          // the routing package's verdict on this member alone
+	UsableCapacity  float64       // capacity times slow-start weight; 0 where the member is unhealthy
+	Capacity        float64
+}
+
+// BeginRound starts a round of observations at a time. Observe is then called for each member, and EndRound at the end.
+func (z *Zones) BeginRound(now time.Duration) {
+	z.now = now
+	for _, zone := range z.zones {
+		zone.round = round{}
+	}
+}
+
+// Observe adds one member of a zone to the present round.
+func (z *Zones) Observe(zone *Zone, o Observation) {
+	r := &zone.round
+	r.members++
+	r.capacity += o.Capacity
+	r.usableCapacity += o.UsableCapacity
+	r.lastHeard = max(r.lastHeard, o.LastHeard)
+	if o.Unhealthy {
+		r.unhealthy++
+	}
+	if zone.downAt > 0 && o.LastHeard > zone.downAt {
+		r.recovered++
+	}
+	expected := float64(max(o.ExpectedLatency, minExpectedLatency))
+	silence := o.Silence
+	if o.UnansweredFor > 0 {
+		silence = max(silence, float64(o.UnansweredFor)/expected)
+	}
+	silence = min(silence, float64(z.now-o.LastHeard)/expected) // a member that answers health checks is slow, not down
+	r.expectedLatency = max(r.expectedLatency, expected)
+	if !o.Pending && o.UnansweredFor == 0 {
+		return
+	}
+	r.pending++
+	if o.Broken {
+		silence = max(silence, brokenSilence)
+	}
+	if silence >= minSilence {
+		r.silent++
+		r.jointSilence += min(silence, maxSilence)
+	}
+}
+
+// EndRound ends a round and moves zones between states. If all zones look down at once, this gateway itself is cut off
+// or was suspended, and no zone is declared down.
+func (z *Zones) EndRound() {
+	alive := 0
+	for _, zone := range z.zones {
+		if zone.round.members > 0 && zone.state != Down && !zone.isDown(z.now) {
+			alive++
+		}
+	}
+	for _, zone := range z.zones {
+		zone.doubtful = zone.Name != "" && zone.round.silent > 0 && zone.state != Down
+		z.advance(zone, alive > 0)
+	}
+	if z.options.Tiers == nil && z.now >= z.nextReorder {
+		z.nextReorder = z.now + reorderInterval
+		z.assignTiers()
+	}
+}
+
+// isDown reports whether the present round shows a zone outage: joint silence of at least two members, counted only
+// since the zone's last sign of life.
+func (z *Zone) isDown(now time.Duration) bool {
+	r := &z.round
+	if z.Name == "" || r.silent < 2 || now-r.lastHeard < recentlyHeardGrace {
+		return false
+	}
+	if float64(r.silent) < silentMemberShare*float64(r.pending) {
+		return false
+	}
+	sinceHeard := float64(now-r.lastHeard) / max(r.expectedLatency, 1)
+	return min(r.jointSilence, float64(r.silent)*sinceHeard) >= downThreshold
+}
+
+// Doubtful reports whether a member of the zone has gone silent or broken and nothing has been heard of the zone since.
+// Health checks of the other members then tell whether the member or the zone is down. It is false on a nil zone.
+func (z *Zone) Doubtful() bool { return z != nil && z.doubtful }
+
+// MemberDown reports whether a member is down together with its zone: the zone is down, or recovers, and the member has
+// not been heard since the outage began. It is false on a nil zone.
+func (z *Zone) MemberDown(heard time.Duration) bool {
+	return z != nil && (z.state == Down || z.state == Recovering) && heard <= z.downAt
+}
+
+// advance moves one zone to its next state. othersUp is false where every zone looks down.
+func (z *Zones) advance(zone *Zone, othersUp bool) {
+	switch {
+	case zone.round.members == 0:
+		if zone.state != Healthy {
+			z.setState(zone, Healthy, "it has no members")
+		}
+	case zone.state != Down && othersUp && zone.isDown(z.now):
+		z.markDown(zone)
+	case zone.state == Down:
+		z.checkRecovery(zone)
+	case zone.state == Recovering:
+		if z.RecoveryShare(zone) >= 1 && zone.round.usableCapacity >= fullyUsable*zone.round.capacity {
+			z.setState(zone, Healthy, "")
+		}
+	case zone.state == Healthy && (zone.round.unhealthy > 0 || zone.round.usableCapacity < fullyUsable*zone.round.capacity):
+		z.setState(zone, Impaired, fmt.Sprintf("suspect=%d usable=%.2f", zone.round.unhealthy, zone.round.usableCapacity/max(zone.round.capacity, 1e-9)))
+	case zone.state == Impaired && zone.round.unhealthy == 0 && zone.round.usableCapacity >= fullyUsable*zone.round.capacity:
+		z.setState(zone, Healthy, "")
+	}
+}
+
+// markDown declares a zone down.
+func (z *Zones) markDown(zone *Zone) {
+	zone.losses = slices.DeleteFunc(zone.losses, func(at time.Duration) bool { return z.now-at > flapMemory })
+	zone.losses = append(zone.losses, z.now)
+	zone.downAt, zone.recoveringSince = z.now, 0
+	z.setState(zone, Down, fmt.Sprintf("silent=%d asked=%d joint=%.1f last_heard_ms=%d", zone.round.silent, zone.round.pending, zone.round.jointSilence,
+		(z.now-zone.round.lastHeard).Milliseconds()))
+}
--- a/internal/zones/spillover.go
+++ b/internal/zones/spillover.go
@@ -2,89 +2,100 @@
 
 import "math/rand/v2"
 
-// Plan shares the reads of one group out among the tiers. It is filled anew for each read: Total and Usable are the
-// capacities of the group's replicas in each tier, all of them and those that may serve this read now.
+// Plan distributes the reads of one group among the tiers. It is filled for each read.
 type Plan struct {
-	Total, Usable [maxTiers]float64
-	shares        [maxTiers]float64
-	tiers         int
+	Total  [maxTiers]float64 // capacity of the group's replicas in each tier
+	Usable [maxTiers]float64 // of these, the ones that may serve this read now
+
+	weights [maxTiers]float64
+	tiers   int
 }
 
-// Add takes one member. Usable is 0 where it can't serve the read: suspect, too far behind, out of budget.
+// Add adds one member's capacity. Usable is 0 where the member can't serve the read: unhealthy, too stale, or without
+// slow-start tokens.
 func (p *Plan) Add(tier int, total, usable float64) {
 	p.Total[tier] += total
 	p.Usable[tier] += usable
 	p.tiers = max(p.tiers, tier+1)
 }
 
-// Shares is the part of the reads that each tier gets, best first: the stated spill. As published priority levels
-// have it, a tier's health is its usable part scaled by the over-provisioning factor, at most 1; a tier gets its
-// health or what the tiers before it left over, whichever is less. Where all healths together are under 1 they are
-// scaled up, so that nothing is left without a place; where nothing is usable at all every share is 0.
+// Weights returns the share of the reads that each tier should receive, best tier first. A tier's health is its usable
+// share times the over-provisioning factor, at most 1. A tier receives its health, or what the tiers before it left
+// over, whichever is less. If all healths sum to less than 1 they are scaled up to 1. If nothing is usable all weights
+// are 0.
 func (p *Plan) Weights(overprovision float64) []float64 {
 	sum := 0.0
 	for t := range p.tiers {
-		p.shares[t] = 0
+		p.weights[t] = 0
 		if p.Total[t] > 0 {
-			p.shares[t] = min(1, overprovision*p.Usable[t]/p.Total[t])
+			p.weights[t] = min(1, overprovision*p.Usable[t]/p.Total[t])
 		}
-		sum += p.shares[t]
+		sum += p.weights[t]
 	}
 	left := 1.0
 	for t := range p.tiers {
 		if sum < 1 && sum > 0 {
-			p.shares[t] /= sum
+			p.weights[t] /= sum
 		}
-		p.shares[t] = min(p.shares[t], left)
-		left -= p.shares[t]
+		p.weights[t] = min(p.weights[t], left)
+		left -= p.weights[t]
 	}
-	return p.shares[:p.tiers]
+	return p.weights[:p.tiers]
 }
 
-// Draw draws the tier that a read should go to. It is -1 where no tier is usable. What was stated counts once the read
-// is placed.
+// Draw chooses the tier that a read should go to, at random by weight, or -1 if no tier is usable. Its weights are
+// counted by RecordRoute and dropped by DiscardDraw.
 func (z *Zones) Draw(p *Plan, rng *rand.Rand) int {
-	drawn, at, sum, done := -1, rng.Float64(), 0.0, false
-	z.drawn, z.drew = [maxTiers]float64{}, true
-	for t, s := range p.Weights(z.opt.Overprovision) {
-		z.drawn[t] = s
-		if sum += s; s > 0 && !done {
-			drawn, done = t, at < sum
+	drawn := -1
+	found := false // drawn is final: the weights up to it exceed point
+	point := rng.Float64()
+	sum := 0.0
+	z.pendingWeights = [maxTiers]float64{}
+	z.pendingRead = true
+	for tier, weight := range p.Weights(z.options.Overprovision) {
+		z.pendingWeights[tier] = weight
+		sum += weight
+		if weight > 0 && !found {
+			drawn = tier
+			found = point < sum
 		}
 	}
 	return drawn
 }
 
-// Placed notes the tier that a read went to in the end, if one was drawn for it.
-func (z *Zones) Placed(tier int) {
-	if !z.drew {
+// RecordRoute records the tier that a read was routed to, if Draw was called for it.
+func (z *Zones) RecordRoute(tier int) {
+	if !z.pendingRead {
 		return
 	}
-	z.drew = false
-	z.placed[tier]++
-	for t, s := range z.drawn {
-		z.stated[t] += s
+	z.pendingRead = false
+	z.routed[tier]++
+	for t, s := range z.pendingWeights {
+		z.configured[t] += s
 	}
 }
 
-// Forget drops what was drawn for a read that was not placed.
-func (z *Zones) Forget() { z.drew = false }
+// DiscardDraw drops the draw of a read that was not routed.
+func (z *Zones) DiscardDraw() { z.pendingRead = false }
 
-// Figure is what one tier got of the reads placed since the last call of Figures.
+// TierMetrics is the part of one tier in the reads routed since the last call of Metrics.
 type TierMetrics struct {
-	ConfiguredShare, RoutedShare float64 // parts of all
-	Reads, All                   int     // placed in this tier, and in any
+	ConfiguredShare float64 // share of the reads that the tier should have received
+	RoutedShare     float64 // share that it received
+	Reads           int     // reads routed to this tier
+	All             int     // reads routed to any tier
 }
 
-// Figures takes the stated and the actual shares of the tiers.
+// Metrics returns the configured and the actual shares of the tiers and starts counting anew.
 func (z *Zones) Metrics() []TierMetrics {
 	all, out := 0.0, make([]TierMetrics, z.tiers)
-	for _, n := range z.placed {
+	for _, n := range z.routed {
 		all += n
 	}
 	for t := range out {
-		out[t] = TierMetrics{ConfiguredShare: z.stated[t] / max(all, 1), RoutedShare: z.placed[t] / max(all, 1), Reads: int(z.placed[t]), All: int(all)}
+		out[t] = TierMetrics{ConfiguredShare: z.configured[t] / max(all, 1), RoutedShare: z.routed[t] / max(all, 1),
+			Reads: int(z.routed[t]), All: int(all)}
 	}
-	z.stated, z.placed = [maxTiers]float64{}, [maxTiers]float64{}
+	z.configured, z.routed = [maxTiers]float64{}, [maxTiers]float64{}
 	return out
 }
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -12,61 +12,61 @@
 
 const ms = time.Millisecond
 
-// rig drives the state of one gateway: three zones of some members, each of which answers, is silent, or is broken.
-type rig struct {
-	t     *testing.T
-	z     *Zones
-	now   time.Duration
-	heard map[string][]time.Duration // by zone, a member each
-	mute  map[string]int             // so many members of a zone say nothing
-	broke map[string]int             // or are refused
+// harness drives the state of one gateway: three zones of some members, each of which answers, is silent, or is broken.
+type harness struct {
+	t         *testing.T
+	zones     *Zones
+	now       time.Duration
+	lastHeard map[string][]time.Duration // by zone, one entry per member
+	silent    map[string]int             // members of a zone that are silent
+	broken    map[string]int             // members whose connections are refused
 }
 
-func newRig(t *testing.T, o Options, seed uint64, members map[string]int) *rig {
+func newHarness(t *testing.T, o Options, seed uint64, members map[string]int) *harness {
 	z, err := New(o, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, z: z, now: 1000 * time.Second, heard: map[string][]time.Duration{}, mute: map[string]int{}, broke: map[string]int{}}
+	r := &harness{t: t, zones: z, now: 1000 * time.Second, lastHeard: map[string][]time.Duration{}, silent: map[string]int{}, broken: map[string]int{}}
 	for name, n := range members {
 		for range n {
-			r.heard[name] = append(r.heard[name], r.now)
+			r.lastHeard[name] = append(r.lastHeard[name], r.now)
 		}
 	}
 	return r
 }
 
-// look plays so many looks, 100 ms each. Members that live are heard each time; usual is 100 ms.
-func (r *rig) look(n int) {
+// rounds runs so many rounds, 100 ms apart. Live members are heard in each; the expected latency is 100 ms.
+func (r *harness) rounds(n int) {
 	for range n {
 		r.now += 100 * ms
-		r.z.Begin(r.now)
+		r.zones.BeginRound(r.now)
 		for _, name := range []string{"", "a", "b", "c"} {
-			for i := range r.heard[name] {
-				e := Observation{Asked: true, Size: 1, Usable: 1, Usual: 100 * ms}
-				dead, broken := i < r.mute[name], i < r.broke[name]
+			for i := range r.lastHeard[name] {
+				e := Observation{Pending: true, Capacity: 1, UsableCapacity: 1, ExpectedLatency: 100 * ms}
+				dead, broken := i < r.silent[name], i < r.broken[name]
 				if !dead && !broken {
-					r.heard[name][i] = r.now
+					r.lastHeard[name][i] = r.now
 				}
-				e.Heard = r.heard[name][i]
+				e.LastHeard = r.lastHeard[name][i]
 				if dead {
-					e.Silent = float64(r.now-e.Heard) / float64(100*ms)
+					e.Silence = float64(r.now-e.LastHeard) / float64(100*ms)
 				}
 				e.Broken = broken
-				e.Suspect = broken || e.Silent > 5 || r.z.Zone(name).Condemned(e.Heard)
-				if e.Suspect {
-					e.Usable = 0
+				e.Unhealthy = broken || e.Silence > 5 || r.zones.Zone(name).MemberDown(e.LastHeard)
+				if e.Unhealthy {
+					e.UsableCapacity = 0
 				}
-				r.z.Observe(r.z.Zone(name), e)
+				r.zones.Observe(r.zones.Zone(name), e)
 			}
 		}
-		r.z.Settle()
+		r.zones.EndRound()
 	}
 }
 
-func (r *rig) want(zone string, s State) {
+func (r *harness) want(zone string, s State) {
 	r.t.Helper()
-	if got := r.z.Zone(zone).State(); got != s {
+	if got := r.zones.Zone(zone).State(); got != s {
 		r.t.Errorf("zone %s is %s at %v, want %s", zone, got, r.now-1000*time.Second, s)
 	}
 }
@@ -76,95 +76,95 @@
 // TestJointSilence guards the point of the package: three silences of 3 condemn a zone before one of 5 would condemn
 // any member, and two broken members do at once.
 func TestJointSilence(t *testing.T) {
-	r := newRig(t, Options{Own: "a"}, 1, three)
-	r.look(3)
-	r.mute["b"] = 3
-	r.look(2)
+	r := newHarness(t, Options{OwnZone: "a"}, 1, three)
+	r.rounds(3)
+	r.silent["b"] = 3
+	r.rounds(2)
 	r.want("b", Healthy)
-	r.look(1)
+	r.rounds(1)
 	r.want("b", Down)
-	if !r.z.Zone("b").Condemned(r.heard["b"][0]) || r.z.Zone("b").Condemned(r.now+1) {
+	if !r.zones.Zone("b").MemberDown(r.lastHeard["b"][0]) || r.zones.Zone("b").MemberDown(r.now+1) {
 		t.Error("members unheard since go with the zone, and those heard since do not")
 	}
-	r = newRig(t, Options{Own: "a"}, 1, three)
-	r.look(3)
-	r.broke["c"] = 3
-	r.look(3)
+	r = newHarness(t, Options{OwnZone: "a"}, 1, three)
+	r.rounds(3)
+	r.broken["c"] = 3
+	r.rounds(3)
 	r.want("c", Down)
 	r.want("a", Healthy)
 }
 
-// TestOneBadHost guards against condemning a zone for one member, or for all but one.
-func TestOneBadHost(t *testing.T) {
+// TestOneUnhealthyMember guards against condemning a zone for one member, or for all but one.
+func TestOneUnhealthyMember(t *testing.T) {
 	for n, want := range []State{Healthy, Impaired, Impaired, Down} {
-		r := newRig(t, Options{}, 1, three)
-		r.mute["b"] = n
-		r.look(40)
+		r := newHarness(t, Options{}, 1, three)
+		r.silent["b"] = n
+		r.rounds(40)
 		r.want("b", want)
 	}
 }
 
-// TestAllAtOnce guards a gateway that stood still or is cut off itself: it must not condemn what it can't judge. A
+// TestAllZonesSilent guards a gateway that stood still or is cut off itself: it must not condemn what it can't judge. A
 // site of one zone is never condemned either, and neither is a zone without a name.
-func TestAllAtOnce(t *testing.T) {
-	r := newRig(t, Options{Own: "a"}, 1, three)
-	r.look(3)
-	r.mute = map[string]int{"a": 3, "b": 3, "c": 3}
-	r.look(20)
+func TestAllZonesSilent(t *testing.T) {
+	r := newHarness(t, Options{OwnZone: "a"}, 1, three)
+	r.rounds(3)
+	r.silent = map[string]int{"a": 3, "b": 3, "c": 3}
+	r.rounds(20)
 	for _, name := range []string{"a", "b", "c"} {
-		if r.z.Zone(name).State() == Down {
+		if r.zones.Zone(name).State() == Down {
 			t.Errorf("zone %s is lost with all others", name)
 		}
 	}
-	r = newRig(t, Options{}, 1, map[string]int{"a": 5})
-	r.mute["a"] = 5
-	r.look(20)
+	r = newHarness(t, Options{}, 1, map[string]int{"a": 5})
+	r.silent["a"] = 5
+	r.rounds(20)
 	r.want("a", Impaired)
-	r = newRig(t, Options{}, 1, map[string]int{"": 3, "a": 3})
-	r.mute[""] = 3
-	r.look(20)
+	r = newHarness(t, Options{}, 1, map[string]int{"": 3, "a": 3})
+	r.silent[""] = 3
+	r.rounds(20)
 	r.want("", Impaired)
 }
 
-// TestTwoInTurn lets two zones be lost one after the other, and come back.
-func TestTwoInTurn(t *testing.T) {
-	r := newRig(t, Options{}, 1, three)
-	r.mute["a"] = 3
-	r.look(10)
-	r.mute["b"] = 3
-	r.look(10)
+// TestOutagesInTurn lets two zones be lost one after the other, and come back.
+func TestOutagesInTurn(t *testing.T) {
+	r := newHarness(t, Options{}, 1, three)
+	r.silent["a"] = 3
+	r.rounds(10)
+	r.silent["b"] = 3
+	r.rounds(10)
 	r.want("a", Down)
 	r.want("b", Down)
 	r.want("c", Healthy)
-	r.mute["a"] = 0
-	r.look(100)
+	r.silent["a"] = 0
+	r.rounds(100)
 	r.want("a", Healthy)
 	r.want("b", Down)
 }
 
-// TestReturn guards the way back: nothing before the hold, then a ramp, and each loss within a minute doubles both.
-func TestReturn(t *testing.T) {
-	r := newRig(t, Options{}, 3, three)
+// TestRecovery guards the way back: nothing before the hold, then a ramp, and each loss within a minute doubles both.
+func TestRecovery(t *testing.T) {
+	r := newHarness(t, Options{}, 3, three)
 	last := time.Duration(0)
 	for loss := range 4 {
-		r.mute["b"] = 3
-		r.look(10)
+		r.silent["b"] = 3
+		r.rounds(10)
 		r.want("b", Down)
-		r.mute["b"] = 0
+		r.silent["b"] = 0
 		start := r.now
-		r.look(1)
+		r.rounds(1)
 		r.want("b", Down)
-		for r.z.Zone("b").State() == Down && r.now < start+20*time.Second {
-			r.look(1)
+		for r.zones.Zone("b").State() == Down && r.now < start+20*time.Second {
+			r.rounds(1)
 		}
 		r.want("b", Recovering)
-		if s := r.z.Ramp(r.z.Zone("b")); s > 0.1 {
+		if s := r.zones.RecoveryShare(r.zones.Zone("b")); s > 0.1 {
 			t.Errorf("loss %d: the return begins with %.2f", loss, s)
 		}
 		ramp := 0.0
-		for r.z.Zone("b").State() == Recovering && r.now < start+90*time.Second {
-			r.look(1)
-			if s := r.z.Ramp(r.z.Zone("b")); s < ramp {
+		for r.zones.Zone("b").State() == Recovering && r.now < start+90*time.Second {
+			r.rounds(1)
+			if s := r.zones.RecoveryShare(r.zones.Zone("b")); s < ramp {
 				t.Errorf("the ramp falls from %.2f to %.2f", ramp, s)
 			} else {
 				ramp = s
@@ -182,46 +182,46 @@
 	}
 }
 
-// TestFewHeard lets one member of three come back for good: after a while the zone returns with it.
-func TestFewHeard(t *testing.T) {
-	r := newRig(t, Options{}, 1, three)
-	r.mute["b"] = 3
-	r.look(10)
-	r.mute["b"] = 2
-	r.look(10)
+// TestRecoveryWithFewMembers lets one member of three come back for good: after a while the zone returns with it.
+func TestRecoveryWithFewMembers(t *testing.T) {
+	r := newHarness(t, Options{}, 1, three)
+	r.silent["b"] = 3
+	r.rounds(10)
+	r.silent["b"] = 2
+	r.rounds(10)
 	r.want("b", Down)
-	r.look(20)
+	r.rounds(20)
 	r.want("b", Recovering)
-	if !r.z.Zone("b").Condemned(r.heard["b"][0]) {
+	if !r.zones.Zone("b").MemberDown(r.lastHeard["b"][0]) {
 		t.Error("a member that has not answered since is used again")
 	}
 }
 
-// TestSpare guards a slow zone: an answer to what was sent before the verdict takes it back, without a ramp.
-func TestSpare(t *testing.T) {
-	r := newRig(t, Options{}, 1, three)
-	r.look(3)
-	r.mute["b"] = 3
-	r.look(5)
+// TestReinstate guards a slow zone: an answer to what was sent before the verdict takes it back, without a ramp.
+func TestReinstate(t *testing.T) {
+	r := newHarness(t, Options{}, 1, three)
+	r.rounds(3)
+	r.silent["b"] = 3
+	r.rounds(5)
 	r.want("b", Down)
-	r.z.Spare(r.z.Zone("b"), r.now) // sent since: no proof
+	r.zones.Reinstate(r.zones.Zone("b"), r.now) // sent since: no proof
 	r.want("b", Down)
-	r.z.Spare(r.z.Zone("b"), r.now-time.Second)
+	r.zones.Reinstate(r.zones.Zone("b"), r.now-time.Second)
 	r.want("b", Impaired)
-	if s := r.z.Ramp(r.z.Zone("b")); s != 1 {
+	if s := r.zones.RecoveryShare(r.zones.Zone("b")); s != 1 {
 		t.Errorf("a zone that was slow gets %.2f of its reads", s)
 	}
 }
 
-// TestMute guards quiet gateways, which have nothing out at a zone: unanswered probes condemn it too.
-func TestMute(t *testing.T) {
+// TestUnansweredHealthChecks guards quiet gateways, which have nothing out at a zone: unanswered probes condemn it too.
+func TestUnansweredHealthChecks(t *testing.T) {
 	z, _ := New(Options{}, 1)
-	z.Begin(10 * time.Second)
+	z.BeginRound(10 * time.Second)
 	for range 2 {
-		z.Observe(z.Zone("a"), Observation{Heard: 9 * time.Second, Mute: 500 * ms, Usual: 100 * ms, Size: 1})
-		z.Observe(z.Zone("b"), Observation{Heard: 9900 * ms, Size: 1, Usable: 1})
+		z.Observe(z.Zone("a"), Observation{LastHeard: 9 * time.Second, UnansweredFor: 500 * ms, ExpectedLatency: 100 * ms, Capacity: 1})
+		z.Observe(z.Zone("b"), Observation{LastHeard: 9900 * ms, Capacity: 1, UsableCapacity: 1})
 	}
-	z.Settle()
+	z.EndRound()
 	if z.Zone("a").State() != Down || z.Zone("b").State() != Healthy {
 		t.Errorf("a is %s, b %s", z.Zone("a").State(), z.Zone("b").State())
 	}
@@ -231,13 +231,13 @@
 func TestJitter(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(20) {
-		r := newRig(t, Options{}, seed, three)
-		r.mute["b"] = 3
-		r.look(10)
-		r.mute["b"] = 0
-		r.look(6)
+		r := newHarness(t, Options{}, seed, three)
+		r.silent["b"] = 3
+		r.rounds(10)
+		r.silent["b"] = 0
+		r.rounds(6)
 		r.want("b", Recovering)
-		seen[r.z.Zone("b").rampFor] = true
+		seen[r.zones.Zone("b").rampDuration] = true
 	}
 	if len(seen) < 15 {
 		t.Errorf("20 gateways have %d ramps", len(seen))
@@ -246,26 +246,26 @@
 
 // TestTiers orders zones by the file, or else by the own zone and round trips; Tune changes it and keeps states.
 func TestTiers(t *testing.T) {
-	r := newRig(t, Options{Own: "b"}, 1, three)
-	r.z.Zone("a").Timed(10 * ms)
-	r.z.Zone("c").Timed(2 * ms)
-	r.mute["c"] = 3
-	r.look(60)
+	r := newHarness(t, Options{OwnZone: "b"}, 1, three)
+	r.zones.Zone("a").ObserveRTT(10 * ms)
+	r.zones.Zone("c").ObserveRTT(2 * ms)
+	r.silent["c"] = 3
+	r.rounds(60)
 	for name, want := range map[string]int{"b": 0, "c": 1, "a": 2} {
-		if got := r.z.Zone(name).Tier(); got != want {
+		if got := r.zones.Zone(name).Tier(); got != want {
 			t.Errorf("zone %s is in tier %d, want %d", name, got, want)
 		}
 	}
-	if err := r.z.Configure(Options{Own: "b", Tiers: [][]string{{"a", "c"}}}); err != nil {
+	if err := r.zones.Configure(Options{OwnZone: "b", Tiers: [][]string{{"a", "c"}}}); err != nil {
 		t.Fatal(err)
 	}
 	r.want("c", Down)
 	for name, want := range map[string]int{"a": 0, "c": 0, "b": 1} {
-		if got := r.z.Zone(name).Tier(); got != want {
+		if got := r.zones.Zone(name).Tier(); got != want {
 			t.Errorf("tuned: zone %s is in tier %d, want %d", name, got, want)
 		}
 	}
-	if err := r.z.Configure(Options{Tiers: [][]string{{"a"}, {"a"}}}); err == nil || r.z.Zone("b").Tier() != 1 {
+	if err := r.zones.Configure(Options{Tiers: [][]string{{"a"}, {"a"}}}); err == nil || r.zones.Zone("b").Tier() != 1 {
 		t.Error("options with a fault change something")
 	}
 }
@@ -288,8 +288,8 @@
 	}
 }
 
-// TestShares holds the stated spill against the table of docs/zones.md.
-func TestShares(t *testing.T) {
+// TestWeights holds the stated spill against the table of docs/zones.md.
+func TestWeights(t *testing.T) {
 	for _, c := range []struct {
 		usable, total []float64
 		want          []float64
@@ -317,9 +317,9 @@
 	}
 }
 
-// TestSharesProperties draws plans: shares are parts of one, all is placed where anything is usable, nothing goes to
+// TestWeightProperties draws plans: shares are parts of one, all is placed where anything is usable, nothing goes to
 // a tier that has nothing usable, and more usable capacity in a tier never lowers its share.
-func TestSharesProperties(t *testing.T) {
+func TestWeightProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, over := rapid.IntRange(1, maxTiers).Draw(t, "tiers"), rapid.Float64Range(1, 3).Draw(t, "over")
 		var p Plan
@@ -350,7 +350,7 @@
 
 // TestDraw holds what is drawn against what is stated.
 func TestDraw(t *testing.T) {
-	z, _ := New(Options{Own: "a"}, 1)
+	z, _ := New(Options{OwnZone: "a"}, 1)
 	z.Zone("a")
 	z.Zone("b")
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -358,7 +358,7 @@
 		var p Plan
 		p.Add(0, 1, 0.5)
 		p.Add(1, 1, 1)
-		z.Placed(z.Draw(&p, rng))
+		z.RecordRoute(z.Draw(&p, rng))
 	}
 	f := z.Metrics()
 	if math.Abs(f[0].ConfiguredShare-0.7) > 1e-6 || math.Abs(f[0].RoutedShare-0.7) > 0.02 || f[0].All != 10000 {
@@ -371,17 +371,17 @@
 	}
 }
 
-// BenchmarkLook is one look at 300 members in three zones.
-func BenchmarkLook(b *testing.B) {
-	z, _ := New(Options{Own: "a"}, 1)
+// BenchmarkRound is one look at 300 members in three zones.
+func BenchmarkRound(b *testing.B) {
+	z, _ := New(Options{OwnZone: "a"}, 1)
 	at := []*Zone{z.Zone("a"), z.Zone("b"), z.Zone("c")}
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Duration(i) * 100 * ms
-		z.Begin(now)
+		z.BeginRound(now)
 		for m := range 300 {
-			z.Observe(at[m%3], Observation{Heard: now, Asked: true, Silent: 0.5, Size: 1, Usable: 1})
+			z.Observe(at[m%3], Observation{LastHeard: now, Pending: true, Silence: 0.5, Capacity: 1, UsableCapacity: 1})
 		}
-		z.Settle()
+		z.EndRound()
 	}
 }
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -90,7 +90,7 @@
 
 // prefer keeps of near-ties those in the tier that the stated shares draw; one that is full spills over.
 func (r *Router) prefer(g *group, p *member, tied []*member) []*member {
-	if r.zones == nil || !r.zones.Tiered() {
+	if r.zones == nil || !r.zones.SpilloverEnabled() {
 		return tied
 	}
 	crowds := func(a, b *member) int { return cmp.Compare(r.crowd(a), r.crowd(b)) }
@@ -100,7 +100,7 @@
 	for _, m := range g.members {
 		if able := 0.0; m != p {
 			if slices.Contains(tied, m) {
-				able = m.size * r.warmth(m) * r.zones.Ramp(m.at)
+				able = m.size * r.warmth(m) * r.zones.RecoveryShare(m.at)
 			}
 			plan.Add(m.at.Tier(), m.size, able)
 		}
--- a/routing/evidence.go
+++ b/routing/evidence.go
@@ -92,13 +92,13 @@
 func (r *Router) hear(m *member, opened time.Duration) {
 	kept := m.role == RoleReplica && r.ms(r.now)-m.position < laggard
 	away := r.now-m.heardAt >= awayAtLeast
-	died := m.down || m.at.Condemned(m.heardAt) // what went with its zone may have started anew
-	listed := m.startedAt > m.heardAt           // and this is the start that the list has told
+	died := m.down || m.at.MemberDown(m.heardAt) // what went with its zone may have started anew
+	listed := m.startedAt > m.heardAt            // and this is the start that the list has told
 	if m.lived(opened) {
 		if died = false; m.awayAt > 0 {
 			m.startedAt, m.awayAt = m.was, 0
 		}
-	} else if away && m.at.Condemned(m.heardAt) {
+	} else if away && m.at.MemberDown(m.heardAt) {
 		m.was, m.awayAt = m.startedAt, m.heardAt
 	}
 	if away && !listed && (died || m.failed >= failuresMax && !kept && r.now >= r.tightUntil) {
@@ -113,7 +113,7 @@
 // surely works on: one rule covers a hang, a cut and a crawl, at any load; it ends with the first answer.
 func (r *Router) suspect(m *member) bool {
 	broken := m.failed >= failuresMax && r.now-m.heardAt >= heardLately
-	return m.at.Condemned(m.heardAt) || broken || m.shut >= failuresMax || r.silence(m) > silenceLimit
+	return m.at.MemberDown(m.heardAt) || broken || m.shut >= failuresMax || r.silence(m) > silenceLimit
 }
 
 // silence is the longest of a member's attempts without an answer, in times usual.
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -42,7 +42,7 @@
 func (r *Router) trial(q *request, m *member) bool {
 	if q.class.Effect != Idempotent && m.shut < failuresMax ||
 		r.now < m.trialAt || r.now+4**q.usual > q.limit ||
-		r.cfg.AllowHealthChecks && m.at.Condemned(m.seenAt) { // probes cost clients nothing
+		r.cfg.AllowHealthChecks && m.at.MemberDown(m.seenAt) { // probes cost clients nothing
 		return false
 	}
 	m.trialAt = r.now + trialGap
--- a/routing/zones.go
+++ b/routing/zones.go
@@ -13,7 +13,7 @@
 func (r *Router) seen(m *member, p HealthCheckResult) {
 	if p.Result == ResultOK {
 		m.seenAt, m.askedAt = r.now, 0
-		m.at.Timed(p.Latency)
+		m.at.ObserveRTT(p.Latency)
 	}
 }
 
@@ -37,19 +37,19 @@
 	if r.zones == nil {
 		return
 	}
-	r.zones.Begin(r.now)
+	r.zones.BeginRound(r.now)
 	for _, m := range r.sorted {
 		if m.usable {
-			e := zones.Observation{Heard: max(m.heardAt, m.seenAt), Silent: r.silence(m), Asked: len(m.out) > 0 || m.lost > 0 || m.failed > 0,
-				Broken: m.failed > 0 && r.now-m.heardAt >= heardLately, Suspect: r.suspect(m), Size: m.size,
-				Mute: r.mute(m), Usual: slices.Min(r.usual)}
-			if !e.Suspect {
-				e.Usable = m.size * r.warmth(m)
+			e := zones.Observation{LastHeard: max(m.heardAt, m.seenAt), Silence: r.silence(m), Pending: len(m.out) > 0 || m.lost > 0 || m.failed > 0,
+				Broken: m.failed > 0 && r.now-m.heardAt >= heardLately, Unhealthy: r.suspect(m), Capacity: m.size,
+				UnansweredFor: r.mute(m), ExpectedLatency: slices.Min(r.usual)}
+			if !e.Unhealthy {
+				e.UsableCapacity = m.size * r.warmth(m)
 			}
 			r.zones.Observe(m.at, e)
 		}
 	}
-	r.zones.Settle()
+	r.zones.EndRound()
 	for _, c := range r.zones.Changes() {
 		r.gw.ZoneChanged(c)
 	}
@@ -66,21 +66,21 @@
 // forgetZones drops what was drawn for the placing before.
 func (r *Router) forgetZones() {
 	if r.zones != nil {
-		r.zones.Forget()
+		r.zones.DiscardDraw()
 	}
 }
 
 // placed counts where a request went, unless that was a search for the primary.
 func (r *Router) placed(a *attempt) {
 	if r.zones != nil && a != nil && (!a.q.atPrimary || a.m == a.q.group.primary()) {
-		r.zones.Placed(a.m.at.Tier())
+		r.zones.RecordRoute(a.m.at.Tier())
 	}
 }
 
 // spare notes that a member's zone has answered an attempt.
 func (r *Router) spare(a *attempt, result Result) {
 	if r.zones != nil && result != ResultTimeout && result != ResultCancelled && !away(result) {
-		r.zones.Spare(a.m.at, a.sentAt)
+		r.zones.Reinstate(a.m.at, a.sentAt)
 	}
 }
 
@@ -93,7 +93,7 @@
 // lived says that a connection that came up before a member went with its zone has brought an answer since: the process
 // has lived on, and only the network was cut.
 func (m *member) lived(opened time.Duration) bool {
-	if m.at.Condemned(m.heardAt) {
+	if m.at.MemberDown(m.heardAt) {
 		return opened > 0 && opened <= m.heardAt
 	}
 	return m.awayAt > 0 && opened > 0 && opened <= m.awayAt // the answer may also come after the zone is back
@@ -103,7 +103,7 @@
 // oldest as soon as it is back, which shows whether it has lived on.
 func (m *member) probeBy() Conn {
 	switch {
-	case m.at.Condemned(m.heardAt):
+	case m.at.MemberDown(m.heardAt):
 		return ConnNew
 	case m.awayAt > 0 && m.probedAt <= m.heardAt:
 		return ConnOldest
--- a/routing/zones_test.go
+++ b/routing/zones_test.go
@@ -19,7 +19,7 @@
 
 func newZoned(t *testing.T, own string) *zoned {
 	c := config()
-	c.Zone, c.Zones = own, &zones.Options{Own: own}
+	c.Zone, c.Zones = own, &zones.Options{OwnZone: own}
 	var all []Endpoint
 	for _, z := range []string{"a", "b", "c"} {
 		for _, n := range []string{"1", "2"} {
@@ -129,7 +129,7 @@
 		}
 		b.alive["b1"], b.alive["b2"] = false, false
 		b.placed(300)
-		if !b.r.members["b1"].at.Condemned(b.r.members["b1"].heardAt) {
+		if !b.r.members["b1"].at.MemberDown(b.r.members["b1"].heardAt) {
 			t.Fatal("zone b is not lost")
 		}
 		b.alive["b1"], b.alive["b2"] = true, true
@@ -170,7 +170,7 @@
 	b := newZoned(t, "b")
 	b.live(time.Second)
 	for _, only := range []bool{true, false} {
-		if err := b.r.Zones().Configure(zones.Options{Own: "b", DetectOnly: only}); err != nil {
+		if err := b.r.Zones().Configure(zones.Options{OwnZone: "b", DetectOnly: only}); err != nil {
 			t.Fatal(err)
 		}
 		if at := b.placed(200); only != (at["b1"]+at["b2"] < 150) {
