--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -387,7 +387,7 @@
 		n.Tick(p.now()) // what holds now, also when the process has just stood still
 		v = View{Self: member(n.Self()), Members: []Member{}, Isolated: n.Isolated(), Unanswered: n.Unanswered(), Conflicts: append([]string{}, n.Conflicts()...), LiveShare: n.LiveShare(),
 			Size: n.Size(), BudgetShare: n.BudgetShare(), Rejected: n.Rejected()}
-		suspects, unreached := set(n.Suspects()), set(n.Unreached())
+		suspects, unreached := set(n.Suspects()), set(n.Indirect())
 		for _, r := range n.Members() {
 			m := member(r)
 			m.Suspect, m.Indirect = suspects[r.Incarnation], unreached[r.Incarnation]
--- a/internal/membership/caps_test.go
+++ b/internal/membership/caps_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// TestViewOfAThousand has a node hear of 1,023 others whose names, zones and addresses are as long as any may be: with it they
+// TestThousandMembers has a node hear of 1,023 others whose names, zones and addresses are as long as any may be: with it they
 // are a fleet of 1,024, its rows fit the stream that carries them, and whoever reads them knows as many. One more is refused
 // and counted, and displaces nobody.
-func TestViewOfAThousand(t *testing.T) {
-	long := func(c string, i int) string { return fmt.Sprintf("%04d%s", i, strings.Repeat(c, longest-4)) }
+func TestThousandMembers(t *testing.T) {
+	long := func(c string, i int) string { return fmt.Sprintf("%04d%s", i, strings.Repeat(c, maxNameBytes-4)) }
 	row := func(i int) MemberState {
 		return MemberState{Incarnation: Incarnation(math.MaxUint64 - uint64(i)), Name: long("n", i), Zone: long("z", i), Addr: long("a", i), Heartbeat: math.MaxUint64 - 1000}
 	}
@@ -27,16 +27,16 @@
 	for i := range 1023 {
 		n.Step(time.Millisecond, Message{Kind: Ping, Fleet: long("f", 0), From: row(i), Seq: 1})
 	}
-	if n.there() != 1024 || n.Size() > 1024 || n.Rejected() != 0 {
-		t.Fatalf("%d members are there, %d refused", n.there(), n.Rejected())
+	if n.liveMembers() != 1024 || n.Size() > 1024 || n.Rejected() != 0 {
+		t.Fatalf("%d members are there, %d refused", n.liveMembers(), n.Rejected())
 	}
 	n.Tick(300 * time.Millisecond)
 	if n.Size() != 1024 {
 		t.Errorf("counts on %d", n.Size())
 	}
 	n.Step(400*time.Millisecond, Message{Kind: Ping, Fleet: long("f", 0), From: row(1023), Seq: 1})
-	if n.there() != 1024 || n.Rejected() != 1 || n.table[row(1023).Incarnation] != nil {
-		t.Errorf("%d members with the 1,025th, %d refused", n.there(), n.Rejected())
+	if n.liveMembers() != 1024 || n.Rejected() != 1 || n.table[row(1023).Incarnation] != nil {
+		t.Errorf("%d members with the 1,025th, %d refused", n.liveMembers(), n.Rejected())
 	}
 	n.Ready()
 	n.send(Message{Kind: StateResponse, To: long("a", 1), Target: 1, Seq: math.MaxUint64})
@@ -53,7 +53,7 @@
 	reader := fresh(6000) // one that takes a place of its own
 	m.Members = m.Members[1:]
 	reader.Step(time.Millisecond, m)
-	if reader.there() != 1024 || reader.Rejected() != 0 {
-		t.Errorf("the reader knows %d, %d refused", reader.there(), reader.Rejected())
+	if reader.liveMembers() != 1024 || reader.Rejected() != 0 {
+		t.Errorf("the reader knows %d, %d refused", reader.liveMembers(), reader.Rejected())
 	}
 }
--- /dev/null
+++ b/internal/membership/failuredetector.go
@@ -0,0 +1,218 @@
+package membership
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// suspicion is this node's own attempt to reach a member that did not answer.
+type suspicion struct {
+	since          time.Duration // the first unanswered probe
+	nextAttempt    time.Duration
+	attempts       int
+	confirmedBy    map[Incarnation]bool // helpers that got no answer either
+	othersAnswered int                  // answers of other members since
+}
+
+// relay is a ping on behalf of another member.
+type relay struct {
+	seq          uint64 // of the pings
+	requesterSeq uint64 // of the PingRequest
+	requester    string // address of the member that asked
+	subject      Incarnation
+	subjectAddr  string
+	attempts     int
+	nextAttempt  time.Duration // of the next ping, or the end
+}
+
+// advance moves the clock. If it jumps, this process was suspended and only its own silence is explained by that:
+// suspicions start over, and no verdicts are given until the others have had time to speak.
+func (n *Node) advance(now time.Duration) {
+	gap := now - n.now
+	n.now = max(n.now, now)
+	if gap <= stallThreshold || n.options.PlainSWIM {
+		return
+	}
+	n.lastHeard = now
+	n.lastAnswer = now
+	n.noVerdictsBefore = now + maxSuspicionTimeout
+	if gap >= minorityTimeout { // the others may have gone on without it
+		n.noBudgetBefore = now + 2*minorityTimeout
+	}
+	for _, e := range n.members {
+		if e.suspicion != nil {
+			e.suspicion = n.newSuspicion(now)
+		}
+	}
+}
+
+// newSuspicion starts a suspicion at a time.
+func (n *Node) newSuspicion(from time.Duration) *suspicion {
+	return &suspicion{since: from, confirmedBy: map[Incarnation]bool{}}
+}
+
+// Tick advances time. It must be called at least every 100 ms.
+func (n *Node) Tick(now time.Duration) {
+	n.advance(now)
+	if n.self.State == Left {
+		return
+	}
+	if now >= n.nextProbe {
+		n.nextProbe = max(n.nextProbe+n.options.ProbeInterval, now)
+		n.probe()
+		n.updateSize()
+	}
+	for _, e := range slices.Clone(n.members) {
+		if e.suspicion != nil {
+			n.checkSuspect(e)
+		} else if e.State >= Failed && now-e.stateSince >= forgetDelay {
+			n.removeMember(e)
+		}
+	}
+	n.runRelays()
+	if now >= n.nextReconnect {
+		n.nextReconnect = now + reconnectInterval
+		n.reconnect()
+	}
+	if now >= n.nextSync {
+		n.sync(n.pickMember(nil, func(e *entry) bool { return e.State < Failed }))
+	}
+}
+
+// runRelays repeats the pings on behalf of others and reports those that stayed unanswered.
+func (n *Node) runRelays() {
+	remaining := n.relays[:0]
+	for _, relay := range n.relays {
+		if n.now < relay.nextAttempt {
+			remaining = append(remaining, relay)
+			continue
+		}
+		if relay.attempts < relayAttempts {
+			relay.attempts++
+			relay.nextAttempt = n.now + relayRetryInterval
+			n.send(Message{Kind: Ping, To: relay.subjectAddr, Target: relay.subject, Seq: relay.seq})
+			remaining = append(remaining, relay)
+			continue
+		}
+		if subject := n.table[relay.subject]; subject != nil {
+			n.send(Message{Kind: Unreachable, To: relay.requester, Seq: relay.requesterSeq, Subject: n.memberState(subject)})
+		}
+	}
+	n.relays = remaining
+}
+
+// probe pings the next member in turn. A member that did not answer the probe of the previous interval becomes a
+// suspect.
+func (n *Node) probe() {
+	for _, seq := range slices.Sorted(maps.Keys(n.previousProbes)) {
+		if e := n.table[n.previousProbes[seq]]; e != nil && e.State < Failed && e.suspicion == nil {
+			e.suspicion = n.newSuspicion(n.now)
+		}
+	}
+	n.previousProbes, n.pendingProbes = n.pendingProbes, map[uint64]Incarnation{}
+	for range len(n.members) + 1 {
+		if len(n.probeOrder) == 0 {
+			for _, e := range n.members {
+				n.probeOrder = append(n.probeOrder, e.Incarnation)
+			}
+			n.rng.Shuffle(len(n.probeOrder), func(i, j int) { n.probeOrder[i], n.probeOrder[j] = n.probeOrder[j], n.probeOrder[i] })
+		}
+		if len(n.probeOrder) == 0 {
+			return
+		}
+		e := n.table[n.probeOrder[0]]
+		n.probeOrder = n.probeOrder[1:]
+		if e != nil && e.State < Failed && e.suspicion == nil {
+			n.ping(e)
+			return
+		}
+	}
+}
+
+// ping probes one member.
+func (n *Node) ping(e *entry) {
+	seq := n.nextSeq()
+	n.pendingProbes[seq] = e.Incarnation
+	n.send(Message{Kind: Ping, To: e.Addr, Target: e.Incarnation, Seq: seq})
+}
+
+// checkSuspect retries a suspect and marks it failed once that was in vain for long enough. A node that gets no answers
+// from others, or was suspended, gives no verdict.
+func (n *Node) checkSuspect(member *entry) {
+	suspicion := member.suspicion
+	if n.now >= suspicion.nextAttempt {
+		suspicion.nextAttempt = n.now + suspectRetryInterval
+		suspicion.attempts++
+		if suspicion.attempts == 1 || !n.options.PlainSWIM {
+			n.probeSuspect(member)
+		}
+	}
+	if !n.options.PlainSWIM && (n.Isolated() || n.Unanswered()) { // this node is at fault: the attempts so far prove nothing
+		suspicion.since = n.now
+		suspicion.othersAnswered = 0
+		clear(suspicion.confirmedBy)
+		return
+	}
+	if n.suspicionExpired(suspicion) {
+		n.markFailed(member, suspicion.since, "", "no answer")
+	}
+}
+
+// probeSuspect pings a suspect directly and through helpers in different zones.
+func (n *Node) probeSuspect(member *entry) {
+	n.ping(member)
+	probes := indirectProbes
+	if member.suspicion.attempts > widenAfterAttempts {
+		probes *= 2
+	}
+	var usedZones []string
+	usedAddrs := map[string]bool{}
+	for i := range probes {
+		if i == indirectProbes { // a second helper of each zone
+			usedZones = nil
+		}
+		helper := n.pickMember(usedZones, func(candidate *entry) bool {
+			return candidate != member && candidate.State < Failed && candidate.suspicion == nil && !usedAddrs[candidate.Addr]
+		})
+		if helper == nil {
+			return
+		}
+		usedZones = append(usedZones, helper.Zone)
+		usedAddrs[helper.Addr] = true
+		n.send(Message{Kind: PingRequest, To: helper.Addr, Target: helper.Incarnation, Seq: n.nextSeq(), Subject: n.memberState(member)})
+	}
+}
+
+// suspicionExpired reports whether a suspicion has lasted long enough for a verdict. Confirmations of helpers shorten it.
+func (n *Node) suspicionExpired(s *suspicion) bool {
+	confirmations := time.Duration(min(len(s.confirmedBy), maxConfirmations))
+	timeout := maxSuspicionTimeout - (maxSuspicionTimeout-minSuspicionTimeout)*confirmations/maxConfirmations
+	lasted := n.now - s.since
+	switch {
+	case lasted < timeout:
+		return false
+	case n.options.PlainSWIM:
+		return true
+	case n.now < n.noVerdictsBefore:
+		return false
+	case n.liveMembers() > 2:
+		return s.othersAnswered > 0 // otherwise this node itself may be the one that is cut off
+	}
+	return lasted >= 2*maxSuspicionTimeout
+}
+
+// reconnect pings one failed member and one of the join addresses: after a partition, and where all known members are
+// gone, somebody has to speak first.
+func (n *Node) reconnect() {
+	if member := n.pickMember(nil, func(member *entry) bool { return member.State == Failed }); member != nil {
+		n.ping(member)
+	}
+	if len(n.options.Join) > 0 {
+		addr := n.options.Join[n.rng.IntN(len(n.options.Join))]
+		known := slices.ContainsFunc(n.members, func(member *entry) bool { return member.Addr == addr && member.State < Failed })
+		if addr != n.self.Addr && !known {
+			n.send(Message{Kind: Ping, To: addr, Seq: n.nextSeq()})
+		}
+	}
+}
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -7,17 +7,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxDatagram bounds every message but Sync and Synced, which go by a stream and are bounded by MaxStream. With Overhead for
-// a seal around it a datagram stays within 1,200 bytes.
+// Bounds of encoded messages in bytes. MaxDatagram bounds every message but StateRequest and StateResponse, which go over a
+// stream and are bounded by MaxStream. Overhead is left for encryption: with it a datagram stays within 1,200 bytes.
 const (
 	Overhead    = 48
 	MaxDatagram = 1200 - Overhead
 	MaxStream   = 256 << 10
-	version     = 1 // of the encoding: the first byte
+	version     = 1 // of the encoding; the first byte of each message
 )
 
-// ErrMalformed is what Decode returns for whatever no member of this version writes.
-var ErrMalformed = errors.New("members: malformed message")
+// ErrMalformed is returned by Decode for input that no member of this version writes.
+var ErrMalformed = errors.New("membership: malformed message")
 
 var (
 	encoder = must(cbor.CoreDetEncOptions().EncMode())
@@ -25,34 +25,37 @@
 		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode())
 )
 
-func must[T any](x T, err error) T {
+// must panics on invalid encoder options, which are constants of this package.
+func must[T any](mode T, err error) T {
 	if err != nil {
-		panic(err) // the options above are this package's own
+		panic(err)
 	}
-	return x
+	return mode
 }
 
-// Encode writes a message. It is an error if that is longer than its kind may be.
+// Encode encodes a message. It fails if the result exceeds the bound of the message's kind.
 func Encode(m Message) ([]byte, error) {
 	b, err := encoder.Marshal(m)
 	if err != nil {
-		return nil, fmt.Errorf("members: encoding: %w", err)
+		return nil, fmt.Errorf("membership: encoding: %w", err)
 	}
-	if b = append([]byte{version}, b...); len(b) > m.Kind.most() {
-		return nil, fmt.Errorf("members: a message of %d bytes, at most %d", len(b), m.Kind.most())
+	b = append([]byte{version}, b...)
+	if len(b) > m.Kind.maxBytes() {
+		return nil, fmt.Errorf("membership: the message has %d bytes, %d are allowed", len(b), m.Kind.maxBytes())
 	}
 	return b, nil
 }
 
-func (k Kind) most() int {
+// maxBytes returns the bound of an encoded message of this kind.
+func (k Kind) maxBytes() int {
 	if k == StateRequest || k == StateResponse {
 		return MaxStream
 	}
 	return MaxDatagram
 }
 
-// Decode reads a message strictly: every length and count is checked before anything is made of it. Fields that this
-// version does not know are passed over.
+// Decode decodes a message strictly: every length and count is checked before it is used. Unknown fields are ignored. It
+// returns ErrMalformed for anything else than a valid message.
 func Decode(b []byte) (m Message, err error) {
 	if len(b) < 2 || len(b) > MaxStream || b[0] != version {
 		return m, ErrMalformed
@@ -60,17 +63,24 @@
 	if err := decoder.Unmarshal(b[1:], &m); err != nil {
 		return Message{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	rows := append([]MemberState{m.From}, m.Members...)
+	members := append([]MemberState{m.From}, m.Members...)
 	if m.Subject.Incarnation != 0 {
-		rows = append(rows, m.Subject)
+		members = append(members, m.Subject)
 	}
-	ok := m.Kind >= Ping && m.Kind <= StateResponse && len(b) <= m.Kind.most() && len(m.Fleet) <= longest && len(m.To) <= longest
-	for _, r := range rows {
-		ok = ok && r.Incarnation != 0 && r.State <= Left && r.Age >= 0 && r.Name != "" && r.Addr != "" &&
-			max(len(r.Name), len(r.Zone), len(r.Addr)) <= longest
-	}
-	if !ok {
+	knownKind := m.Kind >= Ping && m.Kind <= StateResponse
+	if !knownKind || len(b) > m.Kind.maxBytes() || max(len(m.Fleet), len(m.To)) > maxNameBytes {
 		return Message{}, ErrMalformed
 	}
+	for _, member := range members {
+		if !member.valid() {
+			return Message{}, ErrMalformed
+		}
+	}
 	return m, nil
 }
+
+// valid reports whether a member's state is complete and within all bounds.
+func (m MemberState) valid() bool {
+	return m.Incarnation != 0 && m.State <= Left && m.Age >= 0 && m.Name != "" && m.Addr != "" &&
+		max(len(m.Name), len(m.Zone), len(m.Addr)) <= maxNameBytes
+}
