--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -213,7 +213,7 @@
 func (g *gateway) join(o *config.Operator) error {
 	opt := o.Fleet.Options(o.Seed)
 	opt.Counters = g.counters
-	opt.Counted = func(gateways int, _ float64) {
+	opt.OnSizeChange = func(gateways int, _ float64) {
 		for _, f := range g.lists {
 			f.pool.SetGateways(gateways)
 			f.pace.SetGateways(gateways)
--- a/internal/experiment/procs.go
+++ b/internal/experiment/procs.go
@@ -262,7 +262,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fmt.Fprintf(r.logs, "g%d %s\n", i, line)
-	_, rest, ok := strings.Cut(line, "event=member ")
+	_, rest, ok := strings.Cut(line, "event=member_changed ")
 	if !ok {
 		return
 	}
@@ -277,7 +277,7 @@
 	if values["to"] != "failed" || values["from"] == "new" {
 		return
 	}
-	start := values["start"]
+	start := values["incarnation"]
 	if at, dead := r.died[start]; dead {
 		r.knew[start] = append(r.knew[start], now-at)
 		return
--- a/internal/gossip/caps_test.go
+++ b/internal/gossip/caps_test.go
@@ -24,9 +24,9 @@
 
 func (l *lines) String() string { l.mu.Lock(); defer l.mu.Unlock(); return l.b.String() }
 
-// TestViewOfAThousandGateways tells a gateway on sockets of 1,023 others by a stream, as at a start: its view has all of them,
+// TestThousandGateways tells a gateway on sockets of 1,023 others by a stream, as at a start: its view has all of them,
 // and what it tells in turn is sent whole. The 1,025th is refused, in the view and in the log, with what to do, and once.
-func TestViewOfAThousandGateways(t *testing.T) {
+func TestThousandGateways(t *testing.T) {
 	var log lines
 	t.Cleanup(logging.Use(logging.New(&log, slog.LevelInfo)))
 	p := listen(t, "a", nil)
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.stream(p.Addr(), text)
+	p.sendStream(p.Addr(), text)
 	var v View
 	eventually(t, "the view is whole", func() bool {
 		if v, err = p.View(context.Background()); err != nil {
@@ -66,7 +66,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.take(b, false)
+		p.deliver(b, false)
 	}
 	eventually(t, "the 1,025th is refused", func() bool {
 		v, err = p.View(context.Background())
--- a/internal/gossip/seal.go
+++ b/internal/gossip/seal.go
@@ -18,25 +18,25 @@
 	"cranegate/internal/membership"
 )
 
-// Keys are those that members share. The first seals; what any of them sealed is opened. Without one nothing is sealed,
-// and nothing sealed is taken.
+// Keys are the keys that the members of a fleet share. The first seals messages; messages sealed with any of them are
+// accepted. Without keys nothing is sealed, and sealed messages are rejected.
 type Keys [][]byte
 
 const (
-	keyBytes  = 32
-	mostKeys  = 2 // the one in use, and another while it is replaced
-	sealed    = 2 // the first byte of what is sealed; what is not begins with that of members' own encoding
-	saltBytes = 16
-	headBytes = 1 + saltBytes + 8 // with the salt and the count
+	keyBytes      = 32
+	maxKeys       = 2 // the one in use, and another while keys are rotated
+	sealedVersion = 2 // first byte of a sealed message; others begin with the version of membership's encoding
+	saltBytes     = 16
+	headerBytes   = 1 + saltBytes + 8 // version, salt and message count
 )
 
-// Both are within what members leave free.
-const _ = uint(membership.Overhead - headBytes - 16)
+// Header and authentication tag (16 bytes) fit into the overhead that membership leaves.
+const _ = uint(membership.Overhead - headerBytes - 16)
 
-var errSeal = errors.New("peers: not sealed with a key of this fleet")
+var errNotSealed = errors.New("gossip: not sealed with a key of this fleet")
 
-// ReadKeys reads a file of keys: one or two lines of 64 hexadecimal digits, the first of which seals. What follows # is
-// passed over.
+// ReadKeys reads a key file: one or two lines of 64 hexadecimal digits, the first of which seals. Text after # is ignored.
+// Errors never contain a key.
 func ReadKeys(path string) (Keys, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,20 +49,20 @@
 			continue
 		}
 		key, err := hex.DecodeString(line)
-		if err != nil || len(key) != keyBytes { // the error would show the key
+		if err != nil || len(key) != keyBytes { // err would show the key
 			return nil, fmt.Errorf("reading the keys of the fleet: line %d is not %d hexadecimal digits", i+1, 2*keyBytes)
 		}
 		keys = append(keys, key)
 	}
-	if len(keys) == 0 || len(keys) > mostKeys {
-		return nil, fmt.Errorf("reading the keys of the fleet: there are %d, and 1 or %d may be", len(keys), mostKeys)
+	if len(keys) == 0 || len(keys) > maxKeys {
+		return nil, fmt.Errorf("reading the keys of the fleet: the file has %d, allowed are 1 to %d", len(keys), maxKeys)
 	}
 	return keys, nil
 }
 
-// sealer seals and opens with AES-256-GCM. Each start seals with keys of its own, which follow from the shared key, a
-// random salt that every message names, and the fleet's name: so a plain count serves as the nonce and never repeats, and
-// what another fleet sealed does not open. All calls are safe from any goroutine.
+// sealer encrypts and authenticates messages with AES-256-GCM. Each start of a process derives a key of its own from the
+// shared key, a random salt that every message carries, and the fleet's name. So a plain message count is a nonce that
+// never repeats, and messages of another fleet fail to open. It is safe for concurrent use.
 type sealer struct {
 	fleet string
 	salt  [saltBytes]byte
@@ -70,42 +70,45 @@
 	keys  atomic.Pointer[keySet]
 }
 
+// keySet is the shared keys with the keys derived from them.
 type keySet struct {
 	shared Keys
-	own    cipher.AEAD // nil: nothing is sealed
+	own    cipher.AEAD // nil if nothing is sealed
 
-	mu     sync.Mutex
-	others map[[saltBytes]byte]cipher.AEAD // of starts whose words have opened: strangers take no room
+	mu       sync.Mutex
+	peerKeys map[[saltBytes]byte]cipher.AEAD // by salt; only of senders whose messages have opened
 }
 
-// mostOthers bounds the keys of others that are kept: those of the largest fleet. Past it all are derived anew.
-const mostOthers = 1024
+// maxPeerKeys bounds the cached keys of other members: those of the largest fleet. Past it the cache is cleared.
+const maxPeerKeys = 1024
 
-// known is the key of another start, if it is kept.
-func (k *keySet) known(salt [saltBytes]byte) cipher.AEAD {
+// peerKey returns the cached key of another sender, or nil.
+func (k *keySet) peerKey(salt [saltBytes]byte) cipher.AEAD {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.others[salt]
+	return k.peerKeys[salt]
 }
 
-func (k *keySet) keep(salt [saltBytes]byte, aead cipher.AEAD) {
+// addPeerKey caches the key of another sender.
+func (k *keySet) addPeerKey(salt [saltBytes]byte, aead cipher.AEAD) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.others) >= mostOthers {
-		clear(k.others)
+	if len(k.peerKeys) >= maxPeerKeys {
+		clear(k.peerKeys)
 	}
-	k.others[salt] = aead
+	k.peerKeys[salt] = aead
 }
 
+// newSealer returns a sealer with a new salt.
 func newSealer(fleet string, keys Keys) (*sealer, error) {
 	s := &sealer{fleet: fleet}
 	rand.Read(s.salt[:]) // never fails
 	return s, s.replace(keys)
 }
 
-// replace takes other keys.
+// replace replaces the shared keys.
 func (s *sealer) replace(keys Keys) error {
-	set := &keySet{shared: keys, others: map[[saltBytes]byte]cipher.AEAD{}}
+	set := &keySet{shared: keys, peerKeys: map[[saltBytes]byte]cipher.AEAD{}}
 	if len(keys) > 0 {
 		var err error
 		if set.own, err = s.derive(keys[0], s.salt[:]); err != nil {
@@ -116,69 +119,70 @@
 	return nil
 }
 
-// derive makes the key of one start.
+// derive derives the key of the sender with this salt.
 func (s *sealer) derive(shared, salt []byte) (cipher.AEAD, error) {
 	key, err := hkdf.Key(sha256.New, shared, salt, "cranegate members, fleet "+s.fleet, keyBytes)
 	if err != nil {
-		return nil, fmt.Errorf("peers: deriving a key: %w", err)
+		return nil, fmt.Errorf("gossip: deriving a key: %w", err)
 	}
 	block, err := aes.NewCipher(key)
 	if err != nil {
-		return nil, fmt.Errorf("peers: deriving a key: %w", err)
+		return nil, fmt.Errorf("gossip: deriving a key: %w", err)
 	}
 	return cipher.NewGCM(block)
 }
 
-// seal puts a seal around a message.
-func (s *sealer) seal(b []byte) []byte {
+// seal encrypts a message; without keys it returns it unchanged.
+func (s *sealer) seal(message []byte) []byte {
 	set := s.keys.Load()
 	if set.own == nil {
-		return b
+		return message
 	}
-	out := make([]byte, headBytes, headBytes+len(b)+set.own.Overhead())
-	out[0] = sealed
+	out := make([]byte, headerBytes, headerBytes+len(message)+set.own.Overhead())
+	out[0] = sealedVersion
 	copy(out[1:], s.salt[:])
 	binary.BigEndian.PutUint64(out[1+saltBytes:], s.count.Add(1))
-	return set.own.Seal(out, nonce(out), b, out[:headBytes])
+	return set.own.Seal(out, nonce(out), message, out[:headerBytes])
 }
 
-// open takes a seal off.
-func (s *sealer) open(b []byte) ([]byte, error) {
+// open decrypts a message. It returns errNotSealed where the message is not sealed with a key of this fleet, or is one of
+// this sealer's own.
+func (s *sealer) open(message []byte) ([]byte, error) {
 	set := s.keys.Load()
 	if set.own == nil {
-		if len(b) > 0 && b[0] == sealed {
-			return nil, errSeal
+		if len(message) > 0 && message[0] == sealedVersion {
+			return nil, errNotSealed
 		}
-		return b, nil
+		return message, nil
 	}
-	if len(b) < headBytes || b[0] != sealed {
-		return nil, errSeal
+	if len(message) < headerBytes || message[0] != sealedVersion {
+		return nil, errNotSealed
 	}
-	salt := [saltBytes]byte(b[1:])
+	salt := [saltBytes]byte(message[1:])
 	if salt == s.salt {
-		return nil, errSeal // our own words come back
+		return nil, errNotSealed // our own message, reflected
 	}
-	if aead := set.known(salt); aead != nil {
-		if text, err := aead.Open(nil, nonce(b), b[headBytes:], b[:headBytes]); err == nil {
+	if aead := set.peerKey(salt); aead != nil {
+		if text, err := aead.Open(nil, nonce(message), message[headerBytes:], message[:headerBytes]); err == nil {
 			return text, nil
 		}
 	}
-	for _, shared := range set.shared { // it may have gone over to the other key
+	for _, shared := range set.shared { // the sender may have switched to the other key
 		aead, err := s.derive(shared, salt[:])
 		if err != nil {
 			return nil, err
 		}
-		if text, err := aead.Open(nil, nonce(b), b[headBytes:], b[:headBytes]); err == nil {
-			set.keep(salt, aead)
+		if text, err := aead.Open(nil, nonce(message), message[headerBytes:], message[:headerBytes]); err == nil {
+			set.addPeerKey(salt, aead)
 			return text, nil
 		}
 	}
-	return nil, errSeal
+	return nil, errNotSealed
 }
 
-// nonce is the count, filled up to the nonce's 12 bytes.
-func nonce(b []byte) []byte {
+// nonce returns the message count, padded to the nonce's 12 bytes.
+func nonce(sealed []byte) []byte {
 	var n [12]byte
-	copy(n[4:], b[1+saltBytes:headBytes])
+	copy(n[4:], sealed[1+saltBytes:headerBytes])
 	return n[:]
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/transport_test.go
@@ -57,11 +57,11 @@
 		}
 	}
 	for name, s := range map[string]*sealer{"another key": seals(t, "f", key(2)), "another fleet": seals(t, "g", key(1)), "no key": seals(t, "f"), "the sender": a} {
-		if _, err := s.open(whole); !errors.Is(err, errSeal) {
+		if _, err := s.open(whole); !errors.Is(err, errNotSealed) {
 			t.Errorf("%s opens it: %v", name, err)
 		}
 	}
-	if _, err := b.open(text); !errors.Is(err, errSeal) {
+	if _, err := b.open(text); !errors.Is(err, errNotSealed) {
 		t.Errorf("what is not sealed is taken: %v", err)
 	}
 }
@@ -157,7 +157,7 @@
 	b := listen(t, "bb", Keys{key(1)}, a.Addr().String())
 	c := listen(t, "ccc", Keys{key(9)}, a.Addr().String())
 	counted := make(chan int, 64)
-	a.opt.Counted = func(n int, _ float64) { counted <- n }
+	a.options.OnSizeChange = func(n int, _ float64) { counted <- n }
 	for _, p := range []*Transport{a, b, c} {
 		run(t, p)
 	}
@@ -180,7 +180,7 @@
 		t.Errorf("a stream of 2 GiB is waited for: %v", err)
 	}
 	eventually(t, "a and b meet", func() bool { return states(t, a)["bb"] == "alive" && states(t, b)["a"] == "alive" })
-	eventually(t, "what does not open is counted", func() bool { return a.opt.Counters.Get("peers_unopened") > 0 })
+	eventually(t, "what does not open is counted", func() bool { return a.options.Counters.Get("peers_unopened") > 0 })
 	eventually(t, "a counts on two", func() bool { return <-counted == 2 })
 	if s := states(t, a); len(s) != 1 {
 		t.Errorf("a knows %v", s)
@@ -204,26 +204,26 @@
 		t.Fatal(err)
 	}
 	for range mailboxSize + 10 {
-		p.take(b, false)
+		p.deliver(b, false)
 	}
-	p.take(b, true)     // a ping does not come by a stream
-	p.take(b[:9], true) // and half a message not at all
-	if full, bad := p.opt.Counters.Get("peers_mail_dropped"), p.opt.Counters.Get("peers_malformed"); full != 10 || bad != 2 {
+	p.deliver(b, true)     // a ping does not come by a stream
+	p.deliver(b[:9], true) // and half a message not at all
+	if full, bad := p.options.Counters.Get("peers_mail_dropped"), p.options.Counters.Get("peers_malformed"); full != 10 || bad != 2 {
 		t.Errorf("%d dropped, %d malformed", full, bad)
 	}
 }
 
-// TestKeysKept opens the words of many starts: their keys are kept in bounded room, and those of strangers not at all.
-func TestKeysKept(t *testing.T) {
+// TestPeerKeysAreCached opens the words of many starts: their keys are kept in bounded room, and those of strangers not at all.
+func TestPeerKeysAreCached(t *testing.T) {
 	s, stranger := seals(t, "f", key(1)), seals(t, "f", key(2))
-	for range mostOthers + 10 {
+	for range maxPeerKeys + 10 {
 		if _, err := s.open(seals(t, "f", key(1)).seal([]byte("\x01x"))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	kept := len(s.keys.Load().others)
-	if _, err := s.open(stranger.seal([]byte("\x01x"))); err == nil || kept == 0 || kept > mostOthers || len(s.keys.Load().others) != kept {
-		t.Errorf("%d keys kept, then %d: %v", kept, len(s.keys.Load().others), err)
+	kept := len(s.keys.Load().peerKeys)
+	if _, err := s.open(stranger.seal([]byte("\x01x"))); err == nil || kept == 0 || kept > maxPeerKeys || len(s.keys.Load().peerKeys) != kept {
+		t.Errorf("%d keys kept, then %d: %v", kept, len(s.keys.Load().peerKeys), err)
 	}
 }
 
--- /dev/null
+++ b/internal/gossip/view.go
@@ -0,0 +1,81 @@
+package gossip
+
+import (
+	"context"
+	"cranegate/internal/membership"
+	"time"
+)
+
+// View is this gateway's view of its fleet, as GET /members shows it. The JSON keys are an interface of that page.
+type View struct {
+	Self        Member   `json:"self"`
+	Members     []Member `json:"members"`
+	Isolated    bool     `json:"cut"`       // it hears no other member
+	Unanswered  bool     `json:"unheard"`   // no other member answers it
+	Conflicts   []string `json:"conflicts"` // names that two or more live members share
+	LiveShare   float64  `json:"share"`     // of the last settled view that is reachable
+	Size        int      `json:"size"`      // number of gateways to assume
+	BudgetShare float64  `json:"part"`      // of fleet-wide budgets that this gateway may use
+	Rejected    int      `json:"refused"`   // members not added because the view is full
+}
+
+// Member is one member in a View.
+type Member struct {
+	Name        string  `json:"name"`
+	Zone        string  `json:"zone"`
+	Address     string  `json:"address"`
+	Incarnation string  `json:"start"` // identifies one start of the process
+	State       string  `json:"state"`
+	Age         float64 `json:"age_s"` // since its last sign of life; of a failed member: since its first unanswered probe
+	Suspect     bool    `json:"suspect"`
+	Indirect    bool    `json:"unreached"` // it answers others, but not this gateway
+}
+
+// View returns this gateway's present view of its fleet. It returns ErrStopped after Run has ended, or ctx's error.
+func (t *Transport) View(ctx context.Context) (v View, err error) {
+	err = t.callActor(ctx, func() {
+		n := t.node
+		n.Tick(t.now()) // up to date even if the process was suspended until now
+		v = View{
+			Self:        newMember(n.Self()),
+			Members:     []Member{},
+			Isolated:    n.Isolated(),
+			Unanswered:  n.Unanswered(),
+			Conflicts:   append([]string{}, n.Conflicts()...),
+			LiveShare:   n.LiveShare(),
+			Size:        n.Size(),
+			BudgetShare: n.BudgetShare(),
+			Rejected:    n.Rejected(),
+		}
+		suspects := incarnationSet(n.Suspects())
+		indirect := incarnationSet(n.Indirect())
+		for _, state := range n.Members() {
+			m := newMember(state)
+			m.Suspect = suspects[state.Incarnation]
+			m.Indirect = indirect[state.Incarnation]
+			v.Members = append(v.Members, m)
+		}
+	})
+	return v, err
+}
+
+// incarnationSet returns the incarnations as a set.
+func incarnationSet(incarnations []membership.Incarnation) map[membership.Incarnation]bool {
+	set := map[membership.Incarnation]bool{}
+	for _, incarnation := range incarnations {
+		set[incarnation] = true
+	}
+	return set
+}
+
+// newMember converts a member's state for a View.
+func newMember(s membership.MemberState) Member {
+	return Member{
+		Name:        s.Name,
+		Zone:        s.Zone,
+		Address:     s.Addr,
+		Incarnation: formatIncarnation(s.Incarnation),
+		State:       s.State.String(),
+		Age:         s.Age.Round(time.Millisecond).Seconds(),
+	}
+}
