--- a/internal/fake/address.go
+++ b/internal/fake/address.go
@@ -8,10 +8,11 @@
 	"sync/atomic"
 )
 
+// ports counts the ports that FreeAddress has tried.
 var ports atomic.Int64
 
-// FreeAddress gives an address on which nothing listens. It is out of the range that the system gives out by itself, on a
-// loopback address of this process, so that nobody takes it meanwhile.
+// FreeAddress returns an address on which nothing listens. Its port is outside the ephemeral range, on a loopback
+// address of this process, so that no other process takes it in the meantime.
 func FreeAddress() (string, error) {
 	pid := os.Getpid()
 	for range 1000 {
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -11,7 +11,7 @@
 	"cranegate/internal/discovery"
 )
 
-// Discovery is a stand-in for discovery: it answers calls and watches with the whole list.
+// Discovery is a fake discovery service. It answers polls and watches with the whole endpoint list.
 type Discovery struct {
 	mu      sync.Mutex
 	rev     int64
@@ -19,7 +19,7 @@
 	changed chan struct{}
 }
 
-// Set changes the list.
+// Set replaces the endpoint list.
 func (d *Discovery) Set(targets []discovery.Target) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -31,7 +31,7 @@
 	d.targets = append([]discovery.Target(nil), targets...)
 }
 
-// ServeHTTP answers one call; a watch waits for something newer than its version.
+// ServeHTTP answers one poll. A watch waits for a list newer than its revision.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.FormValue("after"), 10, 64)
 	wait, _ := strconv.Atoi(r.FormValue("wait_ms"))
@@ -55,7 +55,7 @@
 	json.NewEncoder(w).Encode(s)
 }
 
-// Accept serves each connection of a listener until that is closed.
+// Accept serves each connection of a listener in a goroutine of its own, until the listener is closed.
 func Accept(l net.Listener, serve func(net.Conn)) {
 	for {
 		c, err := l.Accept()
--- a/internal/fake/limits.go
+++ b/internal/fake/limits.go
@@ -5,8 +5,9 @@
 	"syscall"
 )
 
-// LeaveFiles lets this process open so many descriptors more, and returns a call that undoes it. Those that are open stay.
-func LeaveFiles(n int) (undo func(), err error) {
+// LeaveFiles limits this process to a number of further file descriptors. Those that are open stay open. The caller
+// must call undo.
+func LeaveFiles(files int) (undo func(), err error) {
 	next, err := os.Open(os.DevNull)
 	if err != nil {
 		return nil, err
@@ -17,7 +18,7 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
 		return nil, err
 	}
-	low := syscall.Rlimit{Cur: lowest + uint64(n), Max: before.Max}
+	low := syscall.Rlimit{Cur: lowest + uint64(files), Max: before.Max}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &low); err != nil {
 		return nil, err
 	}
