--- a/cmd/cranegate/main_test.go
+++ b/cmd/cranegate/main_test.go
@@ -353,7 +353,7 @@
 		w.until("the reload", func() bool { return strings.Contains(w.out.String(), "event=reloaded") })
 		if !on {
 			w.until("the refusal", func() bool { return strings.Contains(w.out.String(), "event=zones_off") })
-		} else if strings.Contains(w.out.String(), "event=zones_refused") {
+		} else if strings.Contains(w.out.String(), "event=zones_rejected") {
 			t.Error("new tiers were refused")
 		}
 		p, err := fake.DialPostgres(w.dial(w.pg), "")
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -11,7 +11,7 @@
 	"cranegate/routing"
 )
 
-// attemptState is where an attempt stands. Whether it was written settles whether it may have run.
+// attemptState is the state of an attempt. An attempt that was not written has certainly not run.
 type attemptState int32
 
 // The states. An attempt leaves stateWaiting once, for one of the others, and stays there.
@@ -21,219 +21,236 @@
 	stateUnsent                      // it is over without a byte written
 )
 
+// String returns the state as the log names it.
 func (s attemptState) String() string { return [...]string{"waiting", "written", "unsent"}[s] }
 
-// Attempt is one try of a request at a database host, or a probe where Request is nil. The host's connection
+// Attempt is one attempt of a request at a database host, or a health check where Request is nil. The host's connection
 // calls Begin before the first byte and Done at the end.
 type Attempt struct {
 	Request  *Request
 	Member   string
 	Deadline time.Time    // when the gateway stops waiting for it
-	Conn     routing.Conn // the connection that a probe goes by
+	Conn     routing.Conn // the connection that a health check goes by
 
 	core   *Core
-	number int
+	number int // within the request, from 0
 	sentAt time.Duration
-	state  atomic.Int32 // an attemptState; transition alone changes it
-	closed bool         // its outcome is settled; owned by the module's actor
 	ctx    context.Context
 	cancel context.CancelFunc
+	state  atomic.Int32 // an attemptState; transition alone changes it
+
+	startDeadline time.Duration // it has to begin before this, on the core's clock; 0: no bound
 
-	timeout *timer
-	latest  time.Duration // it has to have begun before this; 0: whenever it can
-	unbegun *timer        // ends it then if it still waits
-	first   time.Duration // how long the answer's first byte took, where it streams
+	// The actor alone uses the fields below.
+	settled          bool // it has its outcome
+	timeoutTimer     *timer
+	startTimer       *timer        // withdraws it at startDeadline; nil: no bound
+	firstByteLatency time.Duration // where the answer streams
 }
 
-// Outcome is how an attempt ended, as the host's connection saw it.
+// Outcome is how an attempt ended, as the host's connection observed it.
 type Outcome struct {
 	Result   routing.Result
-	Value    any       // ResultOK: what the host gave
-	Opened   time.Time // when the connection came up; zero if none did
+	Value    any       // ResultOK: what the host returned
+	Opened   time.Time // when the connection was opened; zero if none was
 	Role     routing.Role
-	Position int64 // Unix time in milliseconds, 0 if not told
+	Position int64 // Unix time in milliseconds, 0 if the host reported none
 	Report   routing.Report
 }
 
-// Context ends when the attempt is given up: its connection must then close.
-func (a *Attempt) Context() context.Context { return a.ctx }
-
-// Begin is the last check before the first byte: false says that the attempt is over and must not be written.
-// It guards against sends to a host that began to drain, for a request that ended, past the window for repeats, or of a
-// read that its host's data has become too old for, while it waited; and for one whose client has left, of which the
-// module's actor, or even the client's session, may not have heard yet.
-func (a *Attempt) Begin() bool {
-	if a.latest > 0 && a.core.clock.now() >= a.latest {
-		a.transition(stateUnsent, "past_latest")
-		return false
-	}
-	return !a.Request.leaves(a.core) && a.transition(stateWritten, "connected")
+// newAttempt makes an attempt that is abandoned at a deadline.
+func (c *Core) newAttempt(request *Request, member string, deadline time.Duration) *Attempt {
+	a := &Attempt{Request: request, Member: member, Deadline: c.clock.time(deadline), core: c, sentAt: c.now}
+	a.ctx, a.cancel = context.WithCancel(c.ctx)
+	a.timeoutTimer = c.timers.add(deadline, func() { a.abandon(routing.ResultTimeout) })
+	return a
 }
 
-// transition takes the attempt out of stateWaiting, and says whether it was this call that did. It is the one place that changes
-// the state: what the rules want of a send and of a repeat is checked here.
-func (a *Attempt) transition(to attemptState, why string) bool {
-	move := func() bool { return a.state.CompareAndSwap(int32(stateWaiting), int32(to)) }
-	if to == stateWritten && a.Request != nil { // a probe runs nothing
-		guarded := move
-		move = func() bool { return a.guard(guarded) }
-	}
-	if !move() {
-		return false
-	}
-	if logging.Debugs() {
-		slog.Debug("attempt", "id", a.Request.name(), "attempt", a.number, "host", a.Member, "state", to, "reason", why)
+// startAttempt gives an attempt to its host.
+func (c *Core) startAttempt(a *Attempt) {
+	unwritten := slices.DeleteFunc(c.unwritten[a.Member], func(other *Attempt) bool {
+		return other.settled || !other.Waiting()
+	})
+	c.unwritten[a.Member] = append(unwritten, a)
+	if !c.backend.Start(a) {
+		a.withdraw(routing.ResultConnectFailed, "host_declined")
 	}
-	return true
 }
 
-// current is the state as of now.
-func (a *Attempt) current() attemptState { return attemptState(a.state.Load()) }
+// Context ends when the attempt is abandoned: its connection must then close.
+func (a *Attempt) Context() context.Context { return a.ctx }
 
-// within gives an attempt the time before which it has to begin.
-func (a *Attempt) within(latest time.Duration) {
-	a.latest = latest
-	a.unbegun = a.core.timers.add(latest, func() { a.neverBegins(routing.ResultNotSent, "past_latest") })
+// Begin is the last check before the first byte. It returns false if the attempt is over and must not be written. While
+// the attempt waited for a connection, its host may have begun to drain, its request may have ended, the window for a
+// retry may have passed, or the host's data may have become too old for a read; and its client may have disconnected,
+// which the actor, or even the client's session, may not know yet.
+func (a *Attempt) Begin() bool {
+	if a.startDeadline > 0 && a.core.clock.now() >= a.startDeadline {
+		a.transition(stateUnsent, "start_deadline")
+		return false
+	}
+	return !a.Request.checkDisconnected(a.core) && a.transition(stateWritten, "connected")
 }
 
-// neverBegan ends the wait of an attempt, and says whether no byte of it has been or will be written.
-func (a *Attempt) neverBegan(why string) bool {
-	return a.transition(stateUnsent, why) || a.current() == stateUnsent
+// Waiting reports whether the attempt still needs a connection.
+func (a *Attempt) Waiting() bool {
+	return a.currentState() == stateWaiting && !a.Request.isDisconnected()
 }
 
-// Waiting says whether the attempt still wants a connection.
-func (a *Attempt) Waiting() bool { return a.current() == stateWaiting && !a.Request.hasLeft() }
+// Done reports the outcome. Only the first call counts, and none after the core has abandoned the attempt.
+func (a *Attempt) Done(outcome Outcome) { a.core.post(attemptEnded{a, outcome}) }
 
-// Done hands in the outcome. Only the first counts, and none after the core has given the attempt up.
-func (a *Attempt) Done(o Outcome) { a.core.post(func() { a.settle(o) }) }
-
-// Stream hands in an answer that is passed to the client as it comes, and says whether the client takes it. From a yes on
-// the attempt is the client's: it has no time-out of its own, and the request has its final answer. Done tells how it ended.
-func (a *Attempt) Stream(v any) bool {
-	taken := make(chan bool, 1)
-	if !a.core.post(func() { taken <- a.stream(v) }) {
+// Stream offers an answer that is forwarded to the client while the host sends it, and returns whether the client takes
+// it. If so, the attempt has no timeout of its own any more and the request has its final answer; Done reports how the
+// stream ended.
+func (a *Attempt) Stream(value any) bool {
+	accepted := make(chan bool, 1)
+	if !a.core.post(streamOffered{a, value, accepted}) {
 		return false
 	}
 	select {
-	case ok := <-taken:
+	case ok := <-accepted:
 		return ok
 	case <-a.core.done:
 		return false
 	}
 }
 
-func (a *Attempt) stream(v any) bool {
-	q, c := a.Request, a.core
-	if a.closed || q == nil || q.ended {
-		return false
+// transition takes the attempt out of stateWaiting, and returns whether this call did. It is the only function that changes
+// the state, and checks the invariants on sends and retries.
+func (a *Attempt) transition(to attemptState, reason string) bool {
+	change := func() bool { return a.state.CompareAndSwap(int32(stateWaiting), int32(to)) }
+	changed := false
+	if to == stateWritten && a.Request != nil { // a health check runs no statement of a client's
+		changed = a.checkedWrite(change)
+	} else {
+		changed = change()
 	}
-	a.timeout.cancel()
-	a.first = c.now - a.sentAt
-	c.opt.Counters.Add("streams", 1)
-	c.router.Started(c.now, q.id, a.number)
-	c.answer(q, Answer{Status: Served, Value: v})
-	return true
+	if changed && logging.Debugs() {
+		slog.Debug("attempt_state", "request_id", a.Request.logID(), "attempt", a.number, "host", a.Member, "state", to,
+			"reason", reason)
+	}
+	return changed
 }
 
-// attempt makes an attempt that is given up at a time.
-func (c *Core) attempt(q *Request, member string, until time.Duration) *Attempt {
-	a := &Attempt{Request: q, Member: member, Deadline: c.clock.time(until), core: c, sentAt: c.now}
-	a.ctx, a.cancel = context.WithCancel(c.ctx)
-	a.timeout = c.timers.add(until, func() { a.abandon(routing.ResultTimeout) })
-	return a
+func (a *Attempt) currentState() attemptState { return attemptState(a.state.Load()) }
+
+// markUnsent ends the wait for a connection, and returns whether no byte of the attempt was or will be written.
+func (a *Attempt) markUnsent(reason string) bool {
+	return a.transition(stateUnsent, reason) || a.currentState() == stateUnsent
 }
 
-// start hands an attempt to its host.
-func (c *Core) start(a *Attempt) {
-	list := slices.DeleteFunc(c.waiting[a.Member], func(x *Attempt) bool { return x.closed || !x.Waiting() })
-	c.waiting[a.Member] = append(list, a)
-	if !c.servers.Start(a) {
-		a.neverBegins(routing.ResultConnectFailed, "host_declined")
-	}
+// setStartDeadline sets the time before which the attempt has to begin.
+func (a *Attempt) setStartDeadline(deadline time.Duration) {
+	a.startDeadline = deadline
+	a.startTimer = a.core.timers.add(deadline, func() { a.withdraw(routing.ResultNotSent, "start_deadline") })
 }
 
-// neverBegins ends an attempt that waits for a connection; it does nothing to one that was written.
-func (a *Attempt) neverBegins(result routing.Result, why string) {
-	if !a.closed && a.neverBegan(why) {
-		a.finish(Outcome{Result: result})
+// withdraw ends an attempt that waits for a connection; it does nothing to one that was written.
+func (a *Attempt) withdraw(result routing.Result, reason string) {
+	if !a.settled && a.markUnsent(reason) {
+		a.settle(Outcome{Result: result})
 	}
 }
 
-// abandon gives an attempt up. One without a byte written has never run, and the module learns just that.
+// abandon ends an attempt whatever its state. Where no byte was written the outcome is that it was not sent.
 func (a *Attempt) abandon(result routing.Result) {
-	if a.closed {
+	if a.settled {
 		return
 	}
-	if a.neverBegan(resultNames[result]) {
+	if a.markUnsent(resultCounters[result]) {
 		result = routing.ResultNotSent
 	}
-	a.finish(Outcome{Result: result})
+	a.settle(Outcome{Result: result})
+}
+
+// handleStream gives the request its final answer, which streams, and returns whether it still needed one.
+func (a *Attempt) handleStream(value any) bool {
+	request, c := a.Request, a.core
+	if a.settled || request == nil || request.ended {
+		return false
+	}
+	a.timeoutTimer.cancel()
+	a.firstByteLatency = c.now - a.sentAt
+	c.options.Counters.Add("streams", 1)
+	c.router.Started(c.now, request.id, a.number)
+	c.answer(request, Answer{Status: Served, Value: value})
+	return true
 }
 
-// settle takes the outcome that the host's connection saw. Of an attempt that did not begin as its client had left there is
-// none, and the request ends here if word of that is still on its way. One that came too late to begin never ran, whatever
-// its connection says, which may come before the timer's word.
-func (a *Attempt) settle(o Outcome) {
-	if a.current() == stateUnsent {
-		o = Outcome{Result: routing.ResultNotSent}
+// handleOutcome takes the outcome that the host's connection observed. One that is unsent has not run, whatever its
+// connection reports, which may come before the timer fires. One that did not begin because its client had disconnected
+// has no outcome of its own: it ends the request, if the notice of the disconnect is still on its way.
+func (a *Attempt) handleOutcome(outcome Outcome) {
+	if a.currentState() == stateUnsent {
+		outcome = Outcome{Result: routing.ResultNotSent}
 	}
-	if !a.closed && a.current() == stateWaiting && a.Request.hasLeft() {
-		a.core.gone(a.Request)
+	if !a.settled && a.currentState() == stateWaiting && a.Request.isDisconnected() {
+		a.core.handleDisconnect(a.Request)
 	}
-	if !a.closed {
-		a.finish(o)
+	if !a.settled {
+		a.settle(outcome)
 	}
 }
 
-// finish settles an attempt's outcome. The module hears of it after the event in hand.
-func (a *Attempt) finish(o Outcome) {
-	c := a.core
-	a.closed = true
+// settle gives an attempt its outcome. The router gets it after the current event.
+func (a *Attempt) settle(outcome Outcome) {
+	a.settled = true
 	a.cancel()
-	a.timeout.cancel()
-	if a.unbegun != nil {
-		a.unbegun.cancel()
-	}
-	c.ended = append(c.ended, func() {
-		if a.Request == nil {
-			c.router.HealthChecked(c.now, routing.HealthCheckResult{Member: a.Member, Result: o.Result, Latency: c.now - a.sentAt,
-				Report: o.Report, Opened: c.opened(o)})
-			return
-		}
-		q := a.Request
-		q.out = slices.DeleteFunc(q.out, func(x *Attempt) bool { return x == a })
-		q.ledger.End(a.number, o.Result)
-		c.opt.Counters.Add(resultNames[o.Result], 1)
-		if logging.Debugs() {
-			slog.Debug("attempt_ended", "id", q.ID, "attempt", a.number, "host", a.Member, "result", resultNames[o.Result],
-				"took", c.now-a.sentAt)
-		}
-		if o.Result == routing.ResultOK {
-			c.answer(q, Answer{Status: Served, Value: o.Value})
-		}
-		took := c.now - a.sentAt
-		if a.first > 0 {
-			took = a.first
-		}
-		c.router.Outcome(c.now, routing.Outcome{Request: q.id, Attempt: a.number, Member: a.Member, Result: o.Result,
-			Latency: took, Closed: q.ended, Role: o.Role, Position: o.Position, Report: o.Report,
-			Opened: c.opened(o)})
-		c.forget(q)
-	})
+	a.timeoutTimer.cancel()
+	if a.startTimer != nil {
+		a.startTimer.cancel()
+	}
+	a.core.pendingOutcomes = append(a.core.pendingOutcomes, attemptEnded{a, outcome})
 }
 
-// opened is when an outcome's connection came up, on the module's clock.
-func (c *Core) opened(o Outcome) time.Duration {
-	if o.Opened.IsZero() {
+// reportOutcome passes a settled attempt's outcome to the router, and answers its request if it was served.
+func (c *Core) reportOutcome(a *Attempt, outcome Outcome) {
+	latency := c.now - a.sentAt
+	if a.Request == nil {
+		c.router.HealthChecked(c.now, routing.HealthCheckResult{Member: a.Member, Result: outcome.Result, Latency: latency,
+			Report: outcome.Report, Opened: c.openedAt(outcome)})
+		return
+	}
+	request := a.Request
+	request.attempts = slices.DeleteFunc(request.attempts, func(other *Attempt) bool { return other == a })
+	request.ledger.End(a.number, outcome.Result)
+	c.options.Counters.Add(resultCounters[outcome.Result], 1)
+	if logging.Debugs() {
+		slog.Debug("attempt_ended", "request_id", request.ID, "attempt", a.number, "host", a.Member,
+			"result", resultCounters[outcome.Result], "latency", latency)
+	}
+	if outcome.Result == routing.ResultOK {
+		c.answer(request, Answer{Status: Served, Value: outcome.Value})
+	}
+	if a.firstByteLatency > 0 {
+		latency = a.firstByteLatency
+	}
+	c.router.Outcome(c.now, routing.Outcome{Request: request.id, Attempt: a.number, Member: a.Member, Result: outcome.Result,
+		Latency: latency, Closed: request.ended, Role: outcome.Role, Position: outcome.Position, Report: outcome.Report,
+		Opened: c.openedAt(outcome)})
+	c.removeIfDone(request)
+}
+
+// openedAt returns when an outcome's connection was opened, on the core's clock; zero if none was.
+func (c *Core) openedAt(outcome Outcome) time.Duration {
+	if outcome.Opened.IsZero() {
 		return 0
 	}
-	return c.clock.at(o.Opened)
+	return c.clock.at(outcome.Opened)
 }
 
-// resultNames are the counters of outcomes.
-var resultNames = map[routing.Result]string{routing.ResultOK: "attempts_ok", routing.ResultError: "attempts_error",
-	routing.ResultOverCapacity: "attempts_turned_away", routing.ResultTimeout: "attempts_timed_out",
-	routing.ResultConnectFailed: "attempts_not_connected", routing.ResultReset: "attempts_reset",
-	routing.ResultCancelled: "attempts_cancelled", routing.ResultNotSent: "attempts_never_sent",
-	routing.ResultMissed: "attempts_missed", routing.ResultInvalidStatement: "attempts_rejected",
-	routing.ResultMalformed: "attempts_spoilt"}
+// resultCounters are the names of the counters of outcomes.
+var resultCounters = map[routing.Result]string{
+	routing.ResultOK:               "attempts_ok",
+	routing.ResultError:            "attempts_error",
+	routing.ResultOverCapacity:     "attempts_turned_away",
+	routing.ResultTimeout:          "attempts_timed_out",
+	routing.ResultConnectFailed:    "attempts_not_connected",
+	routing.ResultReset:            "attempts_reset",
+	routing.ResultCancelled:        "attempts_cancelled",
+	routing.ResultNotSent:          "attempts_never_sent",
+	routing.ResultMissed:           "attempts_missed",
+	routing.ResultInvalidStatement: "attempts_rejected",
+	routing.ResultMalformed:        "attempts_spoilt",
+}
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -5,39 +5,49 @@
 	"time"
 )
 
-// clock is the module's clock: Unix time, anchored once and monotonic from then on. Positions, starts of hosts
+// clock is the core's clock: Unix time, anchored once and monotonic from then on. Positions, starts of hosts
 // and deadlines are all converted on it, so a step of the system's clock can't set them against each other.
 type clock struct{ base time.Time }
 
 func newClock() clock { return clock{time.Now()} }
 
-func (k clock) now() time.Duration { return k.at(time.Now()) }
+func (c clock) now() time.Duration { return c.at(time.Now()) }
 
-// at converts a time; time converts back.
-func (k clock) at(t time.Time) time.Duration {
-	return time.Duration(k.base.UnixNano()) + t.Sub(k.base)
+// at converts a time to this clock.
+func (c clock) at(t time.Time) time.Duration {
+	return time.Duration(c.base.UnixNano()) + t.Sub(c.base)
 }
 
-func (k clock) time(d time.Duration) time.Time {
-	return k.base.Add(d - time.Duration(k.base.UnixNano()))
+// time converts a reading of this clock to a time.
+func (c clock) time(d time.Duration) time.Time {
+	return c.base.Add(d - time.Duration(c.base.UnixNano()))
 }
 
-// timer is a call that falls due, and the place of one that was cancelled until then.
+// timer is a function call at a time. One that was cancelled stays in the heap until then, without its function.
 type timer struct {
 	at   time.Duration
 	fire func()
 }
 
-// cancel drops the call and what it holds on to.
+// cancel drops the function and what it refers to.
 func (t *timer) cancel() { t.fire = nil }
 
 // timers is a heap of timers, the earliest first.
 type timers []*timer
 
-func (t timers) Len() int           { return len(t) }
+// Len implements heap.Interface.
+func (t timers) Len() int { return len(t) }
+
+// Less implements heap.Interface.
 func (t timers) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)        { *t = append(*t, x.(*timer)) }
+
+// Swap implements heap.Interface.
+func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+
+// Push implements heap.Interface.
+func (t *timers) Push(x any) { *t = append(*t, x.(*timer)) }
+
+// Pop implements heap.Interface.
 func (t *timers) Pop() any {
 	last := len(*t) - 1
 	x := (*t)[last]
@@ -46,13 +56,14 @@
 	return x
 }
 
+// add schedules a function call.
 func (t *timers) add(at time.Duration, fire func()) *timer {
-	x := &timer{at, fire}
-	heap.Push(t, x)
-	return x
+	added := &timer{at, fire}
+	heap.Push(t, added)
+	return added
 }
 
-// due takes the earliest timer that has run out.
+// due removes the earliest timer whose time has come and returns its function; cancelled ones are removed on the way.
 func (t *timers) due(now time.Duration) (func(), bool) {
 	for len(*t) > 0 && (*t)[0].at <= now {
 		if fire := heap.Pop(t).(*timer).fire; fire != nil {
@@ -62,10 +73,13 @@
 	return nil, false
 }
 
-// next is the time until the earliest timer.
+// idleWake is how long the actor sleeps at most when no timer is set.
+const idleWake = time.Hour
+
+// next returns the time until the earliest timer.
 func (t *timers) next(now time.Duration) time.Duration {
 	if len(*t) == 0 {
-		return time.Hour
+		return idleWake
 	}
 	return max(0, (*t)[0].at-now)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,19 +1,17 @@
-// Package core drives the decision module. It deals in requests, attempts and outcomes and knows no wire.
+// Package core drives the routing module. It deals in requests, attempts and outcomes and is independent of the
+// database protocols.
 //
-// The module's actor is the one goroutine that runs Core.Run. It owns the module, its clock and timers, and the
-// table of open requests; it is the one place where a request gets its final answer, once. It never waits for
-// another actor: work goes to the database hosts through a call that may say no, and answers go back through
-// a call that must not block.
+// One goroutine, the actor, runs Core.Run. It owns the router, its clock and timers, and the table of open requests, and
+// it is the only place where a request gets its final answer, exactly once. It never waits for another actor: it starts
+// work at the database hosts through calls that may decline, and it replies to clients through calls that must not block.
 package core
 
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"time"
 
 	"cranegate/internal/invariant"
-	"cranegate/internal/logging"
 	"cranegate/internal/metrics"
 	"cranegate/internal/override"
 	"cranegate/routing"
@@ -25,223 +23,181 @@
 	Endpoint routing.Endpoint
 }
 
-// List is news of the hosts.
+// EndpointList is an update of the endpoint list from discovery.
 type EndpointList struct {
 	Kind  routing.EndpointListKind
 	Hosts []Host
 }
 
-// Servers runs attempts at database hosts. None of its calls may block.
+// Backend runs attempts at database hosts. None of its calls may block.
 type Backend interface {
-	// Update takes news of the list, before the module does.
+	// Update takes an update of the endpoint list, before the router does.
 	Update(EndpointList)
-	// Start hands an attempt to a host; false says that it can't be taken and never ran.
+	// Start hands an attempt to a host. It returns false if the host can't take it; the attempt has then not run.
 	Start(*Attempt) bool
-	// CloseIdle shuts idle connections to a host.
+	// CloseIdle closes idle connections to a host.
 	CloseIdle(member string)
 }
 
-// Options are what the core needs beside the module's own configuration.
+// Options are the settings of a Core beside the router's own.
 type Options struct {
 	Routing            routing.Config
 	Seed               uint64
-	AnswerSlack        time.Duration // a final answer may come this much after the client's deadline
+	AnswerSlack        time.Duration // how long after the client's deadline a final answer may come
 	HealthCheckTimeout time.Duration
 	Counters           *metrics.Counters
-	Monitor            *invariant.Monitor // takes violations of the rules; nil: they are not counted
+	Monitor            *invariant.Monitor // takes violations of the invariants; nil: they are not counted
 }
 
-// mailboxSize bounds what waits for the module's actor. Senders wait when it is full.
+// mailboxSize is the capacity of the actor's mailbox in events. Senders wait while it is full.
 const mailboxSize = 1024
 
-// Core is the module's actor.
+// Core is the routing module's actor.
 type Core struct {
-	opt      Options
-	classes  map[string]int
-	mailbox  chan func()
-	servers  Backend
-	router   *routing.Router
-	clock    clock
-	now      time.Duration
-	timers   timers
-	requests map[uint64]*Request
-	waiting  map[string][]*Attempt // by member: attempts that may not have been written
-	notices  notices
-	ended    []func() // outcomes for the module, after the event in hand
-	lastID   uint64
-	zonesAt  time.Duration      // when their reads are counted next
-	ctx      context.Context    // of all attempts; ends with the actor
-	hands    override.Overrides // which members are out by hand; the module's actor alone uses it
-	ready    chan struct{}      // closed when the first list has come
-	done     chan struct{}
-}
-
-// New makes the actor; Run starts it.
-func New(opt Options, servers Backend) (*Core, error) {
-	opt.Routing.PositionZero = 0 // the module's clock counts from the Unix epoch, and so do positions on sockets
-	c := &Core{opt: opt, classes: map[string]int{}, mailbox: make(chan func(), mailboxSize), servers: servers,
-		clock: newClock(), requests: map[uint64]*Request{}, waiting: map[string][]*Attempt{},
-		ready: make(chan struct{}), done: make(chan struct{})}
-	for i, k := range opt.Routing.Classes {
-		c.classes[k.Name] = i
+	options    Options
+	classIndex map[string]int // class name to index in the router's configuration
+	mailbox    chan event
+	done       chan struct{} // closed when the actor has ended
+	ready      chan struct{} // closed when the first endpoint list has come
+
+	// The actor alone uses the fields below, except for clock and withdrawals.
+	backend         Backend
+	router          *routing.Router
+	clock           clock
+	now             time.Duration
+	timers          timers
+	requests        map[uint64]*Request
+	unwritten       map[string][]*Attempt // by member: attempts of which no byte may have been written
+	withdrawals     withdrawals
+	pendingOutcomes []attemptEnded // for the router, after the current event
+	lastRequestID   uint64
+	nextZoneCount   time.Duration
+	ctx             context.Context // parent of all attempts' contexts; ends with the actor
+	overrides       override.Overrides
+}
+
+// New makes a Core; Run starts its actor.
+func New(options Options, backend Backend) (*Core, error) {
+	options.Routing.PositionZero = 0 // the core's clock counts from the Unix epoch, and so do positions on the wire
+	c := &Core{
+		options:    options,
+		classIndex: map[string]int{},
+		mailbox:    make(chan event, mailboxSize),
+		done:       make(chan struct{}),
+		ready:      make(chan struct{}),
+		backend:    backend,
+		clock:      newClock(),
+		requests:   map[uint64]*Request{},
+		unwritten:  map[string][]*Attempt{},
+	}
+	for i, class := range options.Routing.Classes {
+		c.classIndex[class.Name] = i
 	}
 	c.now = c.clock.now()
 	var err error
-	c.router, err = routing.New(c.now, opt.Routing, opt.Seed, (*gateway)(c))
+	c.router, err = routing.New(c.now, options.Routing, options.Seed, (*gateway)(c))
 	return c, err
 }
 
-// HasClass says whether requests of a class are known.
-func (c *Core) HasClass(name string) bool { _, ok := c.classes[name]; return ok }
+// HasClass reports whether a class of requests is configured.
+func (c *Core) HasClass(name string) bool {
+	_, ok := c.classIndex[name]
+	return ok
+}
 
-// Ready is closed once the module has a list and can serve.
+// Ready returns a channel that is closed once the router has an endpoint list and can serve.
 func (c *Core) Ready() <-chan struct{} { return c.ready }
 
-// post puts an event into the mailbox; it waits while that is full, and gives up once the actor has ended.
-func (c *Core) post(event func()) bool {
-	select {
-	case c.mailbox <- event:
-		return true
-	case <-c.done:
-		return false
-	}
-}
-
-// Wait is how long a request waits by itself: as its client says, and its class's deadline at most.
-func (c *Core) Timeout(q *Request) time.Duration {
-	i, ok := c.classes[q.Class]
+// Timeout returns how long a request waits for its answer: the client's own timeout, but no longer than its class's deadline.
+func (c *Core) Timeout(request *Request) time.Duration {
+	i, ok := c.classIndex[request.Class]
 	if !ok {
-		return q.Timeout
+		return request.Timeout
 	}
-	if d := c.opt.Routing.Classes[i].Deadline; q.Timeout <= 0 || q.Timeout > d { // later the answer is worth nothing
-		return d
+	deadline := c.options.Routing.Classes[i].Deadline
+	if request.Timeout <= 0 || request.Timeout > deadline { // an answer past the deadline has no value
+		return deadline
 	}
-	return q.Timeout
+	return request.Timeout
 }
 
-// Submit hands in a request. False says that the core has ended and no answer will come.
-func (c *Core) Submit(q *Request) bool { return c.post(func() { c.request(q) }) }
+// Submit gives a request to the actor. It returns false if the actor has ended, and no answer will come.
+func (c *Core) Submit(request *Request) bool {
+	return c.post(requestSubmitted{request})
+}
 
-// Gone tells that the client has left: no answer is owed. No attempt of the request begins once it is called, however
-// long the module's actor takes to hear of it.
-func (c *Core) ClientDisconnected(q *Request) {
-	q.leave(c)
-	c.post(func() { c.gone(q) })
+// ClientDisconnected marks the request's client as disconnected: no answer is due. No attempt of the request begins after
+// the call, however long the actor takes to handle the event.
+func (c *Core) ClientDisconnected(request *Request) {
+	request.markDisconnected(c)
+	c.post(clientDisconnected{request})
 }
 
-// Members hands in news of the list.
-func (c *Core) UpdateEndpoints(l EndpointList) { c.post(func() { c.members(l) }) }
+// UpdateEndpoints gives an update of the endpoint list to the actor.
+func (c *Core) UpdateEndpoints(list EndpointList) {
+	c.post(endpointsUpdated{list})
+}
 
-// Run is the actor's life. It ends with the context.
+// Run is the actor's loop. It ends with the context.
 func (c *Core) Run(ctx context.Context) error {
 	defer close(c.done)
 	c.ctx = ctx
-	wake := time.NewTimer(time.Hour)
+	wake := time.NewTimer(idleWake)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case event := <-c.mailbox:
+		case e := <-c.mailbox:
 			c.now = c.clock.now()
-			event()
+			e.handle(c)
 		case <-wake.C:
 			c.now = c.clock.now()
 		}
-		c.settle()
-		c.countZones()
-		for t, ok := c.timers.due(c.now); ok; t, ok = c.timers.due(c.now) {
-			t()
-			c.settle()
+		c.deliverOutcomes()
+		c.countZoneReads()
+		for fire, ok := c.timers.due(c.now); ok; fire, ok = c.timers.due(c.now) {
+			fire()
+			c.deliverOutcomes()
 		}
 		wake.Reset(c.timers.next(c.clock.now()))
 	}
 }
 
-// countZones adds up, every second, where reads were stated to go and where they went.
-func (c *Core) countZones() {
-	z := c.router.Zones()
-	if z == nil || c.now < c.zonesAt {
-		return
-	}
-	c.zonesAt = c.now + time.Second
-	for t, f := range z.Metrics() {
-		c.opt.Counters.Add(fmt.Sprintf("tier_%d_reads", t), int64(f.Reads))
-		c.opt.Counters.Add(fmt.Sprintf("tier_%d_stated", t), int64(f.ConfiguredShare*float64(f.All)+0.5))
+// deliverOutcomes passes to the router the outcomes of attempts that ended during the current event: the router must not
+// be called from within one of its own actions.
+func (c *Core) deliverOutcomes() {
+	for len(c.pendingOutcomes) > 0 {
+		ended := c.pendingOutcomes[0]
+		c.pendingOutcomes = c.pendingOutcomes[1:]
+		c.reportOutcome(ended.attempt, ended.outcome)
 	}
 }
 
-// settle tells the module of attempts that ended while it was acting: it must not be called from within.
-func (c *Core) settle() {
-	for len(c.ended) > 0 {
-		event := c.ended[0]
-		c.ended = c.ended[1:]
-		event()
-	}
-}
-
-// request takes in one request. The table holds it until its last attempt is over.
-func (c *Core) request(q *Request) {
-	class, ok := c.classes[q.Class]
-	if !ok || q.ended {
-		q.Reply(Answer{Status: Failed})
-		return
-	}
-	c.opt.Counters.Add("requests", 1)
-	if q.hasLeft() { // while it waited for this actor: the module need not know of it
-		c.opt.Counters.Add("clients_gone", 1)
-		q.ended = true
-		return
-	}
-	c.lastID++
-	q.id, q.class = c.lastID, &c.opt.Routing.Classes[class]
-	arrived := min(c.now, c.clock.at(q.Arrived))
-	q.Timeout = c.Timeout(q)
-	q.deadline = arrived + q.Timeout
-	in := routing.Request{ID: q.id, Class: class, Tenant: -1, Session: q.Session, Group: q.Group, Retry: q.Retry,
-		Remaining: q.deadline - c.now}
-	if q.MinPosition > 0 {
-		// A commit is rounded up and may lie a little ahead of this clock; zero would mean that there is none.
-		in.SinceWrite = max(1, c.now-time.Duration(q.MinPosition)*time.Millisecond)
-	}
-	c.requests[q.id] = q
-	q.overdue = c.timers.add(q.deadline+c.opt.AnswerSlack/2, func() { c.overdue(q) })
-	c.router.Request(c.now, in)
-}
+// zoneCountInterval is how often the reads of each zone tier are added to the counters.
+const zoneCountInterval = time.Second
 
-// overdue guards against a request without an answer: the module gives one before, unless it is at fault.
-func (c *Core) overdue(q *Request) {
-	if q.ended {
+// countZoneReads adds to the counters how many reads each zone tier got and how many it was to get by configuration.
+func (c *Core) countZoneReads() {
+	zones := c.router.Zones()
+	if zones == nil || c.now < c.nextZoneCount {
 		return
 	}
-	c.opt.Counters.Add("overdue", 1)
-	c.opt.Monitor.Report(invariant.Violation{Rule: invariant.Close, Reason: invariant.LateAnswer, Request: q.ID})
-	slog.Warn("overdue", "id", q.ID, "request", q.id, "class", q.Class, "attempts", q.sent)
-	c.answer(q, Answer{Status: Failed})
-	c.router.ClientDisconnected(c.now, q.id)
-	c.forget(q)
-}
-
-// gone takes a client's leaving.
-func (c *Core) gone(q *Request) {
-	if q.ended || q.id == 0 {
-		return
+	c.nextZoneCount = c.now + zoneCountInterval
+	for tier, m := range zones.Metrics() {
+		c.options.Counters.Add(fmt.Sprintf("tier_%d_reads", tier), int64(m.Reads))
+		c.options.Counters.Add(fmt.Sprintf("tier_%d_stated", tier), int64(m.ConfiguredShare*float64(m.All)+0.5))
 	}
-	c.opt.Counters.Add("clients_gone", 1)
-	c.end(q)
-	c.router.ClientDisconnected(c.now, q.id)
-	c.forget(q)
 }
 
-// members takes news of the list. What waits for a connection to a host that may not be sent anything new
-// never ran: that guards against a send after a drain was told.
-func (c *Core) members(l EndpointList) {
-	c.servers.Update(l)
-	m := routing.EndpointList{Kind: l.Kind}
-	for _, h := range l.Hosts {
-		m.Endpoints = append(m.Endpoints, h.Endpoint)
+// handleEndpoints applies an update of the endpoint list.
+func (c *Core) handleEndpoints(list EndpointList) {
+	c.backend.Update(list)
+	update := routing.EndpointList{Kind: list.Kind}
+	for _, host := range list.Hosts {
+		update.Endpoints = append(update.Endpoints, host.Endpoint)
 	}
-	c.entries(c.hands.Apply(c.now, m))
-	if l.Kind != routing.EndpointListFailed {
+	c.applyEndpoints(c.overrides.Apply(c.now, update))
+	if list.Kind != routing.EndpointListFailed {
 		select {
 		case <-c.ready:
 		default:
@@ -250,67 +206,24 @@
 	}
 }
 
-// entries hands the module what it has to hold of the members.
-func (c *Core) entries(m routing.EndpointList) {
-	stays := map[string]bool{}
-	for _, e := range m.Endpoints {
-		stays[e.Member] = e.Phase == routing.PhaseServing
+// applyEndpoints gives the router an endpoint list with the manual overrides applied, and withdraws the attempts that wait
+// for a connection to a host that no longer serves. This prevents sends to a host after it was listed as draining.
+func (c *Core) applyEndpoints(list routing.EndpointList) {
+	serving := map[string]bool{}
+	for _, endpoint := range list.Endpoints {
+		serving[endpoint.Member] = endpoint.Phase == routing.PhaseServing
 	}
-	c.notices.take(c.now, m, c.opt.Routing.OnlyDrainingBinds)
-	c.router.UpdateEndpoints(c.now, m)
-	for member, attempts := range c.waiting {
-		on, listed := stays[member]
-		if on || !listed && m.Kind == routing.EndpointListPatch {
+	c.withdrawals.update(c.now, list, c.options.Routing.OnlyDrainingBinds)
+	c.router.UpdateEndpoints(c.now, list)
+	for member, attempts := range c.unwritten {
+		serves, listed := serving[member]
+		unchanged := !listed && list.Kind == routing.EndpointListPatch
+		if serves || unchanged {
 			continue
 		}
 		for _, a := range attempts {
-			a.neverBegins(routing.ResultNotSent, "host_withdrawn")
+			a.withdraw(routing.ResultNotSent, "host_withdrawn")
 		}
-		delete(c.waiting, member) // its id may never come again
-	}
-}
-
-// answer gives the final answer. It is the only place that does.
-func (c *Core) answer(q *Request, a Answer) {
-	if q.ended {
-		return
-	}
-	c.end(q)
-	c.opt.Counters.Add(a.Status.String(), 1)
-	c.opt.Counters.ObserveLatency(c.now - q.deadline + q.Timeout)
-	if logging.Debugs() {
-		slog.Debug("answered", "id", q.ID, "class", q.Class, "status", a.Status, "attempts", q.sent, "took", c.now-q.deadline+q.Timeout)
-	}
-	q.answered.Store(true)
-	q.Reply(a)
-}
-
-// unserved gives a final answer that is no service, and counts why.
-func (c *Core) unserved(q *Request, a Answer, why routing.Reason) {
-	if q.ended {
-		return
-	}
-	c.opt.Counters.Add(a.Status.String()+"_"+string(why), 1)
-	if logging.Debugs() {
-		slog.Debug("unserved", "id", q.ID, "status", a.Status, "reason", why, "attempts", q.sent)
-	}
-	c.answer(q, a)
-}
-
-// end marks a request as over. What still waits for a connection on its behalf never begins.
-func (c *Core) end(q *Request) {
-	q.ended = true
-	q.overdue.cancel()
-	for _, a := range q.out {
-		a.neverBegins(routing.ResultNotSent, "request_ended")
-	}
-	c.forget(q)
-}
-
-// forget drops a request once it is over with all its attempts. It guards against a table that grows by each request
-// that ends without one.
-func (c *Core) forget(q *Request) {
-	if q.ended && len(q.out) == 0 {
-		delete(c.requests, q.id)
+		delete(c.unwritten, member) // the member's id may never come again
 	}
 }
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -1,94 +1,99 @@
 package core
 
 import (
-	"cranegate/internal/zones"
-	"cranegate/routing"
 	"log/slog"
 	"time"
+
+	"cranegate/internal/zones"
+	"cranegate/routing"
 )
 
-// gateway is the side of the core that the module acts through. The module calls it from within an event, so
-// whatever an action brings about at once is told to the module only after that event.
+// gateway implements routing.Gateway, the router's actions. The router calls it during an event; the outcomes of attempts
+// that end at once are reported to the router only after that event.
 type gateway Core
 
 // Send starts the next attempt of a request.
 func (g *gateway) Send(id uint64, member string, abandonAt, beginBy time.Duration) {
 	c := (*Core)(g)
-	q := c.requests[id]
-	if q == nil {
-		slog.Warn("send_unknown", "request", id, "member", member)
+	request := c.requests[id]
+	if request == nil {
+		slog.Warn("send_for_unknown_request", "sequence", id, "host", member)
 		return
 	}
-	if abandonAt <= 0 || abandonAt > q.deadline {
-		abandonAt = q.deadline
+	if abandonAt <= 0 || abandonAt > request.deadline {
+		abandonAt = request.deadline
 	}
-	a := c.attempt(q, member, abandonAt)
+	a := c.newAttempt(request, member, abandonAt)
 	if beginBy < abandonAt {
-		a.within(beginBy)
+		a.setStartDeadline(beginBy)
 	}
-	a.number = q.sent
-	q.sent++
-	q.out = append(q.out, a)
-	c.opt.Counters.Add("attempts", 1)
-	if q.ended || a.number >= c.opt.Routing.MaxAttempts || abandonAt <= c.now {
-		a.neverBegins(routing.ResultNotSent, "not_started")
+	a.number = request.attemptCount
+	request.attemptCount++
+	request.attempts = append(request.attempts, a)
+	c.options.Counters.Add("attempts", 1)
+	if request.ended || a.number >= c.options.Routing.MaxAttempts || abandonAt <= c.now {
+		a.withdraw(routing.ResultNotSent, "not_started")
 		return
 	}
-	c.checkStart(member)
-	c.start(a)
+	c.checkSlowStart(member)
+	c.startAttempt(a)
 }
 
 // Cancel abandons one attempt.
 func (g *gateway) Cancel(id uint64, number int) {
-	if q := g.requests[id]; q != nil {
-		for _, a := range q.out {
-			if a.number == number {
-				a.abandon(routing.ResultCancelled)
-			}
+	request := g.requests[id]
+	if request == nil {
+		return
+	}
+	for _, a := range request.attempts {
+		if a.number == number {
+			a.abandon(routing.ResultCancelled)
 		}
 	}
 }
 
-// Refuse gives a final answer that promises that nothing ran.
-func (g *gateway) Reject(id uint64, comeBack time.Duration, why routing.Reason) {
-	if q := g.requests[id]; q != nil {
-		(*Core)(g).unserved(q, Answer{Status: Rejected, RetryAfter: comeBack}, why)
+// Reject gives a final answer that promises that nothing ran.
+func (g *gateway) Reject(id uint64, retryAfter time.Duration, reason routing.Reason) {
+	if request := g.requests[id]; request != nil {
+		(*Core)(g).answerUnserved(request, Answer{Status: Rejected, RetryAfter: retryAfter}, reason)
 	}
 }
 
 // Fail gives a final answer that promises nothing.
-func (g *gateway) Fail(id uint64, why routing.Reason) {
-	if q := g.requests[id]; q != nil {
-		(*Core)(g).unserved(q, Answer{Status: Failed}, why)
+func (g *gateway) Fail(id uint64, reason routing.Reason) {
+	if request := g.requests[id]; request != nil {
+		(*Core)(g).answerUnserved(request, Answer{Status: Failed}, reason)
 	}
 }
 
-// Close shuts idle connections to a member.
-func (g *gateway) CloseIdle(member string) { g.servers.CloseIdle(member) }
+// CloseIdle closes idle connections to a member.
+func (g *gateway) CloseIdle(member string) { g.backend.CloseIdle(member) }
 
-// Probe examines a member.
+// CheckHealth starts a health check of a member, over a connection of the given kind.
 func (g *gateway) CheckHealth(member string, by routing.Conn) {
 	c := (*Core)(g)
-	c.opt.Counters.Add("probes", 1)
-	a := c.attempt(nil, member, c.now+c.opt.HealthCheckTimeout)
+	c.options.Counters.Add("probes", 1)
+	a := c.newAttempt(nil, member, c.now+c.options.HealthCheckTimeout)
 	a.Conn = by
-	c.start(a)
+	c.startAttempt(a)
 }
 
-// SetTimer asks for a timer event.
+// SetTimer schedules a timer event.
 func (g *gateway) SetTimer(after time.Duration, name string) {
 	g.timers.add(g.now+after, func() { g.router.Timer(g.now, name) })
 }
 
-// Subscribe and FetchEndpoints have nothing to do: the list's actor holds a watch all the time.
-func (g *gateway) Subscribe(bool)  {}
+// Subscribe does nothing: package discovery keeps a watch on the endpoint list at all times.
+func (g *gateway) Subscribe(bool) {}
+
+// FetchEndpoints does nothing, as Subscribe.
 func (g *gateway) FetchEndpoints() {}
 
-// ZoneChanged notes that a zone has come into another state.
-func (g *gateway) ZoneChanged(c zones.Change) {
-	g.opt.Counters.Add("zone_"+c.To.String(), 1)
-	slog.Info("zone", "zone", c.Zone, "from", c.From, "to", c.To, "evidence", c.Reason)
+// ZoneChanged counts and logs a zone's change of state.
+func (g *gateway) ZoneChanged(change zones.Change) {
+	g.options.Counters.Add("zone_"+change.To.String(), 1)
+	slog.Info("zone", "zone", change.Zone, "from", change.From, "to", change.To, "evidence", change.Reason)
 }
 
 // Log writes a line for people.
-func (g *gateway) Log(text string) { slog.Info("module", "text", text) }
+func (g *gateway) Log(text string) { slog.Info("routing", "text", text) }
--- /dev/null
+++ b/internal/core/invariants.go
@@ -0,0 +1,106 @@
+package core
+
+import (
+	"sync"
+	"time"
+
+	"cranegate/internal/invariant"
+	"cranegate/routing"
+)
+
+// withdrawals records which hosts may get no new attempts, and since when, for the invariant check on sends. The zero
+// value is ready to use. It is safe for concurrent use.
+type withdrawals struct {
+	mu    sync.RWMutex
+	hosts map[string]hostStatus // by member
+}
+
+// hostStatus is a host's status by the last endpoint list.
+type hostStatus struct {
+	withdrawnAt time.Duration // since when it drains or is off the list; 0: it is usable
+	listed      bool
+}
+
+// removedHostRetention is how long a host that is off the list is remembered. Nothing can be sent there after that.
+const removedHostRetention = time.Minute
+
+// update applies an endpoint list as the router gets it. With onlyDraining, a host that was removed without draining may
+// still be used.
+func (w *withdrawals) update(now time.Duration, list routing.EndpointList, onlyDraining bool) {
+	if list.Kind == routing.EndpointListFailed {
+		return
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.hosts == nil {
+		w.hosts = map[string]hostStatus{}
+	}
+	named := map[string]bool{}
+	for _, endpoint := range list.Endpoints {
+		named[endpoint.Member] = true
+		removed := endpoint.Phase == routing.PhaseRemoved
+		usable := endpoint.Phase == routing.PhaseServing || removed && onlyDraining
+		w.set(now, endpoint.Member, usable, !removed)
+	}
+	for member, status := range w.hosts {
+		if !named[member] && list.Kind != routing.EndpointListPatch && status.listed {
+			w.set(now, member, onlyDraining && status.withdrawnAt == 0, false)
+		} else if !status.listed && now-status.withdrawnAt > removedHostRetention {
+			delete(w.hosts, member)
+		}
+	}
+}
+
+// set records one host's status. The caller holds w.mu.
+func (w *withdrawals) set(now time.Duration, member string, usable, listed bool) {
+	status := w.hosts[member]
+	status.listed = listed
+	if usable {
+		status.withdrawnAt = 0
+	} else if status.withdrawnAt == 0 {
+		status.withdrawnAt = now
+	}
+	w.hosts[member] = status
+}
+
+// withdrawnAt returns when a member was withdrawn; 0: it is usable.
+func (w *withdrawals) withdrawnAt(member string) time.Duration {
+	w.mu.RLock()
+	defer w.mu.RUnlock()
+	return w.hosts[member].withdrawnAt
+}
+
+// checkedWrite calls write, which takes an attempt of a request out of stateWaiting, and checks the invariants on sends and
+// on retries. It returns what write returned. The state to check is read before: if the request was answered by then, all
+// its attempts have ended and write returns false.
+func (a *Attempt) checkedWrite(write func() bool) bool {
+	request, c := a.Request, a.core
+	now := c.clock.now()
+	send, by := invariant.CheckSend(invariant.Attempt{
+		Now:         now,
+		Deadline:    request.deadline,
+		Latest:      a.startDeadline,
+		Answered:    request.answered.Load(),
+		LeftAt:      time.Duration(request.disconnectedAt.Load()),
+		WithdrawnAt: c.withdrawals.withdrawnAt(a.Member),
+	})
+	repeat, written := request.ledger.Begin(a.number, now, invariant.Limits{
+		Effect:   request.class.Effect,
+		Window:   request.class.IdempotencyTTL,
+		Copies:   c.options.Routing.AllowHedging,
+		Attempts: c.options.Routing.MaxAttempts,
+	}, write)
+	if !written {
+		return false
+	}
+	c.options.Monitor.Report(invariant.Violation{Rule: invariant.Send, Reason: send, Request: request.ID, Host: a.Member, By: by})
+	c.options.Monitor.Report(invariant.Violation{Rule: invariant.Repeat, Reason: repeat, Request: request.ID, Host: a.Member})
+	return true
+}
+
+// checkSlowStart checks how much a host in slow start has been sent, the current attempt included.
+func (c *Core) checkSlowStart(member string) {
+	if c.router.Overdrawn(member) {
+		c.options.Monitor.Report(invariant.Violation{Rule: invariant.Start, Reason: invariant.BudgetOverdraw, Host: member})
+	}
+}
--- a/internal/soak/build.go
+++ b/internal/soak/build.go
@@ -47,8 +47,8 @@
 var Defects = []Defect{
 	{"sends-to-draining", []Edit{{"routing/attempts.go", "!m.usable, m.group != q.group,", "m.group != q.group,"}},
 		[]string{ruleDrain, ruleDeaf, ruleViolation}, nil},
-	{"close-unheard", []Edit{{"internal/core/core.go", "	q.leave(c)\n	c.post(func() { c.gone(q) })", ""},
-		{"internal/core/attempt.go", "!a.Request.leaves(a.core) && ", ""}}, []string{ruleGone}, []string{"leavers", "resets", "bad_answers", "late_connects"}},
+	{"close-unheard", []Edit{{"internal/core/core.go", "	request.markDisconnected(c)\n	c.post(clientDisconnected{request})", ""},
+		{"internal/core/attempt.go", "!a.Request.checkDisconnected(a.core) && ", ""}}, []string{ruleGone}, []string{"leavers", "resets", "bad_answers", "late_connects"}},
 	{"once-repeated", []Edit{{"routing/attempts.go", "		return min(q.limit, q.ranAt+q.class.IdempotencyTTL)\n	}\n	return 0", "	}\n	return q.limit"}},
 		[]string{ruleTwice, ruleViolation}, []string{"resets", "bad_answers", "host_dies"}},
 	{"answer-withheld", []Edit{{"internal/frontend/postgres/postgres.go", "	case core.Rejected:\n", "	case core.Rejected:\n		return errors.New(\"withheld\")\n"}},
