--- a/cmd/cranegate/descriptors.go
+++ b/cmd/cranegate/descriptors.go
@@ -5,7 +5,7 @@
 	"syscall"
 
 	"cranegate/internal/config"
-	"cranegate/internal/frontend"
+	"cranegate/internal/frontend/connlimit"
 )
 
 // What descriptors are set aside for, beside clients and database hosts. Nobody who comes takes one of these.
@@ -64,12 +64,12 @@
 	}
 	d.clients = 1
 	for n := left / 2; n > 1; n-- {
-		if n+frontend.RejectQueueSize(n)+n <= left {
+		if n+connlimit.RejectQueueSize(n)+n <= left {
 			d.clients = n
 			break
 		}
 	}
-	d.servers = max(1, (left-d.clients-frontend.RejectQueueSize(d.clients))/fronts)
+	d.servers = max(1, (left-d.clients-connlimit.RejectQueueSize(d.clients))/fronts)
 	if d.servers*fronts > d.clients { // as many as clients: one without a host's connection waits for one
 		d.servers = max(1, d.clients/fronts)
 	}
--- a/cmd/cranegate/descriptors_test.go
+++ b/cmd/cranegate/descriptors_test.go
@@ -18,7 +18,7 @@
 
 	"cranegate/internal/config"
 	"cranegate/internal/fake"
-	"cranegate/internal/frontend"
+	"cranegate/internal/frontend/connlimit"
 )
 
 // relaunch starts the program anew, with the configuration as it is now and the platform's front alone, under a limit on open
@@ -161,7 +161,7 @@
 					continue
 				}
 				n := max(1, fronts)
-				sum := d.clients + frontend.RejectQueueSize(d.clients) + n*(d.servers+forFront+forDiscovery) + forRuntime
+				sum := d.clients + connlimit.RejectQueueSize(d.clients) + n*(d.servers+forFront+forDiscovery) + forRuntime
 				for on, cost := range map[*bool]int{&second: forHandover + forAddress + d.staff, &checks: forChecks, &peers: forPeers} {
 					if *on {
 						sum += cost
--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -26,6 +26,7 @@
 	"cranegate/internal/discovery"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/frontend"
+	"cranegate/internal/frontend/connlimit"
 	"cranegate/internal/frontend/mysql"
 	"cranegate/internal/frontend/postgres"
 	"cranegate/internal/gossip"
@@ -49,10 +50,10 @@
 	counters *metrics.Counters
 	monitor  *invariant.Monitor
 	status   *agentcheck.Status
-	room     *frontend.Limiter // descriptors for clients
-	budget   *framebuf.Budget  // bytes for what clients send
-	servers  int               // descriptors for the database hosts of each protocol
-	staff    int               // callers at the second address at once
+	room     *connlimit.Limiter // descriptors for clients
+	budget   *framebuf.Budget   // bytes for what clients send
+	servers  int                // descriptors for the database hosts of each protocol
+	staff    int                // callers at the second address at once
 	stop     context.Context
 	work     context.Context     // outlives stop: what was taken is still answered
 	actors   *errgroup.Group     // live as long as work
@@ -112,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	g := &gateway{counters: &metrics.Counters{}, status: &agentcheck.Status{}, room: frontend.NewLimiter(d.clients),
+	g := &gateway{counters: &metrics.Counters{}, status: &agentcheck.Status{}, room: connlimit.New(d.clients),
 		budget: framebuf.NewBudget(int64(limits.MemoryMB) << 20 / 4), servers: d.servers, staff: d.staff, stop: stop, work: work, fronts: &errgroup.Group{},
 		lists: map[string]followed{}, limits: limits, handed: handed{places: d.clients}}
 	logs.Count(g.counters)
@@ -301,7 +302,7 @@
 	calls := backoff.New(f.settings.Routing.Gateways, f.seed)
 	front := &frontend.Server{Name: f.name, Protocol: f.front, Core: c, Limiter: g.room, Budget: g.budget, Counters: g.counters, Monitor: g.monitor}
 	if g.hand != nil {
-		front.Pass = g.pass(f.name)
+		front.Transfer = g.pass(f.name)
 		front.SharedListener = f.name == "postgres" && os.Getenv(listenfd.Variable) != ""
 	}
 	g.lists[f.name] = followed{discovery.NewWatcher(f.discovery, f.known, c.UpdateEndpoints, calls, g.counters), c, pool, calls, front, f.settings.Routing.Zone}
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -2,84 +2,79 @@
 
 import (
 	"context"
-	"cranegate/internal/invariant"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net"
 	"os"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"cranegate/internal/invariant"
 )
 
 const (
-	stopAfter  = 500 * time.Millisecond // after a stop, new connections go on being taken for this long
-	acceptWait = 20 * time.Millisecond  // after a failed accept
-	drainLook  = 10 * time.Millisecond  // a listener's backlog is empty once nobody has come for so long,
-	drainFor   = 300 * time.Millisecond // and it is closed after so long at the latest
+	stopDelay            = 500 * time.Millisecond // from the end of Run's context until the listener is closed
+	acceptRetryDelay     = 20 * time.Millisecond
+	backlogDrainInterval = 10 * time.Millisecond  // the backlog is empty once no client has come for this long
+	backlogDrainTimeout  = 300 * time.Millisecond // after which the listener is closed in any case
 )
 
-// intake is a listener whose clients are taken.
-type intake struct {
-	net.Listener
-	draining atomic.Bool   // it is about to be closed: what waits in its backlog is taken
-	done     chan struct{} // closed once nobody is taken from it any more
-	closed   chan struct{} // closed once it is closed, or is as soon as an accept that hangs comes back
-	ends     sync.Once     // the end of this process and one that takes its clients may both close it
-}
-
-// accepts begins to take a listener's clients.
-func (s *Server) accepts(l net.Listener) *intake {
-	in := &intake{Listener: l, done: make(chan struct{}), closed: make(chan struct{})}
-	go s.accept(in)
-	return in
-}
-
-// Run accepts clients until the context ends, and some time longer; then it closes the listener behind the last client in
-// its backlog, has all clients sent away, and returns once every request taken has its answer.
+// Run accepts and serves clients until the context ends. It accepts them for up to 0.5 s more, closes the listener once its
+// backlog is empty, drains all clients, and returns when every request that was read has its answer.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
-	s.guardStart()
+	s.checkStart()
 	s.mu.Lock()
-	if s.intake = s.accepts(l); s.retired {
-		s.shut()
+	s.acceptor = s.startAcceptor(l)
+	if s.retired {
+		s.closeListener()
 	}
 	s.mu.Unlock()
-	<-ctx.Done() // one that is retired before serves those on that it has
+	<-ctx.Done() // a retired server goes on serving its clients until then
 	s.Limiter.Shutdown()
+	s.stopAccepting()
+	s.awaitSessions()
+	return nil
+}
+
+// stopAccepting closes the listener after stopDelay, or as soon as another process accepts the clients.
+func (s *Server) stopAccepting() {
 	s.mu.Lock()
 	s.stopping = true
-	left := s.leaving()
+	retired := s.nextRetirement()
 	s.mu.Unlock()
 	select {
-	case <-left:
-	case <-time.After(stopAfter):
+	case <-retired:
+	case <-time.After(stopDelay):
 	}
 	s.mu.Lock()
 	if !s.retired {
-		go s.intake.close()
+		go s.acceptor.drainAndClose()
 	}
-	in := s.intake
+	acceptor := s.acceptor
 	s.mu.Unlock()
-	<-in.closed
+	<-acceptor.closed
+}
+
+// awaitSessions waits for the last session and ends the server. An older process may transfer connections until then.
+func (s *Server) awaitSessions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.kept != nil {
-		s.kept.Close()
+	if s.parkedListener != nil {
+		s.parkedListener.Close()
 	}
-	for s.running > 0 { // an older process may pass connections on till the last of them has ended
-		none := make(chan struct{})
-		s.none = none
+	for s.running > 0 {
+		idle := make(chan struct{})
+		s.idleSignal = idle
 		s.mu.Unlock()
-		<-none
+		<-idle
 		s.mu.Lock()
 	}
 	s.ended = true
-	return nil
 }
 
-// guardStart checks that the core can serve as clients begin to be taken.
-func (s *Server) guardStart() {
+// checkStart reports a violation where the core can't serve yet.
+func (s *Server) checkStart() {
 	select {
 	case <-s.Core.Ready():
 	default:
@@ -87,203 +82,150 @@
 	}
 }
 
-// accept takes clients until the listener is closed, or its backlog is empty as it is about to be. Nobody waits for it
-// without end: where another process that shares the socket has set it to blocking, an accept may hang in the kernel, and
-// keep Close waiting too, until one more client comes.
-func (s *Server) accept(in *intake) {
-	defer close(in.done)
-	for looked := false; ; {
-		draining := in.draining.Load()
-		if draining {
-			in.deadline(time.Now().Add(drainLook)) // of its own for each, as one that has passed takes nobody
-		}
-		conn, err := in.Accept()
-		switch {
-		case err == nil:
-			looked = false
-			s.admit(s.session(conn))
-		case errors.Is(err, net.ErrClosed):
-			return
-		case errors.Is(err, os.ErrDeadlineExceeded):
-			if looked { // twice: the first may have been cut short by close
-				return
-			}
-			looked = draining
-		default:
-			slog.Warn("accept_failed", "front", s.Name, "error", err)
-			time.Sleep(acceptWait)
-		}
-	}
-}
-
-// deadline bounds the present accept and those to come. False says that this listener knows none.
-func (in *intake) deadline(t time.Time) bool {
-	l, ok := in.Listener.(interface{ SetDeadline(time.Time) error })
-	return ok && l.SetDeadline(t) == nil
-}
-
-// close closes the listener once its backlog is empty: whoever waits there has a connection, and may have asked.
-func (in *intake) close() { in.ends.Do(in.drain) }
-
-func (in *intake) drain() {
-	in.draining.Store(true)
-	if in.deadline(time.Now()) {
-		in.wait()
-	}
-	ended := make(chan struct{})
-	go func() { in.Close(); close(ended) }() // see accept
-	select {
-	case <-ended:
-	case <-time.After(drainFor):
+// spawn runs a function in a goroutine that Run waits for. It returns false once Run has returned.
+func (s *Server) spawn(f func()) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.ended {
+		return false
 	}
-	in.wait()
-	close(in.closed)
-}
-
-// abandon closes a listener whose clients wait for another process.
-func (in *intake) abandon() {
-	in.ends.Do(func() {
-		go in.Close() // see accept
-		close(in.closed)
-	})
+	s.running++
+	go func() {
+		defer s.finished()
+		f()
+	}()
+	return true
 }
 
-func (in *intake) wait() {
-	select {
-	case <-in.done:
-	case <-time.After(drainFor):
+// finished counts a function of spawn that has returned.
+func (s *Server) finished() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.running--
+	if s.running == 0 && s.idleSignal != nil {
+		close(s.idleSignal)
+		s.idleSignal = nil
 	}
 }
 
-// admit serves a client that has come, or has it wait for a place, or tells it that there is none.
-func (s *Server) admit(x *Session) {
-	conn := x.Conn.Conn
+// admit serves a new client, or lets it wait for a slot, or rejects it.
+func (s *Server) admit(session *Session) {
+	conn := session.Conn.Conn
 	s.Counters.Add(s.Name+"_clients", 1)
-	if s.Limiter.take(x) {
-		if !s.spawn(func() { s.serve(x) }) {
-			s.Limiter.leave(x)
-			brush(s.Protocol, conn)
+	if s.Limiter.TryAcquire(session.slot) {
+		if !s.spawn(func() { s.serve(session) }) {
+			s.Limiter.Release(session.slot)
+			rejectBusy(s.Protocol, conn)
 		}
 		return
 	}
-	if s.Limiter.lobby.enter() {
-		if s.spawn(func() { s.await(x) }) {
+	if s.Limiter.EnterRejectQueue() {
+		if s.spawn(func() { s.awaitSlot(session) }) {
 			return
 		}
-		s.Limiter.lobby.leave()
+		s.Limiter.LeaveRejectQueue()
 	}
 	s.Counters.Add(s.Name+"_clients_turned_away", 1)
-	brush(s.Protocol, conn)
+	rejectBusy(s.Protocol, conn)
 }
 
-// await has a client wait in the lobby for a place.
-func (s *Server) await(x *Session) {
-	if s.Limiter.enter(x) {
-		s.Limiter.lobby.leave()
-		s.serve(x)
+// awaitSlot serves a client of the reject queue once it has a slot, or rejects it.
+func (s *Server) awaitSlot(session *Session) {
+	if s.Limiter.Acquire(session.slot) {
+		s.Limiter.LeaveRejectQueue()
+		s.serve(session)
 		return
 	}
-	defer s.Limiter.lobby.leave()
+	defer s.Limiter.LeaveRejectQueue()
 	s.Counters.Add(s.Name+"_clients_turned_away", 1)
-	conn := x.Conn.Conn
-	conn.SetWriteDeadline(time.Now().Add(lingerFor))
-	s.Protocol.Reject(conn)
-	linger(conn)
+	reject(s.Protocol, session.Conn.Conn)
 }
 
-// spawn has Run wait for a function. False says that this server has ended.
-func (s *Server) spawn(f func()) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.ended {
-		return false
-	}
-	s.running++
-	go func() {
-		defer func() {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			if s.running--; s.running == 0 && s.none != nil {
-				close(s.none)
-				s.none = nil
+// acceptor accepts the clients of one listener.
+type acceptor struct {
+	net.Listener
+	draining  atomic.Bool   // the listener is about to be closed: clients in its backlog are accepted
+	done      chan struct{} // closed when no more clients are accepted
+	closed    chan struct{} // closed when the listener is, or will be once a blocked Accept returns
+	closeOnce sync.Once     // the end of this process and a successor may both close it
+}
+
+// startAcceptor accepts a listener's clients in a goroutine of its own.
+func (s *Server) startAcceptor(l net.Listener) *acceptor {
+	a := &acceptor{Listener: l, done: make(chan struct{}), closed: make(chan struct{})}
+	go s.acceptLoop(a)
+	return a
+}
+
+// acceptLoop accepts clients until the listener is closed, or its backlog is empty while it is draining. Nobody waits for it
+// without a limit: where another process has set a shared socket to blocking, Accept, and with it Close, may block in the
+// kernel until one more client comes.
+func (s *Server) acceptLoop(a *acceptor) {
+	defer close(a.done)
+	timedOut := false
+	for {
+		draining := a.draining.Load()
+		if draining {
+			a.setDeadline(time.Now().Add(backlogDrainInterval)) // anew for each Accept: one that has passed accepts nobody
+		}
+		conn, err := a.Accept()
+		switch {
+		case err == nil:
+			timedOut = false
+			s.admit(s.newSession(conn))
+		case errors.Is(err, net.ErrClosed):
+			return
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			if timedOut { // twice in a row: drainAndClose may have cut the first Accept short
+				return
 			}
-		}()
-		f()
-	}()
-	return true
-}
-
-// Retire closes the listener: another process takes the clients that come from now on. Those here are served on.
-func (s *Server) Retire() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.retired {
-		return
-	}
-	s.retired = true
-	close(s.leaving())
-	if s.intake != nil {
-		s.shut()
+			timedOut = draining
+		default:
+			slog.Warn("accept_failed", "front", s.Name, "error", err)
+			time.Sleep(acceptRetryDelay)
+		}
 	}
 }
 
-// shut closes the listener, and keeps a duplicate of a shared one: one of its own would have clients wait in a queue that
-// nobody looks at. s.mu is held.
-func (s *Server) shut() {
-	if l, ok := s.intake.Listener.(interface{ File() (*os.File, error) }); ok && s.SharedListener {
-		f, err := l.File()
-		if err != nil {
-			slog.Warn("listener_not_kept", "front", s.Name, "error", err)
-		}
-		s.kept = f
-		go s.intake.abandon() // it may wait for a close that has begun, which must hold nobody up
-		return
-	}
-	go s.intake.close()
+// setDeadline sets the deadline of current and later calls of Accept. It returns false where the listener has none.
+func (a *acceptor) setDeadline(t time.Time) bool {
+	l, ok := a.Listener.(interface{ SetDeadline(time.Time) error })
+	return ok && l.SetDeadline(t) == nil
 }
 
-// Resume undoes Retire, as the other process is gone: clients that come wait for this one. A process that ends does not
-// listen again.
-func (s *Server) Resume() error {
-	s.mu.Lock()
-	in, retired := s.intake, s.retired
-	s.mu.Unlock()
-	if in != nil && retired {
-		<-in.closed // its address is free then; whoever waits in its backlog may need s.mu
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.retired || s.stopping {
-		return nil
+// drainAndClose closes the listener once its backlog is empty: clients there are connected, and may have sent a request.
+func (a *acceptor) drainAndClose() { a.closeOnce.Do(a.drainBacklog) }
+
+func (a *acceptor) drainBacklog() {
+	a.draining.Store(true)
+	if a.setDeadline(time.Now()) {
+		a.awaitDone()
 	}
-	if s.intake != nil {
-		l, err := s.reopen()
-		if err != nil {
-			return fmt.Errorf("%s: listening again: %w", s.Name, err)
-		}
-		s.intake = s.accepts(l)
+	listenerClosed := make(chan struct{})
+	go func() { // Close may block, see acceptLoop
+		a.Close()
+		close(listenerClosed)
+	}()
+	select {
+	case <-listenerClosed:
+	case <-time.After(backlogDrainTimeout):
 	}
-	s.retired, s.left = false, nil
-	return nil
+	a.awaitDone()
+	close(a.closed)
 }
 
-// reopen listens again where the listener did. s.mu is held.
-func (s *Server) reopen() (net.Listener, error) {
-	if s.kept == nil {
-		return net.Listen(s.intake.Addr().Network(), s.intake.Addr().String())
-	}
-	l, err := net.FileListener(s.kept)
-	if err == nil {
-		s.kept.Close()
-		s.kept = nil
-	}
-	return l, err
+// abandon closes a shared listener. The clients in its backlog wait for another process.
+func (a *acceptor) abandon() {
+	a.closeOnce.Do(func() {
+		go a.Close() // may block, see acceptLoop
+		close(a.closed)
+	})
 }
 
-// leaving is the channel that Retire closes. s.mu is held.
-func (s *Server) leaving() chan struct{} {
-	if s.left == nil {
-		s.left = make(chan struct{})
+// awaitDone waits for the end of acceptLoop, up to backlogDrainTimeout.
+func (a *acceptor) awaitDone() {
+	select {
+	case <-a.done:
+	case <-time.After(backlogDrainTimeout):
 	}
-	return s.left
 }
--- a/internal/frontend/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -14,6 +14,7 @@
 	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/frontend"
+	"cranegate/internal/frontend/connlimit"
 	"cranegate/internal/frontend/postgres"
 	"cranegate/internal/invariant"
 	"cranegate/internal/metrics"
@@ -70,7 +71,7 @@
 		t.Fatal(err)
 	}
 	l := &busy{TCPListener: tcp.(*net.TCPListener), held: make(chan struct{}), ends: make(chan struct{}), looks: make(chan struct{}, 1)}
-	s := &frontend.Server{Name: "backlog", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: frontend.NewLimiter(50),
+	s := &frontend.Server{Name: "backlog", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: connlimit.New(50),
 		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -243,7 +244,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &frontend.Server{Name: "again", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: frontend.NewLimiter(50),
+	s := &frontend.Server{Name: "again", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: connlimit.New(50),
 		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -289,7 +290,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &frontend.Server{Name: "to", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: frontend.NewLimiter(50),
+	s := &frontend.Server{Name: "to", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: connlimit.New(50),
 		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}}
 	stopped, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -345,7 +346,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &frontend.Server{Name: "early", Protocol: postgres.Protocol{}, Core: c, Limiter: frontend.NewLimiter(5), Counters: counters,
+	s := &frontend.Server{Name: "early", Protocol: postgres.Protocol{}, Core: c, Limiter: connlimit.New(5), Counters: counters,
 		Monitor: &invariant.Monitor{Counters: counters}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -19,6 +19,7 @@
 	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/frontend"
+	"cranegate/internal/frontend/connlimit"
 	"cranegate/internal/frontend/mysql"
 	"cranegate/internal/frontend/postgres"
 	"cranegate/internal/invariant"
@@ -73,7 +74,7 @@
 	pool     *backend.Pool
 	counters *metrics.Counters
 	pipes    *pipes
-	room     *frontend.Limiter
+	room     *connlimit.Limiter
 	budget   *framebuf.Budget
 	stop     context.CancelFunc // as SIGTERM does
 	kill     context.CancelFunc
@@ -87,7 +88,7 @@
 // newRigFor has places for a number of clients, and holds itself for one of so many gateways.
 func newRigFor(places, gateways int, mysqlFront bool, hosts ...*fake.Host) *rig {
 	r := &rig{mysql: mysqlFront, hosts: hosts, down: make([]atomic.Bool, len(hosts)), counters: &metrics.Counters{},
-		budget: framebuf.NewBudget(rigBudget), room: frontend.NewLimiter(places),
+		budget: framebuf.NewBudget(rigBudget), room: connlimit.New(places),
 		pipes: &pipes{conns: make(chan net.Conn), done: make(chan struct{})}, ended: make(chan error, 1)}
 	work, kill := context.WithCancel(context.Background())
 	stopped, stop := context.WithCancel(context.Background())
--- a/internal/frontend/lend_test.go
+++ b/internal/frontend/lend_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cranegate/internal/fake"
-	"cranegate/internal/frontend"
+	"cranegate/internal/frontend/connlimit"
 )
 
 // TestLentPlaces lends half of the places of a full room, one after the other: idle clients give way, never is more held and
@@ -37,12 +37,12 @@
 			if err != nil {
 				return fmt.Errorf("place %d: %w", i, err)
 			}
-			if over := rig.room.Held() + len(back) + 1; over > places {
+			if over := rig.room.InUse() + len(back) + 1; over > places {
 				return fmt.Errorf("%d of %d places are held", over, places)
 			}
 			back = append(back, giveBack)
 		}
-		var many frontend.ReservationLimitError
+		var many connlimit.ReservationLimitError
 		if _, err := rig.room.Reserve(context.Background()); !errors.As(err, &many) || many.Reserved != places/2 || !strings.Contains(err.Error(), "limits.sockets") {
 			return fmt.Errorf("past the half: %v", err)
 		}
@@ -52,7 +52,7 @@
 				return fmt.Errorf("client %d meanwhile: %w", i, err)
 			}
 			defer c.Close()
-			if held := rig.room.Held(); held+len(back) > places {
+			if held := rig.room.InUse(); held+len(back) > places {
 				return fmt.Errorf("%d places are held and %d lent of %d", held, len(back), places)
 			}
 		}
@@ -66,7 +66,7 @@
 			}
 			defer c.Close()
 		}
-		if held := rig.room.Held(); held != places {
+		if held := rig.room.InUse(); held != places {
 			return fmt.Errorf("%d of %d places are held in the end", held, places)
 		}
 		return nil
--- a/internal/frontend/mysql/mysql.go
+++ b/internal/frontend/mysql/mysql.go
@@ -292,7 +292,7 @@
 		c.err(errMemory, "")
 		return nil
 	}
-	a, err := c.Ask(&core.Request{Class: PrepareClass, Group: meta.Group,
+	a, err := c.Do(&core.Request{Class: PrepareClass, Group: meta.Group,
 		Payload: &mysqlwire.Command{Kind: mysqlwire.ComStmtPrepare, Statement: s.Statement}}, "", 0)
 	if err != nil || a.Status != core.Served {
 		c.let(s) // a late answer of a member finds it dropped, and closes it there
@@ -374,7 +374,7 @@
 		return nil
 	}
 	command.Meta = meta
-	a, err := c.Ask(&core.Request{Class: meta.Class, Group: meta.Group, Session: meta.Key, Timeout: meta.Timeout,
+	a, err := c.Do(&core.Request{Class: meta.Class, Group: meta.Group, Session: meta.Key, Timeout: meta.Timeout,
 		MinPosition: meta.MinPosition, Retry: meta.Retry, Payload: command}, meta.ID, size)
 	if errors.Is(err, frontend.ErrDuplicateID) {
 		c.err(errOpen, "")
--- a/internal/frontend/postgres/postgres.go
+++ b/internal/frontend/postgres/postgres.go
@@ -164,7 +164,7 @@
 	}
 	var a core.Answer
 	if err == nil {
-		a, err = c.Ask(&core.Request{Class: s.Class, Group: s.Group, Session: s.Key, Timeout: s.Timeout, MinPosition: s.MinPosition,
+		a, err = c.Do(&core.Request{Class: s.Class, Group: s.Group, Session: s.Key, Timeout: s.Timeout, MinPosition: s.MinPosition,
 			Retry: s.Retry, Payload: s}, s.ID, len(text))
 		if err != nil && !errors.Is(err, frontend.ErrDuplicateID) {
 			return err
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -1,141 +1,197 @@
 package frontend
 
 import (
-	"cranegate/internal/core"
-	"cranegate/internal/framebuf"
-	"cranegate/internal/metrics"
 	"errors"
 	"io"
 	"net"
 	"os"
-	"sync/atomic"
 	"time"
+
+	"cranegate/internal/core"
+	"cranegate/internal/framebuf"
+	"cranegate/internal/frontend/connlimit"
+	"cranegate/internal/frontend/drain"
+	"cranegate/internal/metrics"
 )
 
-// Session is one client's connection. Its goroutine is the client's actor; Conn.Wake with an answer or a stop
-// is its mailbox.
+const (
+	messageTimeout      = 10 * time.Second        // for a complete message from its first byte on
+	stallTimeout        = 2500 * time.Millisecond // without another byte of a message: a client that stops is closed within 3 s
+	startupTimeout      = 2500 * time.Millisecond // from accept until the startup, and as long as that lasts a first request, is complete
+	firstRequestTimeout = time.Second             // for a first request that begins later
+	finalReadTimeout    = 20 * time.Millisecond   // for bytes that had arrived when one of these times ended
+	maxFaults           = 16                      // unusable messages in a row
+)
+
+// Session is one client's connection. Its goroutine owns all fields but the slot; Conn.Wake interrupts it for an answer, an
+// eviction or a drain.
 type Session struct {
 	*framebuf.Conn
-	server       *Server
-	born         time.Time // when it was taken
-	slot         int       // spreads what many sessions do at one time
-	asked        bool      // it has had an answer
-	resumes      bool      // it has started up in another process
-	Transferable bool      // nothing is known of it but what Resumes tells: another process may go on with it; set by the front
-	starts       time.Time // until when the client must have said who it is; zero once it has
-	proves       time.Time // until when a first request must be whole; zero once one was good
-	arrived      time.Time // when the last byte of the message in hand came; it may have stood behind others since
-	faults       int       // messages in a row that could not be used
-	owes         bool      // a message was read that has no answer yet, for the guard on closes alone
-	lastID       string    // the id of the last request, for the log
-
-	leaving atomic.Bool // its place is wanted: it ends unless something has come
-	resting time.Time   // since when nothing is open, zero while something is; like the next two, owned by the room
-	silent  bool        // and it has asked nothing yet
-	ending  bool        // it has been let go, and its place is free soon
+	// Transferable is set by the protocol where Resumed is all the state of the connection, so that another process
+	// may serve it on.
+	Transferable bool
+
+	server               *Server
+	slot                 *connlimit.Slot
+	acceptedAt           time.Time
+	drainSlot            int       // spreads the closes of idle connections in a drain
+	answered             bool      // a request has been answered, or submitted
+	resumed              bool      // the startup took place in another process
+	startupDeadline      time.Time // zero once the startup is complete
+	firstRequestDeadline time.Time // zero once a request was usable
+	arrivedAt            time.Time // when the last byte of the current message came; it may have waited behind others
+	faults               int       // unusable messages in a row
+	unanswered           bool      // a message was read that has no answer yet; for checkClose alone
+	lastRequestID        string    // for the log
 }
 
-// Away says whether clients are sent away: who asks whether this gateway serves is owed a no.
-func (x *Session) Draining() bool { return x.server.Limiter.Draining() }
+// Draining reports whether client connections are being closed.
+func (s *Session) Draining() bool { return s.server.Limiter.Draining() }
+
+// Core returns the core that serves the session's requests.
+func (s *Session) Core() *core.Core { return s.server.Core }
+
+// Budget returns the memory budget for what the session keeps in addition to its buffer.
+func (s *Session) Budget() *framebuf.Budget { return s.server.Budget }
 
-// Core is the core that the session asks.
-func (x *Session) Core() *core.Core { return x.server.Core }
+// Counters returns the program's counters.
+func (s *Session) Counters() *metrics.Counters { return s.server.Counters }
 
-// Budget pays for what the session keeps beside its buffer.
-func (x *Session) Budget() *framebuf.Budget { return x.server.Budget }
+// Resumed reports whether the client has completed the startup in another process.
+func (s *Session) Resumed() bool { return s.resumed }
 
-// Counters are the program's counters.
-func (x *Session) Counters() *metrics.Counters { return x.server.Counters }
+// Started records that the client has completed the startup.
+func (s *Session) Started() { s.startupDeadline = time.Time{} }
 
-// Resumes says that the client has started up in another process, and had its welcome there.
-func (x *Session) Resumed() bool { return x.resumes }
+// RecordFault counts a message that could not be used. It returns ErrTooManyFaults after too many in a row.
+func (s *Session) RecordFault() error {
+	s.faults++
+	if s.faults >= maxFaults {
+		return ErrTooManyFaults
+	}
+	return nil
+}
 
-// Started says that the client has said who it is.
-func (x *Session) Started() { x.starts = time.Time{} }
+// RecordSuccess records that a message could be used.
+func (s *Session) RecordSuccess() {
+	s.faults = 0
+	s.answered = true
+}
 
-// Next waits for a message and calls read, which must take one whole message. It returns an error where the
-// client has left, or where clients are sent away and nothing of a message has come. What has come by then is taken:
-// that guards against a close that crosses a request.
-func (x *Session) Next(read func() error) error {
-	x.owes = false // the front has come back: it has answered, or nothing was owed
-	if x.Buffered() == 0 {
-		x.server.Limiter.rest(x)
+// Next waits for a message and calls read, which must read one complete message. It returns an error once the client has
+// disconnected, and where the session ends with nothing of a message there: evicted, drained or transferred. What has
+// arrived by then is read first, so that the close crosses no request.
+func (s *Session) Next(read func() error) error {
+	s.unanswered = false // the protocol has answered the last message, or none was due
+	if s.Buffered() == 0 {
+		s.server.Limiter.SetIdle(s.slot, s.firstRequestDeadline.IsZero())
+	}
+	if err := s.awaitMessage(); err != nil {
+		return err
 	}
-	// An answer has gone out just now, or nothing has been asked. Later is no time to end for one that is idle: its
-	// client may be about to ask.
-	behind := x.asked && x.server.Limiter.plan.Load().CloseAfterAnswer(time.Now())
-	for x.Buffered() == 0 {
-		plan := x.server.Limiter.plan.Load()
-		if plan.HandsOver() && x.Transferable && x.server.Pass != nil && x.server.Pass(x.Conn.Conn, x.starts.IsZero(), x.asked) {
-			x.server.Counters.Add(x.server.Name+"_clients_passed", 1)
-			return errPassed
+	s.server.Limiter.SetActive(s.slot)
+	err := s.readMessage(read)
+	s.arrivedAt = s.ArrivedAt()
+	if err != nil {
+		return disconnectError(err)
+	}
+	s.unanswered = true
+	return nil
+}
+
+// awaitMessage waits until part of a message has come. It returns an error where the session ends.
+func (s *Session) awaitMessage() error {
+	// An answer has just gone out, or the client has sent no request. Later is no time to close an idle connection: its
+	// client may be about to send.
+	closeNow := s.answered && s.schedule().CloseAfterAnswer(time.Now())
+	for s.Buffered() == 0 {
+		schedule := s.schedule()
+		if s.transfer(schedule) {
+			return errTransferred
 		}
-		if x.leaving.Load() || behind {
-			if err := x.endIdle(); err != nil {
-				return err
-			}
-			break
+		if closeNow || s.slot.Evicted() {
+			return s.endIdle()
 		}
-		until, idle := x.starts, plan.IdleDeadline(x.born, x.slot)
-		if !idle.IsZero() && (until.IsZero() || idle.Before(until)) {
-			until = idle
+		idleDeadline := schedule.IdleDeadline(s.acceptedAt, s.drainSlot)
+		deadline := s.startupDeadline
+		if !idleDeadline.IsZero() && (deadline.IsZero() || idleDeadline.Before(deadline)) {
+			deadline = idleDeadline
 		}
-		// What holds now may change before the wait begins: a wake is missed only if it does not.
-		err := x.Park(until, func() bool { return x.leaving.Load() || x.server.Limiter.plan.Load() != plan })
-		if err != nil && errors.Is(err, os.ErrDeadlineExceeded) && until.Equal(idle) {
-			if x.server.Limiter.plan.Load() == nil { // taken back meanwhile
-				continue
-			} else if err := x.endIdle(); err != nil {
-				return err
+		// Both may change before the wait begins, and a wake before it is lost: Park asks once more.
+		err := s.Park(deadline, func() bool { return s.slot.Evicted() || s.schedule() != schedule })
+		switch {
+		case err == nil:
+		case errors.Is(err, os.ErrDeadlineExceeded) && deadline.Equal(idleDeadline):
+			if s.schedule() != nil { // nil: the drain was ended meanwhile
+				return s.endIdle()
 			}
-			break
+		default:
+			return disconnectError(err)
 		}
-		if err != nil {
-			return x.gone(err)
-		}
-	}
-	x.server.Limiter.work(x)
-	err := x.whole(read)
-	if x.arrived = x.ArrivedAt(); err != nil {
-		return x.gone(err)
 	}
-	x.owes = true
 	return nil
 }
 
-// whole calls read until it has a whole message, the message's time is up, or nothing of it has come for stalledFor.
-func (x *Session) whole(read func() error) error {
-	end := x.server.Limiter.plan.Load().ReadDeadline(time.Now(), x.messageUntil())
+// schedule is the drain schedule, nil while the server is not draining.
+func (s *Session) schedule() *drain.Schedule { return s.server.Limiter.Schedule() }
+
+// transfer hands the connection over to another process where the drain schedule asks for that. It returns true once the
+// connection belongs to that process.
+func (s *Session) transfer(schedule *drain.Schedule) bool {
+	if !schedule.HandsOver() || !s.Transferable || s.server.Transfer == nil {
+		return false
+	}
+	if !s.server.Transfer(s.Conn.Conn, s.startupDeadline.IsZero(), s.answered) {
+		return false
+	}
+	s.server.Counters.Add(s.server.Name+"_clients_passed", 1)
+	return true
+}
+
+// endIdle returns the error that ends an idle session, nil where its client has sent something by now or has disconnected.
+func (s *Session) endIdle() error {
+	if !s.Alive() {
+		return nil
+	}
+	if !s.Draining() {
+		s.server.Counters.Add(s.server.Name+"_clients_let_go", 1)
+		s.server.Limiter.SetClosing(s.slot)
+		return errIdleEvicted
+	}
+	s.server.Counters.Add(s.server.Name+"_clients_sent_away", 1)
+	return errDraining
+}
+
+// readMessage calls read until it has a complete message, the message's deadline has passed, or nothing of it has come
+// for stallTimeout.
+func (s *Session) readMessage(read func() error) error {
+	deadline := s.schedule().ReadDeadline(time.Now(), s.messageDeadline())
 	for {
-		had := x.Buffered()
-		x.SetReadDeadline(earlier(end, time.Now().Add(stalledFor)))
+		buffered := s.Buffered()
+		s.SetReadDeadline(earlier(deadline, time.Now().Add(stallTimeout)))
 		err := read()
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		if x.Buffered() > had && time.Now().Before(end) {
+		if s.Buffered() > buffered && time.Now().Before(deadline) {
 			continue
 		}
-		// A time that has passed takes nothing, though the rest may lie there since long.
-		x.SetReadDeadline(time.Now().Add(lastRead))
+		// With a deadline in the past a read returns nothing, even if the rest of the message has arrived.
+		s.SetReadDeadline(time.Now().Add(finalReadTimeout))
 		return read()
 	}
 }
 
-// messageUntil is until when a message that begins now has to be whole.
-func (x *Session) messageUntil() time.Time {
-	switch {
-	case !x.starts.IsZero():
-		return x.starts
-	case x.proves.IsZero():
-		return time.Now().Add(messageFor)
+// messageDeadline is until when a message that begins now has to be complete. Clients with a usable request have more time,
+// as they may be on a slow network.
+func (s *Session) messageDeadline() time.Time {
+	if !s.startupDeadline.IsZero() {
+		return s.startupDeadline
 	}
-	// What a device on a poor link gets, a stranger does not.
-	until := time.Now().Add(firstFor)
-	if until.Before(x.proves) {
-		return x.proves
+	if s.firstRequestDeadline.IsZero() {
+		return time.Now().Add(messageTimeout)
 	}
-	return until
+	return later(s.firstRequestDeadline, time.Now().Add(firstRequestTimeout))
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -145,68 +201,22 @@
 	return b
 }
 
-// endIdle says that an idle session ends, unless its client has sent something by now or has left.
-func (x *Session) endIdle() error {
-	if !x.Alive() {
-		return nil
-	}
-	if x.server.Limiter.plan.Load() == nil {
-		x.server.Counters.Add(x.server.Name+"_clients_let_go", 1)
-		x.server.Limiter.letGo(x)
-		return errLetGo
+func later(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
 	}
-	x.server.Counters.Add(x.server.Name+"_clients_sent_away", 1)
-	return errSentAway
+	return b
 }
 
-// gone names an error that only says that the client has left.
-func (x *Session) gone(err error) error {
+// disconnectError returns ErrDisconnected for an error that only tells that the client has disconnected, any other error as
+// it is.
+func disconnectError(err error) error {
 	if errors.Is(err, framebuf.ErrTooLarge) || errors.Is(err, framebuf.ErrBudgetExhausted) || errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
-	var op *net.OpError
-	if errors.As(err, &op) || errors.Is(err, net.ErrClosed) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrClosedPipe) {
+	var network *net.OpError
+	if errors.As(err, &network) || errors.Is(err, net.ErrClosed) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrClosedPipe) {
 		return ErrDisconnected
 	}
 	return err
 }
-
-// Fault counts a message that could not be used. ErrTooManyFaults says that the client has sent enough of them.
-func (x *Session) RecordFault() error {
-	if x.faults++; x.faults >= mostFaults {
-		return ErrTooManyFaults
-	}
-	return nil
-}
-
-// Good says that a message could be used.
-func (x *Session) RecordSuccess() { x.faults, x.asked = 0, true }
-
-// Slowly returns a writer for answers that are passed on as they come: a client may be as slow as it likes, so long as it
-// takes something.
-func (x *Session) StreamWriter() io.Writer { return slowly{x} }
-
-type slowly struct{ x *Session }
-
-func (s slowly) Write(b []byte) (n int, err error) {
-	s.x.owes = false // what breaks off from here on the client can tell from a whole answer
-	for n < len(b) {
-		s.x.SetWriteDeadline(time.Now().Add(writeFor))
-		m, err := s.x.Write(b[n:])
-		n += m
-		if err != nil && (m == 0 || !errors.Is(err, os.ErrDeadlineExceeded)) {
-			return n, ErrDisconnected
-		}
-	}
-	return n, nil
-}
-
-// Send writes to the client.
-func (x *Session) Send(b []byte) error {
-	x.owes = false // also where the client takes nothing
-	x.SetWriteDeadline(time.Now().Add(writeFor))
-	if _, err := x.Write(b); err != nil {
-		return ErrDisconnected
-	}
-	return nil
-}
--- a/internal/frontend/takeover_test.go
+++ b/internal/frontend/takeover_test.go
@@ -16,6 +16,7 @@
 	"cranegate/internal/fake"
 	"cranegate/internal/framebuf"
 	"cranegate/internal/frontend"
+	"cranegate/internal/frontend/connlimit"
 	"cranegate/internal/frontend/postgres"
 	"cranegate/internal/metrics"
 	"cranegate/internal/pgwire"
@@ -31,7 +32,7 @@
 		defer rig.close()
 		answer := sync.OnceFunc(func() { close(hold) })
 		defer answer()
-		room := frontend.NewLimiter(places)
+		room := connlimit.New(places)
 		room.SetEvictIdle(false) // as while both processes live
 		s := &frontend.Server{Name: "newer", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: room, Budget: rig.budget, Counters: rig.counters}
 		var ended, faults atomic.Int64
@@ -91,7 +92,7 @@
 func TestNewerServesWhileTheListenerCloses(t *testing.T) {
 	rig := newRig(false, &fake.Host{Primary: true})
 	defer rig.close()
-	s := &frontend.Server{Name: "ends", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: frontend.NewLimiter(50),
+	s := &frontend.Server{Name: "ends", Protocol: postgres.Protocol{}, Core: rig.core, Limiter: connlimit.New(50),
 		Budget: framebuf.NewBudget(rigBudget), Counters: &metrics.Counters{}, SharedListener: true}
 	l := hungListener{closing: make(chan struct{}, 10), free: make(chan struct{})}
 	stopped, stop := context.WithCancel(context.Background())
