--- /dev/null
+++ b/internal/discovery/errors.go
@@ -0,0 +1,42 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"time"
+)
+
+// errConnectionClosed reports that discovery closed the connection after a complete answer, as HTTP allows. It is not a failure.
+var errConnectionClosed = errors.New("discovery closed the connection")
+
+// TimeoutError reports that discovery gave no complete answer in time. The endpoint list known so far stays in use, and the call
+// is repeated. Check that discovery's agent runs at Address.
+type TimeoutError struct {
+	Address string
+	Timeout time.Duration
+}
+
+// Error implements the error interface.
+func (e TimeoutError) Error() string {
+	return fmt.Sprintf("no complete answer from %s within %v; check that discovery's agent runs there", e.Address, e.Timeout)
+}
+
+// AnswerTooLongError reports that an answer is longer than an endpoint list may be. Check that discovery is what answers at
+// Address; a list that really is so long needs fewer entries, or shorter ones.
+type AnswerTooLongError struct{ Address string }
+
+// Error implements the error interface.
+func (e AnswerTooLongError) Error() string {
+	return fmt.Sprintf("the answer of %s is over %d bytes; check that it is discovery, and how long its list is", e.Address, maxAnswerBytes)
+}
+
+// rejectedError reports that discovery rejected a call because it has too many of them.
+type rejectedError struct {
+	code       string
+	retryAfter time.Duration // the value of the Retry-After header, 0 if there is none
+	elapsed    time.Duration // since the call, with its connect, was begun
+}
+
+func (e rejectedError) Error() string {
+	return fmt.Sprintf("status %q: discovery has too many calls", e.code)
+}
