--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,9 +1,9 @@
-// Package backoff decides when a gateway calls a service that its whole fleet calls. It is free of I/O and clocks.
+// Package backoff computes the delays between calls to a service that all gateways of a fleet call. It does no I/O and reads no clock.
 //
-// What is harmless for one gateway is not for all at once: a service that turns calls away when it has too many
-// never gets through them while each gateway that was turned away comes again at once. So one that was turned away
-// waits for a time that grows with the fleet and with its failures, at random. The first call is not held back, and no
-// wait is long: what discovery has counts as told 6 s after it could be reached, whatever became of the call before.
+// A service that rejects calls because it has too many never catches up while each rejected gateway calls again at once. The delay
+// after a rejection therefore grows with the number of gateways and with the failures in a row, with jitter. The first call is not
+// delayed, and each delay is bounded: a change at discovery has to be known 6 s after discovery could be reached, whatever became of
+// the calls before.
 package backoff
 
 import (
@@ -13,73 +13,87 @@
 )
 
 const (
-	quickly   = 100 * time.Millisecond // a call that broke is made again after this: a watch lives on for 200 ms
-	doublings = 2                      // of the wait after calls that broke, and of that once turned away
-	failEach  = 50 * time.Millisecond  // the wait once turned away, for each gateway; never under quickly
-	// Apart is the most from a call that was turned away to the next, whatever the service asks for, and twoApart that to
-	// the one after it. With a connect and a call that goes unanswered either fits into the 6 s. Callers that come more often
-	// than every 2.85 s are too many for a service of 60 ms a call once they are 80: it never gets free.
+	minDelay                = 100 * time.Millisecond // also after a first failed call: a watch outlives its wait by 200 ms
+	rejectedDelayPerGateway = 50 * time.Millisecond  // of the delay after a first rejection
+	maxDoublings            = 2                      // of the delays, however many calls in a row have failed
+
+	// MaxRejectedDelay bounds the time from the beginning of a rejected call to the next call, whatever the service asks for.
+	// A service that takes 60 ms for a call never catches up with 80 callers that each come more often than every 2.85 s.
 	MaxRejectedDelay = 3000 * time.Millisecond
-	twoApart         = 5800 * time.Millisecond
-	spread           = 300 * time.Millisecond // over which those who reach the bound first come again, at random
+	// maxTwoRejectionsInterval bounds the time from the beginning of a rejected call to the call after the next. With it, as with
+	// MaxRejectedDelay, a connect and a call that is not answered still fit into the 6 s.
+	maxTwoRejectionsInterval = 5800 * time.Millisecond
+	// maxRejectedJitter is the interval over which callers that reach MaxRejectedDelay are spread.
+	maxRejectedJitter = 300 * time.Millisecond
 )
 
-// Broke is the most that Failed gives after so many calls in a row that were not turned away.
+// MaxFailureDelay returns the longest delay that Failed returns after so many failed calls in a row.
 func MaxFailureDelay(failures int) time.Duration {
-	return quickly << min(max(failures, 1)-1, doublings)
+	return minDelay << min(max(failures, 1)-1, maxDoublings)
 }
 
-// Caller is the pace of one gateway's calls. One goroutine uses it; Fleet alone may be called by others.
+// Backoff computes the delays of one gateway. All methods but SetGateways must be called from one goroutine.
 type Backoff struct {
-	fleet    atomic.Int64
-	rng      *rand.Rand
-	failures int           // in a row
-	apart    time.Duration // of the last call that was turned away from the one after it; zero: another has come since
+	gateways     atomic.Int64
+	rng          *rand.Rand
+	failures     int           // in a row
+	lastInterval time.Duration // from the last rejected call to the call after it; 0 if another kind of call came since
 }
 
-// New makes the pace of one of so many gateways. The seed has to differ from gateway to gateway.
-func New(fleet int, seed uint64) *Backoff {
-	c := &Backoff{rng: rand.New(rand.NewPCG(seed, 1))}
-	c.SetGateways(fleet)
-	return c
+// New makes the Backoff of one of so many gateways. The seed has to differ from gateway to gateway.
+func New(gateways int, seed uint64) *Backoff {
+	b := &Backoff{rng: rand.New(rand.NewPCG(seed, 1))}
+	b.SetGateways(gateways)
+	return b
 }
 
-// Fleet takes the number of gateways.
-func (c *Backoff) SetGateways(n int) { c.fleet.Store(int64(max(1, n))) }
+// SetGateways sets the number of gateways that call the service. Any goroutine may call it.
+func (b *Backoff) SetGateways(n int) { b.gateways.Store(int64(max(1, n))) }
 
-// Answered notes a call that was answered.
-func (c *Backoff) Succeeded() { c.failures, c.apart = 0, 0 }
+// Succeeded records a call that was answered.
+func (b *Backoff) Succeeded() {
+	b.failures = 0
+	b.lastInterval = 0
+}
 
-// Failed is the wait after a call that failed and was neither answered nor turned away.
-func (c *Backoff) Failed() time.Duration {
-	c.apart = 0
-	c.failures++
-	most := MaxFailureDelay(c.failures)
-	if c.failures == 1 {
-		return most
+// Failed records a call that was neither answered nor rejected, and returns the delay before the next. It does not depend on the
+// number of gateways: a service that is merely unreachable does not recover sooner for it.
+func (b *Backoff) Failed() time.Duration {
+	b.lastInterval = 0
+	b.failures++
+	maxDelay := MaxFailureDelay(b.failures)
+	if b.failures == 1 {
+		return maxDelay
 	}
-	return most/2 + c.upTo(most/2)
+	return maxDelay/2 + b.random(maxDelay/2)
 }
 
-// Rejected is the wait after a call that the service had no room for: only then does it grow with the fleet, as a
-// service that is merely away is not brought back by waiting. Took is the time since the call was made, and asked the
-// wait that the service asked for, 0 for none.
-func (c *Backoff) Rejected(took, asked time.Duration) time.Duration {
-	c.failures++
-	wait := max(quickly, time.Duration(min(c.fleet.Load(), int64(MaxRejectedDelay/failEach)))*failEach) << min(c.failures-1, doublings)
-	wait = wait/2 + c.upTo(wait)
-	asked = min(max(asked, 0), MaxRejectedDelay)
-	wait = max(wait, asked+c.upTo(asked/4))
-	most := min(MaxRejectedDelay, twoApart-c.apart)
-	if c.apart == 0 {
-		most -= c.upTo(spread)
+// Rejected records a call that the service rejected for lack of capacity, and returns the delay before the next. The call took
+// elapsed so far; retryAfter is the delay that the service asked for, 0 if none.
+func (b *Backoff) Rejected(elapsed, retryAfter time.Duration) time.Duration {
+	b.failures++
+	delay := b.rejectedBaseDelay()
+	delay = delay/2 + b.random(delay)
+	retryAfter = min(max(retryAfter, 0), MaxRejectedDelay)
+	delay = max(delay, retryAfter+b.random(retryAfter/4))
+
+	maxInterval := min(MaxRejectedDelay, maxTwoRejectionsInterval-b.lastInterval)
+	if b.lastInterval == 0 {
+		maxInterval -= b.random(maxRejectedJitter)
 	}
-	wait = max(quickly, min(wait, most-took))
-	c.apart = took + wait
-	return wait
+	delay = max(minDelay, min(delay, maxInterval-elapsed))
+	b.lastInterval = elapsed + delay
+	return delay
+}
+
+// rejectedBaseDelay returns the delay after a rejection without jitter, which grows with the gateways and the failures in a row.
+func (b *Backoff) rejectedBaseDelay() time.Duration {
+	gateways := min(b.gateways.Load(), int64(MaxRejectedDelay/rejectedDelayPerGateway))
+	first := max(minDelay, time.Duration(gateways)*rejectedDelayPerGateway)
+	return first << min(b.failures-1, maxDoublings)
 }
 
-// upTo is a time of d at most, at random.
-func (c *Backoff) upTo(d time.Duration) time.Duration {
-	return time.Duration(c.rng.Int64N(int64(d) + 1))
+// random returns a random duration from 0 to limit.
+func (b *Backoff) random(limit time.Duration) time.Duration {
+	return time.Duration(b.rng.Int64N(int64(limit) + 1))
 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -6,159 +6,177 @@
 	"time"
 )
 
-// service is discovery with more callers than it can take: it works on a call for a time, one after the other, and
-// on those whose caller has given up too. A call that has waited too long is turned away.
-type service struct {
-	each, patience time.Duration
-	freeAt         time.Duration
+// busyService is a service with more callers than it can serve. It works on one call after the other, also on those whose caller
+// has given up, and rejects a call that has waited for longer than timeout.
+type busyService struct {
+	callDuration time.Duration
+	timeout      time.Duration
+	freeAt       time.Duration
 }
 
-// call takes a call that comes at a time: when its end is told, and whether it was answered.
-func (s *service) call(at time.Duration) (time.Duration, bool) {
-	wait := max(0, s.freeAt-at)
-	if wait > 2*s.patience { // its queue is full
-		return at, false
+// call takes a call that arrives at a time. It returns when the call ends, and whether it was answered.
+func (s *busyService) call(arrival time.Duration) (end time.Duration, answered bool) {
+	wait := max(0, s.freeAt-arrival)
+	if wait > 2*s.timeout { // its queue is full
+		return arrival, false
 	}
-	s.freeAt = max(at, s.freeAt) + s.each
-	if wait+s.each > s.patience {
-		return at + s.patience, false
+	s.freeAt = max(arrival, s.freeAt) + s.callDuration
+	if wait+s.callDuration > s.timeout {
+		return arrival + s.timeout, false
 	}
-	return at + wait + s.each, true
+	return arrival + wait + s.callDuration, true
 }
 
-// played has a fleet call until all are answered or the time is over: how many were, and by when the last.
-func played(fleet int, over time.Duration, failed func(i int, took time.Duration) time.Duration) (int, time.Duration) {
-	s := service{each: 60 * time.Millisecond, patience: 2 * time.Second}
-	next := make([]time.Duration, fleet) // all at once
-	answered, last := 0, time.Duration(0)
+// simulate has all gateways of a fleet call at once, and again after the delay that rejected returns, until all are answered or the time
+// is over. It returns how many were answered, and when the last of them was.
+func simulate(gateways int, duration time.Duration, rejected func(gateway int, elapsed time.Duration) time.Duration) (answered int, last time.Duration) {
+	s := busyService{callDuration: 60 * time.Millisecond, timeout: 2 * time.Second}
+	nextCall := make([]time.Duration, gateways) // -1 once answered
 	for {
-		who := -1
-		for i, at := range next {
-			if at >= 0 && at < over && (who < 0 || at < next[who]) {
-				who = i
+		caller := -1
+		for i, at := range nextCall {
+			if at >= 0 && at < duration && (caller < 0 || at < nextCall[caller]) {
+				caller = i
 			}
 		}
-		if who < 0 {
+		if caller < 0 {
 			return answered, last
 		}
-		told, ok := s.call(next[who])
+		end, ok := s.call(nextCall[caller])
 		if ok {
-			answered, last, next[who] = answered+1, max(last, told), -1
+			answered++
+			last = max(last, end)
+			nextCall[caller] = -1
 		} else {
-			next[who] = told + failed(who, told-next[who])
+			nextCall[caller] = end + rejected(caller, end-nextCall[caller])
 		}
 	}
 }
 
-// TestAFleetThatStartsAtOnceIsAnswered has 80 gateways start at once beside a service that takes 60 ms a call: all are
-// answered, with any seeds, though none waits for longer than the bound.
-func TestAFleetThatStartsAtOnceIsAnswered(t *testing.T) {
-	const fleet, over = 80, 20 * time.Second
+// TestFleetStartIsAnswered has 80 gateways start at once beside a service that takes 60 ms for a call: all are answered, with any seeds,
+// though no delay is over the bound.
+func TestFleetStartIsAnswered(t *testing.T) {
+	const gateways, duration = 80, 20 * time.Second
 	for round := range uint64(50) {
-		callers := make([]*Backoff, fleet)
+		callers := make([]*Backoff, gateways)
 		for i := range callers {
-			callers[i] = New(fleet, round<<32|uint64(i))
+			callers[i] = New(gateways, round<<32|uint64(i))
 		}
-		n, last := played(fleet, over, func(i int, took time.Duration) time.Duration { return callers[i].Rejected(took, 0) })
-		if n < fleet || last > 15*time.Second {
-			t.Errorf("round %d: %d of %d answered, the last after %v", round, n, fleet, last)
+		answered, last := simulate(gateways, duration, func(i int, elapsed time.Duration) time.Duration { return callers[i].Rejected(elapsed, 0) })
+		if answered < gateways || last > 15*time.Second {
+			t.Errorf("round %d: %d of %d answered, the last after %v", round, answered, gateways, last)
 		}
 	}
-	// What it guards against: callers that come again at once are not answered, as the service never gets free.
-	n, _ := played(fleet, over, func(int, time.Duration) time.Duration { return quickly })
-	if n > fleet*3/4 {
-		t.Errorf("%d of %d answered without a pace: the service of this test is never overrun", n, fleet)
+	// Without a backoff callers are not answered, as the service never catches up.
+	answered, _ := simulate(gateways, duration, func(int, time.Duration) time.Duration { return minDelay })
+	if answered > gateways*3/4 {
+		t.Errorf("%d of %d answered without a backoff: the service of this test is never overloaded", answered, gateways)
 	}
 }
 
-// TestWaitsGrowUpToTheBound holds all waits against what the page allows: from a call that was turned away to the next
-// it is Apart at most, whatever the fleet, the failures and the wait asked for; up to there waits grow, and an
-// answer ends that.
-func TestWaitsGrowUpToTheBound(t *testing.T) {
-	if MaxRejectedDelay > 3*time.Second || twoApart > 5800*time.Millisecond {
-		t.Errorf("turned away calls are %v apart, and two %v: with a connect and a silent call that is over 6 s", MaxRejectedDelay, twoApart)
+// TestDelaysGrowUpToMax checks all delays against docs/standing.md: from a rejected call to the next it is at most MaxRejectedDelay,
+// whatever the number of gateways, the failures and the Retry-After value. Up to there delays grow, and an answer resets them.
+func TestDelaysGrowUpToMax(t *testing.T) {
+	if MaxRejectedDelay > 3*time.Second || maxTwoRejectionsInterval > 5800*time.Millisecond {
+		t.Errorf("rejected calls are %v apart, and two %v: with a connect and a call that is not answered that is over 6 s", MaxRejectedDelay,
+			maxTwoRejectionsInterval)
 	}
 	const s = time.Second
-	for _, fleet := range []int{1, 4, 20, 80, 300, 1 << 40} {
-		for _, took := range []time.Duration{0, s / 2, 2 * s, 10 * s} {
-			for _, asked := range []time.Duration{-s, 0, s, 7 * s, 30 * s, 1 << 62} {
-				c := New(fleet, uint64(fleet))
-				before := time.Duration(0)
-				for i := range 40 {
-					d, most, least := c.Rejected(took, asked), max(quickly, MaxRejectedDelay-took), max(quickly, MaxRejectedDelay-spread-took)
-					if i > 0 {
-						least = max(quickly, twoApart-MaxRejectedDelay-took)
-					}
-					if d > most || d < quickly || d < min(asked, least) || i > 0 && d > quickly && before+took+d > twoApart {
-						t.Fatalf("%d gateways, failure %d, a call of %v, asked for %v: waits %v", fleet, i+1, took, asked, d)
-					}
-					before = took + d
-				}
-				if c.Succeeded(); fleet == 4 && took == 0 && asked == 0 {
-					if d := c.Rejected(0, 0); d > 300*time.Millisecond {
-						t.Errorf("one of four, turned away after an answer, waits %v", d)
-					}
-				}
+	for _, gateways := range []int{1, 4, 20, 80, 300, 1 << 40} {
+		for _, elapsed := range []time.Duration{0, s / 2, 2 * s, 10 * s} {
+			for _, retryAfter := range []time.Duration{-s, 0, s, 7 * s, 30 * s, 1 << 62} {
+				checkRejectedDelays(t, gateways, elapsed, retryAfter)
 			}
 		}
 	}
-	c := New(80, 1)
+	b := New(80, 1)
 	for i := range 20 {
-		if d, most := c.Failed(), MaxFailureDelay(i+1); d > most || d < most/2 || i == 0 && d != quickly || most > 400*time.Millisecond {
-			t.Errorf("call %d that broke is made again after %v", i+1, d)
+		delay, maxDelay := b.Failed(), MaxFailureDelay(i+1)
+		if delay > maxDelay || delay < maxDelay/2 || i == 0 && delay != minDelay || maxDelay > 400*time.Millisecond {
+			t.Errorf("failed call %d is repeated after %v", i+1, delay)
 		}
 	}
 	sum := func(failures int) (sum time.Duration) {
 		for seed := range uint64(100) {
-			c := New(8, seed)
+			b := New(8, seed)
 			for range failures - 1 {
-				c.Rejected(0, 0)
+				b.Rejected(0, 0)
 			}
-			sum += c.Rejected(0, 0)
+			sum += b.Rejected(0, 0)
 		}
 		return sum
 	}
-	if a, b, c := sum(1), sum(2), sum(3); b < a*3/2 || c < b*3/2 {
-		t.Errorf("a hundred waits grow from %v to %v and %v", a, b, c)
+	if first, second, third := sum(1), sum(2), sum(3); second < first*3/2 || third < second*3/2 {
+		t.Errorf("a hundred delays grow from %v to %v and %v", first, second, third)
+	}
+}
+
+// checkRejectedDelays checks the bounds of the delays after forty rejections in a row and, for a small fleet, that an answer resets them.
+func checkRejectedDelays(t *testing.T, gateways int, elapsed, retryAfter time.Duration) {
+	t.Helper()
+	b := New(gateways, uint64(gateways))
+	lastInterval := time.Duration(0)
+	for i := range 40 {
+		delay := b.Rejected(elapsed, retryAfter)
+		maxDelay := max(minDelay, MaxRejectedDelay-elapsed)
+		minAtLimit := max(minDelay, MaxRejectedDelay-maxRejectedJitter-elapsed)
+		if i > 0 {
+			minAtLimit = max(minDelay, maxTwoRejectionsInterval-MaxRejectedDelay-elapsed)
+		}
+		outOfBounds := delay > maxDelay || delay < minDelay
+		tooEarly := delay < min(retryAfter, minAtLimit)
+		twoTooLong := i > 0 && delay > minDelay && lastInterval+elapsed+delay > maxTwoRejectionsInterval
+		if outOfBounds || tooEarly || twoTooLong {
+			t.Fatalf("%d gateways, failure %d, a call of %v, Retry-After %v: delay %v", gateways, i+1, elapsed, retryAfter, delay)
+		}
+		lastInterval = elapsed + delay
+	}
+	b.Succeeded()
+	if gateways == 4 && elapsed == 0 && retryAfter == 0 {
+		if delay := b.Rejected(0, 0); delay > 300*time.Millisecond {
+			t.Errorf("one of four, rejected after an answer, waits %v", delay)
+		}
 	}
 }
 
-// TestNobodyComesInStep has 300 gateways be turned away at one time, also with one wait asked for: no tenth of a second
-// sees more than two fifths of them come again.
-func TestNobodyComesInStep(t *testing.T) {
-	for _, took := range []time.Duration{0, time.Second} {
-		for _, asked := range []time.Duration{0, time.Second, time.Hour} {
-			var waits []time.Duration
+// TestJitterSpreadsFleet has 300 gateways be rejected at one time, also with one Retry-After value: no tenth of a second sees more than two
+// fifths of them call again.
+func TestJitterSpreadsFleet(t *testing.T) {
+	for _, elapsed := range []time.Duration{0, time.Second} {
+		for _, retryAfter := range []time.Duration{0, time.Second, time.Hour} {
+			var delays []time.Duration
 			for seed := range uint64(300) {
-				waits = append(waits, New(300, seed).Rejected(took, asked))
+				delays = append(delays, New(300, seed).Rejected(elapsed, retryAfter))
 			}
-			low, high := slices.Min(waits), slices.Max(waits)
-			if span := high - low; span < spread*9/10 {
-				t.Errorf("turned away after %v, asked for %v: all come within %v", took, asked, span)
+			low, high := slices.Min(delays), slices.Max(delays)
+			if span := high - low; span < maxRejectedJitter*9/10 {
+				t.Errorf("rejected after %v, Retry-After %v: all call within %v", elapsed, retryAfter, span)
 			}
-			slices.Sort(waits)
-			for i, w := range waits {
-				n := 0
-				for n = i; n < len(waits) && waits[n] < w+100*time.Millisecond; n++ {
+			slices.Sort(delays)
+			for i, delay := range delays {
+				end := i
+				for end < len(delays) && delays[end] < delay+100*time.Millisecond {
+					end++
 				}
-				if n-i > len(waits)*2/5 {
-					t.Fatalf("turned away after %v, asked for %v: %d of %d come within a tenth of a second", took, asked, n-i, len(waits))
+				if end-i > len(delays)*2/5 {
+					t.Fatalf("rejected after %v, Retry-After %v: %d of %d call within a tenth of a second", elapsed, retryAfter, end-i, len(delays))
 				}
 			}
 		}
 	}
 }
 
-// A service that is away, and not overrun, is asked again soon by any fleet: what it has to tell binds within seconds.
-func TestSmallFleetsAndBrokenCallsAreSoonMadeAgain(t *testing.T) {
+// TestShortDelays checks that a service that is unreachable but not overloaded is called again soon by any fleet: a change has to be known
+// within seconds.
+func TestShortDelays(t *testing.T) {
 	for seed := range uint64(100) {
 		few, many := New(4, seed), New(80, seed)
 		for range 20 {
-			if d := few.Rejected(0, 0); d > 1300*time.Millisecond {
-				t.Errorf("one of four waits %v after failures", d)
+			if delay := few.Rejected(0, 0); delay > 1300*time.Millisecond {
+				t.Errorf("one of four waits %v after rejections", delay)
 			}
-			if d := many.Failed(); d > 700*time.Millisecond {
-				t.Errorf("one of eighty waits %v after calls that broke", d)
+			if delay := many.Failed(); delay > 700*time.Millisecond {
+				t.Errorf("one of eighty waits %v after failed calls", delay)
 			}
 		}
 	}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -196,7 +196,7 @@
 		"rejected, a silent connection":                              backoff.MaxRejectedDelay + dialTimeout + firstCall + second,
 		"rejected, a call answered late":                             backoff.MaxRejectedDelay + dialTimeout + firstCall,
 		"an outage, its last call made too early, then a silent one": firstCall + later + dialTimeout + firstCall + later,
-		"rejected twice":                                             2*backoff.MaxRejectedDelay - 200*time.Millisecond, // backoff.TestWaitsGrowUpToTheBound holds it
+		"rejected twice":                                             2*backoff.MaxRejectedDelay - 200*time.Millisecond, // backoff.TestDelaysGrowUpToMax checks it
 		"an outage, then rejected":                                   firstCall + later + backoff.MaxRejectedDelay,
 		"a first list that goes silent":                              firstListTimeout + first + dialTimeout,
 	} {
--- a/internal/poolsize/poolsize.go
+++ b/internal/poolsize/poolsize.go
@@ -1,17 +1,17 @@
 // Package poolsize decides how many idle connections to a database host one gateway of a fleet keeps, and for how long.
-// It is free of I/O and clocks.
+// It does no I/O and reads no clock.
 //
-// A kept connection saves a handshake if it is used again in time, and takes room at the host meanwhile. With few
-// gateways there is room for all that they may want. With hundreds, each of which meets a host once in ten seconds,
-// what they keep fills the host, and a request that finds no connection there is turned away. A host's room is
-// therefore shared out among the gateways: each may hold its part of it. Where that part is a whole number of
-// connections they may stand idle for as long as the host suffers; where it is a fraction, one more is kept for
-// just so long that it stands there for that fraction of the time. Requests to a host come at random, so a
-// connection that is kept for T after each of them, at a rate of l a second, stands for 1-exp(-l*T) of the time.
+// An idle connection saves a handshake if it is used again in time, and takes capacity at the host meanwhile. With few
+// gateways there is capacity for all that they may want. With hundreds, each of which meets a host once in ten seconds,
+// their idle connections fill the host, and a request that finds none there is rejected. A host's capacity is
+// therefore divided among the gateways: each may hold its share of it. Where that share is a whole number of
+// connections they may stay idle for as long as the host allows; where it has a fraction, one more is kept for
+// just so long that it exists for that fraction of the time. Requests to a host arrive at random, so a
+// connection that is kept for T after each of them, at a rate of l a second, exists for 1-exp(-l*T) of the time.
 //
-// What a host has room for nobody says. It shows where a host ends new connections without serving anything there;
-// the part is then halved at once. Without such signs it grows slowly, past what is counted on at the start, as a
-// kept connection that finds room is one handshake less.
+// No source gives a host's capacity. It shows where a host ends new connections without serving anything on them;
+// the share is then halved at once. Without such rejections it grows slowly, past what is assumed at the start, as
+// each idle connection that a host accepts saves a handshake.
 package poolsize
 
 import (
@@ -20,98 +20,118 @@
 )
 
 const (
-	// Room is the number of connections for which the fleet counts on room at a host until it sees less. The
-	// protocol's price for open connections counts them by so many a host, and says of no host how many it takes.
+	// DefaultHostCapacity is the number of connections that the fleet assumes a host accepts until it sees fewer. The
+	// protocol's price for open connections counts them by so many a host, and gives no host's limit.
 	DefaultHostCapacity = 100.0
-	// Most is the number of idle connections to a host that any gateway keeps: a bound on its own descriptors.
+	// MaxIdle is the number of idle connections to a host that any gateway keeps: a bound on its own descriptors.
 	MaxIdle = 24
 
-	rateOver  = 10 * time.Second // requests are averaged over this: a quiet gateway has few
-	halvedGap = time.Second      // signs of this time are one: those that come at once have the same cause
-	growAfter = 50.0             // new connections that found room, after which the part has doubled: a sign in so many is borne
-	backAfter = 150.0            // the same from the first sign on: a host's room hardly ever grows
-	mostPart  = 4.0              // of the part at the start: beyond, nearly all that is kept is used again anyway
-	leastPart = 1.0 / 64         // of the part: a host that turns all away is short of more than our connections
+	rateWindow      = 10 * time.Second // attempts are averaged over it: a gateway of many has few
+	halvingInterval = time.Second      // rejections within it count as one: they have the same cause
+
+	// The share doubles after so many accepted connections, and so one rejection in about as many is tolerated.
+	connectsPerDoubling               = 50.0
+	connectsPerDoublingAfterRejection = 150.0 // a host's capacity hardly ever grows
+
+	maxShareFactor = 4.0        // beyond it, nearly all idle connections are used again anyway
+	minShareFactor = 1.0 / 64   // a host that rejects all is short of more than our connections
+	minHostRate    = 1.0 / 1000 // attempts a second, so that a host without any has a finite idle timeout
 )
 
-// Keeper is the rule of one gateway for all its hosts. It is not safe for use by several goroutines at once.
+// Sizer decides for one gateway and all its hosts. It is not safe for use by several goroutines at once.
 type Sizer struct {
-	fleet   float64
-	longest time.Duration
-	asked   float64 // attempts that wanted a connection, older ones counting less, as of askedAt
-	askedAt time.Time
-	began   time.Time
-	part    float64 // what it uses, of the part that it has at the start
-	fellAt  time.Time
-	after   float64 // new connections over which the part doubles
+	gateways            float64
+	maxIdleTimeout      time.Duration
+	attempts            float64 // that wanted a connection, with exponential decay, as of attemptsAt
+	attemptsAt          time.Time
+	startedAt           time.Time
+	shareFactor         float64 // by which the assumed capacity is multiplied
+	halvedAt            time.Time
+	connectsPerDoubling float64 // of shareFactor
 }
 
-// New makes the rule for one of so many gateways. Longest is how long a connection may stand idle at all.
-func New(fleet int, longest time.Duration, now time.Time) *Sizer {
-	return &Sizer{fleet: float64(max(1, fleet)), longest: longest, askedAt: now, began: now, part: 1, fellAt: now, after: growAfter}
+// New makes the Sizer of one of so many gateways. No connection may be idle for longer than maxIdleTimeout.
+func New(gateways int, maxIdleTimeout time.Duration, now time.Time) *Sizer {
+	return &Sizer{
+		gateways:            float64(max(1, gateways)),
+		maxIdleTimeout:      maxIdleTimeout,
+		attemptsAt:          now,
+		startedAt:           now,
+		shareFactor:         1,
+		halvedAt:            now,
+		connectsPerDoubling: connectsPerDoubling,
+	}
 }
 
-// Fleet takes the number of gateways, which has changed. True says that there are more: idle connections to all hosts are
-// to be looked at again.
-func (k *Sizer) SetGateways(n int) bool {
-	more := float64(n) > k.fleet
-	k.fleet = float64(max(1, n))
+// SetGateways sets the number of gateways. It reports whether there are more than before: the caller must then check the idle connections
+// to all hosts against IdleTimeout again.
+func (s *Sizer) SetGateways(n int) (more bool) {
+	more = float64(n) > s.gateways
+	s.gateways = float64(max(1, n))
 	return more
 }
 
-// Host is what the rule holds of one host. The zero value is a host that no attempt has gone to.
+// Host is what a Sizer knows about one host. The zero value is a host that no attempt has gone to.
 type Host struct {
-	asked float64 // attempts, older ones counting less, as of at
-	at    time.Time
-	rate  float64 // attempts a second, as of then
+	attempts   float64 // with exponential decay, as of attemptsAt
+	attemptsAt time.Time
+	rate       float64 // attempts a second, as of attemptsAt
 }
 
-// Asked notes an attempt that wants a connection to a host, of so many in the list.
-func (k *Sizer) RecordAttempt(now time.Time, h *Host, hosts int) {
-	k.asked, k.askedAt = k.asked*fade(now.Sub(k.askedAt))+1, now
-	if !h.at.IsZero() {
-		h.asked *= fade(now.Sub(h.at))
+// RecordAttempt records an attempt that wants a connection to a host, which is one of so many in the endpoint list.
+func (s *Sizer) RecordAttempt(now time.Time, h *Host, hosts int) {
+	s.attempts = s.attempts*decay(now.Sub(s.attemptsAt)) + 1
+	s.attemptsAt = now
+	if !h.attemptsAt.IsZero() {
+		h.attempts *= decay(now.Sub(h.attemptsAt))
 	}
-	h.asked, h.at = h.asked+1, now
-	// A gateway of many has met the host once or twice in its memory. One more attempt in the time in which the
-	// mean host has one stands for what it can't have seen; it is the one in hand, which is always seen.
-	mean := k.rate(now) / float64(max(1, hosts))
-	h.rate = h.asked / (rateOver.Seconds()*(1-fade(now.Sub(k.began))) + 1/mean)
+	h.attempts++
+	h.attemptsAt = now
+	// A gateway of many has met the host only once or twice within rateWindow, and never without the attempt that is being
+	// recorded. One more mean interval between the attempts to a host corrects for that.
+	meanRate := s.attemptRate(now) / float64(max(1, hosts))
+	h.rate = h.attempts / (rateWindow.Seconds()*(1-decay(now.Sub(s.startedAt))) + 1/meanRate)
 }
 
-// Found notes that a host had room for a new connection. The part grows by what is seen, not by time: a quiet gateway
+// RecordConnect records that a host accepted a new connection. The share grows with these, not with time: an idle gateway
 // that sees nothing has no reason to keep more.
-func (k *Sizer) RecordConnect() { k.part = min(mostPart, k.part*math.Exp2(1/k.after)) }
+func (s *Sizer) RecordConnect() {
+	s.shareFactor = min(maxShareFactor, s.shareFactor*math.Exp2(1/s.connectsPerDoubling))
+}
 
-// NoCapacity notes that a host had no room for a new connection. True says that the part has fallen: idle connections to
-// all hosts are to be looked at again.
-func (k *Sizer) RecordRejection(now time.Time) bool {
-	fell := now.Sub(k.fellAt) >= halvedGap
-	if fell {
-		// What has grown past the start goes at once: all gateways have grown alike, and each sees few signs.
-		k.part, k.fellAt, k.after = max(leastPart, min(1, k.part)/2), now, backAfter
+// RecordRejection records that a host had no capacity for a new connection. It reports whether the share was reduced: the caller must then
+// check the idle connections to all hosts against IdleTimeout again.
+func (s *Sizer) RecordRejection(now time.Time) (reduced bool) {
+	if now.Sub(s.halvedAt) < halvingInterval {
+		return false
 	}
-	return fell
+	// What has grown past the start goes at once: all gateways have grown alike, and each sees few rejections.
+	s.shareFactor = max(minShareFactor, min(1, s.shareFactor)/2)
+	s.halvedAt = now
+	s.connectsPerDoubling = connectsPerDoublingAfterRejection
+	return true
 }
 
-// For is how long a connection to a host may stand idle, of which so many others were used later and are idle too.
-func (k *Sizer) IdleTimeout(now time.Time, h *Host, later int) time.Duration {
-	part := k.part * DefaultHostCapacity / k.fleet
-	switch whole := math.Floor(part); {
-	case later >= MaxIdle || float64(later) > whole:
+// IdleTimeout returns how long a connection to a host may be idle if so many other idle connections to it were used later.
+func (s *Sizer) IdleTimeout(now time.Time, h *Host, usedLater int) time.Duration {
+	share := s.shareFactor * DefaultHostCapacity / s.gateways
+	whole := math.Floor(share)
+	switch {
+	case usedLater >= MaxIdle || float64(usedLater) > whole:
 		return 0
-	case float64(later) < whole:
-		return k.longest
+	case float64(usedLater) < whole:
+		return s.maxIdleTimeout
 	default:
-		stands := -math.Log(1-(part-whole)) / max(h.rate, 1e-3) // in seconds
-		return time.Duration(min(k.longest.Seconds(), stands) * float64(time.Second))
+		seconds := -math.Log(1-(share-whole)) / max(h.rate, minHostRate)
+		return time.Duration(min(s.maxIdleTimeout.Seconds(), seconds) * float64(time.Second))
 	}
 }
 
-// rate is the number of attempts a second that want a connection to any host.
-func (k *Sizer) rate(now time.Time) float64 {
-	seen := 1 - fade(now.Sub(k.began)) // of a full average, for one that started just now
-	return (k.asked*fade(now.Sub(k.askedAt)) + 1) / (rateOver.Seconds()*seen + 1)
+// attemptRate returns the number of attempts a second that want a connection to any host.
+func (s *Sizer) attemptRate(now time.Time) float64 {
+	observed := 1 - decay(now.Sub(s.startedAt)) // of rateWindow: less than 1 for a Sizer that has just started
+	return (s.attempts*decay(now.Sub(s.attemptsAt)) + 1) / (rateWindow.Seconds()*observed + 1)
 }
 
-func fade(d time.Duration) float64 { return math.Exp(-d.Seconds() / rateOver.Seconds()) }
+// decay returns the weight of an observation of some age.
+func decay(age time.Duration) float64 { return math.Exp(-age.Seconds() / rateWindow.Seconds()) }
--- a/internal/poolsize/poolsize_test.go
+++ b/internal/poolsize/poolsize_test.go
@@ -7,184 +7,200 @@
 	"time"
 )
 
-var start = time.Unix(1_700_000_000, 0)
+var startTime = time.Unix(1_700_000_000, 0)
 
-const longest = 20 * time.Second
+const maxIdleTimeout = 20 * time.Second
 
-// TestPartsOfTheRoom holds what gateways may keep against the room at a host, for fleets of all sizes: as ever where
-// there is room for all, and a part of the time where there is not.
-func TestPartsOfTheRoom(t *testing.T) {
-	for _, c := range []struct {
-		fleet int
-		want  []time.Duration // by how many others were used later
+// TestIdleTimeoutByFleetSize checks the idle timeouts for fleets of all sizes: the maximum where a host has capacity for all, and a part of
+// the time where it does not.
+func TestIdleTimeoutByFleetSize(t *testing.T) {
+	for _, test := range []struct {
+		gateways int
+		want     []time.Duration // by the number of connections used later
 	}{
-		{1, []time.Duration{longest, longest, longest}},
-		{4, []time.Duration{longest, longest, longest}},
-		{50, []time.Duration{longest, longest, 0}},
-		{80, []time.Duration{longest, 2877 * time.Millisecond, 0}}, // a quarter of the time
-		{300, []time.Duration{4055 * time.Millisecond, 0, 0}},      // a third
+		{1, []time.Duration{maxIdleTimeout, maxIdleTimeout, maxIdleTimeout}},
+		{4, []time.Duration{maxIdleTimeout, maxIdleTimeout, maxIdleTimeout}},
+		{50, []time.Duration{maxIdleTimeout, maxIdleTimeout, 0}},
+		{80, []time.Duration{maxIdleTimeout, 2877 * time.Millisecond, 0}}, // a quarter of the time
+		{300, []time.Duration{4055 * time.Millisecond, 0, 0}},             // a third
 	} {
-		k := New(c.fleet, longest, start)
-		now := start
+		s := New(test.gateways, maxIdleTimeout, startTime)
+		now := startTime
 		hosts := make([]Host, 10)
 		for i := range 600 { // each of ten hosts once in ten seconds
 			now = now.Add(time.Second)
-			k.RecordAttempt(now, &hosts[i%10], 10)
+			s.RecordAttempt(now, &hosts[i%10], 10)
 		}
-		for later, want := range c.want {
-			got := k.IdleTimeout(now, &hosts[9], later)
+		for usedLater, want := range test.want {
+			got := s.IdleTimeout(now, &hosts[9], usedLater)
 			if want == 0 && got != 0 || want > 0 && math.Abs(got.Seconds()/want.Seconds()-1) > 0.25 {
-				t.Errorf("%d gateways: the one after %d others is kept for %v, want about %v", c.fleet, later, got, want)
+				t.Errorf("%d gateways: timeout %v with %d others used later, want about %v", test.gateways, got, usedLater, want)
 			}
 		}
-		if k.IdleTimeout(now, &hosts[9], MaxIdle) != 0 {
-			t.Errorf("%d gateways: keeps more than the bound", c.fleet)
+		if s.IdleTimeout(now, &hosts[9], MaxIdle) != 0 {
+			t.Errorf("%d gateways: more than MaxIdle connections are kept", test.gateways)
 		}
 	}
 }
 
-// fleet is a model of many gateways before hosts with room for a number of connections, all idle but at the moment
-// of a request.
-type fleet struct {
-	rng                   *rand.Rand
-	keepers               []*Sizer
-	rates                 []float64 // requests a second, by gateway
-	popular               []float64 // the share of requests that a host gets
-	known                 [][]Host  // by gateway and host
-	lastUse               [][]time.Time
-	room                  int
-	now                   time.Time
-	tried, turned, reused int
-	fullest               int
+// fleetModel is a fleet of gateways before hosts that accept a number of connections, all idle but at the moment of a request.
+type fleetModel struct {
+	rng          *rand.Rand
+	sizers       []*Sizer
+	rates        []float64 // requests a second, by gateway
+	hostShares   []float64 // of the requests, by host
+	known        [][]Host  // by gateway and host
+	lastUse      [][]time.Time
+	hostCapacity int
+	now          time.Time
+
+	// Counters of one run.
+	attempts, rejected, reused int
+	maxConnected               int // gateways with a connection to the same host
 }
 
-func newFleet(gateways, hosts, room int, seed uint64) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 2)), room: room, now: start}
+func newFleetModel(gateways, hosts, hostCapacity int, seed uint64) *fleetModel {
+	f := &fleetModel{rng: rand.New(rand.NewPCG(seed, 2)), hostCapacity: hostCapacity, now: startTime}
 	for range gateways {
-		f.keepers = append(f.keepers, New(gateways, longest, start))
+		f.sizers = append(f.sizers, New(gateways, maxIdleTimeout, startTime))
 		f.rates = append(f.rates, 2*math.Exp(0.7*f.rng.NormFloat64()))
-		f.known, f.lastUse = append(f.known, make([]Host, hosts)), append(f.lastUse, make([]time.Time, hosts))
+		f.known = append(f.known, make([]Host, hosts))
+		f.lastUse = append(f.lastUse, make([]time.Time, hosts))
 	}
-	all := 0.0
-	for range hosts {
-		f.popular = append(f.popular, math.Exp(0.5*f.rng.NormFloat64()))
-		all += f.popular[len(f.popular)-1]
+	sum := 0.0
+	for i := range hosts {
+		f.hostShares = append(f.hostShares, math.Exp(0.5*f.rng.NormFloat64()))
+		sum += f.hostShares[i]
 	}
-	for i := range f.popular {
-		f.popular[i] /= all
+	for i := range f.hostShares {
+		f.hostShares[i] /= sum
 	}
 	return f
 }
 
-// kept counts the gateways that hold a connection to a host.
-func (f *fleet) kept(host int) (n int) {
-	for g := range f.keepers {
-		if f.holds(g, host) {
+// connected counts the gateways with a connection to a host.
+func (f *fleetModel) connected(host int) (n int) {
+	for gateway := range f.sizers {
+		if f.hasIdle(gateway, host) {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *fleet) holds(g, host int) bool {
-	used := f.lastUse[g][host]
-	return !used.IsZero() && f.now.Sub(used) < f.keepers[g].IdleTimeout(f.now, &f.known[g][host], 0)
+func (f *fleetModel) hasIdle(gateway, host int) bool {
+	used := f.lastUse[gateway][host]
+	return !used.IsZero() && f.now.Sub(used) < f.sizers[gateway].IdleTimeout(f.now, &f.known[gateway][host], 0)
 }
 
-// run plays some seconds and counts anew.
-func (f *fleet) run(seconds int) {
+// run simulates some seconds, with the counters set to zero first.
+func (f *fleetModel) run(seconds int) {
 	const step = 20 * time.Millisecond
-	f.tried, f.turned, f.reused, f.fullest = 0, 0, 0, 0
+	f.attempts, f.rejected, f.reused, f.maxConnected = 0, 0, 0, 0
 	for range seconds * int(time.Second/step) {
 		f.now = f.now.Add(step)
-		for g, rate := range f.rates {
-			if f.rng.Float64() > rate*step.Seconds() {
-				continue
-			}
-			host, dice := 0, f.rng.Float64()
-			for dice -= f.popular[0]; dice > 0 && host < len(f.popular)-1; dice -= f.popular[host] {
-				host++
-			}
-			held := f.holds(g, host)
-			f.keepers[g].RecordAttempt(f.now, &f.known[g][host], len(f.popular))
-			f.tried++
-			if held {
-				f.reused++
-			} else if n := f.kept(host); n >= f.room {
-				f.turned++
-				f.keepers[g].RecordRejection(f.now)
-				continue
-			} else {
-				f.fullest = max(f.fullest, n)
-				f.keepers[g].RecordConnect()
+		for gateway, rate := range f.rates {
+			if f.rng.Float64() <= rate*step.Seconds() {
+				f.request(gateway, f.randomHost())
 			}
-			f.lastUse[g][host] = f.now
 		}
 	}
 }
 
-// TestRoomIsSharedByMany lets 300 gateways of uneven traffic share hosts of uneven popularity. What they keep fits
-// into the room that they count on; where hosts hold less than that, the parts fall until hardly a request is turned
-// away; and one kept connection in five or more is used again in time.
-func TestRoomIsSharedByMany(t *testing.T) {
-	for _, c := range []struct {
-		room   int
-		turned float64 // the greatest share turned away, after 20 s
-		reused float64 // the least share that finds a connection
+// randomHost draws the host of a request.
+func (f *fleetModel) randomHost() (host int) {
+	draw := f.rng.Float64() - f.hostShares[0]
+	for draw > 0 && host < len(f.hostShares)-1 {
+		host++
+		draw -= f.hostShares[host]
+	}
+	return host
+}
+
+// request simulates one request of a gateway to a host.
+func (f *fleetModel) request(gateway, host int) {
+	reused := f.hasIdle(gateway, host)
+	sizer := f.sizers[gateway]
+	sizer.RecordAttempt(f.now, &f.known[gateway][host], len(f.hostShares))
+	f.attempts++
+	if reused {
+		f.reused++
+	} else {
+		connected := f.connected(host)
+		if connected >= f.hostCapacity {
+			f.rejected++
+			sizer.RecordRejection(f.now)
+			return
+		}
+		f.maxConnected = max(f.maxConnected, connected)
+		sizer.RecordConnect()
+	}
+	f.lastUse[gateway][host] = f.now
+}
+
+// TestFleetSharesHostCapacity has 300 gateways of uneven load share hosts of uneven popularity. Their idle connections fit into
+// DefaultHostCapacity; where hosts accept fewer, the shares fall until hardly a request is rejected; and a good part of the requests reuses
+// a connection.
+func TestFleetSharesHostCapacity(t *testing.T) {
+	for _, test := range []struct {
+		hostCapacity     int
+		maxRejectedShare float64 // after 20 s
+		minReusedShare   float64
 	}{{300, 0.03, 0.4}, {60, 0.06, 0.08}} {
 		for seed := range uint64(1) {
-			f := newFleet(300, 15, c.room, seed)
+			f := newFleetModel(300, 15, test.hostCapacity, seed)
 			f.run(20)
 			f.run(10)
-			turned, reused := float64(f.turned)/float64(f.tried), float64(f.reused)/float64(f.tried)
-			if turned > c.turned || reused < c.reused {
-				t.Errorf("room for %d, seed %d: %.3f turned away, %.3f found a connection, at most %d kept at a host",
-					c.room, seed, turned, reused, f.fullest)
+			rejected, reused := float64(f.rejected)/float64(f.attempts), float64(f.reused)/float64(f.attempts)
+			if rejected > test.maxRejectedShare || reused < test.minReusedShare {
+				t.Errorf("capacity %d, seed %d: %.3f rejected, %.3f reused a connection, at most %d connections at a host",
+					test.hostCapacity, seed, rejected, reused, f.maxConnected)
 			}
 		}
 	}
 }
 
-// TestPartComesBack bounds how far signs push the part down, however many come, and how long it stays there.
-func TestPartComesBack(t *testing.T) {
-	k := New(300, longest, start)
-	now := start
+// TestShareFactorBounds bounds how far rejections push the share down, however many there are, and for how long it stays there.
+func TestShareFactorBounds(t *testing.T) {
+	s := New(300, maxIdleTimeout, startTime)
+	now := startTime
 	for range 3000 {
 		now = now.Add(20 * time.Millisecond)
-		k.RecordRejection(now)
+		s.RecordRejection(now)
 	}
-	if k.part != leastPart {
-		t.Errorf("the part is %.3f after a minute without room", k.part)
+	if s.shareFactor != minShareFactor {
+		t.Errorf("the factor is %.3f after a minute of rejections", s.shareFactor)
 	}
 	for range 100 {
-		k.RecordConnect()
+		s.RecordConnect()
 	}
-	if k.part > 2*leastPart {
-		t.Errorf("the part is %.3f soon after", k.part)
+	if s.shareFactor > 2*minShareFactor {
+		t.Errorf("the factor is %.3f soon after", s.shareFactor)
 	}
 	for range 2000 {
-		k.RecordConnect()
+		s.RecordConnect()
 	}
-	if k.part != mostPart {
-		t.Errorf("the part is %.3f long after", k.part)
+	if s.shareFactor != maxShareFactor {
+		t.Errorf("the factor is %.3f long after", s.shareFactor)
 	}
-	if now = now.Add(time.Minute); !k.RecordRejection(now) || k.part != 0.5 {
-		t.Errorf("the part is %.3f after a sign", k.part)
+	now = now.Add(time.Minute)
+	if !s.RecordRejection(now) || s.shareFactor != 0.5 {
+		t.Errorf("the factor is %.3f after one more rejection", s.shareFactor)
 	}
 }
 
-// TestFleetChanges has gateways come and go: each keeps its part of what is there, at once.
-func TestFleetChanges(t *testing.T) {
+// TestSetGateways changes the number of gateways: each keeps its share of the capacity from then on.
+func TestSetGateways(t *testing.T) {
 	now := time.Now()
-	k, h := New(10, 20*time.Second, now), Host{}
-	k.RecordAttempt(now, &h, 1)
-	if k.IdleTimeout(now, &h, 9) != 20*time.Second {
-		t.Fatal("of ten gateways each keeps ten connections")
+	s, host := New(10, 20*time.Second, now), Host{}
+	s.RecordAttempt(now, &host, 1)
+	if s.IdleTimeout(now, &host, 9) != 20*time.Second {
+		t.Fatal("each of ten gateways must keep ten connections")
 	}
-	if !k.SetGateways(100) || k.IdleTimeout(now, &h, 9) != 0 || k.IdleTimeout(now, &h, 0) != 20*time.Second {
-		t.Error("of a hundred gateways each keeps one, and looks at what it has")
+	if !s.SetGateways(100) || s.IdleTimeout(now, &host, 9) != 0 || s.IdleTimeout(now, &host, 0) != 20*time.Second {
+		t.Error("each of a hundred gateways must keep one, and check the connections it has")
 	}
-	if k.SetGateways(10) || k.IdleTimeout(now, &h, 9) != 20*time.Second {
-		t.Error("fewer gateways keep more each, and have nothing to close")
+	if s.SetGateways(10) || s.IdleTimeout(now, &host, 9) != 20*time.Second {
+		t.Error("of fewer gateways each must keep more, with nothing to close")
 	}
 }
