--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -19,32 +19,38 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// desk notes calls.
-type desk struct {
+// fakeControl records calls.
+type fakeControl struct {
 	mu    sync.Mutex
 	calls []string
 	err   error
-	act   func(ctx context.Context, call string) error // nil: err at once
+	act   func(ctx context.Context, call string) error // if nil, err is returned at once
 }
 
-func (d *desk) note(ctx context.Context, format string, args ...any) error {
+func (f *fakeControl) record(ctx context.Context, format string, args ...any) error {
 	call := fmt.Sprintf(format, args...)
-	d.mu.Lock()
-	d.calls = append(d.calls, call)
-	d.mu.Unlock()
-	if d.act != nil {
-		return d.act(ctx, call)
+	f.mu.Lock()
+	f.calls = append(f.calls, call)
+	f.mu.Unlock()
+	if f.act != nil {
+		return f.act(ctx, call)
 	}
-	return d.err
+	return f.err
 }
 
-func (d *desk) Ready() error                                { return d.note(context.Background(), "ready") }
-func (d *desk) Detach(ctx context.Context, id string) error { return d.note(ctx, "detach %s", id) }
-func (d *desk) Attach(ctx context.Context, id string) error { return d.note(ctx, "attach %s", id) }
-func (d *desk) Lameduck(ctx context.Context, on bool) error { return d.note(ctx, "lameduck %t", on) }
+func (f *fakeControl) Ready() error { return f.record(context.Background(), "ready") }
+func (f *fakeControl) Detach(ctx context.Context, id string) error {
+	return f.record(ctx, "detach %s", id)
+}
+func (f *fakeControl) Attach(ctx context.Context, id string) error {
+	return f.record(ctx, "attach %s", id)
+}
+func (f *fakeControl) Lameduck(ctx context.Context, on bool) error {
+	return f.record(ctx, "lameduck %t", on)
+}
 
-// serve starts a server and returns its address.
-func serve(t *testing.T, s *Server) string {
+// start runs a server until the test ends, and returns its address.
+func start(t *testing.T, s *Server) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,45 +60,47 @@
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx, l) }()
 	t.Cleanup(func() {
-		if cancel(); <-ended != nil {
-			t.Error("the server ended with an error")
+		cancel()
+		if err := <-ended; err != nil {
+			t.Errorf("the server ended with %v", err)
 		}
 	})
 	return l.Addr().String()
 }
 
-// big is a page that no socket takes without a reader.
-func big(context.Context) (string, error) { return bigText, nil }
+// bigPage is a page that is larger than any socket's buffers.
+func bigPage(context.Context) (string, error) { return bigText, nil }
 
 var bigText = strings.Repeat("member\n", 1<<19) // 3.5 MiB
 
-func staff(t *testing.T, c Control) string {
-	return serve(t, New(c, &Serializer{}, map[string]Page{"/big": big}, 24))
+// startServer starts a server with the page /big.
+func startServer(t *testing.T, c Control) string {
+	return start(t, New(c, &Serializer{}, map[string]Page{"/big": bigPage}, 24))
 }
 
-// call makes a call, and returns its answer with the text read.
+// call makes a call, and returns its answer and its body.
 func call(method, url, body string) (*http.Response, string, error) {
-	q, err := http.NewRequest(method, url, strings.NewReader(body))
+	request, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
 		return nil, "", err
 	}
-	r, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 10 * time.Second}).Do(q)
+	response, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 10 * time.Second}).Do(request)
 	if err != nil {
 		return nil, "", err
 	}
-	defer r.Body.Close()
-	text, err := io.ReadAll(r.Body)
-	return r, string(text), err
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
+	return response, string(text), err
 }
 
-// TestCalls makes each call right and wrong.
+// TestCalls makes each call, with valid and invalid input.
 func TestCalls(t *testing.T) {
-	long := strings.Repeat("x", longestID)
+	long := strings.Repeat("x", maxIDBytes)
 	for _, c := range []struct {
 		method, path string
 		err          error
 		status       int
-		did, says    string
+		calls, body  string
 	}{
 		{"GET", "/_ready", nil, 200, "ready", "yes\n"},
 		{"HEAD", "/_ready", nil, 200, "ready", ""},
@@ -117,26 +125,27 @@
 		{"POST", "/_database-hosts/remove/s-1", nil, 404, "", "/_database-hosts/attach/ID"},
 		{"GET", "/", nil, 404, "", "no such call"},
 	} {
-		d := &desk{err: c.err}
+		control := &fakeControl{err: c.err}
 		body := ""
 		if c.method == "POST" {
-			body = "a body that nobody wants"
+			body = "an unexpected body"
 		}
-		r, text, err := call(c.method, "http://"+staff(t, d)+c.path, body)
+		r, text, err := call(c.method, "http://"+startServer(t, control)+c.path, body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if did := strings.Join(d.calls, ","); r.StatusCode != c.status || did != c.did || !r.Close || !strings.Contains(text, c.says) ||
+		calls := strings.Join(control.calls, ",")
+		if r.StatusCode != c.status || calls != c.calls || !r.Close || !strings.Contains(text, c.body) ||
 			(r.StatusCode == 405) != (r.Header.Get("Allow") != "") {
-			t.Errorf("%s %s: %d %q after %q, want %d after %q, and the connection's end", c.method, c.path, r.StatusCode, text, did, c.status, c.did)
+			t.Errorf("%s %s: %d %q after %q, want %d after %q, and the connection's end", c.method, c.path, r.StatusCode, text, calls, c.status, c.calls)
 		}
 	}
 }
 
-// TestHealth asks as balancers do.
+// TestHealth makes the calls of load balancers.
 func TestHealth(t *testing.T) {
 	var unready error
-	address := serve(t, NewHealth(func(context.Context) (string, error) { return "ready\n", unready },
+	address := start(t, NewHealth(func(context.Context) (string, error) { return "ready\n", unready },
 		func(context.Context) (string, error) { return "a=1\nb=2\n", nil }, 12))
 	for _, c := range []struct {
 		sent, head, body string
@@ -161,32 +170,34 @@
 		io.WriteString(conn, c.sent)
 		got, err := io.ReadAll(conn)
 		conn.Close()
-		if head, body, _ := strings.Cut(string(got), "\r\n\r\n"); err != nil && c.head != "431" || !strings.Contains(head, c.head) || c.head != "431" && body != c.body {
+		head, body, _ := strings.Cut(string(got), "\r\n\r\n")
+		if err != nil && c.head != "431" || !strings.Contains(head, c.head) || c.head != "431" && body != c.body {
 			t.Errorf("%.40q: %q, %v", c.sent, got, err)
 		}
 	}
 }
 
-// TestContradictions makes calls that contradict each other at once: the state is that of the yes which came last.
-func TestContradictions(t *testing.T) {
+// TestConcurrentContradictions makes calls that contradict each other at once: the state is that of the call which was answered last.
+func TestConcurrentContradictions(t *testing.T) {
 	var mu sync.Mutex
-	held := map[string]string{} // by host
-	d := &desk{act: func(_ context.Context, call string) error {
-		way, host, _ := strings.Cut(call, " ")
+	state := map[string]string{} // the last action, by host
+	control := &fakeControl{act: func(_ context.Context, call string) error {
+		action, host, _ := strings.Cut(call, " ")
 		mu.Lock()
 		defer mu.Unlock()
-		held[host] = way
+		state[host] = action
 		return nil
 	}}
-	address := staff(t, d)
+	address := startServer(t, control)
 	for round := range 50 {
 		host := fmt.Sprint("s-", round)
-		var last [2]time.Time
+		var answeredAt [2]time.Time
 		var group sync.WaitGroup
-		for i, way := range []string{"detach", "attach"} {
+		for i, action := range []string{"detach", "attach"} {
 			group.Go(func() {
-				r, _, err := call("POST", "http://"+address+"/_database-hosts/"+way+"/"+host, "")
-				if last[i] = time.Now(); err != nil || r.StatusCode != 200 {
+				r, _, err := call("POST", "http://"+address+"/_database-hosts/"+action+"/"+host, "")
+				answeredAt[i] = time.Now()
+				if err != nil || r.StatusCode != 200 {
 					t.Error(r, err)
 				}
 			})
@@ -194,23 +205,24 @@
 		group.Wait()
 		mu.Lock()
 		want := "detach"
-		if last[1].After(last[0]) {
+		if answeredAt[1].After(answeredAt[0]) {
 			want = "attach"
 		}
-		if apart := last[1].Sub(last[0]).Abs(); held[host] != want && apart > 50*time.Millisecond {
-			t.Errorf("%s holds; the yes to %s came %v later", held[host], want, apart)
+		interval := answeredAt[1].Sub(answeredAt[0]).Abs()
+		if state[host] != want && interval > 50*time.Millisecond {
+			t.Errorf("%s holds; %s was answered %v later", state[host], want, interval)
 		}
 		mu.Unlock()
 	}
 }
 
-// TestNotInTime has an action go on beyond its time: the caller is told so, the next on the same host waits for it in
-// vain until it has ended, and one on another does not.
-func TestNotInTime(t *testing.T) {
-	hold := make(chan struct{})
-	address := staff(t, &desk{act: func(_ context.Context, call string) error {
+// TestActionTimeout has an action go on beyond its time: its caller gets ErrTimeout, as does the next on the same host until the action
+// has ended, and a call on another host is answered at once.
+func TestActionTimeout(t *testing.T) {
+	resume := make(chan struct{})
+	address := startServer(t, &fakeControl{act: func(_ context.Context, call string) error {
 		if call == "detach slow" {
-			<-hold
+			<-resume
 		}
 		return nil
 	}})
@@ -218,28 +230,29 @@
 		path   string
 		status int
 	}{{"detach/slow", 503}, {"attach/slow", 503}, {"attach/quick", 200}} {
-		since := time.Now()
-		if r, text, err := call("POST", "http://"+address+"/_database-hosts/"+c.path, ""); err != nil || r.StatusCode != c.status ||
-			c.status == 503 && text != ErrTimeout.Error()+"\n" {
+		startedAt := time.Now()
+		r, text, err := call("POST", "http://"+address+"/_database-hosts/"+c.path, "")
+		if err != nil || r.StatusCode != c.status || c.status == 503 && text != ErrTimeout.Error()+"\n" {
 			t.Errorf("%s: %v, %q, %v", c.path, r, text, err)
 		}
-		if took := time.Since(since); took > 2*actFor {
+		if took := time.Since(startedAt); took > 2*actionTimeout {
 			t.Errorf("%s: an answer took %v", c.path, took)
 		}
 	}
-	close(hold)
-	if r, _, err := call("POST", "http://"+address+"/_database-hosts/attach/slow", ""); err != nil || r.StatusCode != 200 {
+	close(resume)
+	r, _, err := call("POST", "http://"+address+"/_database-hosts/attach/slow", "")
+	if err != nil || r.StatusCode != 200 {
 		t.Error(r, err)
 	}
 }
 
-// TestShorterWait has an action fail in its time since a wait inside it was shorter: the caller is told that wait's own
-// words, which say what can be done, and not that the call's whole time has passed.
-func TestShorterWait(t *testing.T) {
-	inside := fmt.Errorf("the lock is held: %w", context.DeadlineExceeded)
-	address := staff(t, &desk{err: inside})
+// TestInnerTimeoutError has an action fail in time, by a shorter timeout of its own: the caller gets that error's text, which tells what can be done, and not
+// ErrTimeout.
+func TestInnerTimeoutError(t *testing.T) {
+	inner := fmt.Errorf("the lock is held: %w", context.DeadlineExceeded)
+	address := startServer(t, &fakeControl{err: inner})
 	r, text, err := call("POST", "http://"+address+"/_lameduck/on", "")
-	if err != nil || r.StatusCode != 503 || text != inside.Error()+"\n" {
-		t.Errorf("%v, %q, %v; want 503 with %q", r, text, err, inside)
+	if err != nil || r.StatusCode != 503 || text != inner.Error()+"\n" {
+		t.Errorf("%v, %q, %v; want 503 with %q", r, text, err, inner)
 	}
 }
--- a/internal/admin/format_test.go
+++ b/internal/admin/format_test.go
@@ -32,7 +32,7 @@
 		{"POST", "/_database-hosts/detach/a", context.DeadlineExceeded,
 			"not done within 800ms: it may or may not hold; ask again, the call may be made twice\n"},
 	} {
-		r, text, err := call(c.method, "http://"+staff(t, &desk{err: c.err})+c.path, "")
+		r, text, err := call(c.method, "http://"+startServer(t, &fakeControl{err: c.err})+c.path, "")
 		if err != nil || text != c.body || r.Header.Get("Content-Type") != "text/plain; charset=utf-8" || r.Header.Get("Cache-Control") != "no-store" {
 			t.Errorf("%s %s: %q, %v, want %q", c.method, c.path, text, err, c.body)
 		}
--- /dev/null
+++ b/internal/admin/limiter.go
@@ -0,0 +1,108 @@
+package admin
+
+import (
+	"context"
+	"net"
+	"sync"
+	"time"
+)
+
+// limiter is a listener that holds a bounded number of connections. While it is full, new ones wait in the system's
+// queue. They are accepted as calls end, or as callers that don't finish are evicted, the one whose grace period ended first.
+type limiter struct {
+	net.Listener
+	ctx      context.Context // of all actions
+	maxSlots int
+	freed    chan struct{} // has room for one value: a slot was released
+
+	mu    sync.Mutex
+	slots map[*slot]struct{}
+}
+
+func newLimiter(ctx context.Context, l net.Listener, maxSlots int) *limiter {
+	return &limiter{Listener: l, ctx: ctx, maxSlots: maxSlots, freed: make(chan struct{}, 1), slots: map[*slot]struct{}{}}
+}
+
+// Accept returns the next connection, once it has a slot. It returns net.ErrClosed when the context ends.
+func (l *limiter) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	s := &slot{Conn: c, limiter: l}
+	for {
+		evicted, wait := l.tryAcquire(s, time.Now())
+		if evicted != nil {
+			evicted.Close()
+		}
+		if wait <= 0 {
+			return s, nil
+		}
+		select {
+		case <-l.freed:
+		case <-time.After(wait):
+		case <-l.ctx.Done():
+			c.Close()
+			return nil, net.ErrClosed
+		}
+	}
+}
+
+// tryAcquire gives a connection a slot. Where all are taken it evicts a connection, which the caller has to close; if none may be
+// evicted yet, it returns how long to wait before the next try.
+func (l *limiter) tryAcquire(s *slot, now time.Time) (evicted *slot, wait time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.slots) >= l.maxSlots {
+		candidate, at := l.evictionCandidate(now)
+		if candidate == nil {
+			return nil, readGrace // or until one is freed
+		}
+		if at.After(now) {
+			return nil, at.Sub(now)
+		}
+		candidate.phase = phaseClosed
+		delete(l.slots, candidate)
+		evicted = candidate
+	}
+	s.phaseSince = now
+	l.slots[s] = struct{}{}
+	return evicted, 0
+}
+
+// evictionCandidate returns the connection that may be evicted first, and from when on. While a caller delays the end of its answer, those
+// whose header has not come get contentionGrace more: a caller that has its answer is evicted before them.
+func (l *limiter) evictionCandidate(now time.Time) (candidate *slot, at time.Time) {
+	consider := func(s *slot, evictableAt time.Time) {
+		if candidate == nil || evictableAt.Before(at) {
+			candidate, at = s, evictableAt
+		}
+	}
+	grace := time.Duration(0)
+	for s := range l.slots {
+		evictableAt := s.evictableAt(now)
+		if s.phase != phaseReading && !evictableAt.IsZero() {
+			grace = contentionGrace
+			consider(s, evictableAt)
+		}
+	}
+	for s := range l.slots {
+		evictableAt := s.evictableAt(now)
+		if s.phase == phaseReading && !evictableAt.IsZero() {
+			consider(s, evictableAt.Add(grace))
+		}
+	}
+	return candidate, at
+}
+
+// release takes back the slot of a closed connection.
+func (l *limiter) release(s *slot) {
+	l.mu.Lock()
+	s.phase = phaseClosed
+	delete(l.slots, s)
+	l.mu.Unlock()
+	select {
+	case l.freed <- struct{}{}:
+	default:
+	}
+}
--- /dev/null
+++ b/internal/admin/slot.go
@@ -0,0 +1,132 @@
+package admin
+
+import (
+	"net"
+	"sync/atomic"
+	"syscall"
+	"time"
+)
+
+// Grace periods, for which a caller is sure of its slot. After them it is evicted if another needs the slot. A caller whose action runs
+// is not evicted.
+const (
+	readGrace       = 20 * time.Millisecond  // to send the request's header, and the rest of the body behind the answer
+	unreadGrace     = 500 * time.Millisecond // for the header, while this process, on part of a core, has not yet read what has come
+	contentionGrace = 250 * time.Millisecond // for the header, on top, while other callers delay the end of their answers
+	writeGrace      = 30 * time.Millisecond  // to take what of its answer the system's buffers do not
+)
+
+// socketBufferBytes is what a socket takes without its peer reading: the send buffer of one on which nothing was sent is larger.
+const socketBufferBytes = 8 << 10
+
+// slotPhase is how far the call on a connection is.
+type slotPhase int
+
+const (
+	phaseReading slotPhase = iota
+	phaseActing
+	phaseAnswering
+	phaseAnswered
+	phaseClosed
+)
+
+// slotKey is the key of a connection's slot in the context of its request.
+type slotKey struct{}
+
+// slot is a connection that takes one of the limiter's slots.
+type slot struct {
+	net.Conn
+	limiter    *limiter
+	phase      slotPhase // guarded by limiter.mu
+	phaseSince time.Time // guarded by limiter.mu
+
+	reading      atomic.Bool  // the server waits in Read for the caller
+	writingSince atomic.Int64 // when a long Write began, in Unix ns; 0 if none runs
+}
+
+// Read marks the slot while the server waits for the caller. A read of one byte is net/http's own, by which it watches for the caller's
+// end once the header is complete, a little before the handler runs.
+func (s *slot) Read(b []byte) (int, error) {
+	if len(b) > 1 {
+		s.reading.Store(true)
+		defer s.reading.Store(false)
+	}
+	return s.Conn.Read(b)
+}
+
+// Write marks the slot likewise, where the system's buffers may not take b at once.
+func (s *slot) Write(b []byte) (int, error) {
+	if len(b) > socketBufferBytes {
+		s.writingSince.Store(time.Now().UnixNano())
+		defer s.writingSince.Store(0)
+	}
+	return s.Conn.Write(b)
+}
+
+// setPhase goes on to a phase. It reports false if the connection is closed or was evicted.
+func (s *slot) setPhase(phase slotPhase) bool {
+	s.limiter.mu.Lock()
+	defer s.limiter.mu.Unlock()
+	if s.phase == phaseClosed {
+		return false
+	}
+	s.phase = phase
+	s.phaseSince = time.Now()
+	return true
+}
+
+// Close closes the connection and releases the slot.
+func (s *slot) Close() error {
+	err := s.Conn.Close()
+	s.limiter.release(s)
+	return err
+}
+
+// CloseWrite ends this side's stream, after which net/http discards what the other side has still sent.
+func (s *slot) CloseWrite() error {
+	if c, ok := s.Conn.(interface{ CloseWrite() error }); ok {
+		return c.CloseWrite()
+	}
+	return net.ErrClosed
+}
+
+// evictableAt returns from when on the connection may be evicted. It is zero while it is this process that is waited for. The caller
+// holds limiter.mu.
+func (s *slot) evictableAt(now time.Time) time.Time {
+	switch s.phase {
+	case phaseReading:
+		if !s.reading.Load() {
+			return time.Time{}
+		}
+		at := s.phaseSince.Add(readGrace)
+		if at.After(now) || !s.hasUnread() {
+			return at
+		}
+		return s.phaseSince.Add(unreadGrace)
+	case phaseAnswering:
+		if since := s.writingSince.Load(); since != 0 {
+			return time.Unix(0, since).Add(writeGrace)
+		}
+	case phaseAnswered:
+		return s.phaseSince.Add(readGrace)
+	}
+	return time.Time{}
+}
+
+// hasUnread reports whether bytes have come that this process has not read.
+func (s *slot) hasUnread() (unread bool) {
+	c, ok := s.Conn.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return false
+	}
+	raw.Control(func(fd uintptr) {
+		var b [1]byte
+		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		unread = err == nil && n > 0
+	})
+	return unread
+}
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	longestID = 256
-	mostOut   = 4096             // hosts out at once
-	goneFor   = 60 * time.Second // a host off the list may still be in use for this long
+	maxIDBytes = 256
+	maxDetached   = 4096             // hosts out at once
+	removedRetention   = 60 * time.Second // a host off the list may still be in use for this long
 )
 
 // UnknownHostError says that nobody has a database host of this id. Look it up in discovery's list: ids are compared whole.
 type UnknownHostError struct{ ID string }
 
 func (e UnknownHostError) Error() string {
-	return fmt.Sprintf("no database host has the id %.*q; look it up in discovery's list", longestID, e.ID)
+	return fmt.Sprintf("no database host has the id %.*q; look it up in discovery's list", maxIDBytes, e.ID)
 }
 
 // LimitError says that no more hosts can be out at once. Call some back first.
@@ -36,20 +36,20 @@
 // Hands is the state of all hosts. Its zero value knows none. One goroutine at a time may use it.
 type Overrides struct {
 	listed map[string]host
-	out    map[string]bool
-	back   map[string]time.Duration // when a host was called back
+	detached    map[string]bool
+	attachedAt   map[string]time.Duration // when a host was called back
 }
 
 // host is a host as discovery told of it last.
 type host struct {
 	routing.Endpoint
-	gone time.Duration // since when it is off the list; 0: it is on it
+	removedAt time.Duration // since when it is off the list; 0: it is on it
 }
 
 // Out lists the hosts that are out.
 func (h *Overrides) Detached() []string {
 	var ids []string
-	for id := range h.out {
+	for id := range h.detached {
 		ids = append(ids, id)
 	}
 	return ids
@@ -58,32 +58,32 @@
 // Known says whether anybody has a host of this id: it is on the list, was so lately, or is out.
 func (h *Overrides) Known(now time.Duration, id string) bool {
 	x, ok := h.listed[id]
-	return h.out[id] || ok && (x.gone == 0 || now-x.gone < goneFor)
+	return h.detached[id] || ok && (x.removedAt == 0 || now-x.removedAt < removedRetention)
 }
 
 // Detach takes a host out, and returns what the module has to be told. Twice is the same as once.
 func (h *Overrides) Detach(now time.Duration, id string) ([]routing.Endpoint, error) {
-	if !h.Known(now, id) || len(id) > longestID {
+	if !h.Known(now, id) || len(id) > maxIDBytes {
 		return nil, UnknownHostError{id}
 	}
-	return h.hold(now, id)
+	return h.detach(now, id)
 }
 
 // Hold takes a host out that may come to be listed later: a process before this one has.
 func (h *Overrides) DetachUnlisted(now time.Duration, id string) ([]routing.Endpoint, error) {
-	return h.hold(now, id)
+	return h.detach(now, id)
 }
 
-func (h *Overrides) hold(now time.Duration, id string) ([]routing.Endpoint, error) {
-	if len(h.out) >= mostOut && !h.out[id] {
-		return nil, LimitError{len(h.out)}
+func (h *Overrides) detach(now time.Duration, id string) ([]routing.Endpoint, error) {
+	if len(h.detached) >= maxDetached && !h.detached[id] {
+		return nil, LimitError{len(h.detached)}
 	}
-	if h.out == nil {
-		h.out, h.back = map[string]bool{}, map[string]time.Duration{}
+	if h.detached == nil {
+		h.detached, h.attachedAt = map[string]bool{}, map[string]time.Duration{}
 	}
-	h.out[id] = true
-	delete(h.back, id)
-	return h.now(id), nil
+	h.detached[id] = true
+	delete(h.attachedAt, id)
+	return h.current(id), nil
 }
 
 // Attach calls a host back, and returns what the module has to be told. One that is not out is left as it is.
@@ -91,35 +91,35 @@
 	if !h.Known(now, id) {
 		return nil, UnknownHostError{id}
 	}
-	if !h.out[id] {
+	if !h.detached[id] {
 		return nil, nil
 	}
-	delete(h.out, id)
+	delete(h.detached, id)
 	if _, ok := h.listed[id]; !ok {
 		return nil, nil
 	}
-	h.back[id] = now
-	return h.now(id), nil
+	h.attachedAt[id] = now
+	return h.current(id), nil
 }
 
 // Started says that a host, which may be listed later, is known to have started at a time. It is for a process that takes
 // over from another, before the first list.
 func (h *Overrides) SetStarted(id string, at time.Duration) {
-	if h.back == nil {
-		h.out, h.back = map[string]bool{}, map[string]time.Duration{}
+	if h.attachedAt == nil {
+		h.detached, h.attachedAt = map[string]bool{}, map[string]time.Duration{}
 	}
-	if len(h.back) < mostOut {
-		h.back[id] = max(at, h.back[id])
+	if len(h.attachedAt) < maxDetached {
+		h.attachedAt[id] = max(at, h.attachedAt[id])
 	}
 }
 
 // now is a host's entry as the module has to see it; none where it was never listed.
-func (h *Overrides) now(id string) []routing.Endpoint {
+func (h *Overrides) current(id string) []routing.Endpoint {
 	x, ok := h.listed[id]
 	if !ok {
 		return nil
 	}
-	return []routing.Endpoint{h.seen(x.Endpoint)}
+	return []routing.Endpoint{h.override(x.Endpoint)}
 }
 
 // Take notes news of the list and turns its entries, in place, into what the module has to see.
@@ -133,31 +133,31 @@
 	named := map[string]bool{}
 	for i, e := range l.Endpoints {
 		named[e.Member] = true
-		l.Endpoints[i] = h.seen(h.note(now, e))
+		l.Endpoints[i] = h.override(h.record(now, e))
 	}
 	for id, x := range h.listed {
-		if l.Kind != routing.EndpointListPatch && !named[id] && x.gone == 0 {
-			x.gone, x.Phase = now, routing.PhaseRemoved
+		if l.Kind != routing.EndpointListPatch && !named[id] && x.removedAt == 0 {
+			x.removedAt, x.Phase = now, routing.PhaseRemoved
 			h.listed[id] = x
 		}
-		if x.gone != 0 && now-x.gone >= goneFor {
+		if x.removedAt != 0 && now-x.removedAt >= removedRetention {
 			delete(h.listed, id)
-			delete(h.back, id)
+			delete(h.attachedAt, id)
 		}
 	}
 	return l
 }
 
 // note keeps an entry as discovery's word. An old list does not undo a drain.
-func (h *Overrides) note(now time.Duration, e routing.Endpoint) routing.Endpoint {
+func (h *Overrides) record(now time.Duration, e routing.Endpoint) routing.Endpoint {
 	old, ok := h.listed[e.Member]
 	x := host{Endpoint: e}
 	if ok && old.Phase == routing.PhaseDraining && e.Phase == routing.PhaseServing && e.StartedAt <= old.StartedAt {
 		x.Phase = routing.PhaseDraining
 	}
 	if e.Phase == routing.PhaseRemoved {
-		if x.gone = old.gone; x.gone == 0 {
-			x.gone = now
+		if x.removedAt = old.removedAt; x.removedAt == 0 {
+			x.removedAt = now
 		}
 	}
 	if ok || e.Phase != routing.PhaseRemoved {
@@ -167,9 +167,9 @@
 }
 
 // seen is an entry as the module has to see it.
-func (h *Overrides) seen(e routing.Endpoint) routing.Endpoint {
-	switch back, ok := h.back[e.Member]; {
-	case h.out[e.Member] && e.Phase == routing.PhaseServing:
+func (h *Overrides) override(e routing.Endpoint) routing.Endpoint {
+	switch back, ok := h.attachedAt[e.Member]; {
+	case h.detached[e.Member] && e.Phase == routing.PhaseServing:
 		e.Phase = routing.PhaseDraining
 	case ok:
 		e.StartedAt = max(e.StartedAt, back)
