--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -1,9 +1,9 @@
-// Package override holds which database hosts staff have taken out of use, beside what discovery says of them. It is pure:
-// lists and time are handed in, and what the module has to be told comes back as entries.
+// Package override keeps the database hosts that staff have taken out of use (detached), on top of discovery's endpoint list. It does
+// no I/O and reads no clock: lists and times are arguments, and changes for the router are returned as endpoints.
 //
-// A host that is out reaches the module as draining, so that the gate that keeps drains keeps this too. One that is
-// called back is taken as started at that moment, as staff restart hosts meanwhile: one that is taken for colder than it
-// is only earns a little less.
+// The router sees a detached host as draining, so that the checks that keep a drain keep this as well. A host that is attached
+// again counts as started at that moment, as staff restart hosts meanwhile: a host that is taken for less warmed up than it is only
+// gets a little less load.
 package override
 
 import (
@@ -14,165 +14,181 @@
 )
 
 const (
-	maxIDBytes = 256
-	maxDetached   = 4096             // hosts out at once
-	removedRetention   = 60 * time.Second // a host off the list may still be in use for this long
+	maxIDBytes       = 256
+	maxDetached      = 4096             // hosts at once
+	removedRetention = 60 * time.Second // for which a host that was removed from the list may still be in use
 )
 
-// UnknownHostError says that nobody has a database host of this id. Look it up in discovery's list: ids are compared whole.
+// UnknownHostError reports that no database host has the id. Ids in discovery's list are compared as a whole.
 type UnknownHostError struct{ ID string }
 
+// Error implements the error interface.
 func (e UnknownHostError) Error() string {
 	return fmt.Sprintf("no database host has the id %.*q; look it up in discovery's list", maxIDBytes, e.ID)
 }
 
-// LimitError says that no more hosts can be out at once. Call some back first.
+// LimitError reports that no more hosts can be detached at once. Some must be attached first.
 type LimitError struct{ Detached int }
 
+// Error implements the error interface.
 func (e LimitError) Error() string {
 	return fmt.Sprintf("%d database hosts are out already; call some back first", e.Detached)
 }
 
-// Hands is the state of all hosts. Its zero value knows none. One goroutine at a time may use it.
+// Overrides is the state of all hosts. The zero value knows none. It is not safe for use by several goroutines at once.
 type Overrides struct {
-	listed map[string]host
-	detached    map[string]bool
-	attachedAt   map[string]time.Duration // when a host was called back
+	listed     map[string]host
+	detached   map[string]bool
+	attachedAt map[string]time.Duration // of hosts that were detached before
 }
 
-// host is a host as discovery told of it last.
+// host is a host as discovery listed it last.
 type host struct {
 	routing.Endpoint
-	removedAt time.Duration // since when it is off the list; 0: it is on it
+	removedAt time.Duration // 0 if it is listed
 }
 
-// Out lists the hosts that are out.
-func (h *Overrides) Detached() []string {
+// recentlyRemoved reports whether a host off the list may still be in use.
+func (h host) recentlyRemoved(now time.Duration) bool { return now-h.removedAt < removedRetention }
+
+// Detached returns the ids of the hosts that are detached, in no order.
+func (o *Overrides) Detached() []string {
 	var ids []string
-	for id := range h.detached {
+	for id := range o.detached {
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-// Known says whether anybody has a host of this id: it is on the list, was so lately, or is out.
-func (h *Overrides) Known(now time.Duration, id string) bool {
-	x, ok := h.listed[id]
-	return h.detached[id] || ok && (x.removedAt == 0 || now-x.removedAt < removedRetention)
+// Known reports whether a host has this id: it is listed, was so within the last minute, or is detached.
+func (o *Overrides) Known(now time.Duration, id string) bool {
+	if o.detached[id] {
+		return true
+	}
+	h, ok := o.listed[id]
+	return ok && (h.removedAt == 0 || h.recentlyRemoved(now))
 }
 
-// Detach takes a host out, and returns what the module has to be told. Twice is the same as once.
-func (h *Overrides) Detach(now time.Duration, id string) ([]routing.Endpoint, error) {
-	if !h.Known(now, id) || len(id) > maxIDBytes {
+// Detach takes a host out of use, and returns what changes for the router. It is idempotent. It returns an UnknownHostError or a LimitError.
+func (o *Overrides) Detach(now time.Duration, id string) ([]routing.Endpoint, error) {
+	if !o.Known(now, id) || len(id) > maxIDBytes {
 		return nil, UnknownHostError{id}
 	}
-	return h.detach(now, id)
+	return o.detach(id)
 }
 
-// Hold takes a host out that may come to be listed later: a process before this one has.
-func (h *Overrides) DetachUnlisted(now time.Duration, id string) ([]routing.Endpoint, error) {
-	return h.detach(now, id)
+// DetachUnlisted is Detach for a host that may be listed only later, which an earlier process has detached.
+func (o *Overrides) DetachUnlisted(_ time.Duration, id string) ([]routing.Endpoint, error) {
+	return o.detach(id)
 }
 
-func (h *Overrides) detach(now time.Duration, id string) ([]routing.Endpoint, error) {
-	if len(h.detached) >= maxDetached && !h.detached[id] {
-		return nil, LimitError{len(h.detached)}
+func (o *Overrides) detach(id string) ([]routing.Endpoint, error) {
+	if len(o.detached) >= maxDetached && !o.detached[id] {
+		return nil, LimitError{len(o.detached)}
 	}
-	if h.detached == nil {
-		h.detached, h.attachedAt = map[string]bool{}, map[string]time.Duration{}
+	o.init()
+	o.detached[id] = true
+	delete(o.attachedAt, id)
+	return o.current(id), nil
+}
+
+// init makes the maps of a zero value.
+func (o *Overrides) init() {
+	if o.attachedAt == nil {
+		o.detached = map[string]bool{}
+		o.attachedAt = map[string]time.Duration{}
 	}
-	h.detached[id] = true
-	delete(h.attachedAt, id)
-	return h.current(id), nil
 }
 
-// Attach calls a host back, and returns what the module has to be told. One that is not out is left as it is.
-func (h *Overrides) Attach(now time.Duration, id string) ([]routing.Endpoint, error) {
-	if !h.Known(now, id) {
+// Attach puts a detached host back to use, and returns what changes for the router. A host that is not detached is left as it is.
+// It returns an UnknownHostError for a host that is not known.
+func (o *Overrides) Attach(now time.Duration, id string) ([]routing.Endpoint, error) {
+	if !o.Known(now, id) {
 		return nil, UnknownHostError{id}
 	}
-	if !h.detached[id] {
+	if !o.detached[id] {
 		return nil, nil
 	}
-	delete(h.detached, id)
-	if _, ok := h.listed[id]; !ok {
+	delete(o.detached, id)
+	if _, ok := o.listed[id]; !ok {
 		return nil, nil
 	}
-	h.attachedAt[id] = now
-	return h.current(id), nil
+	o.attachedAt[id] = now
+	return o.current(id), nil
 }
 
-// Started says that a host, which may be listed later, is known to have started at a time. It is for a process that takes
-// over from another, before the first list.
-func (h *Overrides) SetStarted(id string, at time.Duration) {
-	if h.attachedAt == nil {
-		h.detached, h.attachedAt = map[string]bool{}, map[string]time.Duration{}
-	}
-	if len(h.attachedAt) < maxDetached {
-		h.attachedAt[id] = max(at, h.attachedAt[id])
+// SetStarted records that a host, which may be listed later, is known to have started at a time. A process that takes
+// over from another calls it before the first list.
+func (o *Overrides) SetStarted(id string, at time.Duration) {
+	o.init()
+	if len(o.attachedAt) < maxDetached {
+		o.attachedAt[id] = max(at, o.attachedAt[id])
 	}
 }
 
-// now is a host's entry as the module has to see it; none where it was never listed.
-func (h *Overrides) current(id string) []routing.Endpoint {
-	x, ok := h.listed[id]
+// current returns a host's endpoint as the router has to see it, or nothing if it was never listed.
+func (o *Overrides) current(id string) []routing.Endpoint {
+	h, ok := o.listed[id]
 	if !ok {
 		return nil
 	}
-	return []routing.Endpoint{h.override(x.Endpoint)}
+	return []routing.Endpoint{o.overridden(h.Endpoint)}
 }
 
-// Take notes news of the list and turns its entries, in place, into what the module has to see.
-func (h *Overrides) Apply(now time.Duration, l routing.EndpointList) routing.EndpointList {
+// Apply takes a list, or a change of it, from discovery and turns its endpoints, in place, into what the router has to see.
+func (o *Overrides) Apply(now time.Duration, l routing.EndpointList) routing.EndpointList {
 	if l.Kind == routing.EndpointListFailed {
 		return l
 	}
-	if h.listed == nil {
-		h.listed = map[string]host{}
+	if o.listed == nil {
+		o.listed = map[string]host{}
 	}
-	named := map[string]bool{}
-	for i, e := range l.Endpoints {
-		named[e.Member] = true
-		l.Endpoints[i] = h.override(h.record(now, e))
+	inList := map[string]bool{}
+	for i, endpoint := range l.Endpoints {
+		inList[endpoint.Member] = true
+		l.Endpoints[i] = o.overridden(o.record(now, endpoint))
 	}
-	for id, x := range h.listed {
-		if l.Kind != routing.EndpointListPatch && !named[id] && x.removedAt == 0 {
-			x.removedAt, x.Phase = now, routing.PhaseRemoved
-			h.listed[id] = x
+	for id, h := range o.listed {
+		if l.Kind != routing.EndpointListPatch && !inList[id] && h.removedAt == 0 {
+			h.removedAt = now
+			h.Phase = routing.PhaseRemoved
+			o.listed[id] = h
 		}
-		if x.removedAt != 0 && now-x.removedAt >= removedRetention {
-			delete(h.listed, id)
-			delete(h.attachedAt, id)
+		if h.removedAt != 0 && !h.recentlyRemoved(now) {
+			delete(o.listed, id)
+			delete(o.attachedAt, id)
 		}
 	}
 	return l
 }
 
-// note keeps an entry as discovery's word. An old list does not undo a drain.
-func (h *Overrides) record(now time.Duration, e routing.Endpoint) routing.Endpoint {
-	old, ok := h.listed[e.Member]
-	x := host{Endpoint: e}
-	if ok && old.Phase == routing.PhaseDraining && e.Phase == routing.PhaseServing && e.StartedAt <= old.StartedAt {
-		x.Phase = routing.PhaseDraining
-	}
-	if e.Phase == routing.PhaseRemoved {
-		if x.removedAt = old.removedAt; x.removedAt == 0 {
-			x.removedAt = now
+// record keeps an endpoint as discovery lists it. An older list does not undo a drain: the endpoint serves again only with a later start.
+func (o *Overrides) record(now time.Duration, endpoint routing.Endpoint) routing.Endpoint {
+	old, known := o.listed[endpoint.Member]
+	h := host{Endpoint: endpoint}
+	if known && old.Phase == routing.PhaseDraining && endpoint.Phase == routing.PhaseServing && endpoint.StartedAt <= old.StartedAt {
+		h.Phase = routing.PhaseDraining
+	}
+	if endpoint.Phase == routing.PhaseRemoved {
+		h.removedAt = old.removedAt
+		if h.removedAt == 0 {
+			h.removedAt = now
 		}
 	}
-	if ok || e.Phase != routing.PhaseRemoved {
-		h.listed[e.Member] = x
+	if known || endpoint.Phase != routing.PhaseRemoved {
+		o.listed[endpoint.Member] = h
 	}
-	return x.Endpoint
+	return h.Endpoint
 }
 
-// seen is an entry as the module has to see it.
-func (h *Overrides) override(e routing.Endpoint) routing.Endpoint {
-	switch back, ok := h.attachedAt[e.Member]; {
-	case h.detached[e.Member] && e.Phase == routing.PhaseServing:
-		e.Phase = routing.PhaseDraining
-	case ok:
-		e.StartedAt = max(e.StartedAt, back)
+// overridden returns an endpoint as the router has to see it.
+func (o *Overrides) overridden(endpoint routing.Endpoint) routing.Endpoint {
+	if o.detached[endpoint.Member] && endpoint.Phase == routing.PhaseServing {
+		endpoint.Phase = routing.PhaseDraining
+		return endpoint
+	}
+	if attachedAt, ok := o.attachedAt[endpoint.Member]; ok {
+		endpoint.StartedAt = max(endpoint.StartedAt, attachedAt)
 	}
-	return e
+	return endpoint
 }
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -10,96 +10,96 @@
 
 const second = time.Second
 
-func endpointList(kind routing.EndpointListKind, entries ...routing.Endpoint) routing.EndpointList {
-	return routing.EndpointList{Kind: kind, Endpoints: entries}
+func complete(endpoints ...routing.Endpoint) routing.EndpointList {
+	return routing.EndpointList{Kind: routing.EndpointListComplete, Endpoints: endpoints}
 }
 
-// phase is what the module is told last of a host.
-func onlyPhase(t *testing.T, got []routing.Endpoint) routing.Phase {
+func patch(endpoints ...routing.Endpoint) routing.EndpointList {
+	return routing.EndpointList{Kind: routing.EndpointListPatch, Endpoints: endpoints}
+}
+
+// checkPhase checks that a change has exactly one endpoint, and its phase.
+func checkPhase(t *testing.T, change []routing.Endpoint, err error, want routing.Phase) {
 	t.Helper()
-	if len(got) != 1 {
-		t.Fatalf("the module is told %+v, want one entry", got)
+	if err != nil || len(change) != 1 || change[0].Phase != want {
+		t.Fatalf("%+v, %v; want one endpoint with phase %v", change, err, want)
 	}
-	return got[0].Phase
 }
 
-// TestDetachOverridesDiscovery takes a host out and has discovery say all that it can: new starts, a drain, that it is
-// gone, and that it is back under the same id.
+// TestDetachOverridesDiscovery detaches a host and has discovery list it in every way: with new starts, draining, removed, and listed again
+// under the same id.
 func TestDetachOverridesDiscovery(t *testing.T) {
-	var h Overrides
-	h.Apply(0, endpointList(routing.EndpointListComplete, routing.Endpoint{Member: "a"}, routing.Endpoint{Member: "b"}))
-	got, err := h.Detach(second, "a")
-	if err != nil || onlyPhase(t, got) != routing.PhaseDraining {
-		t.Fatal(got, err)
-	}
-	for i, l := range []routing.EndpointList{
-		endpointList(routing.EndpointListPatch, routing.Endpoint{Member: "a"}),
-		endpointList(routing.EndpointListPatch, routing.Endpoint{Member: "a", StartedAt: 9 * second}),
-		endpointList(routing.EndpointListComplete, routing.Endpoint{Member: "b"}),
-		endpointList(routing.EndpointListPatch, routing.Endpoint{Member: "a", Phase: routing.PhaseRemoved}),
-		endpointList(routing.EndpointListComplete, routing.Endpoint{Member: "a", StartedAt: 20 * second}),
+	var o Overrides
+	o.Apply(0, complete(routing.Endpoint{Member: "a"}, routing.Endpoint{Member: "b"}))
+	change, err := o.Detach(second, "a")
+	checkPhase(t, change, err, routing.PhaseDraining)
+	for i, list := range []routing.EndpointList{
+		patch(routing.Endpoint{Member: "a"}),
+		patch(routing.Endpoint{Member: "a", StartedAt: 9 * second}),
+		complete(routing.Endpoint{Member: "b"}),
+		patch(routing.Endpoint{Member: "a", Phase: routing.PhaseRemoved}),
+		complete(routing.Endpoint{Member: "a", StartedAt: 20 * second}),
 	} {
-		for _, e := range h.Apply(time.Duration(10+i)*second, l).Endpoints {
+		for _, e := range o.Apply(time.Duration(10+i)*second, list).Endpoints {
 			if e.Member == "a" && e.Phase == routing.PhaseServing || e.Member == "b" && e.Phase != routing.PhaseServing {
-				t.Errorf("list %d: the module is told %+v", i, e)
+				t.Errorf("list %d: the router gets %+v", i, e)
 			}
 		}
 	}
-	h.Detach(30*second, "a") // one call back is enough for two calls out
-	if got, err = h.Attach(40*second, "a"); err != nil || onlyPhase(t, got) != routing.PhaseServing || got[0].StartedAt != 40*second {
-		t.Errorf("called back: %+v, %v; want it serving, as started then", got, err)
+	o.Detach(30*second, "a") // one Attach undoes two Detach
+	change, err = o.Attach(40*second, "a")
+	checkPhase(t, change, err, routing.PhaseServing)
+	if change[0].StartedAt != 40*second {
+		t.Errorf("attached: %+v; want it started then", change)
 	}
-	if got, err = h.Attach(50*second, "a"); err != nil || got != nil {
-		t.Errorf("called back twice: %+v, %v; want nothing", got, err)
+	if change, err = o.Attach(50*second, "a"); err != nil || change != nil {
+		t.Errorf("attached twice: %+v, %v; want no change", change, err)
 	}
-	later := h.Apply(60*second, endpointList(routing.EndpointListPatch, routing.Endpoint{Member: "a", StartedAt: 55 * second})).Endpoints[0]
-	if older := h.Apply(61*second, endpointList(routing.EndpointListPatch, routing.Endpoint{Member: "a"})).Endpoints[0]; later.StartedAt != 55*second ||
-		older.StartedAt != 40*second {
-		t.Errorf("started at %v and %v, want a later start as told, and an older one not before the call back", later.StartedAt, older.StartedAt)
+	later := o.Apply(60*second, patch(routing.Endpoint{Member: "a", StartedAt: 55 * second})).Endpoints[0]
+	older := o.Apply(61*second, patch(routing.Endpoint{Member: "a"})).Endpoints[0]
+	if later.StartedAt != 55*second || older.StartedAt != 40*second {
+		t.Errorf("started at %v and %v, want a later start as listed, and an older one not before the Attach", later.StartedAt, older.StartedAt)
 	}
 }
 
-// TestAttachKeepsDiscoveryDrain guards discovery's own drain: being called back does not undo it, nor does an old list.
+// TestAttachKeepsDiscoveryDrain checks that neither Attach nor an older list undoes discovery's own drain.
 func TestAttachKeepsDiscoveryDrain(t *testing.T) {
-	var h Overrides
-	h.Apply(0, endpointList(routing.EndpointListComplete, routing.Endpoint{Member: "a"}))
-	h.Detach(0, "a")
-	h.Apply(0, endpointList(routing.EndpointListPatch, routing.Endpoint{Member: "a", Phase: routing.PhaseDraining}))
-	h.Apply(0, endpointList(routing.EndpointListPatch, routing.Endpoint{Member: "a"}))
-	if got, err := h.Attach(second, "a"); err != nil || onlyPhase(t, got) != routing.PhaseDraining {
-		t.Error(got, err)
-	}
-	h.Apply(0, endpointList(routing.EndpointListPatch, routing.Endpoint{Member: "a", StartedAt: 2 * second}))
-	if got := h.current("a"); onlyPhase(t, got) != routing.PhaseServing {
-		t.Errorf("a new process is told as %+v", got)
-	}
+	var o Overrides
+	o.Apply(0, complete(routing.Endpoint{Member: "a"}))
+	o.Detach(0, "a")
+	o.Apply(0, patch(routing.Endpoint{Member: "a", Phase: routing.PhaseDraining}))
+	o.Apply(0, patch(routing.Endpoint{Member: "a"}))
+	change, err := o.Attach(second, "a")
+	checkPhase(t, change, err, routing.PhaseDraining)
+	o.Apply(0, patch(routing.Endpoint{Member: "a", StartedAt: 2 * second})) // a new process
+	checkPhase(t, o.current("a"), nil, routing.PhaseServing)
 }
 
-// TestUnknownHosts holds calls against ids that nobody has, hosts that have gone for good, and one that comes later.
+// TestUnknownHosts detaches and attaches ids that no host has, hosts that were removed, and one that is listed later.
 func TestUnknownHosts(t *testing.T) {
-	var h Overrides
+	var o Overrides
 	var unknown UnknownHostError
-	if _, err := h.Detach(0, "a"); !errors.As(err, &unknown) {
-		t.Error("nobody is known, and yet:", err)
+	if _, err := o.Detach(0, "a"); !errors.As(err, &unknown) {
+		t.Error("no host is known, and yet:", err)
 	}
-	if got, err := h.DetachUnlisted(0, "a"); err != nil || got != nil {
-		t.Error("held ahead:", got, err)
+	if change, err := o.DetachUnlisted(0, "a"); err != nil || change != nil {
+		t.Error("detached before it is listed:", change, err)
 	}
-	if e := h.Apply(0, endpointList(routing.EndpointListComplete, routing.Endpoint{Member: "a"})).Endpoints[0]; e.Phase != routing.PhaseDraining {
-		t.Errorf("it came as %+v", e)
+	if e := o.Apply(0, complete(routing.Endpoint{Member: "a"})).Endpoints[0]; e.Phase != routing.PhaseDraining {
+		t.Errorf("listed as %+v", e)
 	}
-	h.Apply(0, endpointList(routing.EndpointListComplete))
-	if _, err := h.Attach(second, "a"); err != nil {
-		t.Error("one that is out and off the list:", err)
+	o.Apply(0, complete())
+	if _, err := o.Attach(second, "a"); err != nil {
+		t.Error("detached and off the list:", err)
 	}
-	h.Apply(0, endpointList(routing.EndpointListComplete, routing.Endpoint{Member: "b"}))
-	h.Apply(10*second, endpointList(routing.EndpointListComplete))
-	if _, err := h.Detach(20*second, "b"); err != nil {
-		t.Error("off the list of late, and maybe still in use:", err)
+	o.Apply(0, complete(routing.Endpoint{Member: "b"}))
+	o.Apply(10*second, complete())
+	if _, err := o.Detach(20*second, "b"); err != nil {
+		t.Error("removed lately, and maybe still in use:", err)
 	}
-	h.Attach(30*second, "b")
-	h.Apply(100*second, endpointList(routing.EndpointListComplete))
-	if _, err := h.Detach(101*second, "b"); !errors.As(err, &unknown) || len(h.listed)+len(h.attachedAt) > 0 {
-		t.Error("gone for good:", err, h.listed, h.attachedAt)
+	o.Attach(30*second, "b")
+	o.Apply(100*second, complete())
+	if _, err := o.Detach(101*second, "b"); !errors.As(err, &unknown) || len(o.listed)+len(o.attachedAt) > 0 {
+		t.Error("removed for good:", err, o.listed, o.attachedAt)
 	}
 }
