--- a/internal/agentcheck/agentcheck.go
+++ b/internal/agentcheck/agentcheck.go
@@ -1,4 +1,5 @@
-// Package agentcheck tells load balancers how this gateway is: its state, and HAProxy's agent-check over TCP.
+// Package agentcheck tells load balancers the state of this gateway, by a line for health checks and by HAProxy's agent-check protocol
+// over TCP.
 package agentcheck
 
 import (
@@ -14,24 +15,27 @@
 )
 
 const (
-	answerFor = time.Second // a check takes no longer
-	mostRest  = 64          // reads of what a balancer still sends
-	mostOpen  = 11          // checks at once; one more may wait for its turn
+	checkTimeout        = time.Second
+	lingerTimeout       = checkTimeout / 10
+	maxLingerReads      = 64 // of what a balancer still sends
+	maxConcurrentChecks = 11 // one more connection may wait for its check to begin
+	acceptRetryDelay    = 10 * time.Millisecond
 )
 
-// State is what balancers are told.
+// State is the state of a gateway as load balancers see it.
 type State int32
 
 // The states, in their order.
 const (
 	Starting State = iota
 	Ready
-	Draining // no new clients, please; those here are still served
+	Draining // no new clients; those that are connected are still served
 )
 
-// Unready says that clients should go elsewhere: the gateway has not started yet, or has begun to stop.
+// NotReadyError reports that clients should go elsewhere: the gateway has not started yet, or has begun to stop.
 type NotReadyError struct{ State State }
 
+// Error implements the error interface.
 func (e NotReadyError) Error() string {
 	if e.State == Draining {
 		return "draining"
@@ -39,21 +43,21 @@
 	return "starting"
 }
 
-// Status is the state, shared by all checks.
+// Status is the state, shared by all checks. All methods may be called from any goroutine.
 type Status struct {
 	state atomic.Int32
-	// Free is the share of client connections that are still to be had, 0 to 1; nil stands for all.
+	// Free returns the share of client connections that is still free, 0 to 1. If it is nil all are. Set it before the first check.
 	Free func() float64
 }
 
-// Set moves to a state.
-func (s *Status) Set(x State) { s.state.Store(int32(x)) }
+// Set changes the state.
+func (s *Status) Set(state State) { s.state.Store(int32(state)) }
 
-// State is the present state.
+// State returns the state.
 func (s *Status) State() State { return State(s.state.Load()) }
 
-// Agent is the line for HAProxy's agent-check: a weight that falls as connections run out.
-func (s *Status) Agent() string {
+// AgentLine returns the line for HAProxy's agent-check. While the gateway is ready its weight falls as connections run out.
+func (s *Status) AgentLine() string {
 	switch s.State() {
 	case Ready:
 		weight := 100
@@ -67,50 +71,57 @@
 	return "down\n"
 }
 
-// Health is a line for a health check, and Unready while clients should go elsewhere.
+// Health returns a line for a health check, or a NotReadyError while clients should go elsewhere.
 func (s *Status) Health() (string, error) {
-	if x := s.State(); x != Ready {
-		return "", NotReadyError{x}
+	if state := s.State(); state != Ready {
+		return "", NotReadyError{state}
 	}
 	return "ready\n", nil
 }
 
-// ServeAgent answers agent-checks until the context ends, and closes the listener. Whatever the balancer says is passed
-// over.
+// ServeAgent answers agent-checks until the context ends, and closes the listener. It ignores what the balancer sends.
 func ServeAgent(ctx context.Context, l net.Listener, s *Status) error {
 	defer context.AfterFunc(ctx, func() { l.Close() })()
 	var group errgroup.Group
-	group.SetLimit(mostOpen)
+	group.SetLimit(maxConcurrentChecks)
 	for {
 		conn, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return group.Wait()
-		} else if err != nil {
-			time.Sleep(10 * time.Millisecond)
+		}
+		if err != nil {
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		group.Go(func() error {
-			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(answerFor))
-			if _, err := conn.Write([]byte(s.Agent())); err != nil {
-				slog.Warn("check_failed", "peer", conn.RemoteAddr(), "error", err)
-				return nil
-			}
-			finish(conn)
+			answer(conn, s)
 			return nil
 		})
 	}
 }
 
-// finish reads what the balancer has still sent: closing over it would reset the connection and lose the answer.
-func finish(conn net.Conn) {
-	if half, ok := conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		conn.SetReadDeadline(time.Now().Add(answerFor / 10))
-		var b [256]byte
-		for range mostRest {
-			if _, err := conn.Read(b[:]); err != nil {
-				return
-			}
+// answer answers one check and closes its connection.
+func answer(conn net.Conn, s *Status) {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(checkTimeout))
+	if _, err := conn.Write([]byte(s.AgentLine())); err != nil {
+		slog.Warn("agentcheck_failed", "peer", conn.RemoteAddr(), "error", err)
+		return
+	}
+	linger(conn)
+}
+
+// linger reads what the balancer has still sent: a close with unread bytes would reset the connection and lose the answer.
+func linger(conn net.Conn) {
+	halfCloser, ok := conn.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil {
+		return
+	}
+	conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	var buf [256]byte
+	for range maxLingerReads {
+		if _, err := conn.Read(buf[:]); err != nil {
+			return
 		}
 	}
 }
--- a/internal/agentcheck/agentcheck_test.go
+++ b/internal/agentcheck/agentcheck_test.go
@@ -8,13 +8,13 @@
 	"testing/synctest"
 )
 
-// oneConn is a listener with one connection.
-type oneConn struct {
+// pipeListener is a listener whose connections come from a channel.
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 }
 
-func (l oneConn) Accept() (net.Conn, error) {
+func (l pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
@@ -22,11 +22,16 @@
 		return nil, net.ErrClosed
 	}
 }
-func (l oneConn) Close() error   { close(l.done); return nil }
-func (l oneConn) Addr() net.Addr { return &net.TCPAddr{} }
 
-// TestAgentFollowsTheState guards what HAProxy hears in each state, whatever it says, and the line for health checks.
-func TestAgentFollowsTheState(t *testing.T) {
+func (l pipeListener) Close() error {
+	close(l.done)
+	return nil
+}
+
+func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+// TestAgentLineByState checks the line that HAProxy gets in each state, whatever it sends, and the line for health checks.
+func TestAgentLineByState(t *testing.T) {
 	free := 0.42
 	s := &Status{Free: func() float64 { return free }}
 	for _, c := range []struct {
@@ -39,7 +44,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			l := oneConn{make(chan net.Conn), make(chan struct{})}
+			l := pipeListener{make(chan net.Conn), make(chan struct{})}
 			s.Set(c.state)
 			ended := make(chan error, 1)
 			go func() { ended <- ServeAgent(ctx, l, s) }()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts what the gateway takes in, sends and answers.
+// Package metrics has the gateway's counters, by name, and writes them as text and as a line of the log.
 package metrics
 
 import (
@@ -12,17 +12,23 @@
 	"time"
 )
 
-// bounds are the upper ends of the classes of answer times.
-var bounds = []time.Duration{10 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond,
-	500 * time.Millisecond, time.Second, 2 * time.Second}
+// latencyBounds are the upper bounds of the latency histogram's buckets.
+var latencyBounds = []time.Duration{
+	10 * time.Millisecond,
+	100 * time.Millisecond,
+	250 * time.Millisecond,
+	500 * time.Millisecond,
+	time.Second,
+	2 * time.Second,
+}
 
-// Counters are numbers by name. The zero value is ready; all calls are safe from any goroutine.
+// Counters are counters by name. The zero value is ready to use. All methods are safe for use by several goroutines at once.
 type Counters struct {
 	mu     sync.Mutex
 	counts map[string]int64
 }
 
-// Add raises a counter.
+// Add adds n to a counter. On a nil receiver it does nothing.
 func (c *Counters) Add(name string, n int64) {
 	if c == nil {
 		return
@@ -35,25 +41,25 @@
 	c.counts[name] += n
 }
 
-// Took counts an answer by the time it took.
+// ObserveLatency counts an answer in the histogram's bucket for its latency.
 func (c *Counters) ObserveLatency(d time.Duration) {
-	for _, b := range bounds {
-		if d <= b {
-			c.Add(fmt.Sprintf("answered_within_%dms", b/time.Millisecond), 1)
+	for _, bound := range latencyBounds {
+		if d <= bound {
+			c.Add(fmt.Sprintf("answered_within_%dms", bound/time.Millisecond), 1)
 			return
 		}
 	}
 	c.Add("answered_later", 1)
 }
 
-// Get returns one counter.
+// Get returns the value of a counter, 0 if nothing was added to it.
 func (c *Counters) Get(name string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts[name]
 }
 
-// String lists the counters in order of their names.
+// String returns the counters as name=value, sorted by name and separated by spaces.
 func (c *Counters) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,18 +70,18 @@
 	return strings.Join(parts, " ")
 }
 
-// Log writes the counters as one line, in order of their names.
+// Log logs the counters as attributes of one event, sorted by name.
 func (c *Counters) Log(event string) {
 	slog.LogAttrs(context.Background(), slog.LevelInfo, event, c.attributes()...)
 }
 
-// attributes are the counters for a line of the log.
+// attributes returns the counters as attributes, sorted by name.
 func (c *Counters) attributes() []slog.Attr {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var all []slog.Attr
+	var attrs []slog.Attr
 	for _, name := range slices.Sorted(maps.Keys(c.counts)) {
-		all = append(all, slog.Int64(name, c.counts[name]))
+		attrs = append(attrs, slog.Int64(name, c.counts[name]))
 	}
-	return all
+	return attrs
 }
--- a/internal/sqlcomment/sqlcomment.go
+++ b/internal/sqlcomment/sqlcomment.go
@@ -1,8 +1,8 @@
-// Package sqlcomment reads the comment that opens each statement of the platform:
+// Package sqlcomment parses the comment that opens each statement of the platform:
 //
 //	/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT v FROM records WHERE k = '7f3a'
 //
-// Both fronts use it. It knows no wire protocol.
+// Both database protocols use it. It knows neither of them.
 package sqlcomment
 
 import (
@@ -14,79 +14,98 @@
 	"time"
 )
 
-// MaxComment bounds the comment's length.
+// MaxComment bounds the length of the comment, in bytes.
 const MaxComment = 1024
 
-// ErrNoComment says that a statement does not open with a comment.
+// ErrNoComment reports that a statement does not open with a comment.
 var ErrNoComment = errors.New("statement does not open with a comment of names and values")
 
-// Statement is one request as its text tells it. Its texts are copies.
+// The names of the comment's fields, which query attributes have as well.
+const (
+	fieldID          = "id"
+	fieldClass       = "c"
+	fieldTimeout     = "d" // in milliseconds
+	fieldGroup       = "cluster"
+	fieldMinPosition = "after"
+	fieldRetry       = "r" // "1" for a retry
+)
+
+// Statement is one request as its text describes it. Its strings are copies.
+//
+// Of the comment's fields, "id" is ID, "c" is Class, "d" is Timeout, "cluster" is Group, "after" is MinPosition and "r" is Retry.
 type Statement struct {
 	ID          string
 	Class       string
-	Timeout     time.Duration // d: how long the client waits
+	Timeout     time.Duration // for which the client waits
 	HasTimeout  bool
 	Group       int
-	MinPosition int64 // Unix time in milliseconds that a read has to see, 0 for none
-	Retry       bool  // the client marked it as a repeat
-	Key         string
+	MinPosition int64  // Unix time in milliseconds that a read has to see, 0 for none
+	Retry       bool   // the client marked it as a retry
+	Key         string // the first quoted text behind the comment: the key, in every statement of the platform
 
-	head, tail string // the text before and after the value of d
+	beforeTimeout, afterTimeout string // the text before and after the value of Timeout's field
 }
 
-// Parse reads a statement whose text the caller may reuse afterwards. Fields it does not know are kept.
+// Parse parses a statement. The caller may reuse text afterwards. Fields that Parse does not know are ignored, and stay in the text. It
+// returns ErrNoComment, or an error for a comment that is too long or malformed.
 func Parse(text []byte) (*Statement, error) {
-	t := bytes.TrimLeft(text, " \t\r\n")
-	if !bytes.HasPrefix(t, []byte("/*")) {
+	trimmed := bytes.TrimLeft(text, " \t\r\n")
+	if !bytes.HasPrefix(trimmed, []byte("/*")) {
 		return nil, ErrNoComment
 	}
-	end := bytes.Index(t[:min(len(t), MaxComment)], []byte("*/"))
+	end := bytes.Index(trimmed[:min(len(trimmed), MaxComment)], []byte("*/"))
 	if end < 0 {
 		return nil, fmt.Errorf("comment without an end within %d bytes", MaxComment)
 	}
-	s, all := &Statement{}, string(t)
-	s.head = all
-	for at := 2; at < end; {
-		next := end
-		if i := strings.IndexByte(all[at:end], ','); i >= 0 {
-			next = at + i
+	full := string(trimmed)
+	s := &Statement{beforeTimeout: full}
+	for start := len("/*"); start < end; {
+		fieldEnd := end
+		if i := strings.IndexByte(full[start:end], ','); i >= 0 {
+			fieldEnd = start + i
 		}
-		name, value, ok := strings.Cut(all[at:next], "=")
-		if !ok {
-			return nil, fmt.Errorf("comment field %q has no value", all[at:next])
-		}
-		trimmed := strings.TrimSpace(value)
-		if err := s.Set(strings.TrimSpace(name), trimmed); err != nil {
+		if err := s.parseField(full, start, fieldEnd); err != nil {
 			return nil, err
 		}
-		if strings.TrimSpace(name) == "d" {
-			from := at + len(name) + 1 + strings.Index(value, trimmed)
-			s.head, s.tail = all[:from], all[from+len(trimmed):]
-		}
-		at = next + 1
+		start = fieldEnd + 1
 	}
-	s.Key = firstQuoted(all[end+2:])
+	s.Key = firstQuoted(full[end+len("*/"):])
 	return s, nil
 }
 
-// Set takes one field by its name, as the comment or a query attribute gives it.
+// parseField takes the field full[start:end].
+func (s *Statement) parseField(full string, start, end int) error {
+	name, value, ok := strings.Cut(full[start:end], "=")
+	if !ok {
+		return fmt.Errorf("comment field %q has no value", full[start:end])
+	}
+	trimmedName, trimmedValue := strings.TrimSpace(name), strings.TrimSpace(value)
+	if err := s.Set(trimmedName, trimmedValue); err != nil {
+		return err
+	}
+	if trimmedName == fieldTimeout {
+		valueStart := start + len(name) + len("=") + strings.Index(value, trimmedValue)
+		s.beforeTimeout = full[:valueStart]
+		s.afterTimeout = full[valueStart+len(trimmedValue):]
+	}
+	return nil
+}
+
+// Set sets one field by its name, as the comment or a query attribute has it. Unknown names are ignored.
 func (s *Statement) Set(name, value string) (err error) {
 	switch name {
-	case "id":
+	case fieldID:
 		s.ID = value
-	case "c":
+	case fieldClass:
 		s.Class = value
-	case "d":
-		var ms int64
-		if ms, err = strconv.ParseInt(value, 10, 32); err == nil && ms <= 0 {
-			err = errors.New("not positive")
-		}
-		s.Timeout, s.HasTimeout = time.Duration(ms)*time.Millisecond, true
-	case "cluster":
+	case fieldTimeout:
+		s.Timeout, err = parseTimeout(value)
+		s.HasTimeout = true
+	case fieldGroup:
 		s.Group, err = strconv.Atoi(value)
-	case "after":
+	case fieldMinPosition:
 		s.MinPosition, err = strconv.ParseInt(value, 10, 64)
-	case "r":
+	case fieldRetry:
 		s.Retry = value == "1"
 	}
 	if err != nil {
@@ -95,27 +114,41 @@
 	return nil
 }
 
-// Append writes the statement with the time that this gateway will wait in place of the client's, rounded up.
+// parseTimeout parses a positive number of milliseconds.
+func parseTimeout(value string) (time.Duration, error) {
+	ms, err := strconv.ParseInt(value, 10, 32)
+	if err == nil && ms <= 0 {
+		err = errors.New("not positive")
+	}
+	return time.Duration(ms) * time.Millisecond, err
+}
+
+// Append appends the statement's text to b, with the time that this gateway will wait in place of the client's timeout, rounded up to
+// milliseconds.
 func (s *Statement) Append(b []byte, wait time.Duration) []byte {
-	b = append(b, s.head...)
-	if s.HasTimeout && s.tail != "" {
-		b = strconv.AppendInt(b, max(1, int64((wait+time.Millisecond-1)/time.Millisecond)), 10)
+	b = append(b, s.beforeTimeout...)
+	if s.HasTimeout && s.afterTimeout != "" {
+		ms := int64((wait + time.Millisecond - 1) / time.Millisecond)
+		b = strconv.AppendInt(b, max(1, ms), 10)
 	}
-	return append(b, s.tail...)
+	return append(b, s.afterTimeout...)
 }
 
-// Len is about the length of the text.
-func (s *Statement) Len() int { return len(s.head) + len(s.tail) + 12 }
+// timeoutDigits is the room for the digits of a timeout.
+const timeoutDigits = 12
+
+// Len returns about the length of the text that Append appends, in bytes: enough to size a buffer.
+func (s *Statement) Len() int { return len(s.beforeTimeout) + len(s.afterTimeout) + timeoutDigits }
 
-// firstQuoted returns the first quoted text: the key, in every statement of the platform.
+// firstQuoted returns the first text in single quotes, or "" if there is none.
 func firstQuoted(s string) string {
-	_, s, ok := strings.Cut(s, "'")
+	_, rest, ok := strings.Cut(s, "'")
 	if !ok {
 		return ""
 	}
-	key, _, ok := strings.Cut(s, "'")
+	quoted, _, ok := strings.Cut(rest, "'")
 	if !ok {
 		return ""
 	}
-	return key
+	return quoted
 }
--- a/internal/sqlcomment/sqlcomment_test.go
+++ b/internal/sqlcomment/sqlcomment_test.go
@@ -9,29 +9,29 @@
 	"pgregory.net/rapid"
 )
 
-// CI's verdict never varies: the seed is fixed. The flags still override it.
+// The seed of rapid is fixed, so that CI's verdict does not vary. The flags still override it.
 func init() {
 	flag.Set("rapid.seed", "20261201")
 	flag.Set("rapid.nofailfile", "true")
 }
 
-// TestPassedOnUnchanged checks that a statement is passed on as it came but for the value of d: a database host
-// voids anything else.
-func TestPassedOnUnchanged(t *testing.T) {
+// TestForwardedUnchanged checks that a statement is forwarded as it came but for its timeout: a database host rejects
+// anything else.
+func TestForwardedUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fields := rapid.Permutation([]string{"id=9b1f", "c=basket", "d=480", "cluster=2", "after=1767225600123", "r=1"}).Draw(t, "fields")
-		glue := rapid.SampledFrom([]string{",", ", ", " ,"}).Draw(t, "glue")
+		separator := rapid.SampledFrom([]string{",", ", ", " ,"}).Draw(t, "separator")
 		rest := rapid.StringMatching(`[ a-zA-Z=,*]{0,20}'[0-9a-f]{0,8}' d=7.{0,20}`).Draw(t, "rest")
-		text := func(d string) string {
+		text := func(timeout string) string {
 			s := "/* "
-			for i, f := range fields {
+			for i, field := range fields {
 				if i > 0 {
-					s += glue
+					s += separator
 				}
-				if f == "d=480" {
-					f = "d=" + d
+				if field == "d=480" {
+					field = "d=" + timeout
 				}
-				s += f
+				s += field
 			}
 			return s + " */" + rest
 		}
@@ -40,7 +40,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		clear(in) // the buffer goes on to other uses
+		clear(in) // the buffer is reused
 		if s.ID != "9b1f" || s.Class != "basket" || s.Timeout != 480*time.Millisecond || s.Group != 2 || s.MinPosition != 1767225600123 || !s.Retry {
 			t.Fatalf("%+v", s)
 		}
@@ -50,6 +50,7 @@
 	})
 }
 
+// TestMalformed checks that malformed comments are errors.
 func TestMalformed(t *testing.T) {
 	for _, s := range []string{"", "SELECT 1", "/*", "/* id=1", "/* id */", "/* d=x */", "/* d=0 */", "/* d=-5 */",
 		"/* cluster=a */", "/* after=9999999999999999999 */", "/* " + fmt.Sprint(make([]int, 600)) + "=1 */"} {
