--- a/internal/framebuf/arrivals.go
+++ b/internal/framebuf/arrivals.go
@@ -5,50 +5,62 @@
 	"time"
 )
 
-// mostArrivals bounds what a connection keeps of when its unread bytes came. Past it the two reads that lie closest together
-// count as one, as of the earlier: unread bytes that came over some time are taken for older by an eighth of it at most, and
-// never for younger.
-const mostArrivals = 32
+// maxArrivals bounds the reads that a connection remembers while their bytes are unread. Beyond it the two reads that lie closest
+// together are merged into one with the time of the earlier. Bytes that arrived over some time are then taken for older than they are by an
+// eighth of it at most, and never for younger.
+const maxArrivals = 32
+
+// maxIdleArrivals is the capacity that is kept while nothing is unread: most connections have one read at a time.
+const maxIdleArrivals = 4
 
 // arrival is one read.
 type arrival struct {
-	bytes int // that it brought and that are unread
-	at    time.Time
+	unread int // bytes that it brought and that are not consumed yet
+	at     time.Time
 }
 
 // arrivals are the reads that brought a connection's unread bytes, in order.
 type arrivals struct {
-	reads []arrival
-	last  time.Time // of the last byte that was consumed
+	reads        []arrival
+	lastConsumed time.Time // when the last byte that was consumed arrived
 }
 
-// add takes a read.
+// add records a read.
 func (a *arrivals) add(bytes int, at time.Time) {
-	if len(a.reads) == mostArrivals {
-		first := 0 // of the closest two
-		for i := range a.reads[1:] {
-			if a.reads[i+1].at.Sub(a.reads[i].at) < a.reads[first+1].at.Sub(a.reads[first].at) {
-				first = i
-			}
-		}
-		a.reads[first].bytes += a.reads[first+1].bytes
-		a.reads = slices.Delete(a.reads, first+1, first+2)
+	if len(a.reads) == maxArrivals {
+		a.mergeClosest()
 	}
 	a.reads = append(a.reads, arrival{bytes, at})
 }
 
-// skip consumes bytes.
-func (a *arrivals) skip(bytes int) {
+// mergeClosest merges the two reads that lie closest together.
+func (a *arrivals) mergeClosest() {
+	gap := func(i int) time.Duration { return a.reads[i+1].at.Sub(a.reads[i].at) }
+	closest := 0
+	for i := range len(a.reads) - 1 {
+		if gap(i) < gap(closest) {
+			closest = i
+		}
+	}
+	a.reads[closest].unread += a.reads[closest+1].unread
+	a.reads = slices.Delete(a.reads, closest+1, closest+2)
+}
+
+// consume records that bytes were consumed.
+func (a *arrivals) consume(bytes int) {
 	done := 0
-	for ; bytes > 0 && done < len(a.reads); done++ {
-		r := &a.reads[done]
-		if a.last = r.at; r.bytes > bytes {
-			r.bytes -= bytes
+	for bytes > 0 && done < len(a.reads) {
+		read := &a.reads[done]
+		a.lastConsumed = read.at
+		if read.unread > bytes {
+			read.unread -= bytes
 			break
 		}
-		bytes -= r.bytes
+		bytes -= read.unread
+		done++
 	}
-	if a.reads = slices.Delete(a.reads, 0, done); len(a.reads) == 0 && cap(a.reads) > 4 {
-		a.reads = nil // most connections have one at a time
+	a.reads = slices.Delete(a.reads, 0, done)
+	if len(a.reads) == 0 && cap(a.reads) > maxIdleArrivals {
+		a.reads = nil
 	}
 }
--- a/internal/framebuf/arrivals_test.go
+++ b/internal/framebuf/arrivals_test.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// TestCameIsEachMessagesOwn sends messages of four bytes while nobody consumes any: each keeps the time of the read that
-// brought its last byte, also where that read brought others, and where a message came in two.
-func TestCameIsEachMessagesOwn(t *testing.T) {
+// TestArrivedAtPerMessage sends messages of four bytes while none is consumed: each has the time of the read that brought its last byte,
+// also where that read brought others, and where a message came in two reads.
+func TestArrivedAtPerMessage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		defer near.Close()
 		defer far.Close()
-		c, start := New(near, 1<<10), time.Now()
+		c := New(near, 1<<10)
+		start := time.Now()
 		if !c.ArrivedAt().IsZero() {
-			t.Error("something has come")
+			t.Error("a message has arrived before any was sent")
 		}
 		go func() {
 			for _, part := range []string{"aaaab", "bbbcc", "cc", "ddddeeee"} {
@@ -25,7 +26,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}()
-		for c.Buffered() < 20 { // as a session does while an answer is out
+		for c.Buffered() < 20 { // as a session does while it waits for an answer
 			if err := c.Park(time.Time{}, func() bool { return false }); err != nil {
 				t.Fatal(err)
 			}
@@ -33,47 +34,50 @@
 		time.Sleep(time.Second)
 		for i, want := range []time.Duration{0, 100, 200, 300, 300} {
 			c.Need(4)
-			if c.Skip(4); c.ArrivedAt().Sub(start) != want*time.Millisecond {
-				t.Errorf("message %d came at %v, want %v ms", i, c.ArrivedAt().Sub(start), int(want))
+			c.Skip(4)
+			if c.ArrivedAt().Sub(start) != want*time.Millisecond {
+				t.Errorf("message %d arrived at %v, want %v ms", i, c.ArrivedAt().Sub(start), int(want))
 			}
 		}
-		if len(c.came.reads) != 0 {
-			t.Errorf("%d reads are kept with nothing unread", len(c.came.reads))
+		if len(c.arrivals.reads) != 0 {
+			t.Errorf("%d reads are kept with nothing unread", len(c.arrivals.reads))
 		}
 		go far.Write([]byte("f"))
 		if _, err := c.Need(1); err != nil {
 			t.Fatal(err)
 		}
-		if c.Skip(1); time.Since(c.ArrivedAt()) != 0 {
-			t.Errorf("a message that was waited for is %v old", time.Since(c.ArrivedAt()))
+		c.Skip(1)
+		if age := time.Since(c.ArrivedAt()); age != 0 {
+			t.Errorf("a message that was waited for is %v old", age)
 		}
 	})
 }
 
-// TestCameIsBounded has a thousand reads unread: what is kept is bounded, no byte is taken for younger than it is, and none
-// for older by more than an eighth of the time over which they came.
-func TestCameIsBounded(t *testing.T) {
+// TestArrivalsAreBounded has the bytes of a thousand reads unread: the reads that are remembered are bounded, no byte is taken for younger
+// than it is, and none for older by more than an eighth of the time over which they came.
+func TestArrivalsAreBounded(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 50 {
 		var a arrivals
 		now := time.Unix(1, 0)
 		start := now
-		var came []time.Time
+		var arrivedAt []time.Time
 		for range 1000 {
 			now = now.Add(time.Duration(rng.IntN(20)) * time.Millisecond)
 			n := 1 + rng.IntN(5)
 			for range n {
-				came = append(came, now)
+				arrivedAt = append(arrivedAt, now)
 			}
-			if a.add(n, now); len(a.reads) > mostArrivals {
+			a.add(n, now)
+			if len(a.reads) > maxArrivals {
 				t.Fatalf("%d reads are kept", len(a.reads))
 			}
 		}
-		most := now.Sub(start) / 8
-		for i, at := range came {
-			a.skip(1)
-			if age := at.Sub(a.last); age < 0 || age > most {
-				t.Fatalf("byte %d is taken for older by %v; 0 to %v allowed", i, age, most)
+		maxAge := now.Sub(start) / 8
+		for i, at := range arrivedAt {
+			a.consume(1)
+			if age := at.Sub(a.lastConsumed); age < 0 || age > maxAge {
+				t.Fatalf("byte %d is taken for older by %v; 0 to %v allowed", i, age, maxAge)
 			}
 		}
 		if len(a.reads) != 0 {
--- a/internal/framebuf/framebuf.go
+++ b/internal/framebuf/framebuf.go
@@ -1,5 +1,5 @@
-// Package framebuf reads framed messages from a connection into one buffer that grows up to a bound, and lets
-// the goroutine that owns the connection wait for its peer and for its own mailbox at once.
+// Package framebuf reads framed messages from a connection into one buffer that grows up to a limit. It lets
+// the goroutine that owns the connection wait for its peer and for a signal from other goroutines at once.
 package framebuf
 
 import (
@@ -15,77 +15,56 @@
 	"time"
 )
 
-// firstSize is what a connection's buffer takes at first; a buffer grown past it is given back once empty.
-const firstSize = 4 << 10
+// initialSize is the size of a connection's buffer, in bytes. A buffer that has grown past it is freed once empty.
+const initialSize = 4 << 10
 
-// ErrTooLarge says that a message does not fit the connection's bound.
+// maxLine bounds the length of a line, in bytes.
+const maxLine = 4 << 10
+
+// ErrTooLarge reports that a message is larger than the connection's limit.
 var ErrTooLarge = errors.New("message over the size limit")
 
-// ErrBudgetExhausted says that the budget of all connections together has no room for a message.
+// ErrBudgetExhausted reports that the budget of all connections together has no memory for a message.
 var ErrBudgetExhausted = errors.New("no memory left for a message")
 
-var past = time.Unix(1, 0)
-
-// Budget bounds what many connections keep together. A nil one bounds nothing.
-type Budget struct{ left atomic.Int64 }
-
-// NewBudget returns a budget of some bytes.
-func NewBudget(n int64) *Budget {
-	b := &Budget{}
-	b.left.Store(n)
-	return b
-}
+// pastDeadline is a deadline that ends a read at once.
+var pastDeadline = time.Unix(1, 0)
 
-// Take takes bytes out of the budget, or says that there are not as many left.
-func (b *Budget) Reserve(n int) bool {
-	if b == nil || b.left.Add(int64(-n)) >= 0 {
-		return true
-	}
-	b.left.Add(int64(n))
-	return false
-}
-
-// Give gives bytes back.
-func (b *Budget) Release(n int) {
-	if b != nil {
-		b.left.Add(int64(n))
-	}
-}
-
-// Conn is a connection with a read buffer. One goroutine owns it and reads; Wake and Close may come from any.
+// Conn is a connection with a read buffer. One goroutine owns it and reads; Wake and Close may be called from any.
 type Conn struct {
 	net.Conn
-	buf    []byte // unread bytes are buf[r:w]
-	r, w   int
-	limit  int
-	budget *Budget // pays for buf past its first size
-	taken  int
-	left   atomic.Bool // Left has said yes
-	came   arrivals
+	buf               []byte // the unread bytes are buf[readPos:writePos]
+	readPos, writePos int
+	limit             int
+	budget            *Budget // pays for buf beyond initialSize
+	reserved          int     // bytes, from budget
+	peerClosed        atomic.Bool
+	arrivals          arrivals
 
 	mu     sync.Mutex
 	parked bool
 	woke   bool // the present Park was ended by Wake
 }
 
-// New wraps a connection whose messages are limited to a size.
+// New wraps a connection whose messages have at most limit bytes.
 func New(c net.Conn, limit int) *Conn { return &Conn{Conn: c, limit: limit} }
 
-// Charge has a budget pay for the buffer where it grows. Release ends that and drops what is unread.
+// Charge sets the budget that the buffer's growth is charged to. Release ends that and discards what is unread.
 func (c *Conn) Charge(b *Budget) { c.budget = b }
 
-// Release gives back what the buffer has taken; the connection reads no more.
+// Release frees the buffer and returns what it has reserved. The connection must not be read any more.
 func (c *Conn) Release() {
-	c.budget.Release(c.taken)
-	c.came.reads = nil
-	c.buf, c.r, c.w, c.taken = nil, 0, 0, 0
+	c.budget.Release(c.reserved)
+	c.arrivals.reads = nil
+	c.buf, c.readPos, c.writePos, c.reserved = nil, 0, 0, 0
 }
 
-// Buffered is the number of unread bytes in hand.
-func (c *Conn) Buffered() int { return c.w - c.r }
+// Buffered returns the number of unread bytes in the buffer.
+func (c *Conn) Buffered() int { return c.writePos - c.readPos }
 
-// Need returns the unread bytes, at least n of them, without consuming any. The slice holds until the next
-// call. An error leaves what was read in place, so a read cut off by a deadline goes on later.
+// Need returns the unread bytes, at least n of them, without consuming any. The slice is valid until the next
+// call. An error leaves what was read in the buffer, so a read that a deadline ended can go on later. It returns ErrTooLarge if n is
+// over the connection's limit, and ErrBudgetExhausted.
 func (c *Conn) Need(n int) ([]byte, error) {
 	if n > c.limit {
 		return nil, fmt.Errorf("%d bytes: %w", n, ErrTooLarge)
@@ -95,23 +74,24 @@
 			return nil, err
 		}
 	}
-	return c.buf[c.r:c.w], nil
+	return c.buf[c.readPos:c.writePos], nil
 }
 
-// Line consumes one line of at most 4 KiB and returns it without its end.
+// Line consumes one line and returns it without its end. It returns ErrTooLarge for a line over 4 KiB.
 func (c *Conn) Line() (string, error) {
-	const most = 4 << 10
-	for seen := 0; ; {
-		b, err := c.Need(seen + 1)
+	searched := 0
+	for {
+		unread, err := c.Need(searched + 1)
 		if err != nil {
 			return "", err
 		}
-		if i := bytes.IndexByte(b[seen:], '\n'); i >= 0 {
-			s := strings.TrimSuffix(string(b[:seen+i]), "\r")
-			c.Skip(seen + i + 1)
-			return s, nil
+		if i := bytes.IndexByte(unread[searched:], '\n'); i >= 0 {
+			line := strings.TrimSuffix(string(unread[:searched+i]), "\r")
+			c.Skip(searched + i + 1)
+			return line, nil
 		}
-		if seen = len(b); seen >= most {
+		searched = len(unread)
+		if searched >= maxLine {
 			return "", fmt.Errorf("line: %w", ErrTooLarge)
 		}
 	}
@@ -119,97 +99,99 @@
 
 // Skip consumes n bytes that Need returned. They stay valid until the next read.
 func (c *Conn) Skip(n int) {
-	c.r += n
-	c.came.skip(n)
+	c.readPos += n
+	c.arrivals.consume(n)
 }
 
-// Came is when the last byte that Skip consumed had come, as far as a read told: a message that stands behind others came
-// before its turn. It may be taken for a little older than it is, never for younger than the read that brought it; zero before
-// the first.
-func (c *Conn) ArrivedAt() time.Time { return c.came.last }
+// ArrivedAt returns when the last byte that Skip consumed arrived: a message behind others arrives before it is read. The message may
+// be taken for a little older than it is, never for younger than the read that brought it. The time is zero before the first Skip.
+func (c *Conn) ArrivedAt() time.Time { return c.arrivals.lastConsumed }
 
 // fill reads once, after making room for n unread bytes in all.
 func (c *Conn) fill(n int) error {
-	if c.r == c.w {
-		if c.r, c.w = 0, 0; len(c.buf) > firstSize && n <= firstSize {
+	if c.readPos == c.writePos {
+		c.readPos, c.writePos = 0, 0
+		if len(c.buf) > initialSize && n <= initialSize {
 			c.Release()
 		}
 	}
-	if n = max(n, c.Buffered()+1); n > c.limit {
+	n = max(n, c.Buffered()+1)
+	if n > c.limit {
 		return ErrTooLarge
 	}
-	if c.r+n > len(c.buf) {
-		to := c.buf
-		if n > len(c.buf) {
-			size := max(firstSize, min(c.limit, n+n/4))
-			if more := size - firstSize - c.taken; !c.budget.Reserve(more) {
-				return ErrBudgetExhausted
-			} else {
-				c.taken += more
-			}
-			to = make([]byte, size)
-		}
-		copy(to, c.buf[c.r:c.w])
-		c.buf, c.r, c.w = to, 0, c.w-c.r
+	if err := c.ensureCapacity(n); err != nil {
+		return err
 	}
-	got, err := c.Conn.Read(c.buf[c.w:])
-	c.w += got
+	got, err := c.Conn.Read(c.buf[c.writePos:])
+	c.writePos += got
 	if got > 0 {
-		c.came.add(got, time.Now())
+		c.arrivals.add(got, time.Now())
 		return nil
 	}
 	return err
 }
 
-// Park waits until the peer sends, Wake is called, or woken holds: those return nil, and the caller looks what it
-// was. It returns an error where the peer has closed or the time has passed; a zero time never does. What woken
-// tells must be set before Wake is called.
-func (c *Conn) Park(until time.Time, woken func() bool) error {
+// ensureCapacity moves the unread bytes to the beginning of a buffer that takes n bytes, where the present one does not take them behind readPos.
+func (c *Conn) ensureCapacity(n int) error {
+	if c.readPos+n <= len(c.buf) {
+		return nil
+	}
+	to := c.buf
+	if n > len(c.buf) {
+		size := max(initialSize, min(c.limit, n+n/4))
+		more := size - initialSize - c.reserved
+		if !c.budget.Reserve(more) {
+			return ErrBudgetExhausted
+		}
+		c.reserved += more
+		to = make([]byte, size)
+	}
+	copy(to, c.buf[c.readPos:c.writePos])
+	c.buf, c.readPos, c.writePos = to, 0, c.writePos-c.readPos
+	return nil
+}
+
+// Park waits until the peer sends, Wake is called, or woken returns true. It returns nil then, and the caller has to look which it
+// was. It returns an error if the peer has closed or the deadline has passed; a zero deadline never does. What woken
+// reports must be set before Wake is called.
+func (c *Conn) Park(deadline time.Time, woken func() bool) error {
 	c.mu.Lock()
 	c.parked, c.woke = true, false
-	err := c.SetReadDeadline(until)
+	err := c.SetReadDeadline(deadline)
 	c.mu.Unlock()
 	if err == nil && !woken() {
 		err = c.fill(0)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.parked = false // a Wake that comes from now on must not cut a later read
+	c.parked = false // a Wake that comes from now on must not end a later read
 	if errors.Is(err, os.ErrDeadlineExceeded) && c.woke {
-		return nil // never an error: whoever waits for two things would take the one for the end of the other
+		return nil // a caller that waits for two things would take an error for the end of the other
 	}
 	return err
 }
 
-// Wake ends a Park. It does nothing to any other read.
+// Wake ends a Park. It has no effect on other reads.
 func (c *Conn) Wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.parked {
 		c.woke = true
-		c.SetReadDeadline(past) // fails only on a closed connection, whose Park has ended
+		c.SetReadDeadline(pastDeadline) // fails only on a closed connection, whose Park has ended
 	}
 }
 
-// Alive says whether the peer has neither closed nor sent anything since the last read. It guards against
+// Alive reports whether the peer has neither closed nor sent anything since the last read. It guards against
 // writing to a connection whose close has come but was not read yet.
 func (c *Conn) Alive() bool {
 	if c.Buffered() > 0 {
 		return false
 	}
-	sc, ok := c.Conn.(syscall.Conn)
-	if !ok {
-		return true
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return false
-	}
-	quiet := false
-	var b [1]byte
-	err = raw.Control(func(fd uintptr) {
-		_, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = e == syscall.EAGAIN
+	quiet := true
+	ok := c.control(func(fd int) {
+		var b [1]byte
+		_, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		quiet = err == syscall.EAGAIN
 	})
-	return err == nil && quiet
+	return ok && quiet
 }
--- a/internal/frontend/ask.go
+++ b/internal/frontend/ask.go
@@ -31,7 +31,7 @@
 		return core.Answer{Status: core.Rejected}, nil
 	}
 	over = func() { x.server.end(id); x.server.Budget.Release(size) }
-	if x.Look() { // its close may have come long ago: this process may have been busy, or the request waited behind another
+	if x.ReadAvailable() { // its close may have come long ago: this process may have been busy, or the request waited behind another
 		x.server.Counters.Add(x.server.Name+"_clients_gone_before", 1)
 		return core.Answer{}, ErrDisconnected
 	}
