--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -40,7 +40,7 @@
 		s.server.Budget.Release(size)
 	}
 	// The disconnect may be old: this process may have been busy, or the request has waited behind another one.
-	if s.Look() {
+	if s.ReadAvailable() {
 		s.server.Counters.Add(s.server.Name+"_clients_gone_before", 1)
 		return core.Answer{}, ErrDisconnected
 	}
