--- a/cmd/cranegate/caps_test.go
+++ b/cmd/cranegate/caps_test.go
@@ -13,8 +13,8 @@
 )
 
 // knows is what a process knows of so many hosts, with a round trip in each place of their windows.
-func knows(hosts, window int) knowledge {
-	k := knowledge{Lists: map[string]discovery.Snapshot{}, Starts: map[string]map[string]time.Time{"postgres": {}},
+func knows(hosts, window int) handoffState {
+	k := handoffState{EndpointLists: map[string]discovery.Snapshot{}, StartTimes: map[string]map[string]time.Time{"postgres": {}},
 		Learned: map[string]routing.Learned{"postgres": {Members: map[string]routing.LearnedMember{}, ExpectedLatency: []time.Duration{1, 2}}}}
 	s := discovery.Snapshot{Rev: 1 << 40, All: true}
 	at := 123456789 * time.Second
@@ -22,7 +22,7 @@
 		id := fmt.Sprintf("replica-%04d.zone-%d.kita.example", i, i%3)
 		s.Targets = append(s.Targets, discovery.Target{UID: id, Endpoint: "replica." + id + ":5432", Zone: "zone-a", Group: i % 9, State: "SERVING",
 			Capacity: 1.25, BootMS: 1790000000000, Replication: "replica"})
-		k.Starts["postgres"][id] = time.Now()
+		k.StartTimes["postgres"][id] = time.Now()
 		m := routing.LearnedMember{RoleDate: 1 << 50, Position: 1 << 50, PosAt: at, HeardAt: at, TrialAt: at, Lost: 1.0 / 3, StartedAt: at, CreditAt: at,
 			SeenAt: at, AskedAt: at, WasAt: at, AwayAt: at, Credit: 1.0 / 3}
 		for range window {
@@ -30,7 +30,7 @@
 		}
 		k.Learned["postgres"].Members[id] = m
 	}
-	k.Lists["postgres"] = s
+	k.EndpointLists["postgres"] = s
 	return k
 }
 
@@ -39,7 +39,7 @@
 // what was learned is left out, and the list stays.
 func TestAThousandHostsAreHandedOver(t *testing.T) {
 	for _, x := range []struct{ hosts, window, learned, windows int }{{100, 8, 100, 8}, {1024, 0, 1024, 0}, {1024, 64, 1024, 0}, {1025, 64, 1025, 0}, {2500, 8, 0, 0}} {
-		text, err := knows(x.hosts, x.window).within(frame.MaxBlob)
+		text, err := knows(x.hosts, x.window).encode(frame.MaxBlob)
 		if err != nil || len(text) > frame.MaxBlob {
 			t.Fatalf("%+v: %d bytes, %v", x, len(text), err)
 		}
@@ -48,13 +48,13 @@
 			t.Fatalf("%+v: %v", x, err)
 		}
 		m, err := frame.Read(strings.NewReader(w.String()))
-		var k knowledge
+		var k handoffState
 		if err == nil {
 			err = json.Unmarshal(m.Blob, &k)
 		}
-		if err != nil || len(k.Lists["postgres"].Targets) != x.hosts || len(k.Starts["postgres"]) != x.hosts || len(k.Learned["postgres"].Members) != x.learned ||
+		if err != nil || len(k.EndpointLists["postgres"].Targets) != x.hosts || len(k.StartTimes["postgres"]) != x.hosts || len(k.Learned["postgres"].Members) != x.learned ||
 			len(k.Learned["postgres"].ExpectedLatency) != 2 {
-			t.Fatalf("%+v: %d hosts, %d starts, %d learned of, %v", x, len(k.Lists["postgres"].Targets), len(k.Starts["postgres"]), len(k.Learned["postgres"].Members), err)
+			t.Fatalf("%+v: %d hosts, %d starts, %d learned of, %v", x, len(k.EndpointLists["postgres"].Targets), len(k.StartTimes["postgres"]), len(k.Learned["postgres"].Members), err)
 		}
 		for id, m := range k.Learned["postgres"].Members {
 			if len(m.Window) != x.windows {
--- a/cmd/cranegate/cli.go
+++ b/cmd/cranegate/cli.go
@@ -13,175 +13,193 @@
 	"cranegate/internal/config"
 )
 
-// What bounds a call of the command line. A call has its answer within a second, unless the gateway has not started, is
-// overloaded or is another program.
+// Bounds of a call from the command line.
 const (
-	askFor     = 3 * time.Second
-	answerMost = 4 << 20 // bytes; a thousand members take less
-	headMost   = 16 << 10
+	// callTimeout bounds a whole call. A running gateway answers within a second unless it is overloaded.
+	callTimeout      = 3 * time.Second
+	maxResponseBytes = 4 << 20 // a thousand members take less
+	maxHeaderBytes   = 16 << 10
 )
 
-// Exit codes of a call that got no yes. Mistakes on the command line are 80.
+// Exit codes of a call that did not succeed.
 const (
-	exitNo       = 1
-	exitNoAnswer = 2
-	exitNotAsked = 80
+	exitRejected    = 1
+	exitUnreachable = 2
+	exitUsage       = 80 // Kong's own for mistakes on the command line
 )
 
-// where is the address of a running gateway's calls.
-type where struct {
+// gatewayFlags name the running gateway that a command calls.
+type gatewayFlags struct {
 	Admin    string `placeholder:"ADDRESS" help:"Address and port of the running gateway's second address, or of its [admin]; without it and --operator PROXY_ADMIN."`
 	Operator string `placeholder:"FILE" env:"CRANEGATE_OPERATOR" help:"Its operator's file, whose [admin] names that address."`
 }
 
-// NoAddress says that nothing names the gateway to ask. Give --admin ADDRESS, or --operator FILE with an [admin], or set
-// PROXY_ADMIN.
-type NoAddress struct{}
+// NoAddressError reports that neither a flag nor PROXY_ADMIN names a gateway to call.
+type NoAddressError struct{}
 
-func (NoAddress) Error() string {
+// Error says how to name a gateway.
+func (NoAddressError) Error() string {
 	return "no gateway is named; give --admin ADDRESS or --operator FILE with an [admin], or set PROXY_ADMIN"
 }
 
-// ExitCode is that of the command.
-func (NoAddress) ExitCode() int { return exitNotAsked }
+// ExitCode is the exit code of the command.
+func (NoAddressError) ExitCode() int { return exitUsage }
 
-// NoAnswer says that nothing which can be read came from an address within askFor: the call may or may not have been
-// taken. See that the gateway runs and that this is its second address, then ask again; each call may be made twice.
-type NoAnswer struct {
+// UnreachableError reports that no readable response came from an address within callTimeout. The gateway may have handled the call;
+// calls are idempotent, so it can be repeated.
+type UnreachableError struct {
 	Address string
-	Err     error
+	Cause   error
 }
 
-func (e NoAnswer) Error() string {
-	return fmt.Sprintf("no gateway answers at %s (%v); see that it runs and that this is its second address, then ask again", e.Address, e.Err)
+// Error says what to check.
+func (e UnreachableError) Error() string {
+	return fmt.Sprintf("no gateway answers at %s (%v); see that it runs and that this is its second address, then ask again", e.Address, e.Cause)
 }
 
-func (e NoAnswer) Unwrap() error { return e.Err }
+// Unwrap returns the cause.
+func (e UnreachableError) Unwrap() error { return e.Cause }
 
-// ExitCode is that of the command.
-func (NoAnswer) ExitCode() int { return exitNoAnswer }
+// ExitCode is the exit code of the command.
+func (UnreachableError) ExitCode() int { return exitUnreachable }
 
-// SaidNo is a gateway's no, in its own words. They say what can be done.
-type SaidNo struct {
-	Status int // of HTTP
-	Text   string
+// RejectedError reports that the gateway rejected a call.
+type RejectedError struct {
+	Status int    // of HTTP
+	Reason string // the gateway's own text, which says what can be done
 }
 
-func (e SaidNo) Error() string {
-	if e.Text == "" {
+// Error is the gateway's own text, if it sent any.
+func (e RejectedError) Error() string {
+	if e.Reason == "" {
 		return fmt.Sprintf("no: status %d and no words; see that this is a gateway's second address", e.Status)
 	}
-	return e.Text
+	return e.Reason
 }
 
-// ExitCode is that of the command.
-func (SaidNo) ExitCode() int { return exitNo }
+// ExitCode is the exit code of the command.
+func (RejectedError) ExitCode() int { return exitRejected }
 
-// TooLong says that an answer was cut off.
-type TooLong struct{}
+// ResponseTooLargeError reports a response of more than maxResponseBytes.
+type ResponseTooLargeError struct{}
 
-func (TooLong) Error() string { return fmt.Sprintf("its answer is longer than %d bytes", answerMost) }
+// Error gives the bound.
+func (ResponseTooLargeError) Error() string {
+	return fmt.Sprintf("its answer is longer than %d bytes", maxResponseBytes)
+}
 
-// address is the gateway's, or NoAddress.
-func (w where) address() (string, error) {
-	if w.Admin != "" {
-		return w.Admin, nil
+// adminAddress returns the gateway's admin address: that of --admin, of the operator's file, or of PROXY_ADMIN, in this order. It fails
+// with NoAddressError, or as the file does.
+func (f gatewayFlags) adminAddress() (string, error) {
+	if f.Admin != "" {
+		return f.Admin, nil
 	}
-	if w.Operator != "" {
-		_, o, err := load(os.Getenv("PROXY_CONFIG"), w.Operator, config.Load)
+	if f.Operator != "" {
+		_, operator, err := loadConfig(os.Getenv("PROXY_CONFIG"), f.Operator, config.Load)
 		if err != nil {
 			return "", err
 		}
-		if o.Admin.Listen != "" {
-			return o.Admin.Listen, nil
+		if operator.Admin.Listen != "" {
+			return operator.Admin.Listen, nil
 		}
 	}
-	if a := os.Getenv("PROXY_ADMIN"); a != "" {
-		return a, nil
+	if address := os.Getenv("PROXY_ADMIN"); address != "" {
+		return address, nil
 	}
-	return "", NoAddress{}
+	return "", NoAddressError{}
 }
 
-// ask makes a call and returns the text of a yes; else NoAddress, NoAnswer or SaidNo.
-func (w where) ask(method, path string) ([]byte, error) {
-	address, err := w.address()
+// call makes an admin call and returns the body of a 200 response. It fails with NoAddressError, UnreachableError or RejectedError.
+func (f gatewayFlags) call(method, path string) ([]byte, error) {
+	address, err := f.adminAddress()
 	if err != nil {
 		return nil, err
 	}
-	q, err := http.NewRequest(method, "http://"+address+path, nil)
+	request, err := http.NewRequest(method, "http://"+address+path, nil)
 	if err != nil {
-		return nil, NoAnswer{address, err}
+		return nil, UnreachableError{address, err}
 	}
-	transport := &http.Transport{DisableKeepAlives: true, MaxResponseHeaderBytes: headMost, DialContext: (&net.Dialer{}).DialContext}
-	client := http.Client{Transport: transport, Timeout: askFor, // of all together; no proxy stands between
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	r, err := client.Do(q)
+	response, err := newAdminClient().Do(request)
 	if err != nil {
-		return nil, NoAnswer{address, err}
+		return nil, UnreachableError{address, err}
 	}
-	defer r.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(r.Body, answerMost+1))
-	if err == nil && len(text) > answerMost {
-		err = TooLong{}
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
+	if err == nil && len(body) > maxResponseBytes {
+		err = ResponseTooLargeError{}
 	}
 	if err != nil {
-		return nil, NoAnswer{address, err}
+		return nil, UnreachableError{address, err}
+	}
+	if response.StatusCode != http.StatusOK {
+		return nil, RejectedError{Status: response.StatusCode, Reason: strings.TrimSpace(string(body))}
 	}
-	if r.StatusCode != http.StatusOK {
-		return nil, SaidNo{r.StatusCode, strings.TrimSpace(string(text))}
+	return body, nil
+}
+
+// newAdminClient returns an HTTP client for one call. It uses no proxy and follows no redirect.
+func newAdminClient() *http.Client {
+	return &http.Client{
+		Transport: &http.Transport{
+			DialContext:            (&net.Dialer{}).DialContext,
+			DisableKeepAlives:      true,
+			MaxResponseHeaderBytes: maxHeaderBytes,
+		},
+		Timeout:       callTimeout,
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
-	return text, nil
 }
 
-// tell makes a call and prints the gateway's yes.
-func (w where) tell(method, path string) error {
-	text, err := w.ask(method, path)
+// callAndPrint makes an admin call and prints the response.
+func (f gatewayFlags) callAndPrint(method, path string) error {
+	body, err := f.call(method, path)
 	if err == nil {
-		_, err = os.Stdout.Write(text)
+		_, err = os.Stdout.Write(body)
 	}
 	return err
 }
 
-type readyCmd struct{ where }
+type readyCmd struct{ gatewayFlags }
 
-// Run asks whether the gateway can serve.
-func (c readyCmd) Run() error { return c.tell(http.MethodGet, "/_ready") }
+// Run checks whether the gateway is ready.
+func (c readyCmd) Run() error { return c.callAndPrint(http.MethodGet, "/_ready") }
 
 type hostCmd struct {
-	Detach detachCmd `cmd:"" help:"Take a database host out: nothing new goes there from the yes on."`
-	Attach attachCmd `cmd:"" help:"Let it serve again."`
+	Detach detachCmd `cmd:"" help:"Detach a database host: once this succeeds it gets no new request."`
+	Attach attachCmd `cmd:"" help:"Attach a database host again. It warms up first."`
 }
 
-type hostID struct {
-	where
-	ID string `arg:"" help:"The host's id, as discovery's list has it."`
+// hostFlags name a database host of a running gateway.
+type hostFlags struct {
+	gatewayFlags
+	ID string `arg:"" help:"The host's id in discovery's endpoint list."`
 }
 
-type detachCmd struct{ hostID }
+type detachCmd struct{ hostFlags }
 
-// Run takes the host out.
+// Run detaches the host.
 func (c detachCmd) Run() error {
-	return c.tell(http.MethodPost, "/_database-hosts/detach/"+url.PathEscape(c.ID))
+	return c.callAndPrint(http.MethodPost, "/_database-hosts/detach/"+url.PathEscape(c.ID))
 }
 
-type attachCmd struct{ hostID }
+type attachCmd struct{ hostFlags }
 
-// Run calls the host back.
+// Run attaches the host.
 func (c attachCmd) Run() error {
-	return c.tell(http.MethodPost, "/_database-hosts/attach/"+url.PathEscape(c.ID))
+	return c.callAndPrint(http.MethodPost, "/_database-hosts/attach/"+url.PathEscape(c.ID))
 }
 
 type lameduckCmd struct {
-	On  lameduckOn  `cmd:"" help:"Send the clients away, each when that crosses nothing. New ones are still taken, for a request each."`
-	Off lameduckOff `cmd:"" help:"Take clients again."`
+	On  lameduckOnCmd  `cmd:"" help:"Drain the clients. Connections close between requests; new ones are still accepted, for one request each."`
+	Off lameduckOffCmd `cmd:"" help:"Accept clients again."`
 }
 
-type lameduckOn struct{ where }
+type lameduckOnCmd struct{ gatewayFlags }
 
-// Run sends the clients away.
-func (c lameduckOn) Run() error { return c.tell(http.MethodPost, "/_lameduck/on") }
+// Run drains the clients.
+func (c lameduckOnCmd) Run() error { return c.callAndPrint(http.MethodPost, "/_lameduck/on") }
 
-type lameduckOff struct{ where }
+type lameduckOffCmd struct{ gatewayFlags }
 
-// Run takes clients again.
-func (c lameduckOff) Run() error { return c.tell(http.MethodPost, "/_lameduck/off") }
+// Run accepts clients again.
+func (c lameduckOffCmd) Run() error { return c.callAndPrint(http.MethodPost, "/_lameduck/off") }
--- a/cmd/cranegate/cli_test.go
+++ b/cmd/cranegate/cli_test.go
@@ -32,7 +32,7 @@
 	w := start(t, nil)
 	foreign := listen(t)
 	go http.Serve(foreign, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
-		fmt.Fprint(rw, strings.Repeat("x", answerMost+1))
+		fmt.Fprint(rw, strings.Repeat("x", maxResponseBytes+1))
 	}))
 	for _, c := range []struct {
 		env, args string
--- a/cmd/cranegate/descriptors.go
+++ b/cmd/cranegate/descriptors.go
@@ -8,79 +8,105 @@
 	"cranegate/internal/frontend"
 )
 
-// What descriptors are set aside for, beside clients and database hosts. Nobody who comes takes one of these.
+// Descriptors that are set aside beside those for clients and database hosts, which can't use them.
 const (
-	forRuntime   = 8  // standard streams, the poller's two, and files that are read at times
-	forHandover  = 12 // the folder and its two listeners, two links and two senders of another process, the state's files
-	forFront     = 3  // of each: its listener, a duplicate of a shared one, and the client that is being accepted
-	forDiscovery = 2  // of each: the connection, and the one that takes its place
-	forAddress   = 2  // of each address for staff or balancers: its listener, and the caller that waits for a place
-	forChecks    = 32 // the operator's addresses with all their callers
-	forPeers     = 32 // the other gateways
-	mostSockets  = 1024
+	runtimeDescriptors    = 8  // standard streams, the poller's two, and files that are read at times
+	hotRestartDescriptors = 12 // the folder and its two listeners, two links and two senders of another process, the state's files
+	frontendDescriptors   = 3  // per frontend: its listener, a duplicate of a shared one, and the client that is being accepted
+	discoveryDescriptors  = 2  // per frontend: the connection, and the one that takes its place
+	listenerDescriptors   = 2  // per admin address: its listener, and the caller that waits to be served
+	checkDescriptors      = 32 // the operator's addresses with all their callers
+	gossipDescriptors     = 32 // the other gateways
+
+	maxDescriptors = 1024 // used at most, also where the limits allow more
 )
 
-// TooFewDescriptors says that the limit on descriptors leaves none for clients and database hosts. Raise limits.sockets, or the
-// limit on open files (ulimit -n), or turn off what the operator's file names beside the fronts.
-type TooFewDescriptors struct{ Limit, Least int }
+// TooFewDescriptorsError reports that the limit on descriptors leaves none for clients and database hosts. The operator can raise
+// limits.sockets or the limit on open files (ulimit -n), or turn off what the operator's file configures beside the frontends.
+type TooFewDescriptorsError struct {
+	Limit int // that is set
+	Min   int // that this configuration needs
+}
 
-func (e TooFewDescriptors) Error() string {
-	return fmt.Sprintf("%d descriptors are too few, %d is the least; raise limits.sockets or the limit on open files (ulimit -n)", e.Limit, e.Least)
+// Error says what to raise.
+func (e TooFewDescriptorsError) Error() string {
+	return fmt.Sprintf("%d descriptors are too few, %d is the least; raise limits.sockets or the limit on open files (ulimit -n)", e.Limit, e.Min)
 }
 
-// descriptors is how a limit is shared out.
-type descriptors struct {
-	limit   int // in all
-	staff   int // callers at the second address
-	clients int // places of all fronts
-	servers int // connections to the database hosts of each protocol
+// descriptorUsers says which parts of the program need descriptors.
+type descriptorUsers struct {
+	frontends int
+	admin     bool // the platform's admin address, and hot restart with it
+	checks    bool // the operator's addresses for balancers and admin calls
+	gossip    bool
 }
 
-// share shares out the limit among so many fronts. The system's own limit on open files, 0 if not known, counts where it is lower.
-func share(limits config.Limits, files, fronts int, second, checks, peers bool) (descriptors, error) {
-	fronts = max(1, fronts)
+// descriptorAllocation divides the limit on descriptors.
+type descriptorAllocation struct {
+	limit        int // in all
+	adminCallers int // at the platform's admin address
+	clients      int // connections of all frontends
+	backendConns int // connections to the database hosts of each protocol
+}
+
+// allocateDescriptors divides the lower of the configured limit and the system's limit on open files, which is 0 where it is not
+// known. It fails with a TooFewDescriptorsError.
+func allocateDescriptors(limits config.Limits, openFiles int, users descriptorUsers) (descriptorAllocation, error) {
+	frontends := max(1, users.frontends)
 	limit := limits.Sockets
-	if limit <= 0 || limit > mostSockets {
-		limit = mostSockets
+	if limit <= 0 || limit > maxDescriptors {
+		limit = maxDescriptors
+	}
+	if openFiles > 0 {
+		limit = min(limit, openFiles)
 	}
-	if files > 0 {
-		limit = min(limit, files)
+	allocation := descriptorAllocation{limit: limit, adminCallers: max(2, min(maxAdminCallers, limit/16))}
+	setAside := setAsideDescriptors(users, frontends, allocation.adminCallers)
+	if minLimit := setAside + 2 + frontends; limit < minLimit {
+		return allocation, TooFewDescriptorsError{Limit: limit, Min: minLimit}
 	}
-	d := descriptors{limit: limit, staff: max(2, min(mostAtSecond, limit/16))}
-	kept := forRuntime + fronts*(forFront+forDiscovery)
-	if second {
-		kept += forHandover + forAddress + d.staff
+	remaining := limit - setAside
+	allocation.clients = maxClientsWithin(remaining)
+	forBackends := remaining - allocation.clients - frontend.RejectQueueSize(allocation.clients)
+	allocation.backendConns = max(1, forBackends/frontends)
+	if allocation.backendConns*frontends > allocation.clients {
+		// More connections than clients are of no use: a client without a free one waits.
+		allocation.backendConns = max(1, allocation.clients/frontends)
 	}
-	if checks {
-		kept += forChecks
+	return allocation, nil
+}
+
+// setAsideDescriptors is the sum of what is not for clients and database hosts.
+func setAsideDescriptors(users descriptorUsers, frontends, adminCallers int) int {
+	n := runtimeDescriptors + frontends*(frontendDescriptors+discoveryDescriptors)
+	if users.admin {
+		n += hotRestartDescriptors + listenerDescriptors + adminCallers
 	}
-	if peers {
-		kept += forPeers
+	if users.checks {
+		n += checkDescriptors
 	}
-	// Half is for clients and those among them that are being turned away, the other for hosts, one at least of each.
-	left := limit - kept
-	if least := kept + 2 + fronts; limit < least {
-		return d, TooFewDescriptors{limit, least}
+	if users.gossip {
+		n += gossipDescriptors
 	}
-	d.clients = 1
-	for n := left / 2; n > 1; n-- {
-		if n+frontend.RejectQueueSize(n)+n <= left {
-			d.clients = n
-			break
+	return n
+}
+
+// maxClientsWithin is the largest number of clients, at least 1, that leaves as many descriptors for hosts, beside those for clients
+// that are being rejected.
+func maxClientsWithin(descriptors int) int {
+	for clients := descriptors / 2; clients > 1; clients-- {
+		if clients+frontend.RejectQueueSize(clients)+clients <= descriptors {
+			return clients
 		}
 	}
-	d.servers = max(1, (left-d.clients-frontend.RejectQueueSize(d.clients))/fronts)
-	if d.servers*fronts > d.clients { // as many as clients: one without a host's connection waits for one
-		d.servers = max(1, d.clients/fronts)
-	}
-	return d, nil
+	return 1
 }
 
-// openFiles is the system's limit on this process's descriptors; 0 where it is not known.
-func openFiles() int {
-	var r syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r) != nil {
+// openFilesLimit is the system's limit on this process's descriptors; 0 where it is not known.
+func openFilesLimit() int {
+	var limit syscall.Rlimit
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
 		return 0
 	}
-	return int(min(r.Cur, 1<<20))
+	return int(min(limit.Cur, 1<<20))
 }
--- a/cmd/cranegate/descriptors_test.go
+++ b/cmd/cranegate/descriptors_test.go
@@ -152,28 +152,28 @@
 		for fronts := range 3 {
 			for i := range 8 {
 				second, checks, peers := i&1 > 0, i&2 > 0, i&4 > 0
-				d, err := share(config.Limits{Sockets: limit}, 0, fronts, second, checks, peers)
-				var few TooFewDescriptors
+				d, err := allocateDescriptors(config.Limits{Sockets: limit}, 0, descriptorUsers{frontends: fronts, admin: second, checks: checks, gossip: peers})
+				var few TooFewDescriptorsError
 				if errors.As(err, &few) {
-					if few.Least <= limit || few.Least > 140 || limit == 0 {
+					if few.Min <= limit || few.Min > 140 || limit == 0 {
 						t.Fatalf("%d: %v", limit, err)
 					}
 					continue
 				}
 				n := max(1, fronts)
-				sum := d.clients + frontend.RejectQueueSize(d.clients) + n*(d.servers+forFront+forDiscovery) + forRuntime
-				for on, cost := range map[*bool]int{&second: forHandover + forAddress + d.staff, &checks: forChecks, &peers: forPeers} {
+				sum := d.clients + frontend.RejectQueueSize(d.clients) + n*(d.backendConns+frontendDescriptors+discoveryDescriptors) + runtimeDescriptors
+				for on, cost := range map[*bool]int{&second: hotRestartDescriptors + listenerDescriptors + d.adminCallers, &checks: checkDescriptors, &peers: gossipDescriptors} {
 					if *on {
 						sum += cost
 					}
 				}
-				if err != nil || sum > d.limit || d.limit > mostSockets || d.clients < 1 || d.servers < 1 || d.staff < 2 || d.limit > 2*sum {
+				if err != nil || sum > d.limit || d.limit > maxDescriptors || d.clients < 1 || d.backendConns < 1 || d.adminCallers < 2 || d.limit > 2*sum {
 					t.Fatalf("%d with %d fronts: %+v, together %d, %v", limit, fronts, d, sum, err)
 				}
 			}
 		}
 	}
-	if d, err := share(config.Limits{Sockets: 1024}, 100, 1, true, false, false); err != nil || d.limit != 100 {
+	if d, err := allocateDescriptors(config.Limits{Sockets: 1024}, 100, descriptorUsers{frontends: 1, admin: true}); err != nil || d.limit != 100 {
 		t.Errorf("100 files: %+v, %v", d, err)
 	}
 }
--- a/cmd/cranegate/format_test.go
+++ b/cmd/cranegate/format_test.go
@@ -48,7 +48,7 @@
 
 // TestKnowledgeForm pins what one process tells the next: processes of other versions read and write it.
 func TestKnowledgeForm(t *testing.T) {
-	var k knowledge
+	var k handoffState
 	if err := json.Unmarshal([]byte(goldenKnowledge), &k); err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/cmd/cranegate/handoff.go
@@ -0,0 +1,80 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"time"
+
+	"cranegate/internal/discovery"
+	"cranegate/internal/hotrestart/frame"
+	"cranegate/routing"
+)
+
+// exportTimeout bounds how long a newer process waits for the state that it is handed.
+const exportTimeout = 300 * time.Millisecond
+
+// handoffState is what a process hands to the next, beside detached hosts and lameduck. Its JSON form is shared with processes of
+// other versions. All maps are keyed by the fleet's name.
+type handoffState struct {
+	EndpointLists map[string]discovery.Snapshot   `json:"lists"`
+	StartTimes    map[string]map[string]time.Time `json:"starts"` // by host id, of hosts that may be warming up
+	Learned       map[string]routing.Learned      `json:"learned"`
+}
+
+// exportState returns the state for a newer process: what the cores tell within exportTimeout. It is nil where that can't be encoded.
+func (g *gateway) exportState() []byte {
+	ctx, cancel := context.WithTimeout(g.lifetime, exportTimeout)
+	defer cancel()
+	exported := handoffState{
+		EndpointLists: map[string]discovery.Snapshot{},
+		StartTimes:    map[string]map[string]time.Time{},
+		Learned:       map[string]routing.Learned{},
+	}
+	for name, f := range g.fleets {
+		exported.EndpointLists[name] = f.watcher.Snapshot()
+		if starts, err := f.core.Starts(ctx); err == nil {
+			exported.StartTimes[name] = starts
+		}
+		if learned, err := f.core.Learned(ctx); err == nil {
+			exported.Learned[name] = learned
+		}
+	}
+	text, err := exported.encode(frame.MaxBlob)
+	if err != nil {
+		slog.Warn("hotrestart_unconfirmed", "error", err)
+		return nil
+	}
+	return text
+}
+
+// encode returns the state as JSON. Where that is longer than maxBytes it leaves out the latency samples of single hosts, then all
+// observations of hosts, which a newer process makes again soon. Endpoint lists and start times stay in any case, also past maxBytes:
+// without them requests wait, and hosts that are warming up get too much.
+func (s handoffState) encode(maxBytes int) ([]byte, error) {
+	text, err := json.Marshal(s)
+	for _, reduce := range []func(routing.Learned) routing.Learned{withoutSamples, withoutMembers} {
+		if err != nil || len(text) <= maxBytes {
+			break
+		}
+		slog.Warn("hotrestart_state_truncated", "bytes", len(text), "max_bytes", maxBytes)
+		for fleetName, learned := range s.Learned {
+			s.Learned[fleetName] = reduce(learned)
+		}
+		text, err = json.Marshal(s)
+	}
+	return text, err
+}
+
+func withoutSamples(learned routing.Learned) routing.Learned {
+	for id, member := range learned.Members {
+		member.Window = nil
+		learned.Members[id] = member
+	}
+	return learned
+}
+
+func withoutMembers(learned routing.Learned) routing.Learned {
+	learned.Members = nil
+	return learned
+}
--- a/cmd/cranegate/hotrestart.go
+++ b/cmd/cranegate/hotrestart.go
@@ -5,339 +5,266 @@
 	"encoding/json"
 	"log/slog"
 	"net"
-	"runtime/debug"
 	"sync"
 	"time"
 
 	"cranegate/internal/core"
-	"cranegate/internal/discovery"
 	"cranegate/internal/hotrestart"
 	"cranegate/internal/hotrestart/fdpass"
-	"cranegate/internal/hotrestart/frame"
 	"cranegate/internal/hotrestart/state"
-	"cranegate/routing"
 )
 
-const (
-	exportFor = 300 * time.Millisecond // for what a newer process is told
-	startFor  = time.Second            // for what an older one has told to be taken in
-)
+// importTimeout bounds how long a starting process waits for its cores to hold the start times that an older one handed over.
+const importTimeout = time.Second
 
-// handed is what passes between the processes of one gateway.
-type handed struct {
-	hand      *hotrestart.Coordinator // nil: nothing is passed on
-	folder    string                  // which all processes of this gateway share
-	inherited knowledge
-	places    int // clients that the whole gateway has room for
+// hotRestart is what this process shares with older and newer processes of the same gateway.
+type hotRestart struct {
+	coordinator *hotrestart.Coordinator // nil: hot restart is disabled
+	folder      string                  // shared by all processes of this gateway
+	inherited   handoffState            // from an older process
+	maxClients  int                     // client connections of the whole gateway
 
-	ducks    sync.Mutex // over who says whether clients are sent away
-	mu       sync.Mutex
-	held     map[string]bool  // hosts that the cores hold as out
-	applied  chan struct{}    // closed once that is so for the first time
-	older    bool             // an older process lives
-	newer    bool             // a newer one does
-	serves   bool             // this process does
-	passed   bool             // the newer one does
-	receiver *fdpass.Receiver // takes those of an older one; nil: none come
-	sender   *fdpass.Sender   // takes open connections to the newer process; nil: none does
-	left     int              // bytes for clients that are left to the other
-}
+	lameduckMu sync.Mutex // serializes changes of the limiter's draining
 
-// knowledge is what a process tells the one that follows it, beside what staff have said.
-type knowledge struct {
-	Lists   map[string]discovery.Snapshot   `json:"lists"`  // by fleet
-	Starts  map[string]map[string]time.Time `json:"starts"` // of hosts that may be cold
-	Learned map[string]routing.Learned      `json:"learned"`
+	mu            sync.Mutex       // guards what follows
+	detached      map[string]bool  // hosts that the cores hold as detached; nil before the first applyState
+	applied       chan struct{}    // closed when applyState has succeeded for the first time
+	olderAlive    bool             // an older process lives
+	newerAlive    bool             // a newer process lives
+	newerServing  bool             // and serves
+	serving       bool             // this process serves
+	receiver      *fdpass.Receiver // takes connections from an older process; nil: none
+	sender        *fdpass.Sender   // hands connections to the newer process; nil: none
+	reservedBytes int              // of the memory budget, left to the other process
 }
 
-// openHandover asks a process of this gateway that lives already what it knows. Where the folder can't be used the
-// program serves all the same, and says so.
-func (g *gateway) openHandover(dir string) {
-	if dir == "" {
-		slog.Warn("handover_off", "detail", "TMPDIR is not set: hosts taken out by hand are not known to a process that follows")
+// openHotRestart learns what an older process of this gateway knows. Where the folder can't be used the gateway serves all the
+// same, and logs that detached hosts are not carried over.
+func (g *gateway) openHotRestart(folder string) {
+	if folder == "" {
+		slog.Warn("hotrestart_disabled", "reason", "TMPDIR is not set: hosts taken out by hand are not known to a process that follows")
 		return
 	}
 	g.applied = make(chan struct{})
-	h, err := hotrestart.Open(g.work, hotrestart.Options{Dir: dir, OnState: g.apply, Export: g.export, NewerExists: g.hasNewer,
-		Reserve: g.room.Reserve, Superseded: g.superseded, Restored: g.restored, Alone: g.alone, Counters: g.counters})
+	coordinator, err := hotrestart.Open(g.lifetime, hotrestart.Options{
+		Dir:         folder,
+		OnState:     g.applyState,
+		Export:      g.exportState,
+		Reserve:     g.limiter.Reserve,
+		NewerExists: g.onNewerProcess,
+		Superseded:  g.onSuperseded,
+		Restored:    g.onRestored,
+		Alone:       g.onOlderProcessGone,
+		Counters:    g.counters,
+	})
 	if err != nil {
-		slog.Warn("handover_off", "error", err)
+		slog.Warn("hotrestart_disabled", "error", err)
 		return
 	}
-	for _, err := range h.Unconfirmed() {
-		slog.Warn("handover_doubt", "error", err)
+	for _, err := range coordinator.Unconfirmed() {
+		slog.Warn("hotrestart_unconfirmed", "error", err)
 	}
-	if text := h.Inherited(); text != nil {
+	if text := coordinator.Inherited(); text != nil {
 		if err := json.Unmarshal(text, &g.inherited); err != nil {
-			slog.Warn("handover_doubt", "error", err)
+			slog.Warn("hotrestart_unconfirmed", "error", err)
 		}
 	}
-	g.hand, g.older, g.folder = h, h.Older(), dir
-	slog.Info("handover", "older", g.older, "out", len(h.State().Out), "lameduck", h.State().Lameduck)
+	g.coordinator, g.olderAlive, g.folder = coordinator, coordinator.Older(), folder
+	known := coordinator.State()
+	slog.Info("hotrestart_opened", "older", g.olderAlive, "out", len(known.Out), "lameduck", known.Lameduck)
 }
 
-// closeHandover tells the others that this process is gone.
-func (g *gateway) closeHandover() {
-	if g.hand != nil {
-		g.hand.Close()
+// closeHotRestart lets the other processes know that this one has ended.
+func (g *gateway) closeHotRestart() {
+	if g.coordinator != nil {
+		g.coordinator.Close()
 	}
 }
 
-// takeOver has the cores hold what an older process has handed over, before anything is sent.
-func (g *gateway) takeOver() error {
-	if g.hand == nil {
-		return nil
+// applyInherited has the cores hold the start times and overrides that an older process handed over. Nothing is sent to hosts before
+// it returns.
+func (g *gateway) applyInherited() {
+	if g.coordinator == nil {
+		return
 	}
-	g.share()
-	ctx, cancel := context.WithTimeout(g.work, startFor)
+	g.updateLimits()
+	ctx, cancel := context.WithTimeout(g.lifetime, importTimeout)
 	defer cancel()
-	for name, f := range g.lists {
-		if err := f.core.Started(ctx, g.inherited.Starts[name]); err != nil {
-			slog.Warn("handover_doubt", "error", err)
+	for name, f := range g.fleets {
+		if err := f.core.Started(ctx, g.inherited.StartTimes[name]); err != nil {
+			slog.Warn("hotrestart_unconfirmed", "error", err)
 		}
 	}
-	g.actors.Go(func() error { return g.hand.Run(g.work) })
+	g.actors.Go(func() error { return g.coordinator.Run(g.lifetime) })
 	select {
 	case <-g.applied:
-	case <-g.work.Done():
+	case <-g.lifetime.Done():
 	}
-	return nil
 }
 
-// passOn tells an older process that this one serves.
-func (g *gateway) passOn() {
-	if g.hand == nil {
+// announceReady has older processes leave their clients to this one, which serves.
+func (g *gateway) announceReady() {
+	if g.coordinator == nil {
 		return
 	}
-	g.receive()
-	g.hand.Ready()
+	g.receiveConnections()
+	g.coordinator.Ready()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.serves = true
-	g.shareLocked()
+	g.serving = true
+	g.updateLimitsLocked()
 }
 
-// receive takes open connections of an older process. Without it they end, and their clients connect anew.
-func (g *gateway) receive() {
-	r, err := fdpass.Listen(g.folder)
+// receiveConnections accepts open client connections from an older process. Where it can't listen for them the older process
+// closes its connections, and clients connect again.
+func (g *gateway) receiveConnections() {
+	receiver, err := fdpass.Listen(g.folder)
 	if err != nil {
-		slog.Warn("passing_off", "error", err)
+		slog.Warn("fdpass_disabled", "error", err)
 		return
 	}
-	r.Reserve = g.room.Reserve
+	receiver.Reserve = g.limiter.Reserve
 	g.mu.Lock()
-	g.receiver = r
+	g.receiver = receiver
 	g.mu.Unlock()
 	g.actors.Go(func() error {
-		return r.Run(g.work, func(c fdpass.Conn) bool {
-			f, ok := g.lists[c.Protocol]
-			return ok && f.front.Adopt(c.Conn, c.Started, c.Answered)
+		return receiver.Run(g.lifetime, func(c fdpass.Conn) bool {
+			f, ok := g.fleets[c.Protocol]
+			return ok && f.frontend.Adopt(c.Conn, c.Started, c.Answered)
 		})
 	})
 }
 
-// apply has all cores and fronts hold a state. It is called one at a time.
-func (g *gateway) apply(ctx context.Context, s state.State) error {
+// applyState has all cores and frontends hold a state. The coordinator calls it one at a time.
+func (g *gateway) applyState(ctx context.Context, s state.State) error {
 	g.mu.Lock()
-	held := g.held
+	current := g.detached
 	g.mu.Unlock()
-	if held == nil {
-		held = map[string]bool{}
-	}
 	next := map[string]bool{}
 	for id := range s.Out {
 		next[id] = true
 	}
-	for _, f := range g.lists {
-		for id := range next {
-			if held[id] {
-				continue
-			}
-			if err := f.core.SetOverride(ctx, id, core.DetachUnlisted); err != nil {
-				return err
-			}
-		}
-		for id := range held {
-			if next[id] {
-				continue
-			}
-			if err := f.core.SetOverride(ctx, id, core.Attach); err != nil && !unknown(err) {
-				return err
-			}
+	for _, f := range g.fleets {
+		if err := updateOverrides(ctx, f.core, current, next); err != nil {
+			return err
 		}
 	}
-	g.ducks.Lock()
-	g.lameduck(s)
-	g.ducks.Unlock()
+	g.lameduckMu.Lock()
+	g.setDraining(s)
+	g.lameduckMu.Unlock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.held == nil {
+	if g.detached == nil {
 		close(g.applied)
 	}
-	g.held = next
+	g.detached = next
 	return nil
 }
 
-// lameduck sends clients away or takes them again, as a state says. g.ducks is held.
-func (g *gateway) lameduck(s state.State) {
-	if s.Lameduck {
-		g.room.Drain()
-	} else {
-		g.room.Undrain()
-	}
-}
-
-// export is what a newer process is told. It gets what is known in time.
-func (g *gateway) export() []byte {
-	ctx, cancel := context.WithTimeout(g.work, exportFor)
-	defer cancel()
-	k := knowledge{Lists: map[string]discovery.Snapshot{}, Starts: map[string]map[string]time.Time{},
-		Learned: map[string]routing.Learned{}}
-	for name, f := range g.lists {
-		k.Lists[name] = f.watch.Snapshot()
-		if starts, err := f.core.Starts(ctx); err == nil {
-			k.Starts[name] = starts
+// updateOverrides detaches in a core the hosts that are new in next, and attaches those that it lacks.
+func updateOverrides(ctx context.Context, c *core.Core, current, next map[string]bool) error {
+	for id := range next {
+		if current[id] {
+			continue
 		}
-		if l, err := f.core.Learned(ctx); err == nil {
-			k.Learned[name] = l
+		if err := c.SetOverride(ctx, id, core.DetachUnlisted); err != nil {
+			return err
 		}
 	}
-	text, err := k.within(frame.MaxBlob)
-	if err != nil {
-		slog.Warn("handover_doubt", "error", err)
-		return nil
+	for id := range current {
+		if next[id] {
+			continue
+		}
+		if err := c.SetOverride(ctx, id, core.Attach); err != nil && !isUnknownHost(err) {
+			return err
+		}
 	}
-	return text
+	return nil
 }
 
-// within writes as much as fits: without the round trips of single hosts where it is too long, then without what was learned of
-// hosts, which is learned anew soon. What stays in any case are the lists and the starts: without them requests wait, and cold
-// hosts get too much.
-func (k knowledge) within(most int) ([]byte, error) {
-	text, err := json.Marshal(k)
-	for _, less := range []func(*routing.Learned){
-		func(l *routing.Learned) {
-			for id, m := range l.Members {
-				m.Window = nil
-				l.Members[id] = m
-			}
-		},
-		func(l *routing.Learned) { l.Members = nil },
-	} {
-		if err != nil || len(text) <= most {
-			break
-		}
-		slog.Warn("handover_knowledge_cut", "bytes", len(text), "most", most)
-		for name, l := range k.Learned {
-			less(&l)
-			k.Learned[name] = l
-		}
-		text, err = json.Marshal(k)
+// setDraining drains the clients, or accepts clients again, as a state demands. g.lameduckMu is held.
+func (g *gateway) setDraining(s state.State) {
+	if s.Lameduck {
+		g.limiter.Drain()
+	} else {
+		g.limiter.Undrain()
 	}
-	return text, err
 }
 
-// hasNewer shares the gateway's limits with a newer process, as long as that lives.
-func (g *gateway) hasNewer(lives bool) {
-	slog.Info("newer_process", "lives", lives)
+// onNewerProcess notes whether a newer process lives.
+func (g *gateway) onNewerProcess(alive bool) {
+	slog.Info("newer_process", "alive", alive)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.newer = lives
-	g.shareLocked()
+	g.newerAlive = alive
+	g.updateLimitsLocked()
 }
 
-// superseded leaves the clients that come from now on to a newer process that serves.
-func (g *gateway) superseded() {
+// onSuperseded leaves new clients to a newer process that serves, and hands it the open connections.
+func (g *gateway) onSuperseded() {
 	slog.Info("superseded")
-	for _, f := range g.lists {
-		f.front.Retire()
+	for _, f := range g.fleets {
+		f.frontend.Retire()
 	}
 	g.mu.Lock()
 	own := g.receiver
 	g.mu.Unlock()
 	sender, err := fdpass.Dial(g.folder, own)
 	if err != nil {
-		slog.Warn("passing_off", "error", err)
+		slog.Warn("fdpass_disabled", "error", err)
 	}
 	g.mu.Lock()
 	g.sender = sender
 	g.mu.Unlock()
-	g.room.Handover()
+	g.limiter.Handover()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.passed = true
-	g.shareLocked()
+	g.newerServing = true
+	g.updateLimitsLocked()
 }
 
-// restored takes clients again, as the newer process that took them is gone. Those wait in the queue of the socket, which is
-// nobody's else then.
-func (g *gateway) restored() {
+// onRestored accepts clients again after the newer process that served has ended. Clients that came meanwhile wait in the queue of the
+// listening socket, which no other process accepts from then.
+func (g *gateway) onRestored() {
 	slog.Info("restored")
 	g.mu.Lock()
 	sender := g.sender
-	g.passed, g.sender = false, nil
-	g.shareLocked()
+	g.newerServing, g.sender = false, nil
+	g.updateLimitsLocked()
 	g.mu.Unlock()
 	if sender != nil {
 		sender.Close()
 	}
-	g.ducks.Lock()
-	g.room.CancelHandover()
-	g.lameduck(g.hand.State()) // nothing that was said meanwhile held in a room that was left
-	g.ducks.Unlock()
-	for _, f := range g.lists {
-		if err := f.front.Resume(); err != nil {
+	g.lameduckMu.Lock()
+	g.limiter.CancelHandover()
+	g.setDraining(g.coordinator.State()) // the limiter ignored changes during the handover
+	g.lameduckMu.Unlock()
+	for _, f := range g.fleets {
+		if err := f.frontend.Resume(); err != nil {
 			slog.Warn("listening_failed", "error", err)
 		}
 	}
 }
 
-// pass hands a client's connection to the newer process.
-func (g *gateway) pass(front string) func(c net.Conn, started, asked bool) bool {
-	return func(c net.Conn, started, asked bool) bool {
+// connectionSender returns a fleet's frontend.Server.Pass: it hands a client's connection to the newer process, and reports whether
+// that took it.
+func (g *gateway) connectionSender(fleetName string) func(conn net.Conn, started, answered bool) bool {
+	return func(conn net.Conn, started, answered bool) bool {
 		g.mu.Lock()
-		s := g.sender
+		sender := g.sender
 		g.mu.Unlock()
-		return s != nil && s.Send(fdpass.Conn{Conn: c, Protocol: front, Started: started, Answered: asked}) == nil
+		if sender == nil {
+			return false
+		}
+		return sender.Send(fdpass.Conn{Conn: conn, Protocol: fleetName, Started: started, Answered: answered}) == nil
 	}
 }
 
-// alone takes the whole of the limits again.
-func (g *gateway) alone() {
+// onOlderProcessGone takes the whole of the limits again.
+func (g *gateway) onOlderProcessGone() {
 	slog.Info("older_process_gone")
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.older = false
-	g.shareLocked()
-}
-
-func (g *gateway) share() { g.mu.Lock(); defer g.mu.Unlock(); g.shareLocked() }
-
-// shareLocked takes the part of the limits that is this process's. Clients go over from the older process to the newer
-// once that serves, and so do their places; what each may keep open to hosts, and its memory, is a half. Nobody idle is let
-// go meanwhile: a client that asks just then is turned back, and there are two processes to take it.
-func (g *gateway) shareLocked() {
-	places, half := g.places, g.older || g.newer
-	switch {
-	case g.newer && g.passed:
-		places = g.places / 4
-	case g.newer || g.older && !g.serves:
-		places = g.places / 2
-	}
-	g.room.SetEvictIdle(!half)
-	memory, spared := int64(g.limits.MemoryMB)<<20*3/4, 0
-	if half {
-		memory, spared = memory/2, g.servers/2
-	}
-	g.room.Resize(places)
-	debug.SetMemoryLimit(memory)
-	for _, f := range g.lists {
-		f.pool.ReserveDescriptors(spared)
-	}
-	if bytes := g.limits.MemoryMB << 20 / 8; half && g.left == 0 && g.budget.Reserve(bytes) {
-		g.left = bytes
-	} else if !half && g.left > 0 {
-		g.budget.Release(g.left)
-		g.left = 0
-	}
+	g.olderAlive = false
+	g.updateLimitsLocked()
 }
--- a/cmd/cranegate/main.go
+++ b/cmd/cranegate/main.go
@@ -1,8 +1,8 @@
-// Command cranegate is the gateway: it takes requests from clients and sends them on to database hosts, as the
-// decision module says. The platform's configuration is named by PROXY_CONFIG; an operator's file, which sets up
-// the MySQL front, the balancers' checks and the other gateways, by the flag --operator. One of the two is needed.
+// Command cranegate is the gateway: it accepts requests from clients and forwards them to the database hosts that package
+// routing chooses. PROXY_CONFIG names the platform's configuration. The flag --operator names an operator's file, which
+// configures the MySQL frontend, the balancers' checks and the fleet of gateways. At least one of the two is needed.
 //
-// Without a command it runs. The other commands check an operator's file, and ask a running gateway and act on it.
+// Without a command it runs the gateway. The other commands check an operator's file, or call a running gateway.
 package main
 
 import (
@@ -22,77 +22,94 @@
 	"cranegate/internal/logging"
 )
 
-// cli is the command line.
+// flushTimeout is how long the end of the program waits for its last log lines to be written.
+const flushTimeout = 50 * time.Millisecond
+
+// cli is the command line. Kong takes commands, flags and their names from the fields.
 type cli struct {
-	Run     runCmd     `cmd:"" default:"withargs" help:"Run the gateway; this is what it does without a command."`
-	Members membersCmd `cmd:"" help:"Show what a running gateway holds of the others."`
-	Check   checkCmd   `cmd:"" help:"Read an operator's file, and say what is wrong with it."`
+	Run     runCmd     `cmd:"" default:"withargs" help:"Run the gateway. This is the default command."`
+	Members membersCmd `cmd:"" help:"Show a running gateway's view of the fleet's members."`
+	Check   checkCmd   `cmd:"" help:"Validate an operator's file."`
 
-	Ready    readyCmd    `cmd:"" help:"Ask whether a running gateway can serve."`
-	Host     hostCmd     `cmd:"" help:"Take a database host out of a running gateway's use, or call it back."`
-	Lameduck lameduckCmd `cmd:"" help:"Have a running gateway send its clients away, or take clients again."`
+	Ready    readyCmd    `cmd:"" help:"Check whether a running gateway is ready to serve."`
+	Host     hostCmd     `cmd:"" help:"Detach a database host from a running gateway, or attach it again."`
+	Lameduck lameduckCmd `cmd:"" help:"Drain the clients of a running gateway, or accept clients again."`
 }
 
 func main() {
-	if len(os.Args) == 1 { // as the platform starts it, on part of a core: without building a parser
+	if len(os.Args) == 1 { // the platform's start, on part of a core: without the cost of a parser
 		runCmd{Operator: os.Getenv("CRANEGATE_OPERATOR")}.Run()
 		return
 	}
+	acceptSingleDashFlags(os.Args)
 	var c cli
-	// The flags have been written with one dash.
-	for i, a := range os.Args {
-		if i > 0 && (strings.HasPrefix(a, "-operator") || strings.HasPrefix(a, "-counters")) {
-			os.Args[i] = "-" + a
-		}
-	}
 	ctx := kong.Parse(&c, kong.Name("cranegate"), kong.Description("A gateway for queries from many clients to many database hosts."))
 	ctx.FatalIfErrorf(ctx.Run())
 }
 
+// acceptSingleDashFlags rewrites -operator and -counters, as earlier versions had them, to two dashes.
+func acceptSingleDashFlags(args []string) {
+	for i, arg := range args {
+		if i > 0 && (strings.HasPrefix(arg, "-operator") || strings.HasPrefix(arg, "-counters")) {
+			args[i] = "-" + arg
+		}
+	}
+}
+
 type runCmd struct {
 	Operator string        `env:"CRANEGATE_OPERATOR" help:"The operator's file; none by default."`
-	Counters time.Duration `help:"Log the counters every so often; 0: at SIGUSR1 and at the end alone."`
+	Counters time.Duration `help:"Interval between log lines with the counters; 0: only at SIGUSR1 and at the end."`
 }
 
-// flushFor is how long the end of the program waits for its last lines to be taken.
-const flushFor = 50 * time.Millisecond
-
-// Run runs the gateway until SIGTERM. A failure is logged as the last line.
+// Run runs the gateway until SIGTERM or SIGINT. On an error it exits with 1, and the error is the last log line.
 func (r runCmd) Run() error {
 	logging.Survive()
 	logs := logging.NewSink(os.Stderr)
 	logging.Use(logging.New(logs, logging.Level(os.Getenv(logging.LevelVariable))))
-	defer logs.Flush(flushFor)
+	defer logs.Flush(flushTimeout)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	changed := make(chan os.Signal, 1) // one that waits stands for all that come meanwhile
-	signal.Notify(changed, syscall.SIGHUP)
-	path := os.Getenv("PROXY_CONFIG")
-	p, o, err := load(path, r.Operator, config.Load)
-	if err == nil {
-		err = run(ctx, p, o, r.Counters, logs, changed, func() (*config.Platform, *config.Operator, error) {
-			return load(path, r.Operator, config.Reload)
-		})
-	}
-	if err != nil {
+	reloadSignals := make(chan os.Signal, 1) // one pending signal stands for all that come meanwhile
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	if err := r.serve(ctx, logs, reloadSignals); err != nil {
 		slog.Error("ended", "error", err)
-		logs.Flush(flushFor)
+		logs.Flush(flushTimeout)
 		os.Exit(1)
 	}
 	return nil
 }
 
+// serve loads the configuration and runs the gateway until ctx ends.
+func (r runCmd) serve(ctx context.Context, logs *logging.Sink, reloadSignals <-chan os.Signal) error {
+	path := os.Getenv("PROXY_CONFIG")
+	platform, operator, err := loadConfig(path, r.Operator, config.Load)
+	if err != nil {
+		return err
+	}
+	return run(ctx, runOptions{
+		platform:        platform,
+		operator:        operator,
+		counterInterval: r.Counters,
+		logs:            logs,
+		reloadSignals:   reloadSignals,
+		reload: func() (*config.Platform, *config.Operator, error) {
+			return loadConfig(path, r.Operator, config.Reload)
+		},
+	})
+}
+
 type checkCmd struct {
 	File string `arg:"" help:"The operator's file. Settings that it lacks come from the configuration that PROXY_CONFIG names."`
 }
 
-// Run checks a file.
+// Run validates the file and prints which parts it turns on.
 func (c checkCmd) Run() error {
-	_, o, err := load(os.Getenv("PROXY_CONFIG"), c.File, config.Load)
+	_, operator, err := loadConfig(os.Getenv("PROXY_CONFIG"), c.File, config.Load)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: in order; mysql %s, zones %s, fleet %s\n", c.File, onOff(o.MySQL != nil), onOff(o.Zones != nil), onOff(o.Fleet != nil))
+	fmt.Printf("%s: in order; mysql %s, zones %s, fleet %s\n", c.File,
+		onOff(operator.MySQL != nil), onOff(operator.Zones != nil), onOff(operator.Fleet != nil))
 	return nil
 }
 
@@ -103,20 +120,21 @@
 	return "off"
 }
 
-// load reads the configuration; what is not given is nil.
-func load(platform, operator string, read func(string) (*config.Platform, error)) (p *config.Platform, o *config.Operator, err error) {
-	if platform == "" && operator == "" {
+// loadConfig reads the configuration files at two paths; an empty path gives nil. Settings that the operator's file lacks come from the
+// platform's.
+func loadConfig(platformPath, operatorPath string, read func(string) (*config.Platform, error)) (platform *config.Platform, operator *config.Operator, err error) {
+	if platformPath == "" && operatorPath == "" {
 		return nil, nil, errors.New("neither PROXY_CONFIG nor an operator's file is given")
 	}
-	var s *config.Settings
-	if platform != "" {
-		if p, err = read(platform); err != nil {
+	var settings *config.Settings
+	if platformPath != "" {
+		if platform, err = read(platformPath); err != nil {
 			return nil, nil, err
 		}
-		s = &p.Settings
+		settings = &platform.Settings
 	}
-	if operator != "" {
-		o, err = config.LoadOperator(operator, s)
+	if operatorPath != "" {
+		operator, err = config.LoadOperator(operatorPath, settings)
 	}
-	return p, o, err
+	return platform, operator, err
 }
--- a/internal/hotrestart/caps_test.go
+++ b/internal/hotrestart/caps_test.go
@@ -160,7 +160,7 @@
 	if !errors.Is(err, ErrTooManyProcesses) || !errors.Is(err, ErrUnverified) || !strings.Contains(err.Error(), "end those that are left over") {
 		t.Errorf("with one more: %v", err)
 	}
-	if !strings.Contains(told.String(), "event=handover_refused") || counters.Get("handover_refused") == 0 {
+	if !strings.Contains(told.String(), "event=hotrestart_rejected") || counters.Get("handover_refused") == 0 {
 		t.Errorf("the log says %q", told)
 	}
 	t.Logf("%d connections at once past those that are counted on", most.Load())
@@ -187,7 +187,7 @@
 	if !errors.Is(err, ErrUnacknowledged) || !errors.As(err, &missing) || len(missing.Peers) != 5-ownLinks {
 		t.Errorf("%v", err)
 	}
-	if !strings.Contains(told.String(), fmt.Sprintf("event=handover_refused error=%q", full)) {
+	if !strings.Contains(told.String(), fmt.Sprintf("event=hotrestart_rejected error=%q", full)) {
 		t.Errorf("the log says %q", told)
 	}
 	free.Store(true)
--- a/internal/hotrestart/fdpass/fdpass.go
+++ b/internal/hotrestart/fdpass/fdpass.go
@@ -120,7 +120,7 @@
 		}
 		giveBack, err := r.lend(ctx, int(from.Add(1)))
 		if err != nil { // what was sent before this is taken; from here on the other end learns that nothing more is
-			slog.Warn("passing_refused", "error", err)
+			slog.Warn("fdpass_rejected", "error", err)
 			c.CloseRead()
 		}
 		group.Go(func() {
--- a/internal/hotrestart/fdpass/fdpass_test.go
+++ b/internal/hotrestart/fdpass/fdpass_test.go
@@ -115,7 +115,7 @@
 	}
 	before := taken.Load()
 	late := sender(t, dir)
-	until(t, "the 1,025th is refused", func() bool { return strings.Contains(told.String(), "event=passing_refused") })
+	until(t, "the 1,025th is refused", func() bool { return strings.Contains(told.String(), "event=fdpass_rejected") })
 	if err := late.Send(Conn{Conn: client, Protocol: "postgres"}); !errors.Is(err, ErrNotPassed) || taken.Load() != before {
 		t.Errorf("the 1,025th: %v, %d taken", err, taken.Load()-before)
 	}
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -163,7 +163,7 @@
 	h.opt.Counters.Add("handover_refused", 1)
 	if now := time.Now(); now.Sub(h.refusedAt) >= time.Second {
 		h.refusedAt = now
-		slog.Warn("handover_refused", "error", why)
+		slog.Warn("hotrestart_rejected", "error", why)
 	}
 }
 
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -131,7 +131,7 @@
 	blob := h.opt.Export()
 	if len(blob) > frame.MaxBlob {
 		h.opt.Counters.Add("handover_blobs_too_large", 1)
-		slog.Warn("handover_blob_too_large", "error", BlobSizeError{len(blob)})
+		slog.Warn("hotrestart_blob_too_large", "error", BlobSizeError{len(blob)})
 		return nil
 	}
 	return blob
--- a/internal/processtest/files_test.go
+++ b/internal/processtest/files_test.go
@@ -41,13 +41,13 @@
 			}
 			p := r.start().ready()
 			r.serves("first")
-			if got := strings.Contains(p.log(), "event=handover_doubt"); got != (text != "none") {
+			if got := strings.Contains(p.log(), "event=hotrestart_unconfirmed"); got != (text != "none") {
 				t.Errorf("the log holds a doubt: %t", got)
 			}
 			p.must("/_database-hosts/detach/db-0-1")
 			p.kill()
 			p = r.start().ready()
-			if !strings.Contains(p.log(), "event=handover older=false out=1") {
+			if !strings.Contains(p.log(), "event=hotrestart_opened older=false out=1") {
 				t.Error("the next process does not know of the host that is out")
 			}
 			before := len(r.hosts[1].arrivals())
@@ -76,7 +76,7 @@
 			r := newRig(t, 256)
 			p := r.start(dir).ready()
 			r.serves("first")
-			if !strings.Contains(p.log(), "event=handover_off") && (name != "unwritable" || os.Geteuid() != 0) {
+			if !strings.Contains(p.log(), "event=hotrestart_disabled") && (name != "unwritable" || os.Geteuid() != 0) {
 				t.Error("it does not say so")
 			}
 			p.must("/_database-hosts/detach/db-0-1")
@@ -116,7 +116,7 @@
 	p.must("/_database-hosts/detach/db-0-1")
 	p.kill()
 	p = r.start().ready()
-	if log := p.log(); !strings.Contains(log, "event=handover older=false out=1") {
+	if log := p.log(); !strings.Contains(log, "event=hotrestart_opened older=false out=1") {
 		t.Errorf("the next process: %s", log)
 	}
 }
--- a/internal/processtest/kills_test.go
+++ b/internal/processtest/kills_test.go
@@ -41,7 +41,7 @@
 		"at its start": func(r *rig, old *process) (*process, time.Time) { return kill(r, old, r.start()) },
 		"before its yes": func(r *rig, old *process) (*process, time.Time) {
 			next := r.start()
-			next.says("handover ")
+			next.says("hotrestart_opened ")
 			return kill(r, old, next)
 		},
 		"at its yes": func(r *rig, old *process) (*process, time.Time) { return kill(r, old, r.start().ready()) },
@@ -76,7 +76,7 @@
 		},
 		"while it starts": func(r *rig, old *process) (*process, time.Time) {
 			next := r.start()
-			next.says("handover ")
+			next.says("hotrestart_opened ")
 			dead := old.kill()
 			return next.ready(), dead
 		},
--- a/internal/processtest/nohandover_test.go
+++ b/internal/processtest/nohandover_test.go
@@ -24,7 +24,7 @@
 	}
 	next.signal(syscall.SIGCONT)
 	next.ready()
-	next.says("passing_off")
+	next.says("fdpass_disabled")
 	old.says("superseded")
 	l.goesOn()
 	old.term()
--- a/internal/processtest/process_test.go
+++ b/internal/processtest/process_test.go
@@ -162,7 +162,7 @@
 	defer r.mute.Store(false)
 	for range 5 {
 		p := r.start()
-		p.says("handover ")
+		p.says("hotrestart_opened ")
 		p.stop()
 		if !strings.Contains(p.log(), "event=listening front=postgres") {
 			return p
