--- a/cmd/cranegate/cli_test.go
+++ b/cmd/cranegate/cli_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// command runs the program's command line and gives its exit code and what it says.
-func command(t *testing.T, env string, args ...string) (int, string) {
+// runCommand runs the program with a PROXY_ADMIN and returns its exit code and output.
+func runCommand(t *testing.T, adminAddress string, args ...string) (int, string) {
 	t.Helper()
 	cmd := exec.Command(program, args...)
-	cmd.Env = append(os.Environ(), "PROXY_CONFIG=", "PROXY_ADMIN="+env)
+	cmd.Env = append(os.Environ(), "PROXY_CONFIG=", "PROXY_ADMIN="+adminAddress)
 	var out bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &out
 	err := cmd.Run()
@@ -27,57 +27,57 @@
 	return cmd.ProcessState.ExitCode(), out.String()
 }
 
-// TestCommands makes each call on the command line, with a yes, with a no and with nobody there.
+// TestCommands makes each call on the command line: accepted, rejected, and with no gateway there.
 func TestCommands(t *testing.T) {
-	w := start(t, nil)
-	foreign := listen(t)
+	h := startGateway(t, nil)
+	foreign := listenLoopback(t)
 	go http.Serve(foreign, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(rw, strings.Repeat("x", maxResponseBytes+1))
 	}))
 	for _, c := range []struct {
-		env, args string
-		code      int
-		says      string
+		adminAddress, args string
+		code               int
+		output             string
 	}{
-		{w.admin, "ready", 0, "yes\n"},
-		{"", "ready --admin " + w.admin, 0, "yes\n"},
-		{w.admin, "host detach db-1", 0, "yes\n"},
-		{w.admin, "host detach nobody", 1, `no database host has the id "nobody"`},
-		{w.admin, "host detach ..", 1, `no database host has the id ".."`},
-		{w.admin, "host attach a/b%20?c", 1, `no database host has the id "a/b%20?c"`},
-		{w.admin, "host attach db-1", 0, "yes\n"},
-		{w.admin, "lameduck on", 0, "yes\n"},
-		{w.admin, "lameduck off", 0, "yes\n"},
-		{w.admin, "members", 1, "its file has no [fleet]"},
-		{w.admin, "ready --admin " + free(t), 2, "no gateway answers at"},
+		{h.adminAddress, "ready", 0, "yes\n"},
+		{"", "ready --admin " + h.adminAddress, 0, "yes\n"},
+		{h.adminAddress, "host detach db-1", 0, "yes\n"},
+		{h.adminAddress, "host detach nobody", 1, `no database host has the id "nobody"`},
+		{h.adminAddress, "host detach ..", 1, `no database host has the id ".."`},
+		{h.adminAddress, "host attach a/b%20?c", 1, `no database host has the id "a/b%20?c"`},
+		{h.adminAddress, "host attach db-1", 0, "yes\n"},
+		{h.adminAddress, "lameduck on", 0, "yes\n"},
+		{h.adminAddress, "lameduck off", 0, "yes\n"},
+		{h.adminAddress, "members", 1, "its file has no [fleet]"},
+		{h.adminAddress, "ready --admin " + freeAddress(t), 2, "no gateway answers at"},
 		{foreign.Addr().String(), "ready", 2, "is longer than"},
 		{"no address", "ready", 2, "no gateway answers at"},
 		{"", "ready", 80, "no gateway is named"},
-		{w.admin, "host detach", 80, "<id>"},
+		{h.adminAddress, "host detach", 80, "<id>"},
 	} {
-		if code, text := command(t, c.env, strings.Fields(c.args)...); code != c.code || !strings.Contains(text, c.says) {
-			t.Errorf("%s: exit %d, %q; want %d, %q", c.args, code, text, c.code, c.says)
+		if code, text := runCommand(t, c.adminAddress, strings.Fields(c.args)...); code != c.code || !strings.Contains(text, c.output) {
+			t.Errorf("%s: exit %d, %q; want %d, %q", c.args, code, text, c.code, c.output)
 		}
 	}
 }
 
-// TestOperatorsAddress acts at the address that an operator's file names.
-func TestOperatorsAddress(t *testing.T) {
+// TestOperatorAdminAddress makes calls at the address that an operator's file names.
+func TestOperatorAdminAddress(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.toml")
-	admin := free(t)
+	admin := freeAddress(t)
 	if err := os.WriteFile(path, fmt.Appendf(nil, "[admin]\nlisten = %q\n", admin), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, out: &output{}}
-	w.launch(exec.Command(program, "-operator", path))
-	w.until("a yes", func() bool { code, _ := command(t, "", "ready", "--operator", path); return code == 0 })
-	if code, text := command(t, "", "host", "detach", "--operator", path, "db-1"); code != 1 || !strings.Contains(text, "db-1") {
+	h := &harness{t: t, log: &logBuffer{}}
+	h.launch(exec.Command(program, "-operator", path))
+	h.until("a yes", func() bool { code, _ := runCommand(t, "", "ready", "--operator", path); return code == 0 })
+	if code, text := runCommand(t, "", "host", "detach", "--operator", path, "db-1"); code != 1 || !strings.Contains(text, "db-1") {
 		t.Errorf("a host of no fleet: exit %d, %q", code, text)
 	}
-	if call("GET", admin, "/counters") != 200 {
+	if adminStatus("GET", admin, "/counters") != 200 {
 		t.Error("no counters")
 	}
-	if code, text := command(t, "", "lameduck", "on", "--operator", path); code != 0 {
+	if code, text := runCommand(t, "", "lameduck", "on", "--operator", path); code != 0 {
 		t.Errorf("lameduck: exit %d, %q", code, text)
 	}
 }
--- a/cmd/cranegate/format_test.go
+++ b/cmd/cranegate/format_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// update writes the golden files anew: go test ./cmd/cranegate -run 'TestHelp|TestCounterNames' -update. What they hold is an interface of
+// updateGolden writes the golden files anew: go test ./cmd/cranegate -run 'TestHelp|TestCounterNames' -update. What they hold is an interface of
 // the program; a change of it is told in CHANGELOG.md.
-var update = flag.Bool("update", false, "write the golden files anew")
+var updateGolden = flag.Bool("update", false, "write the golden files anew")
 
-// golden compares a text with a file of testdata.
-func golden(t *testing.T, name, got string) {
+// compareGolden compares a text with a file of testdata.
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
-	if *update {
+	if *updateGolden {
 		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -33,26 +33,26 @@
 	var all strings.Builder
 	for _, args := range []string{"--help", "run --help", "check --help", "members --help", "ready --help", "host --help", "host detach --help",
 		"host attach --help", "lameduck --help", "lameduck on --help", "lameduck off --help"} {
-		code, text := command(t, "", strings.Fields(args)...)
+		code, text := runCommand(t, "", strings.Fields(args)...)
 		if code != 0 {
 			t.Errorf("%s: exit %d", args, code)
 		}
 		all.WriteString("$ cranegate " + args + "\n" + text + "\n")
 	}
-	golden(t, "help.txt", all.String())
+	compareGolden(t, "help.txt", all.String())
 }
 
-// goldenKnowledge is what one process tells the next.
-const goldenKnowledge = `{"lists":{"postgres":{"rev":1,"all":true,"targets":[{"uid":"db-1","endpoint":"127.0.0.1:1","az":"z","pod_group":2,` +
+// goldenHandoffState is what one process tells the next.
+const goldenHandoffState = `{"lists":{"postgres":{"rev":1,"all":true,"targets":[{"uid":"db-1","endpoint":"127.0.0.1:1","az":"z","pod_group":2,` +
 	`"state":"SERVING","capacity_hint":3,"boot_ms":4,"replication":"primary"}]}},"starts":{"postgres":{"db-1":"2026-12-03T07:00:00Z"}},"learned":{}}`
 
-// TestKnowledgeForm pins what one process tells the next: processes of other versions read and write it.
-func TestKnowledgeForm(t *testing.T) {
+// TestHandoffStateFormat pins what one process tells the next: processes of other versions read and write it.
+func TestHandoffStateFormat(t *testing.T) {
 	var k handoffState
-	if err := json.Unmarshal([]byte(goldenKnowledge), &k); err != nil {
+	if err := json.Unmarshal([]byte(goldenHandoffState), &k); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := json.Marshal(k); err != nil || string(got) != goldenKnowledge {
+	if got, err := json.Marshal(k); err != nil || string(got) != goldenHandoffState {
 		t.Errorf("%s, %v", got, err)
 	}
 }
--- /dev/null
+++ b/cmd/cranegate/shutdown_test.go
@@ -0,0 +1,190 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"cranegate/internal/fake"
+	"cranegate/internal/pgwire"
+)
+
+// slowWrite is a write that its host answers only when the test lets it.
+type slowWrite struct {
+	arrived chan struct{} // closed when the host has it
+	release chan struct{} // closed by the test
+	reply   chan fake.Reply
+}
+
+const slowID = "slow"
+
+func newSlowWrite() *slowWrite {
+	return &slowWrite{arrived: make(chan struct{}), release: make(chan struct{}), reply: make(chan fake.Reply, 1)}
+}
+
+// act is the hosts' behaviour.
+func (s *slowWrite) act(id, _ string, _ bool) fake.Act {
+	if id == slowID {
+		close(s.arrived)
+		<-s.release
+	}
+	return fake.Serve
+}
+
+// send sends the write and returns once its host has it.
+func (s *slowWrite) send(client *fake.PostgresClient) {
+	go func() {
+		r, _ := client.Ask(fmt.Sprintf(writeQuery, slowID, slowID))
+		s.reply <- r
+	}()
+	<-s.arrived
+}
+
+// finish lets the host answer and checks that the client is served.
+func (s *slowWrite) finish(t *testing.T) {
+	t.Helper()
+	close(s.release)
+	if r := <-s.reply; r.Outcome != "served" {
+		t.Errorf("the request in flight: %+v", r)
+	}
+}
+
+// sendSignals sends signals, each once the effect of the one before is over.
+func (h *harness) sendSignals(signals ...syscall.Signal) {
+	h.t.Helper()
+	for _, s := range signals {
+		before := strings.Count(h.log.String(), "event=counters")
+		h.cmd.Process.Signal(s)
+		h.cmd.Process.Signal(syscall.SIGUSR1)
+		h.until("counters after "+s.String(), func() bool { return strings.Count(h.log.String(), "event=counters") > before })
+	}
+}
+
+// TestGracefulShutdown guards the shutdown after SIGTERM: accepted requests are answered, new clients are accepted for a while,
+// balancers see the drain, idle clients are closed, and the program exits with 0.
+func TestGracefulShutdown(t *testing.T) {
+	slow := newSlowWrite()
+	h := startGateway(t, slow.act)
+	idle := h.dialClient()
+	slow.send(h.dialClient())
+	h.cmd.Process.Signal(syscall.SIGTERM)
+	h.untilLogged("event=stopping")
+	if late, err := fake.DialPostgres(h.dial(h.postgresAddress), fmt.Sprintf(readQuery, "late", "late")); err != nil {
+		t.Errorf("a client that connects after the signal: %v", err)
+	} else if r, err := late.Read(); err != nil || r.Outcome != "served" {
+		t.Errorf("its request: %+v, %v", r, err)
+	}
+	if line, status := h.checks(); line != "drain\n" || status != 503 {
+		t.Errorf("checks after the signal: %q, %d", line, status)
+	}
+	if _, err := idle.Need(1); err != io.EOF {
+		t.Errorf("an idle client is closed with %v", err)
+	}
+	slow.finish(t)
+	h.expectCleanExit()
+	if !h.logged("event=counters") {
+		t.Error("no counters at the exit")
+	}
+}
+
+// TestRepeatedSignals sends a program that is stopping further signals: it still answers what it has accepted.
+func TestRepeatedSignals(t *testing.T) {
+	slow := newSlowWrite()
+	h := startGateway(t, slow.act)
+	slow.send(h.dialClient())
+	h.cmd.Process.Signal(syscall.SIGTERM)
+	h.untilLogged("event=stopping")
+	h.sendSignals(syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGTERM)
+	slow.finish(t)
+	h.expectCleanExit()
+}
+
+// TestShutdownBeforeFirstEndpoints stops a program that knows no host, as discovery accepts its call and is silent: it never listens
+// for clients, and ends at once.
+func TestShutdownBeforeFirstEndpoints(t *testing.T) {
+	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
+		h := startGateway(t, nil)
+		silent := listenLoopback(t)
+		called := make(chan net.Conn, 10)
+		go func() {
+			for {
+				c, err := silent.Accept()
+				if err != nil {
+					return
+				}
+				called <- c
+			}
+		}()
+		h.restartWithConfig(func(config map[string]any) {
+			config["discovery"] = silent.Addr().String()
+			delete(config, "known")
+		})
+		defer (<-called).Close()
+		h.cmd.Process.Signal(s)
+		h.expectCleanExit()
+		if h.logged("event=listening front=postgres") || !h.logged("event=stopping") {
+			t.Errorf("it listened, or did not end by itself:\n%s", h.log)
+		}
+		if c, err := net.Dial("tcp", h.postgresAddress); err == nil {
+			c.Close()
+			t.Error("somebody still listens")
+		}
+	}
+}
+
+// TestShutdownWhileHostsHang stops a program whose hosts take requests and never answer, with deadlines from 0.4 s to 5 s. Each
+// request has its answer, also where its deadline is past the platform's kill; and the program does not give up clients.
+func TestShutdownWhileHostsHang(t *testing.T) {
+	for _, deadline := range []float64{0.4, 2, 5} {
+		t.Run(fmt.Sprint(deadline, " s"), func(t *testing.T) { shutDownWhileHostsHang(t, deadline) })
+	}
+}
+
+func shutDownWhileHostsHang(t *testing.T, deadlineSeconds float64) {
+	hang, writes := make(chan struct{}), make(chan string, 100)
+	defer close(hang)
+	h := startGateway(t, func(id, text string, _ bool) fake.Act {
+		if strings.Contains(text, "INSERT") {
+			writes <- id
+		}
+		<-hang
+		return fake.Serve
+	})
+	h.restartWithConfig(func(config map[string]any) {
+		for _, class := range config["settings"].(map[string]any)["classes"].([]any) {
+			class.(map[string]any)["deadlineS"] = deadlineSeconds
+			class.(map[string]any)["aimS"] = deadlineSeconds / 2
+		}
+	})
+	h.waitServing()
+	var clients []*fake.PostgresClient
+	for range 4 {
+		clients = append(clients, h.dialClient())
+	}
+	for i, client := range clients {
+		form := []string{readQuery, writeQuery}[i%2]
+		id := fmt.Sprint("h", i)
+		text := strings.Replace(fmt.Sprintf(form, id, id), "d=2000", fmt.Sprintf("d=%d", int(deadlineSeconds*1000)), 1)
+		client.Write(pgwire.Append(nil, 'Q', text, "\x00"))
+	}
+	h.until("the writes are with their host", func() bool { return len(writes) >= 2 })
+	stopped := time.Now()
+	h.cmd.Process.Signal(syscall.SIGTERM)
+	for i, client := range clients {
+		if r, err := client.Read(); err != nil || r.Outcome == "served" {
+			t.Errorf("client %d: %+v, %v", i, r, err)
+		}
+	}
+	t.Logf("all are answered %v after the signal", time.Since(stopped).Round(time.Millisecond))
+	for _, client := range clients {
+		client.Close()
+	}
+	h.expectCleanExit()
+	if h.logged("event=stopped_with_clients") {
+		t.Error("it was cut short")
+	}
+}
