--- a/routing/admit_test.go
+++ b/routing/admission_test.go
@@ -5,9 +5,9 @@
 func TestSheddingLetsGoWhenAnswersAreGoodAgain(t *testing.T) {
 	b := newRig(t, config())
 	b.told("a", 10*ms)
-	for _, m := range b.r.sorted {
+	for _, m := range b.r.sortedMembers {
 		for range 40 {
-			b.r.addSample(m, sample{at: b.now, ratio: 100})
+			b.r.recordLatency(m, latencySample{at: b.now, ratio: 100})
 		}
 	}
 	shed := func(n int) (refused int) {
@@ -25,7 +25,7 @@
 	if n := shed(100); n < 50 {
 		t.Errorf("%d of 100 refused while nothing comes in time", n)
 	}
-	b.pass(windowAge)
+	b.pass(latencyWindowAge)
 	b.want("refused once answers are good", shed(100), 0)
 }
 
@@ -34,9 +34,9 @@
 	c.Tenants, c.OverQuotaWeight = []Tenant{{Name: "one", Quota: 10}, {Name: "two", Quota: 90}}, 0.1
 	b := newRig(t, c)
 	b.told("a", 10*ms)
-	for _, m := range b.r.sorted {
+	for _, m := range b.r.sortedMembers {
 		for range 38 { // two in three in time
-			b.r.addSample(m, sample{at: b.now, ratio: 100 * float64(b.r.rng.IntN(3)/2)})
+			b.r.recordLatency(m, latencySample{at: b.now, ratio: 100 * float64(b.r.rng.IntN(3)/2)})
 		}
 	}
 	over, within := 0, 0
@@ -61,10 +61,10 @@
 	b.told("a", 10*ms)
 	refused := map[int]int{}
 	for range 200 {
-		for _, m := range b.r.sorted { // four of five in time everywhere
-			m.window, m.out, m.lost = nil, nil, 0
+		for _, m := range b.r.sortedMembers { // four of five in time everywhere
+			m.latencyWindow, m.inFlight, m.endedSilence = nil, nil, 0
 			for i := range 10 {
-				b.r.addSample(m, sample{at: b.now, ratio: 100 * float64(i%5/4)})
+				b.r.recordLatency(m, latencySample{at: b.now, ratio: 100 * float64(i%5/4)})
 			}
 		}
 		for _, class := range []int{anyRead, onceWrite} {
@@ -90,14 +90,14 @@
 	b.want("a retry where nothing is known", len(b.to(b.ask(anyRead, repeat))), 1)
 	sent := func(n int, ratio float64, change func(*Request)) (sent int) {
 		for range n {
-			for _, m := range b.r.sorted {
-				m.window, m.out = nil, nil
+			for _, m := range b.r.sortedMembers {
+				m.latencyWindow, m.inFlight = nil, nil
 				for i := range 40 {
-					s := sample{at: b.now, ratio: 0.1}
+					s := latencySample{at: b.now, ratio: 0.1}
 					if i%4 == 0 {
 						s.ratio = ratio
 					}
-					b.r.addSample(m, s)
+					b.r.recordLatency(m, s)
 				}
 			}
 			sent += len(b.to(b.ask(anyRead, change)))
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -6,183 +6,183 @@
 )
 
 const (
-	retryShare, retryBurst = 0.1, 20.0 // further attempts for each first one: none must feed a jam
+	retryTokensPerRequest, maxRetryTokens = 0.1, 20.0 // further attempts for each first one: none must feed a jam
 
-	hedgeAfter  = 3.0                   // times usual before a second copy: about the slowest twentieth
-	pauseFull   = 25 * time.Millisecond // before a write or fresh read asks a full primary again
-	roleHolds   = 75 * time.Millisecond // an answer that names another primary counts as known after 100 ms
-	adviceShare = 0.05                  // advice to come back, of the deadline: while an answer still earns
+	hedgeLatencyFactor = 3.0                   // times usual before a second copy: about the slowest twentieth
+	overCapacityDelay  = 25 * time.Millisecond // before a write or fresh read asks a full primary again
+	roleValidityPeriod = 75 * time.Millisecond // an answer that names another primary counts as known after 100 ms
+	retryAfterShare    = 0.05                  // advice to come back, of the deadline: while an answer still earns
 )
 
 // legal is the gate that every send passes; each line keeps one rule.
-func (r *Router) legal(q *request, m *member) bool {
+func (r *Router) eligible(q *requestState, m *memberState) bool {
 	switch {
-	case q.ended, q.streaming, r.now < q.pause, r.now >= q.repeatBy(), q.sent >= r.cfg.MaxAttempts,
+	case q.ended, q.streaming, r.now < q.pausedUntil, r.now >= q.retryDeadline(), q.attempts >= r.cfg.MaxAttempts,
 		!m.usable, m.group != q.group, // drains, and groups
-		len(q.out) > 0 && (!r.cfg.AllowHedging || q.class.Effect == NonIdempotent), // copies out together
-		slices.ContainsFunc(q.out, func(a *attempt) bool { return a.m == m }),
-		slices.Contains(q.missed, m) && m.position < r.minimum(q) && m != q.group.primary(),              // a sure miss
-		r.cfg.StaleReads == StaleReadServed && q.class.Consistency != ConsistencyWrite && !r.fresh(q, m): // stale reads
+		len(q.inFlight) > 0 && (!r.cfg.AllowHedging || q.class.Effect == NonIdempotent), // copies out together
+		slices.ContainsFunc(q.inFlight, func(a *attemptState) bool { return a.member == m }),
+		slices.Contains(q.missedMembers, m) && m.position < r.requiredPosition(q) && m != q.group.primary(),    // a sure miss
+		r.cfg.StaleReads == StaleReadServed && q.class.Consistency != ConsistencyWrite && !r.freshEnough(q, m): // stale reads
 		return false
 	}
-	return r.coldRoom(m, r.work[q.Class])
+	return r.admitSlowStart(m, r.expectedWork[q.Class])
 }
 
-// repeatBy is when an attempt has to have begun as things are: in time, and inside the window for repeats.
-func (q *request) repeatBy() time.Duration {
-	if q.class.Effect == Idempotent || !q.mayRun {
-		return q.limit
+// retryDeadline is when an attempt has to have begun as things are: in time, and inside the window for repeats.
+func (q *requestState) retryDeadline() time.Duration {
+	if q.class.Effect == Idempotent || !q.mayHaveRun {
+		return q.usefulUntil
 	} else if q.class.Effect == IdempotentByKey {
-		return min(q.limit, q.ranAt+q.class.IdempotencyTTL)
+		return min(q.usefulUntil, q.firstRunAt+q.class.IdempotencyTTL)
 	}
 	return 0
 }
 
-// beginBy is the same where it waits for a connection: what its member has must be recent enough then too.
-func (r *Router) beginBy(q *request, m *member) time.Duration {
+// startDeadline is the same where it waits for a connection: what its member has must be recent enough then too.
+func (r *Router) startDeadline(q *requestState, m *memberState) time.Duration {
 	holds := r.cfg.PositionZero + time.Duration(m.position)*time.Millisecond + q.class.StalenessBound
-	if r.cfg.StaleReads != StaleReadServed || q.class.Consistency != ConsistencyBounded && m.position >= q.need {
-		return q.repeatBy()
+	if r.cfg.StaleReads != StaleReadServed || q.class.Consistency != ConsistencyBounded && m.position >= q.minPosition {
+		return q.retryDeadline()
 	} else if m == q.group.primary() {
-		holds = max(holds, r.now+roleHolds)
+		holds = max(holds, r.now+roleValidityPeriod)
 	}
-	return min(q.repeatBy(), holds)
+	return min(q.retryDeadline(), holds)
 }
 
 // send is the only way to a server.
-func (r *Router) send(q *request, m *member) *attempt {
-	if !r.legal(q, m) {
+func (r *Router) sendAttempt(q *requestState, m *memberState) *attemptState {
+	if !r.eligible(q, m) {
 		return nil
 	}
-	a := &attempt{q: q, number: q.sent, m: m, sentAt: r.now, usual: *q.usual, work: r.work[q.Class]}
-	if q.sent == 0 {
-		r.tokens = min(retryBurst, r.tokens+retryShare)
+	a := &attemptState{request: q, number: q.attempts, member: m, sentAt: r.now, expectedLatency: *q.expectedLatency, work: r.expectedWork[q.Class]}
+	if q.attempts == 0 {
+		r.retryTokens = min(maxRetryTokens, r.retryTokens+retryTokensPerRequest)
 	}
-	by := r.beginBy(q, m)
-	if !q.mayRun {
-		q.mayRun, q.ranAt = true, r.now
+	by := r.startDeadline(q, m)
+	if !q.mayHaveRun {
+		q.mayHaveRun, q.firstRunAt = true, r.now
 	}
-	q.sent++
-	q.out, m.out = append(q.out, a), append(m.out, a)
-	m.credit -= a.work.Seconds() // as flow counts it, however long queues are
-	r.gw.Send(q.ID, m.id, q.limit, by)
+	q.attempts++
+	q.inFlight, m.inFlight = append(q.inFlight, a), append(m.inFlight, a)
+	m.tokens -= a.work.Seconds() // as flow counts it, however long queues are
+	r.gateway.Send(q.ID, m.id, q.usefulUntil, by)
 	return a
 }
 
-func (r *Router) cancel(a *attempt) {
+func (r *Router) cancelAttempt(a *attemptState) {
 	if r.cfg.AllowCancel && !a.cancelled {
 		a.cancelled = true
-		r.gw.Cancel(a.q.ID, a.number)
+		r.gateway.Cancel(a.request.ID, a.number)
 	}
 }
 
 // end is the only way to end a request. Where an answer is owed it is given at once: a refusal where that is
 // true, else a failure. Copies still out are cancelled where they may be.
-func (r *Router) end(q *request, owed bool, why Reason) {
-	harmless := !q.mayRun || q.class.Effect == IdempotentByKey && q.class.KeyIsGlobal
+func (r *Router) endRequest(q *requestState, owed bool, why Reason) {
+	harmless := !q.mayHaveRun || q.class.Effect == IdempotentByKey && q.class.KeyIsGlobal
 	if !q.ended && owed && (harmless || q.class.Effect == Idempotent) {
-		r.gw.Reject(q.ID, min(time.Duration(adviceShare*float64(q.class.Deadline)), r.cfg.MaxRetryAfter), why)
+		r.gateway.Reject(q.ID, min(time.Duration(retryAfterShare*float64(q.class.Deadline)), r.cfg.MaxRetryAfter), why)
 	} else if !q.ended && owed {
-		r.gw.Fail(q.ID, why)
+		r.gateway.Fail(q.ID, why)
 	}
 	q.ended = true
-	for _, a := range q.out {
+	for _, a := range q.inFlight {
 		if q.class.Effect == Idempotent && !q.streaming { // what streams is the client's
-			r.cancel(a)
+			r.cancelAttempt(a)
 		}
 	}
-	if len(q.out) == 0 {
+	if len(q.inFlight) == 0 {
 		if r.requests[q.ID] == q {
-			r.leaveGroup(q.group)
+			r.closeGroupRequest(q.group)
 		}
 		delete(r.requests, q.ID)
 	}
 }
 
-// afterAttempt decides what follows an attempt that did not answer.
-func (r *Router) afterAttempt(q *request, a *attempt, result Result) {
+// attemptFailed decides what follows an attempt that did not answer.
+func (r *Router) attemptFailed(q *requestState, a *attemptState, result Result) {
 	switch result {
 	case ResultMissed:
-		q.missed = append(q.missed, a.m)
+		q.missedMembers = append(q.missedMembers, a.member)
 	case ResultOverCapacity:
-		if q.atPrimary {
-			q.pause = r.now + pauseFull
+		if q.needsPrimary {
+			q.pausedUntil = r.now + overCapacityDelay
 		}
 	case ResultConnectFailed, ResultNotSent:
 	case ResultInvalidStatement: // the client's fault: no other member would do better
-		r.gw.Fail(q.ID, ReasonRejected)
-		r.end(q, false, ReasonRejected)
+		r.gateway.Fail(q.ID, ReasonRejected)
+		r.endRequest(q, false, ReasonRejected)
 		return
 	default:
-		q.ran = true
+		q.endedMayHaveRun = true
 	}
-	q.reached = q.reached || result != ResultConnectFailed && result != ResultNotSent
-	q.mayRun = q.ran || len(q.out) > 0
-	if again := q.ran && !a.cancelled && len(q.out) == 0; again && r.tokens < 1 {
-		r.end(q, true, ReasonRetryBudget)
+	q.reachedMember = q.reachedMember || result != ResultConnectFailed && result != ResultNotSent
+	q.mayHaveRun = q.endedMayHaveRun || len(q.inFlight) > 0
+	if again := q.endedMayHaveRun && !a.cancelled && len(q.inFlight) == 0; again && r.retryTokens < 1 {
+		r.endRequest(q, true, ReasonRetryBudget)
 	} else if again {
-		r.tokens--
+		r.retryTokens--
 	}
-	r.advance(q)
+	r.advanceRequest(q)
 }
 
-// givesUp says why a request that has nothing out is ended; none if it goes on.
-func (r *Router) givesUp(q *request) Reason {
+// abandonReason says why a request that has nothing out is ended; none if it goes on.
+func (r *Router) abandonReason(q *requestState) Reason {
 	p := q.group.primary()
 	switch waited := r.now - q.deadline + q.Remaining; {
-	case r.now+max(*q.usual/2, sweepEvery) > q.limit:
+	case r.now+max(*q.expectedLatency/2, requestSweepInterval) > q.usefulUntil:
 		return ReasonHopeless
-	case q.sent >= r.cfg.MaxAttempts:
+	case q.attempts >= r.cfg.MaxAttempts:
 		return ReasonAttemptsUsed
-	case r.now >= q.repeatBy():
+	case r.now >= q.retryDeadline():
 		return ReasonWindowOver
-	case r.now >= q.heldTo && !q.reached:
+	case r.now >= q.unsentDeadline && !q.reachedMember:
 		return ReasonUnsent
-	case q.group.vain > vainAbove && !q.ran && (p == nil || r.suspect(p)) && waited > q.Remaining/8:
+	case q.group.unansweredShare > unreachableThreshold && !q.endedMayHaveRun && (p == nil || r.unhealthy(p)) && waited > q.Remaining/8:
 		return ReasonUnreachable
 	}
 	return ""
 }
 
 // advance decides what to do next for a request: on arrival, after an outcome, and at each sweep.
-func (r *Router) advance(q *request) {
+func (r *Router) advanceRequest(q *requestState) {
 	p := q.group.primary()
 	if q.ended || q.streaming {
 		return
-	} else if len(q.out) > 0 {
-		r.reconsider(q)
-	} else if why := r.givesUp(q); why != "" {
-		if r.end(q, true, why); !q.ran {
-			q.group.vain += vainGain * (1 - q.group.vain)
+	} else if len(q.inFlight) > 0 {
+		r.hedgeOrMove(q)
+	} else if why := r.abandonReason(q); why != "" {
+		if r.endRequest(q, true, why); !q.endedMayHaveRun {
+			q.group.unansweredShare += unansweredGain * (1 - q.group.unansweredShare)
 		}
-	} else if m := r.choose(q); m != nil && q.sent == 0 && (m == p || !q.atPrimary) && !r.admit(q, m) {
-		r.end(q, true, ReasonShed)
+	} else if m := r.chooseMember(q); m != nil && q.attempts == 0 && (m == p || !q.needsPrimary) && !r.admit(q, m) {
+		r.endRequest(q, true, ReasonShed)
 	} else if m != nil {
-		a := r.send(q, m)
-		if r.placed(a); m != p && q.atPrimary {
-			q.group.seeking = a
+		a := r.sendAttempt(q, m)
+		if r.countPlacement(a); m != p && q.needsPrimary {
+			q.group.searchAttempt = a
 		}
 	}
 }
 
 // reconsider moves a request off a silent member, or sends a second copy of a slow one.
-func (r *Router) reconsider(q *request) {
-	a := q.out[len(q.out)-1]
-	slow := r.cfg.AllowHedging && float64(r.now-a.sentAt) > hedgeAfter*float64(a.usual)
-	if len(q.out) > 1 || q.class.Effect == NonIdempotent || a.cancelled || r.tokens < 1 || r.now+*q.usual > q.limit ||
-		!slow && !r.suspect(a.m) {
+func (r *Router) hedgeOrMove(q *requestState) {
+	a := q.inFlight[len(q.inFlight)-1]
+	slow := r.cfg.AllowHedging && float64(r.now-a.sentAt) > hedgeLatencyFactor*float64(a.expectedLatency)
+	if len(q.inFlight) > 1 || q.class.Effect == NonIdempotent || a.cancelled || r.retryTokens < 1 || r.now+*q.expectedLatency > q.usefulUntil ||
+		!slow && !r.unhealthy(a.member) {
 		return
 	}
 	p := q.group.primary()
 	if r.cfg.AllowHedging {
-		if m := r.choose(q); m != nil && (m == p || !q.atPrimary) {
-			r.tokens--
-			r.send(q, m)
+		if m := r.chooseMember(q); m != nil && (m == p || !q.needsPrimary) {
+			r.retryTokens--
+			r.sendAttempt(q, m)
 		}
-	} else if r.cfg.AllowCancel && slices.ContainsFunc(q.group.members, func(m *member) bool {
-		return m != a.m && m.usable && !r.suspect(m) && (m == p || !q.atPrimary && r.fresh(q, m))
+	} else if r.cfg.AllowCancel && slices.ContainsFunc(q.group.members, func(m *memberState) bool {
+		return m != a.member && m.usable && !r.unhealthy(m) && (m == p || !q.needsPrimary && r.freshEnough(q, m))
 	}) {
-		r.tokens--
-		r.cancel(a)
+		r.retryTokens--
+		r.cancelAttempt(a)
 	}
 }
--- a/routing/attempts_test.go
+++ b/routing/attempts_test.go
@@ -122,7 +122,7 @@
 	b.r.Outcome(b.now, Outcome{Request: q, Attempt: 0, Member: to[0], Result: ResultCancelled, Latency: 500 * ms, Closed: true})
 	b.pass(5 * time.Second)
 	b.want("cancelled in the end", b.cancels, fmt.Sprintf("[%d/0]", q))
-	if b.r.suspect(b.r.members[to[1]]) || b.refused[q]+b.failed[q] > 0 {
+	if b.r.unhealthy(b.r.members[to[1]]) || b.refused[q]+b.failed[q] > 0 {
 		t.Error("a long answer counts as silence, or its request was answered again")
 	}
 	b.r.Outcome(b.now, Outcome{Request: q, Attempt: 1, Member: to[1], Result: ResultOK, Latency: 400 * ms, Closed: true})
@@ -185,17 +185,17 @@
 			b.told("a", 10*ms)
 		}
 		a := b.r.members["a"]
-		if a.group.vain = 1; c.cold {
-			a.startedAt, a.credit, a.creditAt = b.now, -1000, b.now
+		if a.group.unansweredShare = 1; c.cold {
+			a.startedAt, a.tokens, a.tokensAt = b.now, -1000, b.now
 		}
 		q, since := b.ask(onceWrite), b.now
 		if !c.primary { // it was tried there, and now waits
 			b.answer(q, ResultMissed, RoleReplica, b.at(10*ms))
-			b.r.groups[1].searchAt = b.now + time.Hour
+			b.r.groups[1].nextSearchAt = b.now + time.Hour
 			for i := 1; i < len(b.to(q)); i++ {
 				b.r.Outcome(b.now, Outcome{Request: q, Attempt: i, Member: b.to(q)[i], Result: ResultMissed, Latency: ms, Role: RoleReplica, Position: b.at(10 * ms)})
 			}
-			if !b.r.requests[q].reached {
+			if !b.r.requests[q].reachedMember {
 				t.Fatal("the write has reached nobody")
 			}
 		}
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -8,105 +8,105 @@
 )
 
 // minimum is the position that a read needs when sent now.
-func (r *Router) minimum(q *request) int64 {
+func (r *Router) requiredPosition(q *requestState) int64 {
 	if q.class.Consistency == ConsistencyBounded {
-		return r.ms(r.now - q.class.StalenessBound)
+		return r.positionAt(r.now - q.class.StalenessBound)
 	}
-	return q.need
+	return q.minPosition
 }
 
 // reached is the position that a member has. Where members check reads, its lag is presumed to be what it was
 // when last heard, as long as a primary lives: a quiet gateway hears most seldom. A miss corrects a guess.
-func (r *Router) reached(m *member) int64 {
+func (r *Router) presumedPosition(m *memberState) int64 {
 	p := m.group.primary()
-	if r.cfg.StaleReads == StaleReadServed || p == nil || r.suspect(p) {
+	if r.cfg.StaleReads == StaleReadServed || p == nil || r.unhealthy(p) {
 		return m.position
 	} else if m.position == 0 {
-		return r.ms(r.now) // unheard: no worse than one not heard for long
+		return r.positionAt(r.now) // unheard: no worse than one not heard for long
 	}
-	return m.position + (r.now - m.posAt).Milliseconds()
+	return m.position + (r.now - m.positionAt).Milliseconds()
 }
 
 // fresh says whether a member may serve a read: its position suffices, or it was last told to be primary.
-func (r *Router) fresh(q *request, m *member) bool {
-	need := r.minimum(q)
-	return need <= 0 || r.reached(m) >= need || m == q.group.primary()
+func (r *Router) freshEnough(q *requestState, m *memberState) bool {
+	need := r.requiredPosition(q)
+	return need <= 0 || r.presumedPosition(m) >= need || m == q.group.primary()
 }
 
-const tieMargin, primarySpare = 0.1, 0.85 // noise of products; chance below which reads keep off the primary
+const tieMargin, minPrimaryScore = 0.1, 0.85 // noise of products; chance below which reads keep off the primary
 
 // choose finds the place for a request; nil holds it. Where none is fresh and the primary has no room but
 // members check, it is the most advanced that can have caught up since it was heard, at twice time's pace.
-func (r *Router) choose(q *request) *member {
-	if q.atPrimary {
+func (r *Router) chooseMember(q *requestState) *memberState {
+	if q.needsPrimary {
 		return r.choosePrimary(q)
 	}
 	p, top := q.group.primary(), 0.0
-	r.forgetZones()
-	var fit []*member
-	var tried, hope *member
+	r.forgetZoneDraw()
+	var fit []*memberState
+	var tried, hope *memberState
 	for _, m := range q.group.members {
-		switch suspect := r.suspect(m); {
-		case !r.legal(q, m):
-		case !r.fresh(q, m):
-			caught := r.reached(m) + (r.now - m.posAt + r.cfg.CatchUpWait).Milliseconds()
-			may := r.cfg.StaleReads != StaleReadServed && caught >= r.minimum(q) && !suspect
+		switch suspect := r.unhealthy(m); {
+		case !r.eligible(q, m):
+		case !r.freshEnough(q, m):
+			caught := r.presumedPosition(m) + (r.now - m.positionAt + r.cfg.CatchUpWait).Milliseconds()
+			may := r.cfg.StaleReads != StaleReadServed && caught >= r.requiredPosition(q) && !suspect
 			if may && (hope == nil || m.position > hope.position) {
 				hope = m
 			}
 		case suspect:
 			tried = m
 		default:
-			if m.value = r.product(q, m); m != p || m.value >= primarySpare {
-				fit, top = append(fit, m), max(top, m.value)
+			if m.score = r.score(q, m); m != p || m.score >= minPrimaryScore {
+				fit, top = append(fit, m), max(top, m.score)
 			}
 		}
 	}
 	if len(fit) == 0 {
-		q.group.soughtAt = r.now
+		q.group.primaryWantedAt = r.now
 		return hope
 	}
-	if tried != nil && r.trial(q, tried) {
+	if tried != nil && r.allowTrial(q, tried) {
 		return tried
 	}
-	tied := slices.DeleteFunc(slices.Clone(fit), func(m *member) bool {
-		return m == p || m.value < top*(1-tieMargin)
+	tied := slices.DeleteFunc(slices.Clone(fit), func(m *memberState) bool {
+		return m == p || m.score < top*(1-tieMargin)
 	})
 	if len(tied) == 0 {
 		return p
 	}
-	tied = r.prefer(q.group, p, tied)
-	m := slices.MinFunc(tied, func(a, b *member) int { return cmp.Compare(a.position, b.position) })
-	if q.class.Consistency != ConsistencyAny || r.ms(m.posAt)-m.position <= laggard { // those serve only such reads
+	tied = r.preferTier(q.group, p, tied)
+	m := slices.MinFunc(tied, func(a, b *memberState) int { return cmp.Compare(a.position, b.position) })
+	if q.class.Consistency != ConsistencyAny || r.positionAt(m.positionAt)-m.position <= maxReplicaLagMillis { // those serve only such reads
 		m = tied[r.rng.IntN(len(tied))]
-		if b := tied[r.rng.IntN(len(tied))]; r.crowd(b) < r.crowd(m) { // of two the less crowded
+		if b := tied[r.rng.IntN(len(tied))]; r.localLoad(b) < r.localLoad(m) { // of two the less crowded
 			m = b
 		}
 	}
 	return m
 }
 
-const tierCrowd = 1.0 // attempts by which a preferred tier may be fuller than others
+const maxTierLoadExcess = 1.0 // attempts by which a preferred tier may be fuller than others
 
 // prefer keeps of near-ties those in the tier that the stated shares draw; one that is full spills over.
-func (r *Router) prefer(g *group, p *member, tied []*member) []*member {
+func (r *Router) preferTier(g *groupState, p *memberState, tied []*memberState) []*memberState {
 	if r.zones == nil || !r.zones.Tiered() {
 		return tied
 	}
-	crowds := func(a, b *member) int { return cmp.Compare(r.crowd(a), r.crowd(b)) }
-	least := r.crowd(slices.MinFunc(tied, crowds))
-	tied = slices.DeleteFunc(tied, func(m *member) bool { return r.crowd(m) > least+tierCrowd })
+	crowds := func(a, b *memberState) int { return cmp.Compare(r.localLoad(a), r.localLoad(b)) }
+	least := r.localLoad(slices.MinFunc(tied, crowds))
+	tied = slices.DeleteFunc(tied, func(m *memberState) bool { return r.localLoad(m) > least+maxTierLoadExcess })
 	var plan zones.Plan
 	for _, m := range g.members {
 		if able := 0.0; m != p {
 			if slices.Contains(tied, m) {
-				able = m.size * r.warmth(m) * r.zones.Ramp(m.at)
+				able = m.capacity * r.slowStartWeight(m) * r.zones.Ramp(m.zoneState)
 			}
-			plan.Add(m.at.Tier(), m.size, able)
+			plan.Add(m.zoneState.Tier(), m.capacity, able)
 		}
 	}
 	t := r.zones.Draw(&plan, r.rng)
-	kept := slices.DeleteFunc(slices.Clone(tied), func(m *member) bool { return m.at.Tier() != t })
+	kept := slices.DeleteFunc(slices.Clone(tied), func(m *memberState) bool { return m.zoneState.Tier() != t })
 	if len(kept) == 0 {
 		return tied
 	}
@@ -114,8 +114,8 @@
 }
 
 // crowd is our work out at a member, with a little for distance where crossing zones costs.
-func (r *Router) crowd(m *member) float64 {
-	n := float64(len(m.out)) / max(m.size, 0.1)
+func (r *Router) localLoad(m *memberState) float64 {
+	n := float64(len(m.inFlight)) / max(m.capacity, 0.1)
 	if r.cfg.CrossZoneCost > 0 && m.zone != r.cfg.Zone {
 		n += 0.5
 	}
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -90,13 +90,13 @@
 func TestReadsGoToAPrimaryThatHasRoomWhereReplicasAreLate(t *testing.T) {
 	b := newRig(t, config())
 	b.told("a", 10*ms)
-	for range windowLen { // in a large fleet a gateway sees few answers of a member
-		b.r.addSample(b.r.members["a"], sample{at: b.now, ratio: 1.8})
-		b.r.addSample(b.r.members["b"], sample{at: b.now, ratio: 1e3})
-		b.r.addSample(b.r.members["c"], sample{at: b.now, ratio: 1e3})
+	for range latencyWindowSize { // in a large fleet a gateway sees few answers of a member
+		b.r.recordLatency(b.r.members["a"], latencySample{at: b.now, ratio: 1.8})
+		b.r.recordLatency(b.r.members["b"], latencySample{at: b.now, ratio: 1e3})
+		b.r.recordLatency(b.r.members["c"], latencySample{at: b.now, ratio: 1e3})
 	}
 	m := b.r.members["a"]
-	m.window = m.window[:3]
+	m.latencyWindow = m.latencyWindow[:3]
 	b.want("a read", b.to(b.ask(boundedRead)), "[a]")
 	b.want("beside a write there", len(b.to(b.ask(onceWrite))), 1)
 	b.want("and one more", len(b.to(b.ask(onceWrite))), 1)
@@ -109,7 +109,7 @@
 	b := newRig(t, config())
 	b.told("a", 600*ms) // both replicas lag 600 ms; the primary is slow
 	for range 40 {
-		b.r.addSample(b.r.members["a"], sample{at: b.now, ratio: 100})
+		b.r.recordLatency(b.r.members["a"], latencySample{at: b.now, ratio: 100})
 	}
 	q := b.ask(boundedRead)
 	b.want("just after it was told", b.to(q), "[]")
--- a/routing/groups_test.go
+++ b/routing/groups_test.go
@@ -15,11 +15,11 @@
 		}
 		last = q
 	}
-	b.pass(2 * b.r.cfg.longest())
+	b.pass(2 * b.r.cfg.maxDeadline())
 	b.want("answers to the last", b.refused[last], 1)
 	b.want("open requests", len(b.r.requests), 0)
-	if grown := len(b.r.groups) - known; grown > mostEmptyGroups {
-		t.Errorf("%d groups more than at first, %d may be", grown, mostEmptyGroups)
+	if grown := len(b.r.groups) - known; grown > maxEmptyGroups {
+		t.Errorf("%d groups more than at first, %d may be", grown, maxEmptyGroups)
 	}
 	if b.r.groups[1] == nil {
 		t.Error("a group with hosts was forgotten")
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -149,7 +149,7 @@
 
 // told lets every member tell its role and position by a probe.
 func (b *rig) told(primary string, lag time.Duration) {
-	for _, m := range b.r.sorted {
+	for _, m := range b.r.sortedMembers {
 		p := Report{HasPosition: true, Position: b.at(lag), Role: RoleReplica}
 		if m.id == primary {
 			p.Role, p.Position = RolePrimary, b.at(0)
@@ -166,4 +166,4 @@
 }
 
 // requestUsual is a class's learned round trip.
-func (r *Router) requestUsual(class int) *time.Duration { return &r.usual[class] }
+func (r *Router) requestUsual(class int) *time.Duration { return &r.expectedLatency[class] }
--- a/routing/healthcheck_test.go
+++ b/routing/healthcheck_test.go
@@ -13,7 +13,7 @@
 		b.pass(100 * ms)
 		b.told("a", 10*ms)
 	}
-	b.want("probes of an idle gateway in 40 s", len(b.probes) <= int(probeBurst), true)
+	b.want("probes of an idle gateway in 40 s", len(b.probes) <= int(maxHealthCheckTokens), true)
 }
 
 func TestProbesAreNotEatenByTheFirstMembersInDoubt(t *testing.T) {
@@ -23,15 +23,15 @@
 	}
 	b := newRig(t, config(), entries...)
 	b.told("", 10*ms)
-	for _, m := range b.r.sorted {
-		m.failed = failuresMax
+	for _, m := range b.r.sortedMembers {
+		m.failures = maxFailures
 	}
 	b.probes = nil
 	b.pass(2 * time.Second)
 	n := map[string]int{}
 	for _, m := range b.probes {
 		n[m]++
-		b.r.members[m].probing = false
+		b.r.members[m].healthCheckPending = false
 	}
 	b.want("members probed", len(n), 20)
 }
@@ -60,9 +60,9 @@
 			entries = append(entries, Endpoint{Member: fmt.Sprint("m", 10+i), Group: i / 4, Primary: i%4 == 0, Capacity: 1})
 		}
 		b := newRig(t, config(), entries...)
-		for _, m := range b.r.sorted {
+		for _, m := range b.r.sortedMembers {
 			m.role = RoleReplica
-			if m.leader {
+			if m.listedPrimary {
 				m.role = RolePrimary
 			}
 		}
@@ -74,8 +74,8 @@
 				b.probes = nil // what was saved up for the start is spent
 			}
 			b.answer(q, ResultOK, RoleReplica, b.at(0))
-			for _, m := range b.r.sorted {
-				if m.probing {
+			for _, m := range b.r.sortedMembers {
+				if m.healthCheckPending {
 					b.r.HealthChecked(b.now, HealthCheckResult{Member: m.id, Result: ResultOK,
 						Report: Report{HasPosition: true, Position: b.at(0)}})
 				}
@@ -93,9 +93,9 @@
 	for _, class := range []int{freshRead, sessionRead, boundedRead} {
 		b := newRig(t, config(), Endpoint{Member: "a", Group: 1}, Endpoint{Member: "b", Group: 1}, Endpoint{Member: "c", Group: 1})
 		b.pass(time.Second)
-		b.probes, b.r.probes = nil, 0 // what is saved up is spent
-		for _, m := range b.r.sorted {
-			m.probing = false
+		b.probes, b.r.healthCheckTokens = nil, 0 // what is saved up is spent
+		for _, m := range b.r.sortedMembers {
+			m.healthCheckPending = false
 		}
 		b.pass(2 * time.Second)
 		b.want("probes while nothing wants the primary", len(b.probes), 0)
@@ -133,17 +133,17 @@
 		b := newRig(t, c)
 		b.told("a", 10*ms)
 		b.pass(10 * time.Second)
-		for _, m := range b.r.sorted {
-			m.probing, m.heardAt = false, b.now
+		for _, m := range b.r.sortedMembers {
+			m.healthCheckPending, m.answeredAt = false, b.now
 		}
 		a := b.r.members["a"]
-		for len(a.out) < 20 {
-			a.out = append(a.out, &attempt{q: &request{}, m: a, sentAt: b.now - 100*time.Second, usual: 2 * time.Second})
+		for len(a.inFlight) < 20 {
+			a.inFlight = append(a.inFlight, &attemptState{request: &requestState{}, member: a, sentAt: b.now - 100*time.Second, expectedLatency: 2 * time.Second})
 		}
-		b.probes, b.r.probes = nil, 0
+		b.probes, b.r.healthCheckTokens = nil, 0
 		q := b.ask(boundedRead)
 		b.want("sent at once where members check", len(b.to(q)) == 1, guards != StaleReadServed)
-		b.want("it pays for a probe", b.r.probes == 1, guards == StaleReadServed)
+		b.want("it pays for a probe", b.r.healthCheckTokens == 1, guards == StaleReadServed)
 		b.pass(120 * ms)
 		b.want("probes for the read", len(b.probes) > 0, guards == StaleReadServed)
 		if guards != StaleReadServed {
--- a/routing/helpers.go
+++ b/routing/helpers.go
@@ -10,24 +10,24 @@
 // This file holds containers; nothing is decided here.
 
 // insert keeps members in order of ids. Like remove it makes a new list, as the old one may be walked.
-func insert(list []*member, m *member) []*member {
-	i, _ := slices.BinarySearchFunc(list, m, func(a, b *member) int { return strings.Compare(a.id, b.id) })
+func insertMember(list []*memberState, m *memberState) []*memberState {
+	i, _ := slices.BinarySearchFunc(list, m, func(a, b *memberState) int { return strings.Compare(a.id, b.id) })
 	return slices.Insert(slices.Clone(list), i, m)
 }
 
 // remove drops a member.
-func remove(list []*member, m *member) []*member {
-	return slices.DeleteFunc(slices.Clone(list), func(x *member) bool { return x == m })
+func removeMember(list []*memberState, m *memberState) []*memberState {
+	return slices.DeleteFunc(slices.Clone(list), func(x *memberState) bool { return x == m })
 }
 
 // marks remembers the highest position of each session, up to a number of sessions.
-type marks struct {
+type sessionMarks struct {
 	positions map[string]int64
 	order     []string // oldest first
 }
 
 // put raises a session's mark and drops the oldest session beyond most.
-func (k *marks) put(session string, position int64, most int) {
+func (k *sessionMarks) put(session string, position int64, most int) {
 	if k.positions == nil {
 		k.positions = map[string]int64{}
 	}
@@ -42,31 +42,31 @@
 }
 
 // decaying is a sum of which older parts count ever less: a part counts 1/e of itself after a time.
-type decaying struct {
+type decayingSum struct {
 	sum float64
 	at  time.Duration
 }
 
 // now is the sum as of a time.
-func (d decaying) now(at, over time.Duration) float64 {
+func (d decayingSum) now(at, over time.Duration) float64 {
 	return d.sum * math.Exp(-float64(at-d.at)/float64(over))
 }
 
 // add adds a part.
-func (d *decaying) add(at, over time.Duration, part float64) {
+func (d *decayingSum) add(at, over time.Duration, part float64) {
 	d.sum, d.at = d.now(at, over)+part, at
 }
 
 // find is the place of an attempt that is out; -1 if it is none, or there is no request.
-func (q *request) find(number int) int {
+func (q *requestState) attemptIndex(number int) int {
 	if q == nil {
 		return -1
 	}
-	return slices.IndexFunc(q.out, func(x *attempt) bool { return x.number == number })
+	return slices.IndexFunc(q.inFlight, func(x *attemptState) bool { return x.number == number })
 }
 
 // longest is the longest time that clients wait.
-func (c *Config) longest() (most time.Duration) {
+func (c *Config) maxDeadline() (most time.Duration) {
 	for _, k := range c.Classes {
 		most = max(most, k.Deadline)
 	}
@@ -74,39 +74,39 @@
 }
 
 // ms gives a clock time as a position, rounded up.
-func (r *Router) ms(t time.Duration) int64 {
+func (r *Router) positionAt(t time.Duration) int64 {
 	return int64((t - r.cfg.PositionZero + time.Millisecond - 1) / time.Millisecond)
 }
 
-// groupOf finds or makes a group.
-func (r *Router) groupOf(number int) *group {
+// findGroup finds or makes a group.
+func (r *Router) findGroup(number int) *groupState {
 	g := r.groups[number]
 	if g == nil {
-		g = &group{number: number, shedTo: make([]time.Duration, len(r.cfg.Classes))}
+		g = &groupState{number: number, shedUntil: make([]time.Duration, len(r.cfg.Classes))}
 		r.groups[number] = g
 	}
 	return g
 }
 
-// mostEmptyGroups bounds the groups without members that are remembered: clients may name any.
-const mostEmptyGroups = 64
+// maxEmptyGroups bounds the groups without members that are remembered: clients may name any.
+const maxEmptyGroups = 64
 
-// leaveGroup notes that a request of a group is over. The group without members that was left longest ago is
+// closeGroupRequest notes that a request of a group is over. The group without members that was left longest ago is
 // forgotten past the bound, unless it has requests or members again.
-func (r *Router) leaveGroup(g *group) {
-	g.open--
-	if g.open > 0 || len(g.members) > 0 || g.empty {
+func (r *Router) closeGroupRequest(g *groupState) {
+	g.openRequests--
+	if g.openRequests > 0 || len(g.members) > 0 || g.inEmptyGroups {
 		return
 	}
-	g.empty = true
-	r.empty = append(r.empty, g)
-	if len(r.empty) <= mostEmptyGroups {
+	g.inEmptyGroups = true
+	r.emptyGroups = append(r.emptyGroups, g)
+	if len(r.emptyGroups) <= maxEmptyGroups {
 		return
 	}
-	oldest := r.empty[0]
-	r.empty = slices.Delete(r.empty, 0, 1)
-	oldest.empty = false
-	if oldest.open == 0 && len(oldest.members) == 0 {
+	oldest := r.emptyGroups[0]
+	r.emptyGroups = slices.Delete(r.emptyGroups, 0, 1)
+	oldest.inEmptyGroups = false
+	if oldest.openRequests == 0 && len(oldest.members) == 0 {
 		delete(r.groups, oldest.number)
 	}
 }
@@ -116,7 +116,7 @@
 func (r *Router) Starts() map[string]time.Duration {
 	starts := map[string]time.Duration{}
 	for id, m := range r.members {
-		if r.warmth(m) < 1 {
+		if r.slowStartWeight(m) < 1 {
 			starts[id] = m.startedAt
 		}
 	}
--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -38,7 +38,7 @@
 	b := newRig(t, config())
 	b.told("a", 10*ms)
 	for range 40 { // answers that take three quarters of the aim: in time for two at once, not for three
-		b.r.addSample(b.r.members["a"], sample{at: b.now, ratio: 3})
+		b.r.recordLatency(b.r.members["a"], latencySample{at: b.now, ratio: 3})
 	}
 	b.told("a", 10*ms)
 	b.want("a first write", b.to(b.ask(onceWrite)), "[a]")
@@ -54,22 +54,22 @@
 	b := newRig(t, config(), Endpoint{Member: "a", Group: 1, Primary: true}, Endpoint{Member: "b", Group: 2, Primary: true},
 		Endpoint{Member: "c", Group: 2})
 	for range 20 {
-		b.r.addSample(b.r.members["a"], sample{at: b.now, ratio: 1e3})
+		b.r.recordLatency(b.r.members["a"], latencySample{at: b.now, ratio: 1e3})
 	}
-	if v := b.r.chance(b.r.members["b"], 400*ms, 100*ms, 0); v > 0.3 {
+	if v := b.r.onTimeProbability(b.r.members["b"], 400*ms, 100*ms, 0); v > 0.3 {
 		t.Errorf("chance %.2f at a primary never heard while the others are all late", v)
 	}
-	b.want("chance at a replica", b.r.chance(b.r.members["c"], 400*ms, 100*ms, 0), 1)
+	b.want("chance at a replica", b.r.onTimeProbability(b.r.members["c"], 400*ms, 100*ms, 0), 1)
 }
 
 func TestFullAnswersFeedAdmission(t *testing.T) {
 	b := newRig(t, config())
 	b.told("a", 10*ms)
 	for range 10 {
-		b.r.learn(&attempt{m: b.r.members["a"], usual: 50 * ms, q: &request{class: &b.r.cfg.Classes[onceWrite]}},
+		b.r.observe(&attemptState{member: b.r.members["a"], expectedLatency: 50 * ms, request: &requestState{class: &b.r.cfg.Classes[onceWrite]}},
 			Outcome{Result: ResultOverCapacity})
 	}
-	if v := b.r.chance(b.r.members["a"], 400*ms, 50*ms, 0); v > 0.3 {
+	if v := b.r.onTimeProbability(b.r.members["a"], 400*ms, 50*ms, 0); v > 0.3 {
 		t.Errorf("chance %.2f at a primary that answered full ten times", v)
 	}
 }
@@ -84,11 +84,11 @@
 			if i >= 10 {
 				ratio = newer
 			}
-			b.r.addSample(m, sample{at: b.now, ratio: ratio})
-			b.now += windowAge / 22
+			b.r.recordLatency(m, latencySample{at: b.now, ratio: ratio})
+			b.now += latencyWindowAge / 22
 		}
-		b.r.wake(b.now)
-		return b.r.chance(m, 400*ms, 100*ms, 0)
+		b.r.advanceClock(b.now)
+		return b.r.onTimeProbability(m, 400*ms, 100*ms, 0)
 	}
 	if slower, faster := chance(1, 100), chance(100, 1); slower > 0.35 || faster < 0.65 {
 		t.Errorf("chance %.2f where answers came late of late, %.2f where they came in time", slower, faster)
--- a/routing/evidence_test.go
+++ b/routing/observations_test.go
@@ -23,11 +23,11 @@
 	b.told("a", 10*ms)
 	m := b.r.members["a"]
 	for range 20 { // each silent for less than the limit
-		m.lost = max(m.lost, 0)
-		a := &attempt{m: m, sentAt: b.now - 100*ms, usual: 50 * ms, q: &request{class: &b.r.cfg.Classes[anyRead]}}
-		b.r.learn(a, Outcome{Result: ResultTimeout})
+		m.endedSilence = max(m.endedSilence, 0)
+		a := &attemptState{member: m, sentAt: b.now - 100*ms, expectedLatency: 50 * ms, request: &requestState{class: &b.r.cfg.Classes[anyRead]}}
+		b.r.observe(a, Outcome{Result: ResultTimeout})
 	}
-	if b.r.suspect(m) {
+	if b.r.unhealthy(m) {
 		t.Error("short silences added up: a loaded primary's writes would go searching")
 	}
 }
@@ -39,7 +39,7 @@
 	b.answer(w, ResultReset, RoleUnknown, 0)
 	b.want("the broken write", b.failed[w], 1)
 	b.want("the next write", b.to(b.ask(onceWrite)), "[a]")
-	b.want("chance after it", b.r.chance(b.r.members["a"], 400*ms, 100*ms, 0), 1)
+	b.want("chance after it", b.r.onTimeProbability(b.r.members["a"], 400*ms, 100*ms, 0), 1)
 }
 
 func TestRememberedCommitBindsTheSessionsNextRead(t *testing.T) {
@@ -64,7 +64,7 @@
 		Report: Report{HasPosition: true, Position: b.at(0), Role: RoleReplica}})
 	b.answer(b.ask(onceWrite), ResultOK, RolePrimary, b.at(0))
 	b.want("shut after the answer", b.closes, "[a]")
-	b.pass(tightFor + time.Second)
+	b.pass(connectionShortageDuration + time.Second)
 	b.answer(b.ask(onceWrite), ResultOK, RolePrimary, b.at(0))
 	b.want("shut later on", b.closes, "[a]")
 }
@@ -74,11 +74,11 @@
 		b := newRig(t, config())
 		b.told("a", 3*time.Second)
 		m := b.r.members["b"]
-		b.pass(awayAtLeast)
-		m.failed = failuresMax
+		b.pass(minRestartSilence)
+		m.failures = maxFailures
 		b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultOK,
 			Report: Report{HasPosition: true, Position: b.at(lag), Role: RoleReplica}})
-		b.want(fmt.Sprint("cold when it stands ", lag, " behind"), b.r.warmth(m) < 1, lag > time.Second)
+		b.want(fmt.Sprint("cold when it stands ", lag, " behind"), b.r.slowStartWeight(m) < 1, lag > time.Second)
 	}
 }
 
@@ -90,25 +90,25 @@
 	m := b.r.members["a"]
 	b.pass(300 * ms)
 	b.told("a", 10*ms)
-	for range failuresMax {
+	for range maxFailures {
 		q := b.ask(onceWrite)
 		b.r.Outcome(b.now, Outcome{Request: q, Member: "a", Result: ResultReset, Latency: 5 * ms, Closed: true})
 	}
-	b.want("failures", m.failed, failuresMax)
-	b.want("suspect at once", b.r.suspect(m), false)
+	b.want("failures", m.failures, maxFailures)
+	b.want("suspect at once", b.r.unhealthy(m), false)
 	b.pass(300 * ms)
-	b.want("suspect without an answer since", b.r.suspect(m), true)
+	b.want("suspect without an answer since", b.r.unhealthy(m), true)
 	b.told("a", 10*ms)
-	b.want("warmth after two breaks and an answer", b.r.warmth(m), 1)
+	b.want("warmth after two breaks and an answer", b.r.slowStartWeight(m), 1)
 	b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultReset})
 	b.pass(2 * time.Second)
 	b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultOK, Report: Report{HasPosition: true, Position: b.at(10 * ms), Role: RoleReplica}})
-	b.want("warmth after a probe that broke", b.r.warmth(b.r.members["b"]), 1)
-	b.want("short of connections", b.r.now < b.r.tightUntil, false)
-	b.r.members["b"].failed, b.r.members["b"].shut = 1, 1
+	b.want("warmth after a probe that broke", b.r.slowStartWeight(b.r.members["b"]), 1)
+	b.want("short of connections", b.r.now < b.r.connectionShortageUntil, false)
+	b.r.members["b"].failures, b.r.members["b"].connectFailures = 1, 1
 	b.pass(10 * ms)
 	b.told("a", 10*ms)
-	b.want("short of connections after a connect that failed", b.r.now < b.r.tightUntil, true)
+	b.want("short of connections after a connect that failed", b.r.now < b.r.connectionShortageUntil, true)
 }
 
 func TestGatewayThatStoodStillTakesItForNoSilence(t *testing.T) {
@@ -118,9 +118,9 @@
 	b.ask(onceWrite)
 	b.now += 900 * ms // no sweep in between
 	b.r.Timer(b.now, "sweep")
-	b.want("suspect after standing still", b.r.suspect(b.r.members["a"]), false)
+	b.want("suspect after standing still", b.r.unhealthy(b.r.members["a"]), false)
 	b.pass(400 * ms)
-	b.want("suspect after real silence", b.r.suspect(b.r.members["a"]), true)
+	b.want("suspect after real silence", b.r.unhealthy(b.r.members["a"]), true)
 }
 
 func TestTheStartThatTheListToldStands(t *testing.T) {
@@ -129,7 +129,7 @@
 	b.pass(2 * time.Second)
 	started := b.now
 	b.r.UpdateEndpoints(b.now, EndpointList{Kind: EndpointListPatch, Endpoints: []Endpoint{{Member: "b", Group: 1, Capacity: 1, StartedAt: started}}})
-	for range failuresMax { // it still can't be reached from here
+	for range maxFailures { // it still can't be reached from here
 		b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultConnectFailed})
 	}
 	b.pass(4 * time.Second)
@@ -143,10 +143,10 @@
 	m := b.r.members["b"]
 	back := HealthCheckResult{Member: "b", Result: ResultOK, Report: Report{HasPosition: true, Role: RoleReplica}}
 	for _, cut := range []time.Duration{100 * ms, 5 * time.Second} {
-		b.r.tightUntil, m.failed, m.shut = 0, 1, 1
+		b.r.connectionShortageUntil, m.failures, m.connectFailures = 0, 1, 1
 		b.pass(cut)
 		m.position, back.Report.Position = b.at(20*ms), b.at(0)
 		b.r.HealthChecked(b.now, back)
-		b.want(fmt.Sprint("short of connections after ", cut), b.r.tightUntil > 0, cut < awayAtLeast)
+		b.want(fmt.Sprint("short of connections after ", cut), b.r.connectionShortageUntil > 0, cut < minRestartSilence)
 	}
 }
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -3,7 +3,7 @@
 import "time"
 
 // primary is the usable member last told to be primary.
-func (g *group) primary() *member {
+func (g *groupState) primary() *memberState {
 	for _, m := range g.members {
 		if m.role == RolePrimary && m.usable {
 			return m
@@ -12,39 +12,39 @@
 	return nil
 }
 
-const pauseSearch = 500 * time.Millisecond // after a round of misses: a switch takes at least that long
+const primarySearchInterval = 500 * time.Millisecond // after a round of misses: a switch takes at least that long
 
 // choosePrimary finds the place for a write or a fresh read; nil holds it. Without a primary a write tries
 // members in order of ids, with a pause after each round, one at a time: many would fall into one hole.
-func (r *Router) choosePrimary(q *request) *member {
+func (r *Router) choosePrimary(q *requestState) *memberState {
 	g, p := q.group, q.group.primary()
-	if p != nil && r.legal(q, p) && (!r.suspect(p) || r.trial(q, p)) {
+	if p != nil && r.eligible(q, p) && (!r.unhealthy(p) || r.allowTrial(q, p)) {
 		return p
 	}
-	g.soughtAt = r.now
-	if q.class.Consistency != ConsistencyWrite || p != nil && !r.suspect(p) || g.seeking != nil || r.now < g.searchAt {
+	g.primaryWantedAt = r.now
+	if q.class.Consistency != ConsistencyWrite || p != nil && !r.unhealthy(p) || g.searchAttempt != nil || r.now < g.nextSearchAt {
 		return nil
 	}
-	for g.next < len(g.members) {
-		m := g.members[g.next]
-		if g.next++; m != p && !r.suspect(m) && r.legal(q, m) {
+	for g.searchIndex < len(g.members) {
+		m := g.members[g.searchIndex]
+		if g.searchIndex++; m != p && !r.unhealthy(m) && r.eligible(q, m) {
 			return m
 		}
 	}
-	g.next, g.searchAt = 0, r.now+pauseSearch
+	g.searchIndex, g.nextSearchAt = 0, r.now+primarySearchInterval
 	return nil
 }
 
-const trialGap = time.Second // one trial read a suspect member: bounds what a hang can eat
+const trialInterval = time.Second // one trial read a suspect member: bounds what a hang can eat
 
 // trial lets one request through to a suspect member now and then, so that it can come back: one that may
 // be repeated, or any where connections fail, as it hardly gets written then.
-func (r *Router) trial(q *request, m *member) bool {
-	if q.class.Effect != Idempotent && m.shut < failuresMax ||
-		r.now < m.trialAt || r.now+4**q.usual > q.limit ||
-		r.cfg.AllowHealthChecks && m.at.Condemned(m.seenAt) { // probes cost clients nothing
+func (r *Router) allowTrial(q *requestState, m *memberState) bool {
+	if q.class.Effect != Idempotent && m.connectFailures < maxFailures ||
+		r.now < m.nextTrialAt || r.now+4**q.expectedLatency > q.usefulUntil ||
+		r.cfg.AllowHealthChecks && m.zoneState.Condemned(m.healthCheckAnsweredAt) { // probes cost clients nothing
 		return false
 	}
-	m.trialAt = r.now + trialGap
+	m.nextTrialAt = r.now + trialInterval
 	return true
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -9,101 +9,101 @@
 
 // Router decides for one gateway.
 type Router struct {
-	cfg                           Config
-	gw                            Gateway
-	rng                           *rand.Rand
-	zones                         *zones.Zones // nil: off
-	members                       map[string]*member
-	sorted                        []*member
-	groups                        map[int]*group
-	empty                         []*group // without members, in the order in which their last requests ended
-	requests                      map[uint64]*request
-	open                          []*request        // in order of arrival
-	usual, work, workAt           []time.Duration   // by class: round trips in the mean, and the work in them
-	pools                         map[bool][]sample // round trips at primaries (true), and at all others
-	tokens, probes, worth, weight float64           // budgets of tries and probes; mean worth and usual
-	asked                         []float64         // requests of each tenant, older ones counting less
-	flow                          decaying          // work answered a second by a warm member
-	marks                         marks             // remembered session commits
-	listed, asking, followed      bool              // a list has come; a call to discovery is out; subscribed
-	sweepAt, lookAt, tightUntil   time.Duration     // next sweep, and look at members; they lack room
-	probeNext                     int
+	cfg                                                                     Config
+	gateway                                                                 Gateway
+	rng                                                                     *rand.Rand
+	zones                                                                   *zones.Zones // nil: off
+	members                                                                 map[string]*memberState
+	sortedMembers                                                           []*memberState
+	groups                                                                  map[int]*groupState
+	emptyGroups                                                             []*groupState // without members, in the order in which their last requests ended
+	requests                                                                map[uint64]*requestState
+	openRequests                                                            []*requestState          // in order of arrival
+	expectedLatency, expectedWork, workUpdatedAt                            []time.Duration          // by class: round trips in the mean, and the work in them
+	latencyPools                                                            map[bool][]latencySample // round trips at primaries (true), and at all others
+	retryTokens, healthCheckTokens, meanPriorityWeight, meanExpectedLatency float64                  // budgets of tries and probes; mean worth and usual
+	tenantRequests                                                          []float64                // requests of each tenant, older ones counting less
+	warmThroughput                                                          decayingSum              // work answered a second by a warm member
+	sessionMarks                                                            sessionMarks             // remembered session commits
+	hasEndpoints, subscribing, subscribed                                   bool                     // a list has come; a call to discovery is out; subscribed
+	nextSweepAt, nextMemberSweepAt, connectionShortageUntil                 time.Duration            // next sweep, and look at members; they lack room
+	nextHealthCheck                                                         int
 
-	now, awakeAt, startAt, askedAt, askAfter time.Duration
+	now, resumedAt, startedAt, subscribeSentAt, subscribeBackoff time.Duration
 }
 
-const firstUsual = 0.25 // usual before any answer, as a share of the aim
+const initialLatencyShare = 0.25 // usual before any answer, as a share of the aim
 
 // New starts a gateway's decisions.
 func New(now time.Duration, cfg Config, seed uint64, gw Gateway) (*Router, error) {
-	judged, err := cfg.check(seed)
+	judged, err := cfg.validate(seed)
 	if err != nil {
 		return nil, err
 	}
-	r := &Router{cfg: cfg, gw: gw, now: now, startAt: now, zones: judged, rng: rand.New(rand.NewPCG(seed, 0)),
-		members: map[string]*member{}, pools: map[bool][]sample{}, asked: make([]float64, len(cfg.Tenants)),
-		groups: map[int]*group{}, requests: map[uint64]*request{}, tokens: retryBurst / 2, askAfter: askAgain}
+	r := &Router{cfg: cfg, gateway: gw, now: now, startedAt: now, zones: judged, rng: rand.New(rand.NewPCG(seed, 0)),
+		members: map[string]*memberState{}, latencyPools: map[bool][]latencySample{}, tenantRequests: make([]float64, len(cfg.Tenants)),
+		groups: map[int]*groupState{}, requests: map[uint64]*requestState{}, retryTokens: maxRetryTokens / 2, subscribeBackoff: minSubscribeBackoff}
 	for i, c := range cfg.Classes {
-		r.usual = append(r.usual, time.Duration(float64(min(c.LatencyObjective, c.Deadline))*firstUsual))
-		r.work, r.workAt = append(r.work, r.usual[i]), append(r.workAt, now)
+		r.expectedLatency = append(r.expectedLatency, time.Duration(float64(min(c.LatencyObjective, c.Deadline))*initialLatencyShare))
+		r.expectedWork, r.workUpdatedAt = append(r.expectedWork, r.expectedLatency[i]), append(r.workUpdatedAt, now)
 	}
-	r.setTimer()
+	r.scheduleSweep()
 	return r, nil
 }
 
-type member struct {
-	id, zone                         string
-	group                            *group
-	at                               *zones.Zone
-	usable, drained, leader, probing bool          // may be sent work; listed draining; listed primary
-	size, value                      float64       // value: product for the read being placed
-	startedAt, heardAt, trialAt      time.Duration // heardAt: last answer; trialAt: next trial while suspect
-	role                             Role
-	position, roleDate               int64   // highest told, in ms, at posAt; the one of its role
-	failed, shut                     int     // connects and connections broken since it was heard; connects
-	lost                             float64 // longest silence on attempts that have ended unanswered
-	window                           []sample
-	out                              []*attempt // in order of sends
-	down                             bool       // a probe could not reach it; heard again it started anew
-	posAt, creditAt                  time.Duration
-	probedAt, seenAt, askedAt        time.Duration // last probe; last answer to one; first since
-	was, awayAt                      time.Duration // startedAt before it went with its zone, heard at awayAt
-	credit                           float64       // while cold: work that may be sent, in s, as of creditAt
+type memberState struct {
+	id, zone                                                 string
+	group                                                    *groupState
+	zoneState                                                *zones.Zone
+	usable, draining, listedPrimary, healthCheckPending      bool          // may be sent work; listed draining; listed primary
+	capacity, score                                          float64       // value: product for the read being placed
+	startedAt, answeredAt, nextTrialAt                       time.Duration // answeredAt: last answer; nextTrialAt: next trial while suspect
+	role                                                     Role
+	position, rolePosition                                   int64   // highest told, in ms, at positionAt; the one of its role
+	failures, connectFailures                                int     // connects and connections broken since it was heard; connects
+	endedSilence                                             float64 // longest silence on attempts that have ended unanswered
+	latencyWindow                                            []latencySample
+	inFlight                                                 []*attemptState // in order of sends
+	down                                                     bool            // a probe could not reach it; heard again it started anew
+	positionAt, tokensAt                                     time.Duration
+	healthCheckSentAt, healthCheckAnsweredAt, uncheckedSince time.Duration // last probe; last answer to one; first since
+	previousStartedAt, answeredBeforeZoneLoss                time.Duration // startedAt before it went with its zone, heard at answeredBeforeZoneLoss
+	tokens                                                   float64       // while cold: work that may be sent, in s, as of tokensAt
 }
 
 // group is one primary and its replicas, sorted by id.
-type group struct {
-	number, open       int  // open: requests of it that the module holds
-	empty              bool // it is among the router's empty groups
-	members            []*member
-	next               int             // where the search for the primary goes on
-	seeking            *attempt        // a search attempt that is out
-	searchAt, soughtAt time.Duration   // from when the next may go; when a request last wanted it in vain
-	shedTo             []time.Duration // by class: an aim past the last first try refused for load
-	vain               float64         // share of requests of late that ended unanswered
+type groupState struct {
+	number, openRequests          int  // open: requests of it that the module holds
+	inEmptyGroups                 bool // it is among the router's empty groups
+	members                       []*memberState
+	searchIndex                   int             // where the search for the primary goes on
+	searchAttempt                 *attemptState   // a search attempt that is out
+	nextSearchAt, primaryWantedAt time.Duration   // from when the next may go; when a request last wanted it in vain
+	shedUntil                     []time.Duration // by class: an aim past the last first try refused for load
+	unansweredShare               float64         // share of requests of late that ended unanswered
 }
 
-type attempt struct {
-	q                   *request
-	number              int
-	m                   *member
-	sentAt, usual, work time.Duration // usual and work of its class, as of the send
-	cancelled           bool
+type attemptState struct {
+	request                       *requestState
+	number                        int
+	member                        *memberState
+	sentAt, expectedLatency, work time.Duration // usual and work of its class, as of the send
+	cancelled                     bool
 }
 
-type request struct {
+type requestState struct {
 	Request
-	class                             *Class
-	usual                             *time.Duration
-	group                             *group
-	deadline, aimAt, limit            time.Duration // an answer past aimAt earns less, past limit nothing
-	reached                           bool          // a member has had it, though it may have turned it away
-	need                              int64         // position that fresh and session reads need
-	out                               []*attempt
-	sent                              int
-	mayRun, ran                       bool          // an attempt may have run; one that is over may have
-	ranAt                             time.Duration // the earliest of them was sent then
-	missed                            []*member     // turned this request away
-	heldTo, pause                     time.Duration // unsent till then it is refused; nothing is sent before
-	over, atPrimary, ended, streaming bool          // past its tenant's share; only the primary can serve it
+	class                                     *Class
+	expectedLatency                           *time.Duration
+	group                                     *groupState
+	deadline, latencyObjectiveAt, usefulUntil time.Duration // an answer past latencyObjectiveAt earns less, past limit nothing
+	reachedMember                             bool          // a member has had it, though it may have turned it away
+	minPosition                               int64         // position that fresh and session reads need
+	inFlight                                  []*attemptState
+	attempts                                  int
+	mayHaveRun, endedMayHaveRun               bool           // an attempt may have run; one that is over may have
+	firstRunAt                                time.Duration  // the earliest of them was sent then
+	missedMembers                             []*memberState // turned this request away
+	unsentDeadline, pausedUntil               time.Duration  // unsent till then it is refused; nothing is sent before
+	overQuota, needsPrimary, ended, streaming bool           // past its tenant's share; only the primary can serve it
 }
--- a/routing/slowstart_fleet_test.go
+++ b/routing/slowstart_fleet_test.go
@@ -61,7 +61,7 @@
 	}
 	b := newRig(t, f.module, entries...)
 	b.now = f.now
-	b.r.now, b.r.startAt, b.r.rng = f.now, f.now, rand.New(rand.NewPCG(f.rng.Uint64(), 1))
+	b.r.now, b.r.startedAt, b.r.rng = f.now, f.now, rand.New(rand.NewPCG(f.rng.Uint64(), 1))
 	return b
 }
 
@@ -95,9 +95,9 @@
 		for i, b := range f.gateways {
 			b.r.now = f.now
 			for n := f.part[i]*f.load*f.capacity*coldMembers*step.Seconds() + f.rng.Float64(); n >= 1; n-- {
-				m := b.r.sorted[f.rng.IntN(coldMembers)]
-				if f.rng.Float64() < b.r.warmth(m) {
-					b.r.flowed(m, f.work)
+				m := b.r.sortedMembers[f.rng.IntN(coldMembers)]
+				if f.rng.Float64() < b.r.slowStartWeight(m) {
+					b.r.recordThroughput(m, f.work)
 				}
 			}
 			for _, id := range f.cold {
@@ -106,8 +106,8 @@
 					f.held[k] = append(f.held[k], f.now+time.Duration((0.42+0.58*f.rng.Float64())*float64(time.Second)))
 				}
 				f.held[k] = slices.DeleteFunc(f.held[k], func(until time.Duration) bool { return until < f.now })
-				for may && len(f.held[k]) > 0 && b.r.coldRoom(m, f.work) {
-					m.credit -= f.work.Seconds()
+				for may && len(f.held[k]) > 0 && b.r.admitSlowStart(m, f.work) {
+					m.tokens -= f.work.Seconds()
 					f.sent[id], f.held[k] = append(f.sent[id], f.now), f.held[k][1:]
 				}
 			}
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -12,7 +12,7 @@
 	b := newRig(t, config(), Endpoint{Member: "a", Group: 1, Primary: true}, Endpoint{Member: "b", Group: 1},
 		Endpoint{Member: "c", Group: 1, StartedAt: 99 * time.Second})
 	b.told("a", 10*ms)
-	*b.r.requestUsual(anyRead), b.r.work[anyRead] = ms, ms
+	*b.r.requestUsual(anyRead), b.r.expectedWork[anyRead] = ms, ms
 	warm, cold := 0, 0
 	for range 400 {
 		b.pass(10 * ms)
@@ -60,9 +60,9 @@
 	b.told("a", 10*ms)
 	b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultConnectFailed})
 	b.pass(time.Second)
-	b.want("warmth while it was never down", b.r.warmth(b.r.members["c"]), 1)
+	b.want("warmth while it was never down", b.r.slowStartWeight(b.r.members["c"]), 1)
 	b.r.HealthChecked(b.now, HealthCheckResult{Member: "b", Result: ResultOK})
-	b.want("warmth once reached again", b.r.warmth(b.r.members["b"]), b.r.cfg.SlowStartCapacity)
+	b.want("warmth once reached again", b.r.slowStartWeight(b.r.members["b"]), b.r.cfg.SlowStartCapacity)
 }
 
 func TestQueuesDoNotShrinkTheBudgetOfColdMembers(t *testing.T) {
@@ -71,7 +71,7 @@
 			Endpoint{Member: "c", Group: 1, StartedAt: 99 * time.Second})
 		b.told("a", 10*ms)
 		for range 400 {
-			*b.r.requestUsual(anyRead), b.r.work[anyRead] = usual, ms
+			*b.r.requestUsual(anyRead), b.r.expectedWork[anyRead] = usual, ms
 			b.pass(10 * ms)
 			if q := b.ask(anyRead); len(b.to(q)) > 0 {
 				if b.to(q)[0] == "c" {
@@ -95,11 +95,11 @@
 	m, sent, ordinary := b.r.members["c"], 0.0, 0.0
 	for range 5000 {
 		b.now += ms
-		b.r.wake(b.now)
-		b.r.flow, b.r.startAt = decaying{1, b.now}, 0 // warm members answer 1 s of work a second each
-		ordinary += b.r.warmth(m) * 0.001
-		if b.r.coldRoom(m, 5*ms) {
-			m.credit -= 0.005
+		b.r.advanceClock(b.now)
+		b.r.warmThroughput, b.r.startedAt = decayingSum{1, b.now}, 0 // warm members answer 1 s of work a second each
+		ordinary += b.r.slowStartWeight(m) * 0.001
+		if b.r.admitSlowStart(m, 5*ms) {
+			m.tokens -= 0.005
 			sent += 0.005
 		}
 	}
@@ -131,16 +131,16 @@
 	for now := 100 * time.Second; now < 106*time.Second; now += 10 * ms {
 		for i, b := range fleet {
 			b.r.now = now
-			b.r.flow, b.r.startAt = decaying{part[i] / sum * perMember * work.Seconds(), now}, 0
-			if m := b.r.members["cold"]; b.r.coldRoom(m, work) {
-				m.credit -= work.Seconds()
+			b.r.warmThroughput, b.r.startedAt = decayingSum{part[i] / sum * perMember * work.Seconds(), now}, 0
+			if m := b.r.members["cold"]; b.r.admitSlowStart(m, work) {
+				m.tokens -= work.Seconds()
 				sent = append(sent, now)
 			}
 		}
 		for len(sent) > 0 && sent[0] <= now-c.OverloadWindow {
 			sent = sent[1:]
 		}
-		n := c.OverloadFactor * fleet[0].r.warmth(fleet[0].r.members["cold"]) * perMember * c.OverloadWindow.Seconds()
+		n := c.OverloadFactor * fleet[0].r.slowStartWeight(fleet[0].r.members["cold"]) * perMember * c.OverloadWindow.Seconds()
 		if bound := n + 3*math.Sqrt(n) + 3; float64(len(sent)) > bound {
 			t.Fatalf("%d requests within %v after %v, and %.1f are borne", len(sent), c.OverloadWindow, now-100*time.Second, bound)
 		}
@@ -161,10 +161,10 @@
 		b.told("a", 10*ms)
 		for range 5000 {
 			b.now += ms
-			b.r.wake(b.now)
-			b.r.flow, b.r.startAt = decaying{1, b.now}, 0
-			if m := b.r.members["c"]; b.r.coldRoom(m, 5*ms) {
-				m.credit -= 0.005
+			b.r.advanceClock(b.now)
+			b.r.warmThroughput, b.r.startedAt = decayingSum{1, b.now}, 0
+			if m := b.r.members["c"]; b.r.admitSlowStart(m, 5*ms) {
+				m.tokens -= 0.005
 				sent[size]++
 			}
 		}
--- a/routing/learned.go
+++ b/routing/snapshot.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// mostLost bounds a silence that is passed on, in times usual: far past all that decisions tell apart.
-const mostLost = 1e9
+// maxExportedSilence bounds a silence that is passed on, in times usual: far past all that decisions tell apart.
+const maxExportedSilence = 1e9
 
 // Learned is what a router has learned of its members and its traffic, for a process that takes its place. Times are on
 // the module's clock, which has to be the same for both. It decides nothing.
@@ -60,21 +60,21 @@
 
 // Learned returns what has been learned so far.
 func (r *Router) Learned() Learned {
-	l := Learned{Members: map[string]LearnedMember{}, ExpectedLatency: slices.Clone(r.usual), Work: slices.Clone(r.work),
-		WorkAt: slices.Clone(r.workAt), Replicas: exported(r.pools[false]),
-		Primaries: exported(r.pools[true]), MemberFlow: r.flow.sum, PriorityWeight: r.worth, Weight: r.weight, FlowAt: r.flow.at, StartAt: r.startAt,
-		TightUntil: r.tightUntil, Searches: map[int]time.Duration{}, UnansweredShare: map[int]float64{}, RetryTokens: r.tokens, HealthCheckTokens: r.probes}
+	l := Learned{Members: map[string]LearnedMember{}, ExpectedLatency: slices.Clone(r.expectedLatency), Work: slices.Clone(r.expectedWork),
+		WorkAt: slices.Clone(r.workUpdatedAt), Replicas: exportSamples(r.latencyPools[false]),
+		Primaries: exportSamples(r.latencyPools[true]), MemberFlow: r.warmThroughput.sum, PriorityWeight: r.meanPriorityWeight, Weight: r.meanExpectedLatency, FlowAt: r.warmThroughput.at, StartAt: r.startedAt,
+		TightUntil: r.connectionShortageUntil, Searches: map[int]time.Duration{}, UnansweredShare: map[int]float64{}, RetryTokens: r.retryTokens, HealthCheckTokens: r.healthCheckTokens}
 	for id, g := range r.groups {
-		l.UnansweredShare[id] = g.vain
-		if g.soughtAt > 0 {
-			l.Searches[id] = g.soughtAt
+		l.UnansweredShare[id] = g.unansweredShare
+		if g.primaryWantedAt > 0 {
+			l.Searches[id] = g.primaryWantedAt
 		}
 	}
 	for id, m := range r.members {
-		l.Members[id] = LearnedMember{Role: m.role, RoleDate: m.roleDate, Position: m.position, PosAt: m.posAt, HeardAt: m.heardAt,
-			TrialAt: m.trialAt, Failed: m.failed, Shut: m.shut, Lost: min(r.silence(m), mostLost), Down: m.down, StartedAt: m.startedAt,
-			CreditAt: m.creditAt, SeenAt: m.seenAt, AskedAt: m.askedAt, WasAt: m.was, AwayAt: m.awayAt,
-			Credit: m.credit, Window: exported(m.window)}
+		l.Members[id] = LearnedMember{Role: m.role, RoleDate: m.rolePosition, Position: m.position, PosAt: m.positionAt, HeardAt: m.answeredAt,
+			TrialAt: m.nextTrialAt, Failed: m.failures, Shut: m.connectFailures, Lost: min(r.silence(m), maxExportedSilence), Down: m.down, StartedAt: m.startedAt,
+			CreditAt: m.tokensAt, SeenAt: m.healthCheckAnsweredAt, AskedAt: m.uncheckedSince, WasAt: m.previousStartedAt, AwayAt: m.answeredBeforeZoneLoss,
+			Credit: m.tokens, Window: exportSamples(m.latencyWindow)}
 	}
 	return l
 }
@@ -82,23 +82,23 @@
 // Learn takes over what another process's router had learned of members that this one knows. It comes right after the
 // first list; what this router has learned itself is newer.
 func (r *Router) Learn(l Learned) {
-	if len(l.ExpectedLatency) != len(r.usual) || len(l.Work) != len(r.work) || len(l.WorkAt) != len(r.workAt) {
+	if len(l.ExpectedLatency) != len(r.expectedLatency) || len(l.Work) != len(r.expectedWork) || len(l.WorkAt) != len(r.workUpdatedAt) {
 		return // of another configuration
 	}
-	copy(r.usual, l.ExpectedLatency)
-	copy(r.work, l.Work)
-	copy(r.workAt, l.WorkAt)
-	r.pools[false], r.pools[true] = imported(l.Replicas), imported(l.Primaries)
-	r.flow, r.startAt = decaying{l.MemberFlow, l.FlowAt}, min(r.startAt, l.StartAt)
-	r.worth, r.weight, r.tokens, r.probes, r.tightUntil = l.PriorityWeight, l.Weight, l.RetryTokens, l.HealthCheckTokens, l.TightUntil
+	copy(r.expectedLatency, l.ExpectedLatency)
+	copy(r.expectedWork, l.Work)
+	copy(r.workUpdatedAt, l.WorkAt)
+	r.latencyPools[false], r.latencyPools[true] = importSamples(l.Replicas), importSamples(l.Primaries)
+	r.warmThroughput, r.startedAt = decayingSum{l.MemberFlow, l.FlowAt}, min(r.startedAt, l.StartAt)
+	r.meanPriorityWeight, r.meanExpectedLatency, r.retryTokens, r.healthCheckTokens, r.connectionShortageUntil = l.PriorityWeight, l.Weight, l.RetryTokens, l.HealthCheckTokens, l.TightUntil
 	for id, at := range l.Searches {
 		if g := r.groups[id]; g != nil {
-			g.soughtAt = at
+			g.primaryWantedAt = at
 		}
 	}
 	for id, vain := range l.UnansweredShare {
 		if g := r.groups[id]; g != nil {
-			g.vain = vain
+			g.unansweredShare = vain
 		}
 	}
 	for id, x := range l.Members {
@@ -107,18 +107,18 @@
 			continue
 		}
 		if x.StartedAt >= m.startedAt { // else a new process has started there since
-			m.failed, m.shut, m.lost, m.down, m.window = x.Failed, x.Shut, x.Lost, x.Down, imported(x.Window)
-			m.startedAt, m.credit, m.creditAt, m.was, m.awayAt = x.StartedAt, x.Credit, x.CreditAt, x.WasAt, x.AwayAt
+			m.failures, m.connectFailures, m.endedSilence, m.down, m.latencyWindow = x.Failed, x.Shut, x.Lost, x.Down, importSamples(x.Window)
+			m.startedAt, m.tokens, m.tokensAt, m.previousStartedAt, m.answeredBeforeZoneLoss = x.StartedAt, x.Credit, x.CreditAt, x.WasAt, x.AwayAt
 		}
-		m.heardAt, m.trialAt, m.seenAt, m.askedAt = x.HeardAt, x.TrialAt, x.SeenAt, x.AskedAt
+		m.answeredAt, m.nextTrialAt, m.healthCheckAnsweredAt, m.uncheckedSince = x.HeardAt, x.TrialAt, x.SeenAt, x.AskedAt
 		if x.Position > m.position {
-			m.position, m.posAt = x.Position, x.PosAt
+			m.position, m.positionAt = x.Position, x.PosAt
 		}
-		m.role, m.roleDate = x.Role, x.RoleDate
+		m.role, m.rolePosition = x.Role, x.RoleDate
 	}
 }
 
-func exported(window []sample) []LearnedSample {
+func exportSamples(window []latencySample) []LearnedSample {
 	var out []LearnedSample
 	for _, s := range window {
 		out = append(out, LearnedSample{s.at, s.ratio, s.censored})
@@ -126,10 +126,10 @@
 	return out
 }
 
-func imported(window []LearnedSample) []sample {
-	var out []sample
+func importSamples(window []LearnedSample) []latencySample {
+	var out []latencySample
 	for _, s := range window {
-		out = append(out, sample{s.At, s.Ratio, s.Censored})
+		out = append(out, latencySample{s.At, s.Ratio, s.Censored})
 	}
 	return out
 }
--- a/routing/learned_test.go
+++ b/routing/snapshot_test.go
@@ -20,7 +20,7 @@
 		b.answer(b.ask(onceWrite), ResultOK, RolePrimary, b.at(0))
 		b.pass(10 * ms)
 	}
-	for b.r.members["c"].failed < failuresMax { // and then it breaks
+	for b.r.members["c"].failures < maxFailures { // and then it breaks
 		q := b.ask(anyRead)
 		result := ResultOK
 		if b.to(q)[0] == "c" {
@@ -45,12 +45,12 @@
 	}
 	w := next.ask(onceWrite)
 	next.want("a write at once goes", next.to(w), "[b]")
-	if got, want := next.r.suspect(next.r.members["c"]), b.r.suspect(b.r.members["c"]); got != want || next.r.members["c"].failed < failuresMax {
+	if got, want := next.r.unhealthy(next.r.members["c"]), b.r.unhealthy(b.r.members["c"]); got != want || next.r.members["c"].failures < maxFailures {
 		t.Errorf("the one that broke is suspect: %t, want %t", got, want)
 	}
 	other := newRig(t, func() Config { c := config(); c.Classes = c.Classes[:2]; return c }())
 	other.r.Learn(l) // of another configuration: nothing of it is taken, and nothing breaks
-	if other.r.flow.sum != 0 {
+	if other.r.warmThroughput.sum != 0 {
 		t.Error("what was learned under other classes is taken over")
 	}
 	other.pass(time.Second)
--- a/routing/check.go
+++ b/routing/validate.go
@@ -19,7 +19,7 @@
 
 // check says what a configuration lacks that decisions divide by or wait for, and makes the zones that it asks for; nil for
 // none. A cold member's settings may all be left out, all zero: then members count as warm from the start.
-func (c *Config) check(seed uint64) (*zones.Zones, error) {
+func (c *Config) validate(seed uint64) (*zones.Zones, error) {
 	switch {
 	case len(c.Classes) == 0:
 		return nil, &ConfigError{"Classes", "one class at least"}
--- a/routing/window_test.go
+++ b/routing/window_test.go
@@ -46,8 +46,8 @@
 	b.now += 50 * ms
 	q = b.ask(freshRead)
 	b.want("a fresh read goes to", b.to(q)[0], "a")
-	b.want("and begins before an answer that names another primary counts as known", b.sends[0].beginBy, b.now+roleHolds)
-	b.want("which is", roleHolds < 100*ms, true)
+	b.want("and begins before an answer that names another primary counts as known", b.sends[0].beginBy, b.now+roleValidityPeriod)
+	b.want("which is", roleValidityPeriod < 100*ms, true)
 	w := b.ask(onceWrite)
 	b.want("a write goes to", b.to(w)[0], "a")
 	b.want("and begins in its time: hosts check it", b.sends[1].beginBy, b.now+c.Classes[onceWrite].Deadline)
@@ -100,7 +100,7 @@
 	q := b.ask(boundedRead)
 	b.want("a read goes where the data is recent", len(b.to(q)), 1)
 	b.now += 300 * ms // past the bound of 200 ms, and nobody was heard since
-	b.r.wake(b.now)
+	b.r.advanceClock(b.now)
 	b.want("a read then goes to the primary", b.to(b.ask(boundedRead)), "[c]")
 	b.told("b", 10*ms)
 	b.want("a probe names another", b.r.groups[1].primary().id, "b")
--- a/routing/zones_test.go
+++ b/routing/zones_test.go
@@ -48,7 +48,7 @@
 					role = RolePrimary
 				}
 				p.Result, p.Opened = ResultOK, b.opened[m]
-				p.Report = Report{HasPosition: true, Position: b.r.ms(b.now), Role: role}
+				p.Report = Report{HasPosition: true, Position: b.r.positionAt(b.now), Role: role}
 				b.r.HealthChecked(b.now, p)
 			}
 		}
@@ -106,8 +106,8 @@
 	for range 50 {
 		b.live(10 * ms)
 		for _, m := range []string{"b1", "b2"} { // they stand where they stood
-			b.r.members[m].position = b.r.ms(b.now - 5*time.Second)
-			b.r.members[m].posAt = b.now
+			b.r.members[m].position = b.r.positionAt(b.now - 5*time.Second)
+			b.r.members[m].positionAt = b.now
 		}
 		q := b.ask(boundedRead)
 		if to := b.to(q); len(to) > 0 && b.r.members[to[0]].zone == "b" {
@@ -129,7 +129,7 @@
 		}
 		b.alive["b1"], b.alive["b2"] = false, false
 		b.placed(300)
-		if !b.r.members["b1"].at.Condemned(b.r.members["b1"].heardAt) {
+		if !b.r.members["b1"].zoneState.Condemned(b.r.members["b1"].answeredAt) {
 			t.Fatal("zone b is not lost")
 		}
 		b.alive["b1"], b.alive["b2"] = true, true
@@ -137,7 +137,7 @@
 			b.opened["b1"] = b.now
 		}
 		b.placed(100)
-		if w := b.r.warmth(b.r.members["b1"]); lived != (w == 1) {
+		if w := b.r.slowStartWeight(b.r.members["b1"]); lived != (w == 1) {
 			t.Errorf("its connections lived on: %v, yet its warmth is %.2f", lived, w)
 		}
 	}
@@ -149,18 +149,18 @@
 	b := newZoned(t, "a")
 	b.placed(20)
 	m := b.r.members["b1"]
-	m.ask(b.now)
+	m.healthCheckSent(b.now)
 	b.now += ms
-	b.r.wake(b.now)
-	b.r.hear(m, 0)
+	b.r.advanceClock(b.now)
+	b.r.observeAnswer(m, 0)
 	b.now += 100 * ms
-	b.r.wake(b.now)
-	if m.ask(b.now); b.r.mute(m) != 0 {
+	b.r.advanceClock(b.now)
+	if m.healthCheckSent(b.now); b.r.healthCheckSilence(m) != 0 {
 		t.Error("a probe that has just gone out counts")
 	}
 	b.now += 50 * ms
-	b.r.wake(b.now)
-	if got := b.r.mute(m); got != 50*ms {
+	b.r.advanceClock(b.now)
+	if got := b.r.healthCheckSilence(m); got != 50*ms {
 		t.Errorf("mute for %v, want 50ms", got)
 	}
 }
@@ -184,7 +184,7 @@
 	b := newRig(t, config())
 	b.told("a", 10*ms)
 	b.pass(time.Second)
-	if b.r.Zones() != nil || len(b.zones) > 0 || b.r.members["a"].probeBy() != ConnAny {
+	if b.r.Zones() != nil || len(b.zones) > 0 || b.r.members["a"].healthCheckConn() != ConnAny {
 		t.Error("zones are judged though they are off")
 	}
 }
