--- a/cmd/cranegate/caps_test.go
+++ b/cmd/cranegate/caps_test.go
@@ -15,7 +15,7 @@
 // knows is what a process knows of so many hosts, with a round trip in each place of their windows.
 func knows(hosts, window int) knowledge {
 	k := knowledge{Lists: map[string]discovery.Snapshot{}, Starts: map[string]map[string]time.Time{"postgres": {}},
-		Learned: map[string]routing.Learned{"postgres": {Members: map[string]routing.LearnedMember{}, ExpectedLatency: []time.Duration{1, 2}}}}
+		Learned: map[string]routing.Snapshot{"postgres": {Members: map[string]routing.MemberSnapshot{}, ExpectedLatency: []time.Duration{1, 2}}}}
 	s := discovery.Snapshot{Rev: 1 << 40, All: true}
 	at := 123456789 * time.Second
 	for i := range hosts {
@@ -23,10 +23,10 @@
 		s.Targets = append(s.Targets, discovery.Target{UID: id, Endpoint: "replica." + id + ":5432", Zone: "zone-a", Group: i % 9, State: "SERVING",
 			Capacity: 1.25, BootMS: 1790000000000, Replication: "replica"})
 		k.Starts["postgres"][id] = time.Now()
-		m := routing.LearnedMember{RoleDate: 1 << 50, Position: 1 << 50, PosAt: at, HeardAt: at, TrialAt: at, Lost: 1.0 / 3, StartedAt: at, CreditAt: at,
-			SeenAt: at, AskedAt: at, WasAt: at, AwayAt: at, Credit: 1.0 / 3}
+		m := routing.MemberSnapshot{RolePosition: 1 << 50, Position: 1 << 50, PositionAt: at, AnsweredAt: at, NextTrialAt: at, EndedSilence: 1.0 / 3, StartedAt: at, TokensAt: at,
+			HealthCheckAnsweredAt: at, UnansweredCheckAt: at, PreviousStartedAt: at, AnsweredBeforeZoneLoss: at, Tokens: 1.0 / 3}
 		for range window {
-			m.Window = append(m.Window, routing.LearnedSample{At: at, Ratio: 1.0 / 3})
+			m.LatencyWindow = append(m.LatencyWindow, routing.LatencySnapshot{At: at, Ratio: 1.0 / 3})
 		}
 		k.Learned["postgres"].Members[id] = m
 	}
@@ -57,8 +57,8 @@
 			t.Fatalf("%+v: %d hosts, %d starts, %d learned of, %v", x, len(k.Lists["postgres"].Targets), len(k.Starts["postgres"]), len(k.Learned["postgres"].Members), err)
 		}
 		for id, m := range k.Learned["postgres"].Members {
-			if len(m.Window) != x.windows {
-				t.Fatalf("%+v: %d round trips of %s", x, len(m.Window), id)
+			if len(m.LatencyWindow) != x.windows {
+				t.Fatalf("%+v: %d round trips of %s", x, len(m.LatencyWindow), id)
 			}
 		}
 		t.Logf("%d hosts with %d round trips each take %d bytes", x.hosts, x.window, len(text))
--- a/cmd/cranegate/hotrestart.go
+++ b/cmd/cranegate/hotrestart.go
@@ -47,7 +47,7 @@
 type knowledge struct {
 	Lists   map[string]discovery.Snapshot   `json:"lists"`  // by fleet
 	Starts  map[string]map[string]time.Time `json:"starts"` // of hosts that may be cold
-	Learned map[string]routing.Learned      `json:"learned"`
+	Learned map[string]routing.Snapshot     `json:"learned"`
 }
 
 // openHandover asks a process of this gateway that lives already what it knows. Where the folder can't be used the
@@ -192,7 +192,7 @@
 	ctx, cancel := context.WithTimeout(g.work, exportFor)
 	defer cancel()
 	k := knowledge{Lists: map[string]discovery.Snapshot{}, Starts: map[string]map[string]time.Time{},
-		Learned: map[string]routing.Learned{}}
+		Learned: map[string]routing.Snapshot{}}
 	for name, f := range g.lists {
 		k.Lists[name] = f.watch.Snapshot()
 		if starts, err := f.core.Starts(ctx); err == nil {
@@ -215,14 +215,14 @@
 // hosts get too much.
 func (k knowledge) within(most int) ([]byte, error) {
 	text, err := json.Marshal(k)
-	for _, less := range []func(*routing.Learned){
-		func(l *routing.Learned) {
+	for _, less := range []func(*routing.Snapshot){
+		func(l *routing.Snapshot) {
 			for id, m := range l.Members {
-				m.Window = nil
+				m.LatencyWindow = nil
 				l.Members[id] = m
 			}
 		},
-		func(l *routing.Learned) { l.Members = nil },
+		func(l *routing.Snapshot) { l.Members = nil },
 	} {
 		if err != nil || len(text) <= most {
 			break
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -77,7 +77,7 @@
 	case simwire.TimerDue:
 		m.Timer(now, x.Name)
 	case simwire.Started:
-		m.Started(now, x.Request, x.Attempt)
+		m.StreamStarted(now, x.Request, x.Attempt)
 	}
 	return nil
 }
--- a/internal/backend/host.go
+++ b/internal/backend/host.go
@@ -158,7 +158,7 @@
 }
 
 // link takes the idle connection that an attempt may go by; nil: a new one.
-func (h *host) link(by routing.Conn) *link {
+func (h *host) link(by routing.ConnPolicy) *link {
 	switch {
 	case by == routing.ConnNew:
 		return nil
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -28,8 +28,8 @@
 type Attempt struct {
 	Request  *Request
 	Member   string
-	Deadline time.Time    // when the gateway stops waiting for it
-	Conn     routing.Conn // the connection that a probe goes by
+	Deadline time.Time          // when the gateway stops waiting for it
+	Conn     routing.ConnPolicy // the connection that a probe goes by
 
 	core   *Core
 	number int
@@ -130,7 +130,7 @@
 	a.timeout.cancel()
 	a.first = c.now - a.sentAt
 	c.opt.Counters.Add("streams", 1)
-	c.router.Started(c.now, q.id, a.number)
+	c.router.StreamStarted(c.now, q.id, a.number)
 	c.answer(q, Answer{Status: Served, Value: v})
 	return true
 }
@@ -197,7 +197,7 @@
 	c.ended = append(c.ended, func() {
 		if a.Request == nil {
 			c.router.HealthChecked(c.now, routing.HealthCheckResult{Member: a.Member, Result: o.Result, Latency: c.now - a.sentAt,
-				Report: o.Report, Opened: c.opened(o)})
+				Report: o.Report, ConnectedAt: c.opened(o)})
 			return
 		}
 		q := a.Request
@@ -217,7 +217,7 @@
 		}
 		c.router.Outcome(c.now, routing.Outcome{Request: q.id, Attempt: a.number, Member: a.Member, Result: o.Result,
 			Latency: took, Closed: q.ended, Role: o.Role, Position: o.Position, Report: o.Report,
-			Opened: c.opened(o)})
+			ConnectedAt: c.opened(o)})
 		c.forget(q)
 	})
 }
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -73,7 +73,7 @@
 func (c *Core) Starts(ctx context.Context) (map[string]time.Time, error) {
 	starts := map[string]time.Time{}
 	if err := c.ask(ctx, func() {
-		for id, at := range c.router.Starts() {
+		for id, at := range c.router.SlowStartTimes() {
 			starts[id] = c.clock.time(at)
 		}
 	}); err != nil {
@@ -84,16 +84,16 @@
 
 // Learned is what the module has learned so far, and Learn hands that to the module of a process that follows; after the
 // first list.
-func (c *Core) Learned(ctx context.Context) (routing.Learned, error) {
-	var l routing.Learned
-	if err := c.ask(ctx, func() { l = c.router.Learned() }); err != nil {
-		return routing.Learned{}, err
+func (c *Core) Learned(ctx context.Context) (routing.Snapshot, error) {
+	var l routing.Snapshot
+	if err := c.ask(ctx, func() { l = c.router.Snapshot() }); err != nil {
+		return routing.Snapshot{}, err
 	}
 	return l, nil
 }
 
 // Learn is described at Learned.
-func (c *Core) Learn(l routing.Learned) { c.post(func() { c.router.Learn(l) }) }
+func (c *Core) Learn(l routing.Snapshot) { c.post(func() { c.router.Restore(l) }) }
 
 // Started hands in what another process knew of members' starts. It comes before the first list.
 func (c *Core) Started(ctx context.Context, starts map[string]time.Time) error {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -78,7 +78,7 @@
 
 // New makes the actor; Run starts it.
 func New(opt Options, servers Backend) (*Core, error) {
-	opt.Routing.PositionZero = 0 // the module's clock counts from the Unix epoch, and so do positions on sockets
+	opt.Routing.PositionEpoch = 0 // the module's clock counts from the Unix epoch, and so do positions on sockets
 	c := &Core{opt: opt, classes: map[string]int{}, mailbox: make(chan func(), mailboxSize), servers: servers,
 		clock: newClock(), requests: map[uint64]*Request{}, waiting: map[string][]*Attempt{},
 		ready: make(chan struct{}), done: make(chan struct{})}
@@ -256,7 +256,7 @@
 	for _, e := range m.Endpoints {
 		stays[e.Member] = e.Phase == routing.PhaseServing
 	}
-	c.notices.take(c.now, m, c.opt.Routing.OnlyDrainingBinds)
+	c.notices.take(c.now, m, c.opt.Routing.UseRemovedMembers)
 	c.router.UpdateEndpoints(c.now, m)
 	for member, attempts := range c.waiting {
 		on, listed := stays[member]
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -67,7 +67,7 @@
 func (g *gateway) CloseIdle(member string) { g.servers.CloseIdle(member) }
 
 // Probe examines a member.
-func (g *gateway) CheckHealth(member string, by routing.Conn) {
+func (g *gateway) CheckHealth(member string, by routing.ConnPolicy) {
 	c := (*Core)(g)
 	c.opt.Counters.Add("probes", 1)
 	a := c.attempt(nil, member, c.now+c.opt.HealthCheckTimeout)
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -98,7 +98,7 @@
 func newGateway(f *fleet, n int, arrivals *rand.Rand) *gateway {
 	g := &gateway{f: f, number: n, part: 1, zone: f.Zones[n%len(f.Zones)], arrivals: arrivals, pools: map[*host]*pool{},
 		hosts: map[string]*host{}, requests: map[uint64]*request{}}
-	cfg := routing.Config{Gateways: f.Gateways, Zone: g.zone, StaleReads: f.Guards, CatchUpWait: catchUpWait, Positions: true,
+	cfg := routing.Config{Gateways: f.Gateways, Zone: g.zone, StaleReads: f.Guards, CatchUpTimeout: catchUpWait, Positions: true,
 		RoleSource: routing.RoleSourceDelayed, AllowCancel: true, AllowHedging: true, AllowHealthChecks: true, MaxAttempts: 6,
 		MaxRetryAfter: 500 * time.Millisecond, CrossZoneCost: 0.01, SlowStartCapacity: coldFrom, SlowStartDuration: coldFor,
 		OverloadFactor: tipMultiple, OverloadWindow: tipAfter}
@@ -273,7 +273,7 @@
 }
 
 // dial comes by a connection: an idle one at once, or a new one if the host can be reached.
-func (g *gateway) dial(h *host, by routing.Conn, then func(opened time.Duration)) {
+func (g *gateway) dial(h *host, by routing.ConnPolicy, then func(opened time.Duration)) {
 	p, f := g.pools[h], g.f
 	g.keeper.RecordAttempt(clock(f.now), &p.asked, len(g.hosts))
 	switch n := len(p.idle) - 1; {
@@ -401,7 +401,7 @@
 			a.h.conns--
 		} else if o.Result != routing.ResultReset {
 			g.free(a.h, a.opened)
-			o.Opened = a.opened
+			o.ConnectedAt = a.opened
 		}
 	}
 	f.after(0, func() {
@@ -493,7 +493,7 @@
 }
 
 // Probe asks a host for its report.
-func (g *gateway) CheckHealth(member string, by routing.Conn) {
+func (g *gateway) CheckHealth(member string, by routing.ConnPolicy) {
 	h, f := g.hosts[member], g.f
 	at := f.now
 	f.judge.probes++
@@ -504,7 +504,7 @@
 			over = true
 			x := routing.HealthCheckResult{Member: member, Result: r, Latency: f.now - at, Report: p}
 			if r == routing.ResultOK {
-				x.Opened = up
+				x.ConnectedAt = up
 			}
 			g.router.HealthChecked(f.now, x)
 		}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -169,9 +169,9 @@
 		Subscribe:         word(s, "discovery", discoveryWords),
 		MaxPollInterval:   s.seconds("rules.askWithinS"),
 		StaleReads:        word(s, "domain.guards", guardWords),
-		CatchUpWait:       s.seconds("domain.catchUpWaitS"),
+		CatchUpTimeout:    s.seconds("domain.catchUpWaitS"),
 		Positions:         s.flag("domain.positions"),
-		PositionZero:      seconds(s.number("domain.positionZeroS", -mostZero, mostZero)),
+		PositionEpoch:     seconds(s.number("domain.positionZeroS", -mostZero, mostZero)),
 		LocalSessions:     word(s, "domain.writeMarks", markWords),
 		RoleSource:        word(s, "domain.roleInList", roleWords),
 		AllowCancel:       s.flag("policyLimits.mayCancel"),
@@ -184,7 +184,7 @@
 		SlowStartDuration: s.seconds("rules.coldS"),
 		OverloadFactor:    s.number("rules.tipMultiple", 0, mostNumber),
 		OverloadWindow:    s.seconds("rules.fallS"),
-		OnlyDrainingBinds: s.flag("rules.onlyDrainingBinds"),
+		UseRemovedMembers: s.flag("rules.onlyDrainingBinds"),
 	}
 	if !s.flag("policyLimits.retryAfter") {
 		c.MaxRetryAfter = 0 // advice does not reach clients
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -38,7 +38,7 @@
 	if b.Now != 8500*time.Millisecond || o.Seed != 42 || c.Gateways != 2 || !c.Subscribe || !c.LocalSessions {
 		t.Fatalf("batch %v, open %+v", b.Now, o)
 	}
-	if c.StaleReads != routing.StaleReadDelayed || c.RoleSource != routing.RoleSourceDelayed || c.PositionZero != 100500*time.Millisecond {
+	if c.StaleReads != routing.StaleReadDelayed || c.RoleSource != routing.RoleSourceDelayed || c.PositionEpoch != 100500*time.Millisecond {
 		t.Errorf("domain settings: %+v", c)
 	}
 	if c.Classes[0].Consistency != routing.ConsistencyBounded || c.Classes[0].StalenessBound != 800*time.Millisecond {
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -68,7 +68,7 @@
 func (a *Actions) CloseIdle(member string) { a.act("close", member) }
 
 // Probe writes a sound_out.
-func (a *Actions) CheckHealth(member string, _ routing.Conn) { a.act("sound_out", member) }
+func (a *Actions) CheckHealth(member string, _ routing.ConnPolicy) { a.act("sound_out", member) }
 
 // SetTimer writes a set_alarm.
 func (a *Actions) SetTimer(after time.Duration, name string) { a.act("set_alarm", clock(after), name) }
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -40,7 +40,7 @@
 
 // startDeadline is the same where it waits for a connection: what its member has must be recent enough then too.
 func (r *Router) startDeadline(q *requestState, m *memberState) time.Duration {
-	holds := r.cfg.PositionZero + time.Duration(m.position)*time.Millisecond + q.class.StalenessBound
+	holds := r.cfg.PositionEpoch + time.Duration(m.position)*time.Millisecond + q.class.StalenessBound
 	if r.cfg.StaleReads != StaleReadServed || q.class.Consistency != ConsistencyBounded && m.position >= q.minPosition {
 		return q.retryDeadline()
 	} else if m == q.group.primary() {
--- a/routing/attempts_test.go
+++ b/routing/attempts_test.go
@@ -117,7 +117,7 @@
 	if len(to) < 2 {
 		t.Fatalf("sent to %v, want a second copy", to)
 	}
-	b.r.Started(b.now, q, 1)
+	b.r.StreamStarted(b.now, q, 1)
 	b.want("cancelled", b.cancels, fmt.Sprintf("[%d/0]", q))
 	b.r.Outcome(b.now, Outcome{Request: q, Attempt: 0, Member: to[0], Result: ResultCancelled, Latency: 500 * ms, Closed: true})
 	b.pass(5 * time.Second)
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -49,7 +49,7 @@
 		switch suspect := r.unhealthy(m); {
 		case !r.eligible(q, m):
 		case !r.freshEnough(q, m):
-			caught := r.presumedPosition(m) + (r.now - m.positionAt + r.cfg.CatchUpWait).Milliseconds()
+			caught := r.presumedPosition(m) + (r.now - m.positionAt + r.cfg.CatchUpTimeout).Milliseconds()
 			may := r.cfg.StaleReads != StaleReadServed && caught >= r.requiredPosition(q) && !suspect
 			if may && (hope == nil || m.position > hope.position) {
 				hope = m
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -69,7 +69,7 @@
 
 // gone takes a member off the list. Where only draining binds, one that was never drained may still be used.
 func (r *Router) removeEndpoint(m *memberState) {
-	if m == nil || r.cfg.OnlyDrainingBinds && !m.draining && (r.now-m.answeredAt < unlistedMemberTTL || !r.unhealthy(m)) {
+	if m == nil || r.cfg.UseRemovedMembers && !m.draining && (r.now-m.answeredAt < unlistedMemberTTL || !r.unhealthy(m)) {
 		return
 	}
 	m.usable = false
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -37,7 +37,7 @@
 
 func TestMemberOffTheListIsUsedWhereOnlyDrainingBinds(t *testing.T) {
 	c := config()
-	c.OnlyDrainingBinds = true
+	c.UseRemovedMembers = true
 	b := newRig(t, c)
 	b.r.UpdateEndpoints(b.now, EndpointList{Kind: EndpointListPatch, Endpoints: []Endpoint{{Member: "b", Group: 1, Phase: PhaseRemoved},
 		{Member: "c", Group: 1, Phase: PhaseDraining}}})
@@ -46,7 +46,7 @@
 
 func TestOldListDoesNotUndoADrain(t *testing.T) {
 	c := config()
-	c.OnlyDrainingBinds = true
+	c.UseRemovedMembers = true
 	b := newRig(t, c)
 	b.told("a", 10*ms)
 	list := func(phase Phase, started time.Duration) {
--- a/routing/events.go
+++ b/routing/events.go
@@ -80,7 +80,7 @@
 }
 
 // Started tells that a streamed answer has begun: the attempt is the client's now, other copies are waste.
-func (r *Router) Started(now time.Duration, id uint64, number int) {
+func (r *Router) StreamStarted(now time.Duration, id uint64, number int) {
 	r.advanceClock(now)
 	q := r.requests[id]
 	if q == nil || q.ended {
@@ -114,8 +114,8 @@
 	m.healthCheckPending = false
 	r.observeReport(m, p.Report)
 	r.recordHealthCheck(m, p)
-	if p.Result == ResultOK && (m.down || moved || m.survivedZoneLoss(p.Opened)) {
-		r.observeAnswer(m, p.Opened)
+	if p.Result == ResultOK && (m.down || moved || m.survivedZoneLoss(p.ConnectedAt)) {
+		r.observeAnswer(m, p.ConnectedAt)
 	} else if p.Result == ResultOK {
 		m.failures, m.connectFailures = 0, 0
 	} else if p.Result == ResultConnectFailed || p.Result == ResultReset {
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -18,14 +18,14 @@
 func (printer) Reject(id uint64, comeBack time.Duration, _ routing.Reason) {
 	fmt.Println("refuse", id, comeBack)
 }
-func (printer) Fail(id uint64, _ routing.Reason)           { fmt.Println("fail", id) }
-func (printer) CloseIdle(member string)                    {}
-func (printer) CheckHealth(member string, by routing.Conn) {}
-func (printer) SetTimer(after time.Duration, name string)  {}
-func (printer) Subscribe(on bool)                          {}
-func (printer) FetchEndpoints()                            {}
-func (printer) ZoneChanged(zones.Change)                   {}
-func (printer) Log(text string)                            {}
+func (printer) Fail(id uint64, _ routing.Reason)                 { fmt.Println("fail", id) }
+func (printer) CloseIdle(member string)                          {}
+func (printer) CheckHealth(member string, by routing.ConnPolicy) {}
+func (printer) SetTimer(after time.Duration, name string)        {}
+func (printer) Subscribe(on bool)                                {}
+func (printer) FetchEndpoints()                                  {}
+func (printer) ZoneChanged(zones.Change)                         {}
+func (printer) Log(text string)                                  {}
 
 func Example() {
 	config := routing.Config{
--- a/routing/format_test.go
+++ b/routing/format_test.go
@@ -14,7 +14,7 @@
 
 // TestLearnedForm pins what one process tells the next: processes of other versions read and write it.
 func TestLearnedForm(t *testing.T) {
-	var l Learned
+	var l Snapshot
 	if err := json.Unmarshal([]byte(goldenLearned), &l); err != nil {
 		t.Fatal(err)
 	}
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -41,7 +41,7 @@
 }
 func (g *recorder) Fail(q uint64, why Reason)                 { g.failed[q]++; g.why = why }
 func (g *recorder) CloseIdle(m string)                        { g.closes = append(g.closes, m) }
-func (g *recorder) CheckHealth(m string, by Conn)             { g.probes = append(g.probes, m) }
+func (g *recorder) CheckHealth(m string, by ConnPolicy)       { g.probes = append(g.probes, m) }
 func (g *recorder) SetTimer(after time.Duration, name string) { g.timers++ }
 func (g *recorder) Subscribe(on bool)                         { g.subscribed++ }
 func (g *recorder) FetchEndpoints()                           {}
--- a/routing/helpers.go
+++ b/routing/helpers.go
@@ -75,7 +75,7 @@
 
 // ms gives a clock time as a position, rounded up.
 func (r *Router) positionAt(t time.Duration) int64 {
-	return int64((t - r.cfg.PositionZero + time.Millisecond - 1) / time.Millisecond)
+	return int64((t - r.cfg.PositionEpoch + time.Millisecond - 1) / time.Millisecond)
 }
 
 // findGroup finds or makes a group.
@@ -113,7 +113,7 @@
 
 // Starts tells when members started that may still be cold, by their ids: as the list has told, or as their silence has
 // shown before the list did.
-func (r *Router) Starts() map[string]time.Duration {
+func (r *Router) SlowStartTimes() map[string]time.Duration {
 	starts := map[string]time.Duration{}
 	for id, m := range r.members {
 		if r.slowStartWeight(m) < 1 {
--- a/routing/interface.go
+++ b/routing/interface.go
@@ -110,12 +110,12 @@
 	Subscribe       bool          // changes of the list come only to those who ask
 	MaxPollInterval time.Duration // Subscribe: longest time between two questions
 
-	StaleReads    StaleReadPolicy
-	CatchUpWait   time.Duration
-	Positions     bool // every answer carries a position
-	PositionZero  time.Duration
-	LocalSessions bool // session marks are this gateway's own memory, not carried by the request
-	RoleSource    RoleSource
+	StaleReads     StaleReadPolicy
+	CatchUpTimeout time.Duration
+	Positions      bool // every answer carries a position
+	PositionEpoch  time.Duration
+	LocalSessions  bool // session marks are this gateway's own memory, not carried by the request
+	RoleSource     RoleSource
 
 	AllowCancel       bool
 	AllowHedging      bool
@@ -128,7 +128,7 @@
 	SlowStartDuration time.Duration // and is warm within this time
 	OverloadFactor    float64       // sent more than this multiple of its capacity
 	OverloadWindow    time.Duration // for this long, a cold member falls over
-	OnlyDrainingBinds bool          // gone alone does not forbid a send
+	UseRemovedMembers bool          // gone alone does not forbid a send
 }
 
 // EndpointListKind is the kind of a message about the member list.
@@ -203,41 +203,41 @@
 // Report is what a member last said of itself, somewhat old.
 type Report struct {
 	HasPosition bool
-	Position    int64 // milliseconds after Config.PositionZero
+	Position    int64 // milliseconds after Config.PositionEpoch
 	Role        Role
 }
 
 // Conn says which connection a probe goes by.
-type Conn int
+type ConnPolicy int
 
 // The kinds of connection.
 const (
-	ConnAny    Conn = iota
-	ConnNew         // a new one: those that are idle stay, and may show later that the process has lived on
-	ConnOldest      // the one that has been idle longest
+	ConnAny    ConnPolicy = iota
+	ConnNew               // a new one: those that are idle stay, and may show later that the process has lived on
+	ConnOldest            // the one that has been idle longest
 )
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	Opened   time.Duration // when the connection came up that an answer came by; 0 if not known
-	Request  uint64
-	Attempt  int
-	Member   string
-	Result   Result
-	Latency  time.Duration
-	Closed   bool // the request has its final answer
-	Role     Role
-	Position int64 // milliseconds after Config.PositionZero, 0 if not told
-	Report   Report
+	ConnectedAt time.Duration // when the connection came up that an answer came by; 0 if not known
+	Request     uint64
+	Attempt     int
+	Member      string
+	Result      Result
+	Latency     time.Duration
+	Closed      bool // the request has its final answer
+	Role        Role
+	Position    int64 // milliseconds after Config.PositionEpoch, 0 if not told
+	Report      Report
 }
 
 // HealthCheckResult is the end of a probe.
 type HealthCheckResult struct {
-	Opened  time.Duration // as an outcome's
-	Member  string
-	Result  Result
-	Latency time.Duration
-	Report  Report
+	ConnectedAt time.Duration // as an outcome's
+	Member      string
+	Result      Result
+	Latency     time.Duration
+	Report      Report
 }
 
 // Gateway is what the module may ask of its host.
@@ -254,7 +254,7 @@
 	// Close shuts our idle connections to a member.
 	CloseIdle(member string)
 	// Probe examines a member over a connection of a kind.
-	CheckHealth(member string, by Conn)
+	CheckHealth(member string, by ConnPolicy)
 	// SetTimer asks for a Timer event.
 	SetTimer(after time.Duration, name string)
 	// Subscribe asks for changes of the member list.
--- a/routing/observations.go
+++ b/routing/observations.go
@@ -34,7 +34,7 @@
 	r.recordZoneAnswer(a, o.Result)
 	switch o.Result {
 	case ResultOK:
-		r.observeAnswer(m, o.Opened)
+		r.observeAnswer(m, o.ConnectedAt)
 		m.group.unansweredShare -= unansweredGain * m.group.unansweredShare
 		r.recordThroughput(m, a.work)
 		r.recordLatency(m, latencySample{at: r.now, ratio: ratio})
@@ -48,7 +48,7 @@
 			r.sessionMarks.put(a.request.Session, o.Position, maxSessionMarks)
 		}
 	case ResultMissed, ResultError, ResultInvalidStatement, ResultMalformed: // the last are no sign of load
-		if r.observeAnswer(m, o.Opened); o.Result == ResultError {
+		if r.observeAnswer(m, o.ConnectedAt); o.Result == ResultError {
 			r.recordLatency(m, latencySample{at: r.now, ratio: 1e9})
 		}
 	case ResultTimeout, ResultCancelled:
--- a/routing/random_test.go
+++ b/routing/random_test.go
@@ -250,7 +250,7 @@
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		c := config()
-		c.Gateways, c.StaleReads, c.OnlyDrainingBinds = 40, StaleReadPolicy(rng.IntN(3)), rng.IntN(2) == 0
+		c.Gateways, c.StaleReads, c.UseRemovedMembers = 40, StaleReadPolicy(rng.IntN(3)), rng.IntN(2) == 0
 		c.AllowHealthChecks, c.AllowHedging, c.Positions = rng.IntN(3) > 0, rng.IntN(2) == 0, rng.IntN(2) == 0
 		group := func(name string) int { return int(name[1]-'0') % 6 }
 		entry := func() Endpoint {
--- a/routing/router.go
+++ b/routing/router.go
@@ -52,23 +52,23 @@
 }
 
 type memberState struct {
-	id, zone                                                 string
-	group                                                    *groupState
-	zoneState                                                *zones.Zone
-	usable, draining, listedPrimary, healthCheckPending      bool          // may be sent work; listed draining; listed primary
-	capacity, score                                          float64       // value: product for the read being placed
-	startedAt, answeredAt, nextTrialAt                       time.Duration // answeredAt: last answer; nextTrialAt: next trial while suspect
-	role                                                     Role
-	position, rolePosition                                   int64   // highest told, in ms, at positionAt; the one of its role
-	failures, connectFailures                                int     // connects and connections broken since it was heard; connects
-	endedSilence                                             float64 // longest silence on attempts that have ended unanswered
-	latencyWindow                                            []latencySample
-	inFlight                                                 []*attemptState // in order of sends
-	down                                                     bool            // a probe could not reach it; heard again it started anew
-	positionAt, tokensAt                                     time.Duration
-	healthCheckSentAt, healthCheckAnsweredAt, uncheckedSince time.Duration // last probe; last answer to one; first since
-	previousStartedAt, answeredBeforeZoneLoss                time.Duration // startedAt before it went with its zone, heard at answeredBeforeZoneLoss
-	tokens                                                   float64       // while cold: work that may be sent, in s, as of tokensAt
+	id, zone                                                    string
+	group                                                       *groupState
+	zoneState                                                   *zones.Zone
+	usable, draining, listedPrimary, healthCheckPending         bool          // may be sent work; listed draining; listed primary
+	capacity, score                                             float64       // value: product for the read being placed
+	startedAt, answeredAt, nextTrialAt                          time.Duration // answeredAt: last answer; nextTrialAt: next trial while suspect
+	role                                                        Role
+	position, rolePosition                                      int64   // highest told, in ms, at positionAt; the one of its role
+	failures, connectFailures                                   int     // connects and connections broken since it was heard; connects
+	endedSilence                                                float64 // longest silence on attempts that have ended unanswered
+	latencyWindow                                               []latencySample
+	inFlight                                                    []*attemptState // in order of sends
+	down                                                        bool            // a probe could not reach it; heard again it started anew
+	positionAt, tokensAt                                        time.Duration
+	healthCheckSentAt, healthCheckAnsweredAt, unansweredCheckAt time.Duration // last probe; last answer to one; first since
+	previousStartedAt, answeredBeforeZoneLoss                   time.Duration // startedAt before it went with its zone, heard at answeredBeforeZoneLoss
+	tokens                                                      float64       // while cold: work that may be sent, in s, as of tokensAt
 }
 
 // group is one primary and its replicas, sorted by id.
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -29,18 +29,18 @@
 		b.answer(q, result, RoleReplica, b.at(10*ms))
 		b.r.ClientDisconnected(b.now, q)
 	}
-	text, err := json.Marshal(b.r.Learned())
+	text, err := json.Marshal(b.r.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l Learned
+	var l Snapshot
 	if err := json.Unmarshal(text, &l); err != nil {
 		t.Fatal(err)
 	}
 	next := newRig(t, c, entries...)
 	next.now = b.now + 100*ms
-	next.r.Learn(l)
-	if got := next.r.Learned(); !reflect.DeepEqual(got.Members["b"], l.Members["b"]) || !reflect.DeepEqual(got.ExpectedLatency, l.ExpectedLatency) {
+	next.r.Restore(l)
+	if got := next.r.Snapshot(); !reflect.DeepEqual(got.Members["b"], l.Members["b"]) || !reflect.DeepEqual(got.ExpectedLatency, l.ExpectedLatency) {
 		t.Errorf("learned %+v, want %+v", got.Members["b"], l.Members["b"])
 	}
 	w := next.ask(onceWrite)
@@ -49,7 +49,7 @@
 		t.Errorf("the one that broke is suspect: %t, want %t", got, want)
 	}
 	other := newRig(t, func() Config { c := config(); c.Classes = c.Classes[:2]; return c }())
-	other.r.Learn(l) // of another configuration: nothing of it is taken, and nothing breaks
+	other.r.Restore(l) // of another configuration: nothing of it is taken, and nothing breaks
 	if other.r.warmThroughput.sum != 0 {
 		t.Error("what was learned under other classes is taken over")
 	}
--- a/routing/zones.go
+++ b/routing/zones.go
@@ -12,24 +12,24 @@
 // seen notes the end of a probe.
 func (r *Router) recordHealthCheck(m *memberState, p HealthCheckResult) {
 	if p.Result == ResultOK {
-		m.healthCheckAnsweredAt, m.uncheckedSince = r.now, 0
+		m.healthCheckAnsweredAt, m.unansweredCheckAt = r.now, 0
 		m.zoneState.Timed(p.Latency)
 	}
 }
 
 // ask notes that a probe goes out: the first since the member was last heard, or since one was answered, counts.
 func (m *memberState) healthCheckSent(now time.Duration) {
-	if m.uncheckedSince <= m.answeredAt {
-		m.uncheckedSince = now
+	if m.unansweredCheckAt <= m.answeredAt {
+		m.unansweredCheckAt = now
 	}
 }
 
 // mute is how long a member's probes have gone unanswered. A member that answers requests meanwhile is not mute.
 func (r *Router) healthCheckSilence(m *memberState) time.Duration {
-	if m.uncheckedSince == 0 || m.uncheckedSince <= m.answeredAt {
+	if m.unansweredCheckAt == 0 || m.unansweredCheckAt <= m.answeredAt {
 		return 0
 	}
-	return r.now - max(m.uncheckedSince, r.resumedAt)
+	return r.now - max(m.unansweredCheckAt, r.resumedAt)
 }
 
 // judgeZones has the zones judged by what is known of their members.
@@ -103,7 +103,7 @@
 
 // healthCheckConn is the connection of the next probe: a new one while the member is away, so that idle ones are kept, and the
 // oldest as soon as it is back, which shows whether it has lived on.
-func (m *memberState) healthCheckConn() Conn {
+func (m *memberState) healthCheckConn() ConnPolicy {
 	switch {
 	case m.zoneState.Condemned(m.answeredAt):
 		return ConnNew
--- a/routing/zones_test.go
+++ b/routing/zones_test.go
@@ -47,7 +47,7 @@
 				if m == "a1" {
 					role = RolePrimary
 				}
-				p.Result, p.Opened = ResultOK, b.opened[m]
+				p.Result, p.ConnectedAt = ResultOK, b.opened[m]
 				p.Report = Report{HasPosition: true, Position: b.r.positionAt(b.now), Role: role}
 				b.r.HealthChecked(b.now, p)
 			}
