--- a/internal/soak/build.go
+++ b/internal/soak/build.go
@@ -45,15 +45,15 @@
 
 // Defects are guards that are taken out, one at a time, and the two incidents of December 2026.
 var Defects = []Defect{
-	{"sends-to-draining", []Edit{{"routing/attempts.go", "!m.usable, m.group != q.group,", "m.group != q.group,"}},
+	{"sends-to-draining", []Edit{{"routing/attempts.go", "case !member.usable, member.group != req.group:", "case member.group != req.group:"}},
 		[]string{ruleDrain, ruleDeaf, ruleViolation}, nil},
 	{"close-unheard", []Edit{{"internal/core/core.go", "	q.leave(c)\n	c.post(func() { c.gone(q) })", ""},
 		{"internal/core/attempt.go", "!a.Request.leaves(a.core) && ", ""}}, []string{ruleGone}, []string{"leavers", "resets", "bad_answers", "late_connects"}},
-	{"once-repeated", []Edit{{"routing/attempts.go", "		return min(q.usefulUntil, q.firstRunAt+q.class.IdempotencyTTL)\n	}\n	return 0", "	}\n	return q.usefulUntil"}},
+	{"once-repeated", []Edit{{"routing/attempts.go", "		return min(r.usefulUntil, r.firstRunAt+r.class.IdempotencyTTL)\n	}\n	return 0", "	}\n	return r.usefulUntil"}},
 		[]string{ruleTwice, ruleViolation}, []string{"resets", "bad_answers", "host_dies"}},
 	{"answer-withheld", []Edit{{"internal/frontend/postgres/postgres.go", "	case core.Rejected:\n", "	case core.Rejected:\n		return errors.New(\"withheld\")\n"}},
 		[]string{ruleLost, ruleTurnedBack, ruleViolation}, nil},
-	{"cold-unheeded", []Edit{{"routing/slowstart.go", "return m.tokens >= 0", "return true"}}, []string{ruleViolation}, nil},
+	{"cold-unheeded", []Edit{{"routing/slowstart.go", "return member.tokens >= 0", "return true"}}, []string{ruleViolation}, nil},
 	{"ban-forgotten", []Edit{{"internal/hotrestart/statefile/statefile.go", "	return regs, sequence, nil\n", "	regs = state.Registers{}\n	return regs, sequence, nil\n"}},
 		[]string{ruleBan}, []string{"ban", "kill", "resets"}},
 	{"log-waits", []Edit{{"cmd/cranegate/main.go", "logging.New(logs, ", "logging.New(os.Stderr, "}}, []string{ruleStuck, ruleExit, ruleDeaf, ruleDrain},
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -6,183 +6,155 @@
 )
 
 const (
-	retryTokensPerRequest, maxRetryTokens = 0.1, 20.0 // further attempts for each first one: none must feed a jam
+	retryTokensPerRequest = 0.1  // retries earned by each first attempt: retries must not amplify an overload
+	maxRetryTokens        = 20.0 // retries that can be saved up
 
-	hedgeLatencyFactor = 3.0                   // times usual before a second copy: about the slowest twentieth
-	overCapacityDelay  = 25 * time.Millisecond // before a write or fresh read asks a full primary again
-	roleValidityPeriod = 75 * time.Millisecond // an answer that names another primary counts as known after 100 ms
-	retryAfterShare    = 0.05                  // advice to come back, of the deadline: while an answer still earns
+	// roleValidityPeriod is how long after its decision a read may start at the presumed primary. An answer
+	// that names another primary counts as known 100 ms after it was sent.
+	roleValidityPeriod = 75 * time.Millisecond
+
+	// retryAfterShare is the Retry-After of a rejection, as a share of the class's deadline: a retry is
+	// still in time.
+	retryAfterShare = 0.05
 )
 
-// legal is the gate that every send passes; each line keeps one rule.
-func (r *Router) eligible(q *requestState, m *memberState) bool {
+// eligible reports whether a request may be sent to a member now. Every attempt has to pass it.
+func (r *Router) eligible(req *requestState, member *memberState) bool {
 	switch {
-	case q.ended, q.streaming, r.now < q.pausedUntil, r.now >= q.retryDeadline(), q.attempts >= r.cfg.MaxAttempts,
-		!m.usable, m.group != q.group, // drains, and groups
-		len(q.inFlight) > 0 && (!r.cfg.AllowHedging || q.class.Effect == NonIdempotent), // copies out together
-		slices.ContainsFunc(q.inFlight, func(a *attemptState) bool { return a.member == m }),
-		slices.Contains(q.missedMembers, m) && m.position < r.requiredPosition(q) && m != q.group.primary(),    // a sure miss
-		r.cfg.StaleReads == StaleReadServed && q.class.Consistency != ConsistencyWrite && !r.freshEnough(q, m): // stale reads
+	case req.ended, req.streaming:
+		return false
+	case r.now < req.pausedUntil, r.now >= req.retryDeadline(), req.attempts >= r.cfg.MaxAttempts:
+		return false
+	case !member.usable, member.group != req.group:
+		return false
+	case len(req.inFlight) > 0 && !r.mayHedge(req), req.isInFlightAt(member):
+		return false
+	case r.wouldMiss(req, member), r.wouldBeStale(req, member):
 		return false
 	}
-	return r.admitSlowStart(m, r.expectedWork[q.Class])
+	return r.admitSlowStart(member, r.expectedWork[req.Class])
 }
 
-// retryDeadline is when an attempt has to have begun as things are: in time, and inside the window for repeats.
-func (q *requestState) retryDeadline() time.Duration {
-	if q.class.Effect == Idempotent || !q.mayHaveRun {
-		return q.usefulUntil
-	} else if q.class.Effect == IdempotentByKey {
-		return min(q.usefulUntil, q.firstRunAt+q.class.IdempotencyTTL)
-	}
-	return 0
+// mayHedge reports whether two attempts of a request may be in flight at the same time.
+func (r *Router) mayHedge(req *requestState) bool {
+	return r.cfg.AllowHedging && req.class.Effect != NonIdempotent
 }
 
-// startDeadline is the same where it waits for a connection: what its member has must be recent enough then too.
-func (r *Router) startDeadline(q *requestState, m *memberState) time.Duration {
-	holds := r.cfg.PositionEpoch + time.Duration(m.position)*time.Millisecond + q.class.StalenessBound
-	if r.cfg.StaleReads != StaleReadServed || q.class.Consistency != ConsistencyBounded && m.position >= q.minPosition {
-		return q.retryDeadline()
-	} else if m == q.group.primary() {
-		holds = max(holds, r.now+roleValidityPeriod)
-	}
-	return min(q.retryDeadline(), holds)
+// isInFlightAt reports whether the request has an attempt in flight at a member.
+func (r *requestState) isInFlightAt(member *memberState) bool {
+	return slices.ContainsFunc(r.inFlight, func(a *attemptState) bool { return a.member == member })
 }
 
-// send is the only way to a server.
-func (r *Router) sendAttempt(q *requestState, m *memberState) *attemptState {
-	if !r.eligible(q, m) {
-		return nil
-	}
-	a := &attemptState{request: q, number: q.attempts, member: m, sentAt: r.now, expectedLatency: *q.expectedLatency, work: r.expectedWork[q.Class]}
-	if q.attempts == 0 {
-		r.retryTokens = min(maxRetryTokens, r.retryTokens+retryTokensPerRequest)
-	}
-	by := r.startDeadline(q, m)
-	if !q.mayHaveRun {
-		q.mayHaveRun, q.firstRunAt = true, r.now
-	}
-	q.attempts++
-	q.inFlight, m.inFlight = append(q.inFlight, a), append(m.inFlight, a)
-	m.tokens -= a.work.Seconds() // as flow counts it, however long queues are
-	r.gateway.Send(q.ID, m.id, q.usefulUntil, by)
-	return a
+// wouldMiss reports whether a member has answered ResultMissed and would do so again.
+func (r *Router) wouldMiss(req *requestState, member *memberState) bool {
+	return slices.Contains(req.missedMembers, member) && member.position < r.requiredPosition(req) &&
+		member != req.group.primary()
+}
+
+// wouldBeStale reports whether a member would serve a read from data that is too old.
+func (r *Router) wouldBeStale(req *requestState, member *memberState) bool {
+	return r.cfg.StaleReads == StaleReadServed && req.class.Consistency != ConsistencyWrite &&
+		!r.freshEnough(req, member)
 }
 
-func (r *Router) cancelAttempt(a *attemptState) {
-	if r.cfg.AllowCancel && !a.cancelled {
-		a.cancelled = true
-		r.gateway.Cancel(a.request.ID, a.number)
+// retryDeadline is when the next attempt must have started: while its answer is useful, and before a retry
+// could run a second time. It is 0 if no further attempt is allowed.
+func (r *requestState) retryDeadline() time.Duration {
+	switch {
+	case r.class.Effect == Idempotent || !r.mayHaveRun:
+		return r.usefulUntil
+	case r.class.Effect == IdempotentByKey:
+		return min(r.usefulUntil, r.firstRunAt+r.class.IdempotencyTTL)
 	}
+	return 0
 }
 
-// end is the only way to end a request. Where an answer is owed it is given at once: a refusal where that is
-// true, else a failure. Copies still out are cancelled where they may be.
-func (r *Router) endRequest(q *requestState, owed bool, why Reason) {
-	harmless := !q.mayHaveRun || q.class.Effect == IdempotentByKey && q.class.KeyIsGlobal
-	if !q.ended && owed && (harmless || q.class.Effect == Idempotent) {
-		r.gateway.Reject(q.ID, min(time.Duration(retryAfterShare*float64(q.class.Deadline)), r.cfg.MaxRetryAfter), why)
-	} else if !q.ended && owed {
-		r.gateway.Fail(q.ID, why)
+// startDeadline is when an attempt at a member must have started if it has to wait for a connection: before
+// the retry deadline, and while the member's data is recent enough.
+func (r *Router) startDeadline(req *requestState, member *memberState) time.Duration {
+	class := req.class
+	if r.cfg.StaleReads != StaleReadServed {
+		return req.retryDeadline()
 	}
-	q.ended = true
-	for _, a := range q.inFlight {
-		if q.class.Effect == Idempotent && !q.streaming { // what streams is the client's
-			r.cancelAttempt(a)
-		}
+	if class.Consistency != ConsistencyBounded && member.position >= req.minPosition {
+		return req.retryDeadline()
 	}
-	if len(q.inFlight) == 0 {
-		if r.requests[q.ID] == q {
-			r.closeGroupRequest(q.group)
-		}
-		delete(r.requests, q.ID)
+	freshUntil := r.cfg.PositionEpoch + time.Duration(member.position)*time.Millisecond + class.StalenessBound
+	if member == req.group.primary() {
+		freshUntil = max(freshUntil, r.now+roleValidityPeriod)
 	}
+	return min(req.retryDeadline(), freshUntil)
 }
 
-// attemptFailed decides what follows an attempt that did not answer.
-func (r *Router) attemptFailed(q *requestState, a *attemptState, result Result) {
-	switch result {
-	case ResultMissed:
-		q.missedMembers = append(q.missedMembers, a.member)
-	case ResultOverCapacity:
-		if q.needsPrimary {
-			q.pausedUntil = r.now + overCapacityDelay
-		}
-	case ResultConnectFailed, ResultNotSent:
-	case ResultInvalidStatement: // the client's fault: no other member would do better
-		r.gateway.Fail(q.ID, ReasonRejected)
-		r.endRequest(q, false, ReasonRejected)
-		return
-	default:
-		q.endedMayHaveRun = true
+// sendAttempt sends a request to a member and returns the attempt; nil if the request is not eligible
+// there. There is no other way to send.
+func (r *Router) sendAttempt(req *requestState, member *memberState) *attemptState {
+	if !r.eligible(req, member) {
+		return nil
 	}
-	q.reachedMember = q.reachedMember || result != ResultConnectFailed && result != ResultNotSent
-	q.mayHaveRun = q.endedMayHaveRun || len(q.inFlight) > 0
-	if again := q.endedMayHaveRun && !a.cancelled && len(q.inFlight) == 0; again && r.retryTokens < 1 {
-		r.endRequest(q, true, ReasonRetryBudget)
-	} else if again {
-		r.retryTokens--
+	attempt := &attemptState{
+		request:         req,
+		number:          req.attempts,
+		member:          member,
+		sentAt:          r.now,
+		expectedLatency: *req.expectedLatency,
+		work:            r.expectedWork[req.Class],
 	}
-	r.advanceRequest(q)
-}
-
-// abandonReason says why a request that has nothing out is ended; none if it goes on.
-func (r *Router) abandonReason(q *requestState) Reason {
-	p := q.group.primary()
-	switch waited := r.now - q.deadline + q.Remaining; {
-	case r.now+max(*q.expectedLatency/2, requestSweepInterval) > q.usefulUntil:
-		return ReasonHopeless
-	case q.attempts >= r.cfg.MaxAttempts:
-		return ReasonAttemptsUsed
-	case r.now >= q.retryDeadline():
-		return ReasonWindowOver
-	case r.now >= q.unsentDeadline && !q.reachedMember:
-		return ReasonUnsent
-	case q.group.unansweredShare > unreachableThreshold && !q.endedMayHaveRun && (p == nil || r.unhealthy(p)) && waited > q.Remaining/8:
-		return ReasonUnreachable
+	if req.attempts == 0 {
+		r.retryTokens = min(maxRetryTokens, r.retryTokens+retryTokensPerRequest)
 	}
-	return ""
+	startBy := r.startDeadline(req, member)
+	if !req.mayHaveRun {
+		req.mayHaveRun = true
+		req.firstRunAt = r.now
+	}
+	req.attempts++
+	req.inFlight = append(req.inFlight, attempt)
+	member.inFlight = append(member.inFlight, attempt)
+	// The budget counts work as recordThroughput does, however long queues are.
+	member.tokens -= attempt.work.Seconds()
+	r.gateway.Send(req.ID, member.id, req.usefulUntil, startBy)
+	return attempt
 }
 
-// advance decides what to do next for a request: on arrival, after an outcome, and at each sweep.
-func (r *Router) advanceRequest(q *requestState) {
-	p := q.group.primary()
-	if q.ended || q.streaming {
+// cancelAttempt cancels an attempt, where that is allowed.
+func (r *Router) cancelAttempt(attempt *attemptState) {
+	if !r.cfg.AllowCancel || attempt.cancelled {
 		return
-	} else if len(q.inFlight) > 0 {
-		r.hedgeOrMove(q)
-	} else if why := r.abandonReason(q); why != "" {
-		if r.endRequest(q, true, why); !q.endedMayHaveRun {
-			q.group.unansweredShare += unansweredGain * (1 - q.group.unansweredShare)
-		}
-	} else if m := r.chooseMember(q); m != nil && q.attempts == 0 && (m == p || !q.needsPrimary) && !r.admit(q, m) {
-		r.endRequest(q, true, ReasonShed)
-	} else if m != nil {
-		a := r.sendAttempt(q, m)
-		if r.countPlacement(a); m != p && q.needsPrimary {
-			q.group.searchAttempt = a
-		}
 	}
+	attempt.cancelled = true
+	r.gateway.Cancel(attempt.request.ID, attempt.number)
+}
+
+// abandonRequest gives an open request its final answer and ends it. The request is rejected if nothing ran
+// or a retry by the client does no harm; else it fails.
+func (r *Router) abandonRequest(req *requestState, reason Reason) {
+	class := req.class
+	harmless := !req.mayHaveRun || class.Effect == IdempotentByKey && class.KeyIsGlobal
+	if harmless || class.Effect == Idempotent {
+		retryAfter := time.Duration(retryAfterShare * float64(class.Deadline))
+		r.gateway.Reject(req.ID, min(retryAfter, r.cfg.MaxRetryAfter), reason)
+	} else {
+		r.gateway.Fail(req.ID, reason)
+	}
+	r.endRequest(req)
 }
 
-// reconsider moves a request off a silent member, or sends a second copy of a slow one.
-func (r *Router) hedgeOrMove(q *requestState) {
-	a := q.inFlight[len(q.inFlight)-1]
-	slow := r.cfg.AllowHedging && float64(r.now-a.sentAt) > hedgeLatencyFactor*float64(a.expectedLatency)
-	if len(q.inFlight) > 1 || q.class.Effect == NonIdempotent || a.cancelled || r.retryTokens < 1 || r.now+*q.expectedLatency > q.usefulUntil ||
-		!slow && !r.unhealthy(a.member) {
+// endRequest ends a request that is owed no further answer. It cancels attempts that are still in flight,
+// unless their effect is wanted or the client is reading the answer. The request is forgotten with its last
+// attempt.
+func (r *Router) endRequest(req *requestState) {
+	req.ended = true
+	for _, attempt := range req.inFlight {
+		if req.class.Effect == Idempotent && !req.streaming {
+			r.cancelAttempt(attempt)
+		}
+	}
+	if len(req.inFlight) > 0 {
 		return
 	}
-	p := q.group.primary()
-	if r.cfg.AllowHedging {
-		if m := r.chooseMember(q); m != nil && (m == p || !q.needsPrimary) {
-			r.retryTokens--
-			r.sendAttempt(q, m)
-		}
-	} else if r.cfg.AllowCancel && slices.ContainsFunc(q.group.members, func(m *memberState) bool {
-		return m != a.member && m.usable && !r.unhealthy(m) && (m == p || !q.needsPrimary && r.freshEnough(q, m))
-	}) {
-		r.retryTokens--
-		r.cancelAttempt(a)
+	if r.requests[req.ID] == req {
+		r.closeGroupRequest(req.group)
 	}
+	delete(r.requests, req.ID)
 }
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -7,117 +7,130 @@
 	"cranegate/internal/zones"
 )
 
-// minimum is the position that a read needs when sent now.
-func (r *Router) requiredPosition(q *requestState) int64 {
-	if q.class.Consistency == ConsistencyBounded {
-		return r.positionAt(r.now - q.class.StalenessBound)
-	}
-	return q.minPosition
-}
+const (
+	tieMargin         = 0.1  // scores that differ by less, relative to the best, are equal
+	minPrimaryScore   = 0.85 // reads avoid a primary whose score is lower
+	maxTierLoadExcess = 1.0  // attempts by which a member of the preferred tier may be busier than others
 
-// reached is the position that a member has. Where members check reads, its lag is presumed to be what it was
-// when last heard, as long as a primary lives: a quiet gateway hears most seldom. A miss corrects a guess.
-func (r *Router) presumedPosition(m *memberState) int64 {
-	p := m.group.primary()
-	if r.cfg.StaleReads == StaleReadServed || p == nil || r.unhealthy(p) {
-		return m.position
-	} else if m.position == 0 {
-		return r.positionAt(r.now) // unheard: no worse than one not heard for long
-	}
-	return m.position + (r.now - m.positionAt).Milliseconds()
-}
+	minLoadCapacity = 0.1 // capacities below it count as this
+	crossZoneLoad   = 0.5 // load that a member in another zone counts as having, where crossing zones costs
+)
 
-// fresh says whether a member may serve a read: its position suffices, or it was last told to be primary.
-func (r *Router) freshEnough(q *requestState, m *memberState) bool {
-	need := r.requiredPosition(q)
-	return need <= 0 || r.presumedPosition(m) >= need || m == q.group.primary()
+// candidates are the members that may serve a read.
+type candidates struct {
+	healthy []*memberState
+	trial   *memberState // unhealthy, and may be tried
+	lagging *memberState // the most advanced one that may have caught up by now
+	top     float64      // the best score of those that are healthy
 }
 
-const tieMargin, minPrimaryScore = 0.1, 0.85 // noise of products; chance below which reads keep off the primary
-
-// choose finds the place for a request; nil holds it. Where none is fresh and the primary has no room but
-// members check, it is the most advanced that can have caught up since it was heard, at twice time's pace.
-func (r *Router) chooseMember(q *requestState) *memberState {
-	if q.needsPrimary {
-		return r.choosePrimary(q)
+// chooseMember returns the member for a request; nil if it has to wait. A read goes to a member at random
+// among the best that are fresh enough. Where none is, it goes to the most advanced that may have caught
+// up.
+func (r *Router) chooseMember(req *requestState) *memberState {
+	if req.needsPrimary {
+		return r.choosePrimary(req)
 	}
-	p, top := q.group.primary(), 0.0
+	primary := req.group.primary()
 	r.forgetZoneDraw()
-	var fit []*memberState
-	var tried, hope *memberState
-	for _, m := range q.group.members {
-		switch suspect := r.unhealthy(m); {
-		case !r.eligible(q, m):
-		case !r.freshEnough(q, m):
-			caught := r.presumedPosition(m) + (r.now - m.positionAt + r.cfg.CatchUpTimeout).Milliseconds()
-			may := r.cfg.StaleReads != StaleReadServed && caught >= r.requiredPosition(q) && !suspect
-			if may && (hope == nil || m.position > hope.position) {
-				hope = m
-			}
-		case suspect:
-			tried = m
-		default:
-			if m.score = r.score(q, m); m != p || m.score >= minPrimaryScore {
-				fit, top = append(fit, m), max(top, m.score)
-			}
-		}
-	}
-	if len(fit) == 0 {
-		q.group.primaryWantedAt = r.now
-		return hope
+	found := r.findCandidates(req, primary)
+	if len(found.healthy) == 0 {
+		req.group.primaryWantedAt = r.now
+		return found.lagging
 	}
-	if tried != nil && r.allowTrial(q, tried) {
-		return tried
+	if found.trial != nil && r.allowTrial(req, found.trial) {
+		return found.trial
 	}
-	tied := slices.DeleteFunc(slices.Clone(fit), func(m *memberState) bool {
-		return m == p || m.score < top*(1-tieMargin)
+	tied := slices.DeleteFunc(slices.Clone(found.healthy), func(m *memberState) bool {
+		return m == primary || m.score < found.top*(1-tieMargin)
 	})
 	if len(tied) == 0 {
-		return p
+		return primary
 	}
-	tied = r.preferTier(q.group, p, tied)
-	m := slices.MinFunc(tied, func(a, b *memberState) int { return cmp.Compare(a.position, b.position) })
-	if q.class.Consistency != ConsistencyAny || r.positionAt(m.positionAt)-m.position <= maxReplicaLagMillis { // those serve only such reads
-		m = tied[r.rng.IntN(len(tied))]
-		if b := tied[r.rng.IntN(len(tied))]; r.localLoad(b) < r.localLoad(m) { // of two the less crowded
-			m = b
+	return r.pickTied(req, r.preferTier(req.group, primary, tied))
+}
+
+// findCandidates scores the eligible members of a read's group. The primary is a candidate only while it
+// has capacity left for writes.
+func (r *Router) findCandidates(req *requestState, primary *memberState) candidates {
+	var found candidates
+	for _, member := range req.group.members {
+		unhealthy := r.unhealthy(member)
+		switch {
+		case !r.eligible(req, member):
+		case !r.freshEnough(req, member):
+			ahead := found.lagging == nil || member.position > found.lagging.position
+			if ahead && !unhealthy && r.mayCatchUp(req, member) {
+				found.lagging = member
+			}
+		case unhealthy:
+			found.trial = member
+		default:
+			member.score = r.score(req, member)
+			if member != primary || member.score >= minPrimaryScore {
+				found.healthy = append(found.healthy, member)
+				found.top = max(found.top, member.score)
+			}
 		}
 	}
-	return m
+	return found
 }
 
-const maxTierLoadExcess = 1.0 // attempts by which a preferred tier may be fuller than others
+// pickTied picks the less loaded of two random members. A read that accepts any data goes to a replica that
+// lags far, if there is one, as that can serve no other reads.
+func (r *Router) pickTied(req *requestState, tied []*memberState) *memberState {
+	byPosition := func(a, b *memberState) int { return cmp.Compare(a.position, b.position) }
+	oldest := slices.MinFunc(tied, byPosition)
+	lagsFar := r.positionAt(oldest.positionAt)-oldest.position > maxReplicaLagMillis
+	if req.class.Consistency == ConsistencyAny && lagsFar {
+		return oldest
+	}
+	first := tied[r.rng.IntN(len(tied))]
+	second := tied[r.rng.IntN(len(tied))]
+	if r.localLoad(second) < r.localLoad(first) {
+		return second
+	}
+	return first
+}
 
-// prefer keeps of near-ties those in the tier that the stated shares draw; one that is full spills over.
-func (r *Router) preferTier(g *groupState, p *memberState, tied []*memberState) []*memberState {
+// preferTier keeps, of tied members, those of the tier that is drawn by the tiers' configured shares.
+// Members that are busier than the least loaded one are left out first, so that a tier without capacity
+// left spills over.
+func (r *Router) preferTier(group *groupState, primary *memberState, tied []*memberState) []*memberState {
 	if r.zones == nil || !r.zones.Tiered() {
 		return tied
 	}
-	crowds := func(a, b *memberState) int { return cmp.Compare(r.localLoad(a), r.localLoad(b)) }
-	least := r.localLoad(slices.MinFunc(tied, crowds))
-	tied = slices.DeleteFunc(tied, func(m *memberState) bool { return r.localLoad(m) > least+maxTierLoadExcess })
+	byLoad := func(a, b *memberState) int { return cmp.Compare(r.localLoad(a), r.localLoad(b)) }
+	minLoad := r.localLoad(slices.MinFunc(tied, byLoad))
+	tied = slices.DeleteFunc(tied, func(m *memberState) bool {
+		return r.localLoad(m) > minLoad+maxTierLoadExcess
+	})
 	var plan zones.Plan
-	for _, m := range g.members {
-		if able := 0.0; m != p {
-			if slices.Contains(tied, m) {
-				able = m.capacity * r.slowStartWeight(m) * r.zones.Ramp(m.zoneState)
-			}
-			plan.Add(m.zoneState.Tier(), m.capacity, able)
+	for _, member := range group.members {
+		if member == primary {
+			continue
 		}
+		usable := 0.0
+		if slices.Contains(tied, member) {
+			usable = member.capacity * r.slowStartWeight(member) * r.zones.Ramp(member.zoneState)
+		}
+		plan.Add(member.zoneState.Tier(), member.capacity, usable)
 	}
-	t := r.zones.Draw(&plan, r.rng)
-	kept := slices.DeleteFunc(slices.Clone(tied), func(m *memberState) bool { return m.zoneState.Tier() != t })
+	tier := r.zones.Draw(&plan, r.rng)
+	kept := slices.DeleteFunc(slices.Clone(tied), func(m *memberState) bool {
+		return m.zoneState.Tier() != tier
+	})
 	if len(kept) == 0 {
 		return tied
 	}
 	return kept
 }
 
-// crowd is our work out at a member, with a little for distance where crossing zones costs.
-func (r *Router) localLoad(m *memberState) float64 {
-	n := float64(len(m.inFlight)) / max(m.capacity, 0.1)
-	if r.cfg.CrossZoneCost > 0 && m.zone != r.cfg.Zone {
-		n += 0.5
+// localLoad is how many of this gateway's attempts a member has in flight, in relation to its capacity.
+func (r *Router) localLoad(member *memberState) float64 {
+	load := float64(len(member.inFlight)) / max(member.capacity, minLoadCapacity)
+	if r.cfg.CrossZoneCost > 0 && member.zone != r.cfg.Zone {
+		load += crossZoneLoad
 	}
-	return n
+	return load
 }
--- a/routing/diagnostics.go
+++ b/routing/diagnostics.go
@@ -1,19 +1,40 @@
 package routing
 
-// Sizes is the number of entries in each of the maps and slices that the module keeps, by name: what must not grow
-// however long it runs. It is for tests and experiments.
+// Sizes returns the number of entries in each map and slice that the Router keeps, by name: none of them
+// may grow without bound however long it runs. It is for tests and experiments.
 func (r *Router) Sizes() map[string]int {
-	s := map[string]int{"members": len(r.members), "sorted": len(r.sortedMembers), "groups": len(r.groups), "empty": len(r.emptyGroups), "requests": len(r.requests),
-		"open": len(r.openRequests), "marks": len(r.sessionMarks.positions), "marks_order": len(r.sessionMarks.order), "asked": len(r.tenantRequests)}
-	for _, m := range r.sortedMembers {
-		s["windows"] += len(m.latencyWindow)
-		s["out"] += len(m.inFlight)
+	sizes := map[string]int{
+		"members":     len(r.members),
+		"sorted":      len(r.sortedMembers),
+		"groups":      len(r.groups),
+		"empty":       len(r.emptyGroups),
+		"requests":    len(r.requests),
+		"open":        len(r.openRequests),
+		"marks":       len(r.sessionMarks.positions),
+		"marks_order": len(r.sessionMarks.order),
+		"asked":       len(r.tenantRequests),
 	}
-	for _, g := range r.groups {
-		s["group_members"] += len(g.members)
+	for _, member := range r.sortedMembers {
+		sizes["windows"] += len(member.latencyWindow)
+		sizes["out"] += len(member.inFlight)
+	}
+	for _, group := range r.groups {
+		sizes["group_members"] += len(group.members)
 	}
 	for _, pool := range r.latencyPools {
-		s["pools"] += len(pool)
+		sizes["pools"] += len(pool)
+	}
+	return sizes
+}
+
+// Overdrawn reports whether a member in slow start has been sent more than its budget allowed. An attempt
+// is sent only while the budget is not spent, so that the debt after it is its own work at most.
+func (r *Router) Overdrawn(id string) bool {
+	member := r.members[id]
+	if member == nil || r.slowStartWeight(member) >= 1 || member.tokensAt == 0 || len(member.inFlight) == 0 {
+		return false
 	}
-	return s
+	const rounding = 1e-9 // seconds
+	last := member.inFlight[len(member.inFlight)-1]
+	return member.tokens+last.work.Seconds() < -rounding
 }
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -2,28 +2,37 @@
 
 import "time"
 
-const minSubscribeBackoff = 500 * time.Millisecond // first wait after a failed call to discovery, then doubled
+const (
+	// minSubscribeBackoff is the wait after a failed call to discovery. Each further failure doubles it.
+	minSubscribeBackoff = 500 * time.Millisecond
 
-// Members takes news of the list. A drain stops sends at once.
-func (r *Router) UpdateEndpoints(now time.Duration, l EndpointList) {
+	// unlistedMemberTTL is the silence after which a removed member that may still be used is forgotten.
+	unlistedMemberTTL = 60 * time.Second
+)
+
+// UpdateEndpoints handles a message of the endpoint list. Draining and removed members are sent nothing
+// from now on.
+func (r *Router) UpdateEndpoints(now time.Duration, list EndpointList) {
 	r.advanceClock(now)
-	if l.Kind == EndpointListFailed {
-		r.subscribing, r.subscribed = false, false
+	r.subscribing = false
+	if list.Kind == EndpointListFailed {
+		r.subscribed = false
 		r.subscribeBackoff = min(2*r.subscribeBackoff, max(r.cfg.MaxPollInterval/2, minSubscribeBackoff))
 		return
 	}
-	seen := map[string]bool{}
-	for _, e := range l.Endpoints {
-		seen[e.Member] = true
-		r.updateEndpoint(e, l.Kind)
+	listed := map[string]bool{}
+	for _, endpoint := range list.Endpoints {
+		listed[endpoint.Member] = true
+		r.updateEndpoint(endpoint, list.Kind)
 	}
-	for _, m := range r.sortedMembers {
-		if l.Kind != EndpointListPatch && !seen[m.id] {
-			r.removeEndpoint(m)
+	for _, member := range r.sortedMembers {
+		if list.Kind != EndpointListPatch && !listed[member.id] {
+			r.removeEndpoint(member)
 		}
 	}
-	if r.subscribing = false; r.hasEndpoints {
-		r.subscribed, r.subscribeBackoff = true, minSubscribeBackoff
+	if r.hasEndpoints {
+		r.subscribed = true
+		r.subscribeBackoff = minSubscribeBackoff
 		return
 	}
 	r.hasEndpoints = true
@@ -31,57 +40,100 @@
 	r.sendHealthChecks()
 }
 
-// entry takes one line of the list.
-func (r *Router) updateEndpoint(e Endpoint, kind EndpointListKind) {
-	m := r.members[e.Member]
-	if e.Phase == PhaseRemoved {
-		r.removeEndpoint(m)
+// updateEndpoint applies one endpoint of the list.
+func (r *Router) updateEndpoint(endpoint Endpoint, kind EndpointListKind) {
+	member := r.members[endpoint.Member]
+	if endpoint.Phase == PhaseRemoved {
+		r.removeEndpoint(member)
 		return
 	}
-	if m == nil {
-		m = &memberState{id: e.Member, group: r.findGroup(e.Group), answeredAt: r.now}
-		r.members[m.id] = m
-		r.sortedMembers, m.group.members = insertMember(r.sortedMembers, m), insertMember(m.group.members, m)
+	if member == nil {
+		member = r.addMember(endpoint)
 	}
-	if m.previousStartedAt = max(m.previousStartedAt, e.StartedAt); e.StartedAt > m.startedAt {
-		m.failures, m.endedSilence, m.latencyWindow, m.tokensAt, m.down = 0, 0, nil, 0, false // a new process
+	member.previousStartedAt = max(member.previousStartedAt, endpoint.StartedAt)
+	restarted := endpoint.StartedAt > member.startedAt
+	if restarted {
+		member.resetForNewProcess()
 	}
-	drained := e.Phase == PhaseDraining || m.draining && e.StartedAt <= m.startedAt // no old list undoes it
-	m.zone, m.zoneState, m.capacity, m.startedAt = e.Zone, r.zoneState(e.Zone), e.Capacity, max(e.StartedAt, m.startedAt)
-	m.usable, m.draining = e.Phase == PhaseServing && !drained, drained
-	r.observeListedRole(m, e.Primary, kind)
+	// A list that is out of date does not undo the draining of the same process.
+	draining := endpoint.Phase == PhaseDraining || member.draining && !restarted
+	member.zone = endpoint.Zone
+	member.zoneState = r.zoneState(endpoint.Zone)
+	member.capacity = endpoint.Capacity
+	member.startedAt = max(endpoint.StartedAt, member.startedAt)
+	member.draining = draining
+	member.usable = endpoint.Phase == PhaseServing && !draining
+	r.observeListedRole(member, endpoint.Primary, kind)
+}
+
+// addMember adds a member that is new on the list.
+func (r *Router) addMember(endpoint Endpoint) *memberState {
+	member := &memberState{id: endpoint.Member, group: r.findGroup(endpoint.Group), answeredAt: r.now}
+	r.members[member.id] = member
+	r.sortedMembers = insertMember(r.sortedMembers, member)
+	member.group.members = insertMember(member.group.members, member)
+	return member
 }
 
-// hint takes the list's word on the primary: only news of it counts, only where the role follows, and only
-// while no primary is known that answers; answers and reports are newer.
-func (r *Router) observeListedRole(m *memberState, leader bool, kind EndpointListKind) {
-	told := r.cfg.RoleSource == RoleSourceDelayed || r.cfg.RoleSource == RoleSourceInitial && kind == EndpointListStale
-	news := told && leader && !m.listedPrimary
-	m.listedPrimary = leader
-	if p := m.group.primary(); news && p == nil && m.role == RoleUnknown {
-		m.role = RolePrimary
-	} else if news && p != nil && p != m && r.unhealthy(p) {
-		r.observeRole(m, RolePrimary, p.rolePosition+1)
+// resetForNewProcess clears what was observed of a member's earlier process.
+func (m *memberState) resetForNewProcess() {
+	m.failures = 0
+	m.endedSilence = 0
+	m.latencyWindow = nil
+	m.tokensAt = 0
+	m.down = false
+}
+
+// observeListedRole learns the primary from the endpoint list. Answers and reports are newer: only a change
+// in the list counts, only where the list follows the role, and only while no healthy primary is known.
+func (r *Router) observeListedRole(member *memberState, isPrimary bool, kind EndpointListKind) {
+	changed := isPrimary && !member.listedPrimary
+	member.listedPrimary = isPrimary
+	if !changed || !r.listFollowsRole(kind) {
+		return
+	}
+	primary := member.group.primary()
+	if primary == nil && member.role == RoleUnknown {
+		member.role = RolePrimary
+	} else if primary != nil && primary != member && r.unhealthy(primary) {
+		r.observeRole(member, RolePrimary, primary.rolePosition+1)
 	}
 }
 
-const unlistedMemberTTL = 60 * time.Second // an unlisted member is forgotten when silent this long
+// listFollowsRole reports whether a message of the endpoint list tells the present primary.
+func (r *Router) listFollowsRole(kind EndpointListKind) bool {
+	switch r.cfg.RoleSource {
+	case RoleSourceDelayed:
+		return true
+	case RoleSourceInitial:
+		return kind == EndpointListStale
+	}
+	return false
+}
 
-// gone takes a member off the list. Where only draining binds, one that was never drained may still be used.
-func (r *Router) removeEndpoint(m *memberState) {
-	if m == nil || r.cfg.UseRemovedMembers && !m.draining && (r.now-m.answeredAt < unlistedMemberTTL || !r.unhealthy(m)) {
+// removeEndpoint removes a member. With Config.UseRemovedMembers, one that was not draining is kept while
+// it answers.
+func (r *Router) removeEndpoint(member *memberState) {
+	if member == nil || r.cfg.UseRemovedMembers && !member.draining && r.isResponsive(member) {
 		return
 	}
-	m.usable = false
-	delete(r.members, m.id)
-	r.sortedMembers, m.group.members = removeMember(r.sortedMembers, m), removeMember(m.group.members, m)
+	member.usable = false
+	delete(r.members, member.id)
+	r.sortedMembers = removeMember(r.sortedMembers, member)
+	member.group.members = removeMember(member.group.members, member)
+}
+
+// isResponsive reports whether a member is healthy, or has answered within unlistedMemberTTL.
+func (r *Router) isResponsive(member *memberState) bool {
+	return r.now-member.answeredAt < unlistedMemberTTL || !r.unhealthy(member)
 }
 
-// keepSubscribed keeps a subscription where the list comes only to those who ask.
+// keepSubscribed subscribes to the endpoint list where changes are sent only to subscribers.
 func (r *Router) keepSubscribed() {
 	due := r.subscribeSentAt == 0 || r.now-r.subscribeSentAt >= r.subscribeBackoff
 	if r.cfg.Subscribe && r.hasEndpoints && due && !r.subscribing && !r.subscribed {
-		r.subscribing, r.subscribeSentAt = true, r.now
+		r.subscribing = true
+		r.subscribeSentAt = r.now
 		r.gateway.Subscribe(true)
 	}
 }
--- a/routing/events.go
+++ b/routing/events.go
@@ -5,166 +5,166 @@
 	"time"
 )
 
-const requestSweepInterval, memberSweepInterval = 20 * time.Millisecond, 100 * time.Millisecond // looks at requests; at members
+// maxUnsentShare is the share of its remaining time for which a request may wait until a member receives
+// it. A client that is rejected later than that has no time left for a retry of its own.
+const maxUnsentShare = 0.5
 
-// wake moves the clock. Where sweeps are long overdue this gateway stood still: members were not silent.
-func (r *Router) advanceClock(now time.Duration) {
-	if now-r.now > 2*memberSweepInterval {
-		r.resumedAt = now
-	}
-	r.now = now
-}
-
-const maxUnsentShare, unreachableThreshold, unansweredGain = 0.5, 0.5, 0.1 // of its time unsent; an eighth if most wait in vain
-
-// Request takes a client's request.
+// Request handles a client's request. A request whose id is open, or whose class is unknown, is ignored.
 func (r *Router) Request(now time.Duration, in Request) {
 	r.advanceClock(now)
 	if r.requests[in.ID] != nil || in.Class < 0 || in.Class >= len(r.cfg.Classes) {
 		return
 	}
-	c := &r.cfg.Classes[in.Class]
-	q := &requestState{Request: in, class: c, expectedLatency: &r.expectedLatency[in.Class], group: r.findGroup(in.Group),
-		deadline: now + in.Remaining, overQuota: r.overQuota(in.Tenant)}
-	q.needsPrimary = c.Consistency == ConsistencyWrite || c.Consistency == ConsistencyStrong
-	q.latencyObjectiveAt = min(now+c.LatencyObjective+time.Duration(c.ObjectiveWorkFactor*float64(in.Work)), q.deadline)
-	q.unsentDeadline = now + time.Duration(maxUnsentShare*float64(in.Remaining)) - requestSweepInterval
-	if q.usefulUntil = q.latencyObjectiveAt; c.LateShare > 0 {
-		q.usefulUntil = q.deadline
-	}
-	if c.Consistency == ConsistencyStrong {
-		q.minPosition = r.positionAt(now)
-	} else if c.Consistency == ConsistencySession && r.cfg.LocalSessions {
-		q.minPosition = r.sessionMarks.positions[in.Session]
-	} else if c.Consistency == ConsistencySession && in.SinceWrite > 0 {
-		q.minPosition = r.positionAt(now - in.SinceWrite)
-	}
-	r.meanPriorityWeight += (c.PriorityWeight - r.meanPriorityWeight) / trafficAveragingRequests
-	r.meanExpectedLatency += (q.expectedLatency.Seconds() - r.meanExpectedLatency) / trafficAveragingRequests
-	share := healthCheckTokensPerRequest * min(1, fullRateMembers/float64(1+len(r.sortedMembers)))
-	if r.cfg.StaleReads == StaleReadServed && c.Consistency == ConsistencyBounded {
-		share = 1 // members do not check: one may have to be asked first
-	}
-	r.healthCheckTokens = min(maxHealthCheckTokens, r.healthCheckTokens+share)
-	q.group.openRequests++
-	r.requests[q.ID], r.openRequests = q, append(r.openRequests, q)
-	r.advanceRequest(q)
+	req := r.newRequest(in)
+	r.observeTraffic(req)
+	r.earnHealthChecks(req.class)
+	req.group.openRequests++
+	r.requests[req.ID] = req
+	r.openRequests = append(r.openRequests, req)
+	r.advanceRequest(req)
 	r.scheduleSweep()
 }
 
-// Outcome takes the end of an attempt.
-func (r *Router) Outcome(now time.Duration, o Outcome) {
+// newRequest computes the deadlines and requirements of a request that arrives now.
+func (r *Router) newRequest(in Request) *requestState {
+	class := &r.cfg.Classes[in.Class]
+	req := &requestState{
+		Request:         in,
+		class:           class,
+		expectedLatency: &r.expectedLatency[in.Class],
+		group:           r.findGroup(in.Group),
+		overQuota:       r.overQuota(in.Tenant),
+		needsPrimary:    class.Consistency == ConsistencyWrite || class.Consistency == ConsistencyStrong,
+		deadline:        r.now + in.Remaining,
+		minPosition:     r.sessionPosition(class, in),
+	}
+	objective := class.LatencyObjective + time.Duration(class.ObjectiveWorkFactor*float64(in.Work))
+	req.latencyObjectiveAt = min(r.now+objective, req.deadline)
+	req.usefulUntil = req.latencyObjectiveAt
+	if class.LateShare > 0 {
+		req.usefulUntil = req.deadline
+	}
+	// The sweep that rejects it may come one interval late.
+	req.unsentDeadline = r.now + time.Duration(maxUnsentShare*float64(in.Remaining)) - requestSweepInterval
+	return req
+}
+
+// sessionPosition is the position that a strong or session read requires; 0 for none.
+func (r *Router) sessionPosition(class *Class, in Request) int64 {
+	switch {
+	case class.Consistency == ConsistencyStrong:
+		return r.positionAt(r.now)
+	case class.Consistency != ConsistencySession:
+		return 0
+	case r.cfg.LocalSessions:
+		return r.sessionMarks.positions[in.Session]
+	case in.SinceWrite > 0:
+		return r.positionAt(r.now - in.SinceWrite)
+	}
+	return 0
+}
+
+// observeTraffic updates the means over the latest requests.
+func (r *Router) observeTraffic(req *requestState) {
+	r.meanPriorityWeight += (req.class.PriorityWeight - r.meanPriorityWeight) / trafficAveragingRequests
+	expected := req.expectedLatency.Seconds()
+	r.meanExpectedLatency += (expected - r.meanExpectedLatency) / trafficAveragingRequests
+}
+
+// Outcome handles the end of an attempt. An attempt that is not in flight is ignored.
+func (r *Router) Outcome(now time.Duration, outcome Outcome) {
 	r.advanceClock(now)
-	q := r.requests[o.Request]
-	i := q.attemptIndex(o.Attempt)
+	req := r.requests[outcome.Request]
+	i := req.attemptIndex(outcome.Attempt)
 	if i < 0 {
 		return
 	}
-	a := q.inFlight[i]
-	q.inFlight = slices.Delete(q.inFlight, i, i+1)
-	a.member.inFlight = slices.DeleteFunc(a.member.inFlight, func(x *attemptState) bool { return x == a })
-	if q.group.searchAttempt == a {
-		q.group.searchAttempt = nil
+	attempt := req.inFlight[i]
+	req.inFlight = slices.Delete(req.inFlight, i, i+1)
+	attempt.member.removeAttempt(attempt)
+	if req.group.searchAttempt == attempt {
+		req.group.searchAttempt = nil
 	}
-	before := q.group.primary()
-	r.observe(a, o)
-	if r.now < r.connectionShortageUntil && len(a.member.inFlight) == 0 {
-		r.gateway.CloseIdle(a.member.id) // idle connections of ours would keep other gateways out
+	primaryBefore := req.group.primary()
+	r.observe(attempt, outcome)
+	if r.now < r.connectionShortageUntil && len(attempt.member.inFlight) == 0 {
+		r.gateway.CloseIdle(attempt.member.id) // frees connections for other gateways
 	}
-	if o.Closed || q.ended {
-		r.endRequest(q, false, "")
+	if outcome.Closed || req.ended {
+		r.endRequest(req)
 	} else {
-		r.attemptFailed(q, a, o.Result)
+		r.attemptFailed(req, attempt, outcome.Result)
 	}
-	r.resumeGroup(q.group, before)
+	r.resumeGroup(req.group, primaryBefore)
 }
 
-// Started tells that a streamed answer has begun: the attempt is the client's now, other copies are waste.
+// StreamStarted handles the start of a streamed answer. Its attempt is no longer observed for silence, and
+// all other attempts of the request are cancelled.
 func (r *Router) StreamStarted(now time.Duration, id uint64, number int) {
 	r.advanceClock(now)
-	q := r.requests[id]
-	if q == nil || q.ended {
+	req := r.requests[id]
+	if req == nil || req.ended {
 		return
 	}
-	q.streaming = true
-	for _, a := range q.inFlight {
-		a.member.inFlight = slices.DeleteFunc(a.member.inFlight, func(x *attemptState) bool { return x == a }) // no silence
-		if a.number != number {
-			r.cancelAttempt(a)
+	req.streaming = true
+	for _, attempt := range req.inFlight {
+		attempt.member.removeAttempt(attempt)
+		if attempt.number != number {
+			r.cancelAttempt(attempt)
 		}
 	}
 }
 
-// ClientDisconnected tells that the client has left: nothing is owed.
+// ClientDisconnected handles the end of a client's connection: no answer is owed any more.
 func (r *Router) ClientDisconnected(now time.Duration, id uint64) {
 	r.advanceClock(now)
-	if q := r.requests[id]; q != nil {
-		r.endRequest(q, false, "")
+	if req := r.requests[id]; req != nil {
+		r.endRequest(req)
 	}
 }
 
-// Probed takes the end of a probe: it ends doubts of the connection, of silence if the position moved on.
-func (r *Router) HealthChecked(now time.Duration, p HealthCheckResult) {
+// HealthChecked handles the end of a health check. A successful one clears failed connections; it ends a
+// silence only if the member's position has advanced, or the check proves that the process is the same or a
+// new one.
+func (r *Router) HealthChecked(now time.Duration, check HealthCheckResult) {
 	r.advanceClock(now)
-	m := r.members[p.Member]
-	if m == nil {
+	member := r.members[check.Member]
+	if member == nil {
 		return
 	}
-	before, moved := m.group.primary(), p.Report.Position > m.position
-	m.healthCheckPending = false
-	r.observeReport(m, p.Report)
-	r.recordHealthCheck(m, p)
-	if p.Result == ResultOK && (m.down || moved || m.survivedZoneLoss(p.ConnectedAt)) {
-		r.observeAnswer(m, p.ConnectedAt)
-	} else if p.Result == ResultOK {
-		m.failures, m.connectFailures = 0, 0
-	} else if p.Result == ResultConnectFailed || p.Result == ResultReset {
-		if m.failures++; p.Result == ResultConnectFailed {
-			m.connectFailures, m.down = m.connectFailures+1, true
+	primaryBefore := member.group.primary()
+	advanced := check.Report.Position > member.position
+	member.healthCheckPending = false
+	r.observeReport(member, check.Report)
+	r.recordHealthCheck(member, check)
+	switch check.Result {
+	case ResultOK:
+		if member.down || advanced || member.survivedZoneLoss(check.ConnectedAt) {
+			r.observeAnswer(member, check.ConnectedAt)
+		} else {
+			member.failures = 0
+			member.connectFailures = 0
 		}
-	}
-	r.resumeGroup(m.group, before)
+	case ResultConnectFailed:
+		member.failures++
+		member.connectFailures++
+		member.down = true
+	case ResultReset:
+		member.failures++
+	}
+	r.resumeGroup(member.group, primaryBefore)
 }
 
-// Timer takes a timer.
-func (r *Router) Timer(now time.Duration, name string) {
-	if name != "sweep" || now+time.Millisecond < r.nextSweepAt {
+// resumeGroup advances a group's waiting requests as soon as it has another primary than before.
+func (r *Router) resumeGroup(group *groupState, before *memberState) {
+	primary := group.primary()
+	if primary == nil || primary == before {
 		return
 	}
-	r.advanceClock(now)
-	r.nextSweepAt = 0
-	if now >= r.nextMemberSweepAt {
-		r.nextMemberSweepAt = now + memberSweepInterval
-		r.keepSubscribed()
-		r.judgeZones()
-		r.sendHealthChecks()
-	}
-	for _, q := range r.openRequests {
-		r.advanceRequest(q)
-	}
-	r.openRequests = slices.DeleteFunc(r.openRequests, func(q *requestState) bool { return q.ended })
-	r.scheduleSweep()
-}
-
-// scheduleSweep asks for the next sweep: soon while requests are open. Timers that are overtaken are ignored.
-func (r *Router) scheduleSweep() {
-	at := r.now + memberSweepInterval
-	if len(r.openRequests) > 0 {
-		at = r.now + requestSweepInterval
-	}
-	if r.nextSweepAt == 0 || at < r.nextSweepAt {
-		r.nextSweepAt = at
-		r.gateway.SetTimer(at-r.now, "sweep")
-	}
-}
-
-// release looks again at a group's open requests as soon as another primary is named.
-func (r *Router) resumeGroup(g *groupState, before *memberState) {
-	p := g.primary()
-	for _, q := range r.openRequests {
-		if q.group == g && len(q.inFlight) == 0 && p != nil && p != before {
-			q.pausedUntil = 0
-			r.advanceRequest(q)
+	for _, req := range r.openRequests {
+		if req.group == group && len(req.inFlight) == 0 {
+			req.pausedUntil = 0
+			r.advanceRequest(req)
 		}
 	}
 }
--- /dev/null
+++ b/routing/health.go
@@ -0,0 +1,78 @@
+package routing
+
+import "time"
+
+const (
+	maxSilence  = 5.0 // in expected latencies; a responsive member exceeds it with a probability of e^-5
+	maxFailures = 2   // consecutive connects that failed or connections that broke
+
+	minRestartSilence  = time.Second            // a process that answered later has not been restarted
+	failureGracePeriod = 150 * time.Millisecond // after an answer; failures in it are no outage
+
+	maxReplicaLagMillis = 300 // lag that replication or an old report explains
+
+	// connectionShortageDuration is how long idle connections are closed after a sign that members lack
+	// them.
+	connectionShortageDuration = 5 * time.Second
+)
+
+// observeAnswer clears what was held against a member: it has answered. A member that was unreachable
+// counts as restarted and begins its slow start now, as the endpoint list may tell of the restart late or
+// never.
+func (r *Router) observeAnswer(member *memberState, connectedAt time.Duration) {
+	caughtUp := member.role == RoleReplica && r.positionAt(r.now)-member.position < maxReplicaLagMillis
+	longSilent := r.now-member.answeredAt >= minRestartSilence
+	lostWithZone := member.zoneState.Condemned(member.answeredAt)
+	startIsListed := member.startedAt > member.answeredAt
+	restarted := member.down || lostWithZone
+	if member.survivedZoneLoss(connectedAt) {
+		restarted = false
+		member.undoZoneLoss()
+	} else if longSilent && lostWithZone {
+		member.previousStartedAt = member.startedAt
+		member.answeredBeforeZoneLoss = member.answeredAt
+	}
+	// A replica that has kept up was running, and failed connects are no sign of a restart during a
+	// shortage.
+	failed := member.failures >= maxFailures && !caughtUp && r.now >= r.connectionShortageUntil
+	if longSilent && !startIsListed && (restarted || failed) {
+		member.startedAt = r.now
+		member.latencyWindow = nil
+		member.tokensAt = 0
+	} else if member.connectFailures > 0 && caughtUp && !longSilent {
+		// It was running all the time, and not cut off: it had no free connections.
+		r.connectionShortageUntil = r.now + connectionShortageDuration
+	}
+	member.answeredAt = r.now
+	member.failures = 0
+	member.connectFailures = 0
+	member.endedSilence = 0
+	member.down = false
+}
+
+// unhealthy reports whether a member is silent or unreachable. Silence is measured on the attempts that it
+// certainly works on, so that one rule covers a hang, a network partition and a slowdown at any load. The
+// first answer ends it.
+func (r *Router) unhealthy(member *memberState) bool {
+	failing := member.failures >= maxFailures && r.now-member.answeredAt >= failureGracePeriod
+	unreachable := member.connectFailures >= maxFailures
+	lostWithZone := member.zoneState.Condemned(member.answeredAt)
+	return lostWithZone || failing || unreachable || r.silence(member) > maxSilence
+}
+
+// silence is the longest time for which one of a member's attempts has gone unanswered, in expected
+// latencies.
+func (r *Router) silence(member *memberState) float64 {
+	longest := member.endedSilence
+	for _, attempt := range member.inFlight[:min(len(member.inFlight), assumedConcurrency)] {
+		longest = max(longest, r.attemptSilence(attempt))
+	}
+	return longest
+}
+
+// attemptSilence is how long an attempt has been in flight while its member was silent, in expected
+// latencies.
+func (r *Router) attemptSilence(attempt *attemptState) float64 {
+	since := max(attempt.sentAt, attempt.member.answeredAt, r.resumedAt)
+	return float64(r.now-since) / float64(attempt.expectedLatency)
+}
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -3,66 +3,83 @@
 import "time"
 
 const (
-	latencyWindowSize, latencyWindowAge = 40, 4 * time.Second // round trips kept a member; older say little
+	latencyWindowSize = 40              // samples kept of each member
+	latencyWindowAge  = 4 * time.Second // age at which a sample no longer counts
 
-	priorWeight        = 2.0 // answers of its role count as a member's own: it may have none
-	assumedConcurrency = 2   // attempts that any member works on at once; the rest may be queued
+	priorWeight = 2.0 // the pool of members of the same role counts as this many samples of a member
+
+	assumedConcurrency = 2 // attempts that any member processes at once; others may be queued
 )
 
-// sample is one round trip over its class's usual; censored ones lasted at least so long.
+// latencySample is a round trip over the expected latency of its class. A censored one lasted at least so
+// long.
 type latencySample struct {
 	at       time.Duration
 	ratio    float64
 	censored bool
 }
 
-// recordLatency keeps a round trip as if the member had had none but its sure share of our work.
-func (r *Router) recordLatency(m *memberState, s latencySample) {
-	s.ratio /= queueingFactor(len(m.inFlight) + 1)
-	m.latencyWindow = append(m.latencyWindow[max(0, len(m.latencyWindow)-latencyWindowSize+1):], s)
-	pool := r.latencyPools[m.role == RolePrimary]
-	r.latencyPools[m.role == RolePrimary] = append(pool[max(0, len(pool)-latencyWindowSize+1):], s)
+// recordLatency records a sample, divided by the queueing that this gateway's own attempts caused.
+func (r *Router) recordLatency(member *memberState, sample latencySample) {
+	sample.ratio /= queueingFactor(len(member.inFlight) + 1)
+	member.latencyWindow = appendSample(member.latencyWindow, sample)
+	isPrimary := member.role == RolePrimary
+	r.latencyPools[isPrimary] = appendSample(r.latencyPools[isPrimary], sample)
+}
+
+// appendSample appends to a window, and drops the oldest sample from a full one.
+func appendSample(window []latencySample, sample latencySample) []latencySample {
+	return append(window[max(0, len(window)-latencyWindowSize+1):], sample)
 }
 
-// crowding is how much longer answers take with so many of our attempts there: those past assumedConcurrency queue.
-func queueingFactor(out int) float64 {
-	return float64(max(out, assumedConcurrency)) / assumedConcurrency
+// queueingFactor is how much longer answers take with so many attempts of this gateway at a member: those
+// beyond assumedConcurrency are queued.
+func queueingFactor(attempts int) float64 {
+	return float64(max(attempts, assumedConcurrency)) / assumedConcurrency
 }
 
-// chance is the share of a member's recent round trips within a time. Attempts out for longer count as too
-// late at once, so a member that falls silent stops winning before any time-out.
-func (r *Router) onTimeProbability(m *memberState, left, usual time.Duration, extra int) float64 {
-	target := float64(left) / float64(usual)
-	each := target / queueingFactor(len(m.inFlight)+1+extra)
-	hits, n := r.countOnTime(r.latencyPools[m.role == RolePrimary], each, priorWeight, priorWeight)
-	hits, n = r.countOnTime(m.latencyWindow, each, priorWeight*hits/n, priorWeight)
-	for _, a := range m.inFlight {
-		if float64(r.now-a.sentAt)/float64(a.expectedLatency) > target {
-			n++
+// onTimeProbability estimates the probability that a member answers within a time, from its recent
+// latencies. Attempts that have been in flight for longer count as late at once, so that a member that
+// falls silent is avoided before any timeout. Extra is how many more attempts to assume in flight.
+func (r *Router) onTimeProbability(member *memberState, within, expected time.Duration, extra int) float64 {
+	target := float64(within) / float64(expected)
+	unqueued := target / queueingFactor(len(member.inFlight)+1+extra)
+	pool := r.latencyPools[member.role == RolePrimary]
+	onTime, total := r.countOnTime(pool, unqueued, priorWeight, priorWeight)
+	onTime, total = r.countOnTime(member.latencyWindow, unqueued, priorWeight*onTime/total, priorWeight)
+	for _, attempt := range member.inFlight {
+		if float64(r.now-attempt.sentAt)/float64(attempt.expectedLatency) > target {
+			total++
 		}
 	}
-	return hits / n
+	return onTime / total
 }
 
-// share adds to hits and n what a window says of round trips within a target.
-func (r *Router) countOnTime(window []latencySample, target, hits, n float64) (float64, float64) {
-	for _, s := range window {
-		w := 2 * (1 - float64(r.now-s.at)/float64(latencyWindowAge)) // the newest say most
-		if late := s.ratio > target; w > 0 && late {
-			n += w
-		} else if w > 0 && !s.censored {
-			hits, n = hits+w, n+w
+// countOnTime adds a window's samples to the weighted numbers of samples on time and of all samples. The
+// newest weigh most. A censored sample within the target counts as neither.
+func (r *Router) countOnTime(window []latencySample, target, onTime, total float64) (float64, float64) {
+	for _, sample := range window {
+		weight := 2 * (1 - float64(r.now-sample.at)/float64(latencyWindowAge))
+		if weight <= 0 {
+			continue
+		}
+		if sample.ratio > target {
+			total += weight
+		} else if !sample.censored {
+			onTime += weight
+			total += weight
 		}
 	}
-	return hits, n
+	return onTime, total
 }
 
-// product is the best row's utility times the chance of its time.
-func (r *Router) score(q *requestState, m *memberState) float64 {
+// score is the expected value of a member's answer, as a share of the request's priority weight.
+func (r *Router) score(req *requestState, member *memberState) float64 {
 	extra := 0
-	if m == q.group.primary() && !q.needsPrimary {
-		extra = 1 // reads leave room for an attempt there
+	if member == req.group.primary() && !req.needsPrimary {
+		extra = 1 // reads leave capacity for a write at the primary
 	}
-	aim := r.onTimeProbability(m, q.latencyObjectiveAt-r.now, *q.expectedLatency, extra)
-	return max(aim, q.class.LateShare*r.onTimeProbability(m, q.deadline-r.now, *q.expectedLatency, extra))
+	inObjective := r.onTimeProbability(member, req.latencyObjectiveAt-r.now, *req.expectedLatency, extra)
+	inDeadline := r.onTimeProbability(member, req.deadline-r.now, *req.expectedLatency, extra)
+	return max(inObjective, req.class.LateShare*inDeadline)
 }
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -2,49 +2,64 @@
 
 import "time"
 
-// primary is the usable member last told to be primary.
-func (g *groupState) primary() *memberState {
-	for _, m := range g.members {
-		if m.role == RolePrimary && m.usable {
-			return m
-		}
-	}
-	return nil
-}
+const (
+	// primarySearchInterval is the pause after a search that found no primary: a failover takes at least
+	// that long.
+	primarySearchInterval = 500 * time.Millisecond
+
+	// trialInterval bounds the requests that an unresponsive member can delay.
+	trialInterval = time.Second
 
-const primarySearchInterval = 500 * time.Millisecond // after a round of misses: a switch takes at least that long
+	// minTrialLatencies is the time that a request must have left for a trial, in expected latencies.
+	minTrialLatencies = 4
+)
 
-// choosePrimary finds the place for a write or a fresh read; nil holds it. Without a primary a write tries
-// members in order of ids, with a pause after each round, one at a time: many would fall into one hole.
-func (r *Router) choosePrimary(q *requestState) *memberState {
-	g, p := q.group, q.group.primary()
-	if p != nil && r.eligible(q, p) && (!r.unhealthy(p) || r.allowTrial(q, p)) {
-		return p
+// choosePrimary returns the member for a write or a strong read; nil if it has to wait. Without a healthy
+// primary a write tries the other members in order of their ids, with a pause after each round. Only one
+// write of a group searches at a time, as all others would fail alike.
+func (r *Router) choosePrimary(req *requestState) *memberState {
+	group, primary := req.group, req.group.primary()
+	if primary != nil && r.eligible(req, primary) && (!r.unhealthy(primary) || r.allowTrial(req, primary)) {
+		return primary
 	}
-	g.primaryWantedAt = r.now
-	if q.class.Consistency != ConsistencyWrite || p != nil && !r.unhealthy(p) || g.searchAttempt != nil || r.now < g.nextSearchAt {
+	group.primaryWantedAt = r.now
+	if !r.mayStartSearch(req, primary) {
 		return nil
 	}
-	for g.searchIndex < len(g.members) {
-		m := g.members[g.searchIndex]
-		if g.searchIndex++; m != p && !r.unhealthy(m) && r.eligible(q, m) {
-			return m
+	for group.searchIndex < len(group.members) {
+		member := group.members[group.searchIndex]
+		group.searchIndex++
+		if member != primary && !r.unhealthy(member) && r.eligible(req, member) {
+			return member
 		}
 	}
-	g.searchIndex, g.nextSearchAt = 0, r.now+primarySearchInterval
+	group.searchIndex = 0
+	group.nextSearchAt = r.now + primarySearchInterval
 	return nil
 }
 
-const trialInterval = time.Second // one trial read a suspect member: bounds what a hang can eat
+// mayStartSearch reports whether a request may search its group for the primary.
+func (r *Router) mayStartSearch(req *requestState, primary *memberState) bool {
+	if req.class.Consistency != ConsistencyWrite || primary != nil && !r.unhealthy(primary) {
+		return false
+	}
+	return req.group.searchAttempt == nil && r.now >= req.group.nextSearchAt
+}
 
-// trial lets one request through to a suspect member now and then, so that it can come back: one that may
-// be repeated, or any where connections fail, as it hardly gets written then.
-func (r *Router) allowTrial(q *requestState, m *memberState) bool {
-	if q.class.Effect != Idempotent && m.connectFailures < maxFailures ||
-		r.now < m.nextTrialAt || r.now+4**q.expectedLatency > q.usefulUntil ||
-		r.cfg.AllowHealthChecks && m.zoneState.Condemned(m.healthCheckAnsweredAt) { // probes cost clients nothing
+// allowTrial lets one request through to an unhealthy member now and then, so that it can recover. The
+// request must be one that may be repeated, or connects to the member must fail, so that it is hardly ever
+// written.
+func (r *Router) allowTrial(req *requestState, member *memberState) bool {
+	if req.class.Effect != Idempotent && member.connectFailures < maxFailures {
+		return false
+	}
+	if r.now < member.nextTrialAt || r.now+minTrialLatencies*(*req.expectedLatency) > req.usefulUntil {
+		return false
+	}
+	// A member that was lost with its zone is tried by health checks: they cost clients nothing.
+	if r.cfg.AllowHealthChecks && member.zoneState.Condemned(member.healthCheckAnsweredAt) {
 		return false
 	}
-	m.nextTrialAt = r.now + trialInterval
+	member.nextTrialAt = r.now + trialInterval
 	return true
 }
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// maxExportedSilence bounds a silence that is passed on, in times usual: far past all that decisions tell apart.
+// maxExportedSilence bounds the silence in a snapshot, in expected latencies: far above what decisions distinguish, and
+// finite, so that it can be encoded.
 const maxExportedSilence = 1e9
 
-// Learned is what a router has learned of its members and its traffic, for a process that takes its place. Times are on
-// the module's clock, which has to be the same for both. It decides nothing.
+// Snapshot is what a Router has learned of its members and its traffic, for the Router of a successor process. Times
+// are on the host's clock, which has to be the same for both. The JSON names are read by other versions.
 type Snapshot struct {
-	Members                 map[string]MemberSnapshot `json:"Members"`
-	ExpectedLatency         []time.Duration           `json:"Usual"` // by class
-	ExpectedWork            []time.Duration           `json:"Work"`  // by class
-	WorkUpdatedAt           []time.Duration           `json:"WorkAt"`
-	ReplicaLatencies        []LatencySnapshot         `json:"Replicas"`   // the pooled round trips
-	PrimaryLatencies        []LatencySnapshot         `json:"Primaries"`  // the pooled round trips
-	WarmThroughput          float64                   `json:"MemberFlow"` // work answered a second by a warm member; older versions told that of all as Flow
-	MeanPriorityWeight      float64                   `json:"Worth"`
-	MeanExpectedLatency     float64                   `json:"Weight"`
-	ThroughputAt            time.Duration             `json:"FlowAt"`
-	StartedAt               time.Duration             `json:"StartAt"`
-	ConnectionShortageUntil time.Duration             `json:"TightUntil"`
-	PrimaryWantedAt         map[int]time.Duration     `json:"Searches"`     // by group: when a request last wanted its primary in vain
-	UnansweredShare         map[int]float64           `json:"Vain"`         // by group: the share of requests of late that ended unanswered
-	RetryTokens             float64                   `json:"FurtherTries"` // what is left of their budgets
-	HealthCheckTokens       float64                   `json:"Probes"`       // what is left of their budgets
+	Members          map[string]MemberSnapshot `json:"Members"`   // by id
+	ExpectedLatency  []time.Duration           `json:"Usual"`     // by class
+	ExpectedWork     []time.Duration           `json:"Work"`      // by class
+	WorkUpdatedAt    []time.Duration           `json:"WorkAt"`    // by class
+	ReplicaLatencies []LatencySnapshot         `json:"Replicas"`  // the pool of all members but primaries
+	PrimaryLatencies []LatencySnapshot         `json:"Primaries"` // the pool of primaries
+	// WarmThroughput is the work answered by one warm member. Older versions give that of all members as "Flow".
+	WarmThroughput          float64               `json:"MemberFlow"`
+	MeanPriorityWeight      float64               `json:"Worth"`
+	MeanExpectedLatency     float64               `json:"Weight"` // in seconds
+	ThroughputAt            time.Duration         `json:"FlowAt"` // when WarmThroughput was computed
+	StartedAt               time.Duration         `json:"StartAt"`
+	ConnectionShortageUntil time.Duration         `json:"TightUntil"`
+	PrimaryWantedAt         map[int]time.Duration `json:"Searches"`     // by group: when a request last found no member
+	UnansweredShare         map[int]float64       `json:"Vain"`         // by group: of the latest requests
+	RetryTokens             float64               `json:"FurtherTries"` // left of the retry budget
+	HealthCheckTokens       float64               `json:"Probes"`       // left of the health check budget
 }
 
-// MemberSnapshot is what is known of one member.
+// MemberSnapshot is what a Router has learned of one member.
 type MemberSnapshot struct {
 	Role                   Role              `json:"Role"`
-	RolePosition           int64             `json:"RoleDate"`
-	Position               int64             `json:"Position"`
-	PositionAt             time.Duration     `json:"PosAt"`
+	RolePosition           int64             `json:"RoleDate"` // the position that dates Role
+	Position               int64             `json:"Position"` // the highest that it has reported
+	PositionAt             time.Duration     `json:"PosAt"`    // when it reported that
 	AnsweredAt             time.Duration     `json:"HeardAt"`
 	NextTrialAt            time.Duration     `json:"TrialAt"`
 	Failures               int               `json:"Failed"`
 	ConnectFailures        int               `json:"Shut"`
-	EndedSilence           float64           `json:"Lost"` // silence, with that of attempts that are still out
+	EndedSilence           float64           `json:"Lost"` // in expected latencies, including attempts in flight
 	Down                   bool              `json:"Down"`
 	StartedAt              time.Duration     `json:"StartedAt"`
 	TokensAt               time.Duration     `json:"CreditAt"`
@@ -47,77 +49,138 @@
 	UnansweredCheckAt      time.Duration     `json:"AskedAt"`
 	PreviousStartedAt      time.Duration     `json:"WasAt"`
 	AnsweredBeforeZoneLoss time.Duration     `json:"AwayAt"`
-	Tokens                 float64           `json:"Credit"`
+	Tokens                 float64           `json:"Credit"` // slow start: seconds of work
 	LatencyWindow          []LatencySnapshot `json:"Window"`
 }
 
-// LatencySnapshot is one round trip over its class's usual.
+// LatencySnapshot is one round trip over the expected latency of its class. A censored one lasted at least so long.
 type LatencySnapshot struct {
 	At       time.Duration `json:"At"`
 	Ratio    float64       `json:"Ratio"`
 	Censored bool          `json:"Censored"`
 }
 
-// Learned returns what has been learned so far.
+// Snapshot returns what has been learned so far.
 func (r *Router) Snapshot() Snapshot {
-	l := Snapshot{Members: map[string]MemberSnapshot{}, ExpectedLatency: slices.Clone(r.expectedLatency), ExpectedWork: slices.Clone(r.expectedWork),
-		WorkUpdatedAt: slices.Clone(r.workUpdatedAt), ReplicaLatencies: exportSamples(r.latencyPools[false]),
-		PrimaryLatencies: exportSamples(r.latencyPools[true]), WarmThroughput: r.warmThroughput.sum, MeanPriorityWeight: r.meanPriorityWeight, MeanExpectedLatency: r.meanExpectedLatency, ThroughputAt: r.warmThroughput.at, StartedAt: r.startedAt,
-		ConnectionShortageUntil: r.connectionShortageUntil, PrimaryWantedAt: map[int]time.Duration{}, UnansweredShare: map[int]float64{}, RetryTokens: r.retryTokens, HealthCheckTokens: r.healthCheckTokens}
-	for id, g := range r.groups {
-		l.UnansweredShare[id] = g.unansweredShare
-		if g.primaryWantedAt > 0 {
-			l.PrimaryWantedAt[id] = g.primaryWantedAt
+	snapshot := Snapshot{
+		Members:                 map[string]MemberSnapshot{},
+		ExpectedLatency:         slices.Clone(r.expectedLatency),
+		ExpectedWork:            slices.Clone(r.expectedWork),
+		WorkUpdatedAt:           slices.Clone(r.workUpdatedAt),
+		ReplicaLatencies:        exportSamples(r.latencyPools[false]),
+		PrimaryLatencies:        exportSamples(r.latencyPools[true]),
+		WarmThroughput:          r.warmThroughput.sum,
+		ThroughputAt:            r.warmThroughput.at,
+		MeanPriorityWeight:      r.meanPriorityWeight,
+		MeanExpectedLatency:     r.meanExpectedLatency,
+		StartedAt:               r.startedAt,
+		ConnectionShortageUntil: r.connectionShortageUntil,
+		PrimaryWantedAt:         map[int]time.Duration{},
+		UnansweredShare:         map[int]float64{},
+		RetryTokens:             r.retryTokens,
+		HealthCheckTokens:       r.healthCheckTokens,
+	}
+	for number, group := range r.groups {
+		snapshot.UnansweredShare[number] = group.unansweredShare
+		if group.primaryWantedAt > 0 {
+			snapshot.PrimaryWantedAt[number] = group.primaryWantedAt
 		}
 	}
-	for id, m := range r.members {
-		l.Members[id] = MemberSnapshot{Role: m.role, RolePosition: m.rolePosition, Position: m.position, PositionAt: m.positionAt, AnsweredAt: m.answeredAt,
-			NextTrialAt: m.nextTrialAt, Failures: m.failures, ConnectFailures: m.connectFailures, EndedSilence: min(r.silence(m), maxExportedSilence), Down: m.down, StartedAt: m.startedAt,
-			TokensAt: m.tokensAt, HealthCheckAnsweredAt: m.healthCheckAnsweredAt, UnansweredCheckAt: m.unansweredCheckAt, PreviousStartedAt: m.previousStartedAt, AnsweredBeforeZoneLoss: m.answeredBeforeZoneLoss,
-			Tokens: m.tokens, LatencyWindow: exportSamples(m.latencyWindow)}
+	for id, member := range r.members {
+		snapshot.Members[id] = r.exportMember(member)
 	}
-	return l
+	return snapshot
 }
 
-// Learn takes over what another process's router had learned of members that this one knows. It comes right after the
-// first list; what this router has learned itself is newer.
-func (r *Router) Restore(l Snapshot) {
-	if len(l.ExpectedLatency) != len(r.expectedLatency) || len(l.ExpectedWork) != len(r.expectedWork) || len(l.WorkUpdatedAt) != len(r.workUpdatedAt) {
-		return // of another configuration
+// exportMember returns what has been learned of a member.
+func (r *Router) exportMember(member *memberState) MemberSnapshot {
+	return MemberSnapshot{
+		Role:                   member.role,
+		RolePosition:           member.rolePosition,
+		Position:               member.position,
+		PositionAt:             member.positionAt,
+		AnsweredAt:             member.answeredAt,
+		NextTrialAt:            member.nextTrialAt,
+		Failures:               member.failures,
+		ConnectFailures:        member.connectFailures,
+		EndedSilence:           min(r.silence(member), maxExportedSilence),
+		Down:                   member.down,
+		StartedAt:              member.startedAt,
+		TokensAt:               member.tokensAt,
+		HealthCheckAnsweredAt:  member.healthCheckAnsweredAt,
+		UnansweredCheckAt:      member.unansweredCheckAt,
+		PreviousStartedAt:      member.previousStartedAt,
+		AnsweredBeforeZoneLoss: member.answeredBeforeZoneLoss,
+		Tokens:                 member.tokens,
+		LatencyWindow:          exportSamples(member.latencyWindow),
 	}
-	copy(r.expectedLatency, l.ExpectedLatency)
-	copy(r.expectedWork, l.ExpectedWork)
-	copy(r.workUpdatedAt, l.WorkUpdatedAt)
-	r.latencyPools[false], r.latencyPools[true] = importSamples(l.ReplicaLatencies), importSamples(l.PrimaryLatencies)
-	r.warmThroughput, r.startedAt = decayingSum{l.WarmThroughput, l.ThroughputAt}, min(r.startedAt, l.StartedAt)
-	r.meanPriorityWeight, r.meanExpectedLatency, r.retryTokens, r.healthCheckTokens, r.connectionShortageUntil = l.MeanPriorityWeight, l.MeanExpectedLatency, l.RetryTokens, l.HealthCheckTokens, l.ConnectionShortageUntil
-	for id, at := range l.PrimaryWantedAt {
-		if g := r.groups[id]; g != nil {
-			g.primaryWantedAt = at
-		}
+}
+
+// Restore takes over what the Router of a predecessor process has learned of the members that are known here. It has to
+// be called right after the first endpoint list: it overwrites what this Router has learned itself. A snapshot of
+// another number of classes is ignored.
+func (r *Router) Restore(snapshot Snapshot) {
+	classes := len(r.cfg.Classes)
+	if len(snapshot.ExpectedLatency) != classes || len(snapshot.ExpectedWork) != classes ||
+		len(snapshot.WorkUpdatedAt) != classes {
+		return
 	}
-	for id, vain := range l.UnansweredShare {
-		if g := r.groups[id]; g != nil {
-			g.unansweredShare = vain
+	copy(r.expectedLatency, snapshot.ExpectedLatency)
+	copy(r.expectedWork, snapshot.ExpectedWork)
+	copy(r.workUpdatedAt, snapshot.WorkUpdatedAt)
+	r.latencyPools[false] = importSamples(snapshot.ReplicaLatencies)
+	r.latencyPools[true] = importSamples(snapshot.PrimaryLatencies)
+	r.warmThroughput = decayingSum{snapshot.WarmThroughput, snapshot.ThroughputAt}
+	r.startedAt = min(r.startedAt, snapshot.StartedAt)
+	r.meanPriorityWeight = snapshot.MeanPriorityWeight
+	r.meanExpectedLatency = snapshot.MeanExpectedLatency
+	r.retryTokens = snapshot.RetryTokens
+	r.healthCheckTokens = snapshot.HealthCheckTokens
+	r.connectionShortageUntil = snapshot.ConnectionShortageUntil
+	for number, at := range snapshot.PrimaryWantedAt {
+		if group := r.groups[number]; group != nil {
+			group.primaryWantedAt = at
 		}
 	}
-	for id, x := range l.Members {
-		m := r.members[id]
-		if m == nil {
-			continue
-		}
-		if x.StartedAt >= m.startedAt { // else a new process has started there since
-			m.failures, m.connectFailures, m.endedSilence, m.down, m.latencyWindow = x.Failures, x.ConnectFailures, x.EndedSilence, x.Down, importSamples(x.LatencyWindow)
-			m.startedAt, m.tokens, m.tokensAt, m.previousStartedAt, m.answeredBeforeZoneLoss = x.StartedAt, x.Tokens, x.TokensAt, x.PreviousStartedAt, x.AnsweredBeforeZoneLoss
+	for number, share := range snapshot.UnansweredShare {
+		if group := r.groups[number]; group != nil {
+			group.unansweredShare = share
 		}
-		m.answeredAt, m.nextTrialAt, m.healthCheckAnsweredAt, m.unansweredCheckAt = x.AnsweredAt, x.NextTrialAt, x.HealthCheckAnsweredAt, x.UnansweredCheckAt
-		if x.Position > m.position {
-			m.position, m.positionAt = x.Position, x.PositionAt
+	}
+	for id, learned := range snapshot.Members {
+		if member := r.members[id]; member != nil {
+			member.restore(learned)
 		}
-		m.role, m.rolePosition = x.Role, x.RolePosition
 	}
 }
 
+// restore takes over what was learned of a member. What belongs to its process is left out if a newer one has started.
+func (m *memberState) restore(learned MemberSnapshot) {
+	if learned.StartedAt >= m.startedAt {
+		m.failures = learned.Failures
+		m.connectFailures = learned.ConnectFailures
+		m.endedSilence = learned.EndedSilence
+		m.down = learned.Down
+		m.latencyWindow = importSamples(learned.LatencyWindow)
+		m.startedAt = learned.StartedAt
+		m.tokens = learned.Tokens
+		m.tokensAt = learned.TokensAt
+		m.previousStartedAt = learned.PreviousStartedAt
+		m.answeredBeforeZoneLoss = learned.AnsweredBeforeZoneLoss
+	}
+	m.answeredAt = learned.AnsweredAt
+	m.nextTrialAt = learned.NextTrialAt
+	m.healthCheckAnsweredAt = learned.HealthCheckAnsweredAt
+	m.unansweredCheckAt = learned.UnansweredCheckAt
+	if learned.Position > m.position {
+		m.position = learned.Position
+		m.positionAt = learned.PositionAt
+	}
+	m.role = learned.Role
+	m.rolePosition = learned.RolePosition
+}
+
+// exportSamples copies samples to a snapshot.
 func exportSamples(window []latencySample) []LatencySnapshot {
 	var out []LatencySnapshot
 	for _, s := range window {
@@ -126,6 +189,7 @@
 	return out
 }
 
+// importSamples copies samples from a snapshot.
 func importSamples(window []LatencySnapshot) []latencySample {
 	var out []latencySample
 	for _, s := range window {
--- a/routing/validate.go
+++ b/routing/validate.go
@@ -6,19 +6,20 @@
 	"cranegate/internal/zones"
 )
 
-// ConfigError says that a router can't be made with a configuration, and what it needs. Readers of settings find such faults
-// before, with the names that operators know.
+// ConfigError is a configuration that a Router can't be made with. Readers of settings find such faults
+// earlier, and name the setting as operators know it.
 type ConfigError struct {
 	Field string // of Config
 	Needs string // what it has to be
 }
 
+// Error names the field and what it has to be.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("configuration: %s has to be %s", e.Field, e.Needs)
 }
 
-// check says what a configuration lacks that decisions divide by or wait for, and makes the zones that it asks for; nil for
-// none. A cold member's settings may all be left out, all zero: then members count as warm from the start.
+// validate checks what decisions divide by or wait for, and makes the zones that are configured; nil for
+// none. It returns a *ConfigError, or an error of the zones' options.
 func (c *Config) validate(seed uint64) (*zones.Zones, error) {
 	switch {
 	case len(c.Classes) == 0:
@@ -27,20 +28,31 @@
 		return nil, &ConfigError{"Gateways", "1 at least"}
 	case c.MaxAttempts < 1:
 		return nil, &ConfigError{"MaxAttempts", "1 at least"}
-	case c.SlowStartDuration < 0 || c.SlowStartDuration > 0 && (!(c.OverloadFactor > 0) || c.OverloadWindow <= 0 || !(c.SlowStartCapacity >= 0 && c.SlowStartCapacity <= 1)):
-		return nil, &ConfigError{"ColdFor, ColdFrom, TipMultiple and TipAfter", "given together: more than 0, and ColdFrom from 0 to 1"}
+	case !c.validSlowStart():
+		return nil, &ConfigError{"SlowStartDuration, SlowStartCapacity, OverloadFactor and OverloadWindow",
+			"given together: more than 0, and SlowStartCapacity from 0 to 1"}
 	}
-	for i, k := range c.Classes {
-		if k.LatencyObjective <= 0 || k.Deadline <= 0 {
-			return nil, &ConfigError{fmt.Sprintf("class %d (%s)", i, k.Name), "given an Aim and a Deadline of more than 0"}
+	for i, class := range c.Classes {
+		if class.LatencyObjective <= 0 || class.Deadline <= 0 {
+			return nil, &ConfigError{fmt.Sprintf("class %d (%s)", i, class.Name),
+				"given a LatencyObjective and a Deadline of more than 0"}
 		}
 	}
 	if c.Zones == nil {
 		return nil, nil
 	}
-	z, err := zones.New(*c.Zones, seed)
+	judged, err := zones.New(*c.Zones, seed)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	return z, nil
+	return judged, nil
+}
+
+// validSlowStart reports whether slow start is off or fully configured. The comparisons reject NaN.
+func (c *Config) validSlowStart() bool {
+	if c.SlowStartDuration == 0 {
+		return true
+	}
+	return c.SlowStartDuration > 0 && c.OverloadFactor > 0 && c.OverloadWindow > 0 &&
+		c.SlowStartCapacity >= 0 && c.SlowStartCapacity <= 1
 }
--- a/routing/zones.go
+++ b/routing/zones.go
@@ -7,107 +7,136 @@
 	"cranegate/internal/zones"
 )
 
-// This file brings what is known of members to the zones; what follows from it is decided there and in the files of decisions.
+// Zones returns the state of the zones; nil where they are not judged. It shares the Router's goroutine.
+func (r *Router) Zones() *zones.Zones { return r.zones }
 
-// seen notes the end of a probe.
-func (r *Router) recordHealthCheck(m *memberState, p HealthCheckResult) {
-	if p.Result == ResultOK {
-		m.healthCheckAnsweredAt, m.unansweredCheckAt = r.now, 0
-		m.zoneState.Timed(p.Latency)
+// zoneState returns the state of a zone; nil where zones are not judged.
+func (r *Router) zoneState(name string) *zones.Zone {
+	if r.zones == nil {
+		return nil
 	}
+	return r.zones.Zone(name)
 }
 
-// ask notes that a probe goes out: the first since the member was last heard, or since one was answered, counts.
-func (m *memberState) healthCheckSent(now time.Duration) {
-	if m.unansweredCheckAt <= m.answeredAt {
-		m.unansweredCheckAt = now
+// judgeZones judges the zones by what is known of their members.
+func (r *Router) judgeZones() {
+	if r.zones == nil {
+		return
+	}
+	r.zones.Begin(r.now)
+	for _, member := range r.sortedMembers {
+		if member.usable {
+			r.zones.Observe(member.zoneState, r.zoneObservation(member))
+		}
+	}
+	r.zones.Settle()
+	for _, change := range r.zones.Changes() {
+		r.gateway.ZoneChanged(change)
 	}
 }
 
-// mute is how long a member's probes have gone unanswered. A member that answers requests meanwhile is not mute.
-func (r *Router) healthCheckSilence(m *memberState) time.Duration {
-	if m.unansweredCheckAt == 0 || m.unansweredCheckAt <= m.answeredAt {
-		return 0
+// zoneObservation is what a member contributes to the judgement of its zone.
+func (r *Router) zoneObservation(member *memberState) zones.Observation {
+	observation := zones.Observation{
+		Heard:   max(member.answeredAt, member.healthCheckAnsweredAt),
+		Silent:  r.silence(member),
+		Asked:   len(member.inFlight) > 0 || member.endedSilence > 0 || member.failures > 0,
+		Broken:  member.failures > 0 && r.now-member.answeredAt >= failureGracePeriod,
+		Suspect: r.unhealthy(member),
+		Size:    member.capacity,
+		Mute:    r.healthCheckSilence(member),
+		Usual:   slices.Min(r.expectedLatency),
+	}
+	if !observation.Suspect {
+		observation.Usable = member.capacity * r.slowStartWeight(member)
 	}
-	return r.now - max(m.unansweredCheckAt, r.resumedAt)
+	return observation
 }
 
-// judgeZones has the zones judged by what is known of their members.
-func (r *Router) judgeZones() {
-	if r.zones == nil {
+// recordHealthCheck records the end of a health check.
+func (r *Router) recordHealthCheck(member *memberState, check HealthCheckResult) {
+	if check.Result != ResultOK {
 		return
 	}
-	r.zones.Begin(r.now)
-	for _, m := range r.sortedMembers {
-		if m.usable {
-			e := zones.Observation{Heard: max(m.answeredAt, m.healthCheckAnsweredAt), Silent: r.silence(m), Asked: len(m.inFlight) > 0 || m.endedSilence > 0 || m.failures > 0,
-				Broken: m.failures > 0 && r.now-m.answeredAt >= failureGracePeriod, Suspect: r.unhealthy(m), Size: m.capacity,
-				Mute: r.healthCheckSilence(m), Usual: slices.Min(r.expectedLatency)}
-			if !e.Suspect {
-				e.Usable = m.capacity * r.slowStartWeight(m)
-			}
-			r.zones.Observe(m.zoneState, e)
-		}
+	member.healthCheckAnsweredAt = r.now
+	member.unansweredCheckAt = 0
+	member.zoneState.Timed(check.Latency)
+}
+
+// healthCheckSent records that a health check is sent. The first one after the member's last answer counts.
+func (m *memberState) healthCheckSent(now time.Duration) {
+	if m.unansweredCheckAt <= m.answeredAt {
+		m.unansweredCheckAt = now
 	}
-	r.zones.Settle()
-	for _, c := range r.zones.Changes() {
-		r.gateway.ZoneChanged(c)
+}
+
+// healthCheckSilence is how long a member's health checks have gone unanswered; 0 if it has answered
+// requests meanwhile.
+func (r *Router) healthCheckSilence(member *memberState) time.Duration {
+	if member.unansweredCheckAt == 0 || member.unansweredCheckAt <= member.answeredAt {
+		return 0
 	}
+	return r.now - max(member.unansweredCheckAt, r.resumedAt)
 }
 
-// zone is a member's zone; nil where zones are not judged.
-func (r *Router) zoneState(name string) *zones.Zone {
+// recordZoneAnswer records that a member's zone has answered an attempt.
+func (r *Router) recordZoneAnswer(attempt *attemptState, result Result) {
 	if r.zones == nil {
-		return nil
+		return
 	}
-	return r.zones.Zone(name)
+	switch result {
+	case ResultTimeout, ResultCancelled, ResultConnectFailed, ResultReset, ResultNotSent:
+		return
+	}
+	r.zones.Spare(attempt.member.zoneState, attempt.sentAt)
 }
 
-// forgetZoneDraw drops what was drawn for the placing before.
+// forgetZoneDraw discards the tier that was drawn for the previous placement.
 func (r *Router) forgetZoneDraw() {
 	if r.zones != nil {
 		r.zones.Forget()
 	}
 }
 
-// placed counts where a request went, unless that was a search for the primary.
-func (r *Router) countPlacement(a *attemptState) {
-	if r.zones != nil && a != nil && (!a.request.needsPrimary || a.member == a.request.group.primary()) {
-		r.zones.Placed(a.member.zoneState.Tier())
+// countPlacement counts the tier of an attempt that was sent, unless it searches for the primary.
+func (r *Router) countPlacement(attempt *attemptState) {
+	if r.zones == nil || attempt == nil {
+		return
 	}
-}
-
-// spare notes that a member's zone has answered an attempt.
-func (r *Router) recordZoneAnswer(a *attemptState, result Result) {
-	if r.zones != nil && result != ResultTimeout && result != ResultCancelled && !reachedNobody(result) {
-		r.zones.Spare(a.member.zoneState, a.sentAt)
+	if !attempt.request.needsPrimary || attempt.member == attempt.request.group.primary() {
+		r.zones.Placed(attempt.member.zoneState.Tier())
 	}
 }
 
-// away says that a result shows nothing of a member but that it could not be reached.
-func reachedNobody(r Result) bool {
-	return r == ResultConnectFailed || r == ResultReset || r == ResultNotSent
+// survivedZoneLoss reports whether a connection that was established before a member was lost with its zone
+// has carried an answer since: then the process has survived, and only the network was partitioned. The
+// answer may also come after the zone has recovered.
+func (m *memberState) survivedZoneLoss(connectedAt time.Duration) bool {
+	lastAnswer := m.answeredBeforeZoneLoss
+	if m.zoneState.Condemned(m.answeredAt) {
+		lastAnswer = m.answeredAt
+	} else if lastAnswer == 0 {
+		return false
+	}
+	return connectedAt > 0 && connectedAt <= lastAnswer
 }
 
-// Zones is what is held of zones; nil where they are not judged. Only the module's actor may use it.
-func (r *Router) Zones() *zones.Zones { return r.zones }
-
-// lived says that a connection that came up before a member went with its zone has brought an answer since: the process
-// has lived on, and only the network was cut.
-func (m *memberState) survivedZoneLoss(opened time.Duration) bool {
-	if m.zoneState.Condemned(m.answeredAt) {
-		return opened > 0 && opened <= m.answeredAt
+// undoZoneLoss restores the start of a member whose process has survived the loss of its zone.
+func (m *memberState) undoZoneLoss() {
+	if m.answeredBeforeZoneLoss > 0 {
+		m.startedAt = m.previousStartedAt
+		m.answeredBeforeZoneLoss = 0
 	}
-	return m.answeredBeforeZoneLoss > 0 && opened > 0 && opened <= m.answeredBeforeZoneLoss // the answer may also come after the zone is back
 }
 
-// healthCheckConn is the connection of the next probe: a new one while the member is away, so that idle ones are kept, and the
-// oldest as soon as it is back, which shows whether it has lived on.
+// healthCheckConn is the connection of the next health check: a new one while the member is lost with its
+// zone, so that idle ones are kept, and the oldest as soon as the zone has recovered, which shows whether
+// the process has survived.
 func (m *memberState) healthCheckConn() ConnPolicy {
-	switch {
-	case m.zoneState.Condemned(m.answeredAt):
+	if m.zoneState.Condemned(m.answeredAt) {
 		return ConnNew
-	case m.answeredBeforeZoneLoss > 0 && m.healthCheckSentAt <= m.answeredAt:
+	}
+	if m.answeredBeforeZoneLoss > 0 && m.healthCheckSentAt <= m.answeredAt {
 		return ConnOldest
 	}
 	return ConnAny
