--- a/routing/fast_test.go
+++ b/routing/fast_test.go
@@ -2,5 +2,5 @@
 
 package routing
 
-// rampSeeds is how many seeds of each day are played with cold members.
-const rampSeeds = 50
+// fleetSeeds is how many seeds of each day are played with cold members.
+const fleetSeeds = 50
--- a/routing/format_test.go
+++ b/routing/format_test.go
@@ -14,11 +14,11 @@
 
 // TestLearnedForm pins what one process tells the next: processes of other versions read and write it.
 func TestLearnedForm(t *testing.T) {
-	var l Snapshot
-	if err := json.Unmarshal([]byte(goldenLearned), &l); err != nil {
+	var snapshot Snapshot
+	if err := json.Unmarshal([]byte(goldenLearned), &snapshot); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := json.Marshal(l); err != nil || string(got) != goldenLearned {
+	if got, err := json.Marshal(snapshot); err != nil || string(got) != goldenLearned {
 		t.Errorf("%s, %v", got, err)
 	}
 }
--- a/routing/healthcheck_test.go
+++ b/routing/healthcheck_test.go
@@ -6,82 +6,82 @@
 	"time"
 )
 
-func TestProbesFollowTheTraffic(t *testing.T) {
-	b := newRig(t, config())
-	b.probes = nil
+func TestHealthChecksFollowTheTraffic(t *testing.T) {
+	h := newHarness(t, testConfig())
+	h.healthChecks = nil
 	for range 400 {
-		b.pass(100 * ms)
-		b.told("a", 10*ms)
+		h.advance(100 * ms)
+		h.reportAll("a", 10*ms)
 	}
-	b.want("probes of an idle gateway in 40 s", len(b.probes) <= int(maxHealthCheckTokens), true)
+	h.want("probes of an idle gateway in 40 s", len(h.healthChecks) <= int(maxHealthCheckTokens), true)
 }
 
-func TestProbesAreNotEatenByTheFirstMembersInDoubt(t *testing.T) {
-	var entries []Endpoint
+func TestHealthChecksReachAllMembersInDoubt(t *testing.T) {
+	var endpoints []Endpoint
 	for i := range 20 {
-		entries = append(entries, Endpoint{Member: fmt.Sprint("m", 10+i), Group: i / 5, Primary: i%5 == 0})
+		endpoints = append(endpoints, Endpoint{Member: fmt.Sprint("m", 10+i), Group: i / 5, Primary: i%5 == 0})
 	}
-	b := newRig(t, config(), entries...)
-	b.told("", 10*ms)
-	for _, m := range b.r.sortedMembers {
-		m.failures = maxFailures
+	h := newHarness(t, testConfig(), endpoints...)
+	h.reportAll("", 10*ms)
+	for _, member := range h.router.sortedMembers {
+		member.failures = maxFailures
 	}
-	b.probes = nil
-	b.pass(2 * time.Second)
+	h.healthChecks = nil
+	h.advance(2 * time.Second)
 	n := map[string]int{}
-	for _, m := range b.probes {
+	for _, m := range h.healthChecks {
 		n[m]++
-		b.r.members[m].healthCheckPending = false
+		h.router.members[m].healthCheckPending = false
 	}
-	b.want("members probed", len(n), 20)
+	h.want("members probed", len(n), 20)
 }
 
-func TestLargeFleetIsNotProbedWholeAtEachStart(t *testing.T) {
-	var entries []Endpoint
+func TestLargeFleetIsNotCheckedAtEachStart(t *testing.T) {
+	var endpoints []Endpoint
 	for i := range 100 {
-		entries = append(entries, Endpoint{Member: fmt.Sprint("m", 100+i), Group: i / 5, Primary: i%5 == 0})
+		endpoints = append(endpoints, Endpoint{Member: fmt.Sprint("m", 100+i), Group: i / 5, Primary: i%5 == 0})
 	}
-	b := newRig(t, config(), entries...)
-	b.want("probes at the start", len(b.probes), 0)
-	q := b.ask(boundedRead)
-	if to := b.to(q); len(to) == 0 || to[0] == "m105" {
+	h := newHarness(t, testConfig(), endpoints...)
+	h.want("probes at the start", len(h.healthChecks), 0)
+	id := h.request(boundedRead)
+	if to := h.membersTried(id); len(to) == 0 || to[0] == "m105" {
 		t.Errorf("the first bounded read of a gateway that has heard nobody went %v", to)
 	}
-	c := config()
-	c.StaleReads = StaleReadServed
-	b = newRig(t, c, entries...)
-	b.want("probes where members do not check reads", len(b.probes), 100)
+	cfg := testConfig()
+	cfg.StaleReads = StaleReadServed
+	h = newHarness(t, cfg, endpoints...)
+	h.want("probes where members do not check reads", len(h.healthChecks), 100)
 }
 
-func TestALargeSiteIsProbedLessForEachRequest(t *testing.T) {
+func TestLargeFleetIsCheckedLessPerRequest(t *testing.T) {
 	share := func(members int) float64 {
-		var entries []Endpoint
+		var endpoints []Endpoint
 		for i := range members {
-			entries = append(entries, Endpoint{Member: fmt.Sprint("m", 10+i), Group: i / 4, Primary: i%4 == 0, Capacity: 1})
+			endpoints = append(endpoints, Endpoint{Member: fmt.Sprint("m", 10+i), Group: i / 4, Primary: i%4 == 0, Capacity: 1})
 		}
-		b := newRig(t, config(), entries...)
-		for _, m := range b.r.sortedMembers {
-			m.role = RoleReplica
-			if m.listedPrimary {
-				m.role = RolePrimary
+		h := newHarness(t, testConfig(), endpoints...)
+		for _, member := range h.router.sortedMembers {
+			member.role = RoleReplica
+			if member.listedPrimary {
+				member.role = RolePrimary
 			}
 		}
 		asked := 0
 		for range 40 * 20 {
-			b.pass(50 * ms)
-			q := b.ask(anyRead, func(q *Request) { q.Group = asked % (members / 4) })
+			h.advance(50 * ms)
+			id := h.request(anyRead, func(req *Request) { req.Group = asked % (members / 4) })
 			if asked++; asked == 400 {
-				b.probes = nil // what was saved up for the start is spent
+				h.healthChecks = nil // what was saved up for the start is spent
 			}
-			b.answer(q, ResultOK, RoleReplica, b.at(0))
-			for _, m := range b.r.sortedMembers {
-				if m.healthCheckPending {
-					b.r.HealthChecked(b.now, HealthCheckResult{Member: m.id, Result: ResultOK,
-						Report: Report{HasPosition: true, Position: b.at(0)}})
+			h.endAttempt(id, ResultOK, RoleReplica, h.position(0))
+			for _, member := range h.router.sortedMembers {
+				if member.healthCheckPending {
+					h.router.HealthChecked(h.now, HealthCheckResult{Member: member.id, Result: ResultOK,
+						Report: Report{HasPosition: true, Position: h.position(0)}})
 				}
 			}
 		}
-		return float64(len(b.probes)) / float64(asked-400)
+		return float64(len(h.healthChecks)) / float64(asked-400)
 	}
 	few, many := share(8), share(60)
 	if few < 0.1 || many > 0.1 || many == 0 {
@@ -89,68 +89,68 @@
 	}
 }
 
-func TestAPrimaryIsSoughtByProbesOnlyWhileARequestWantsIt(t *testing.T) {
-	for _, class := range []int{freshRead, sessionRead, boundedRead} {
-		b := newRig(t, config(), Endpoint{Member: "a", Group: 1}, Endpoint{Member: "b", Group: 1}, Endpoint{Member: "c", Group: 1})
-		b.pass(time.Second)
-		b.probes, b.r.healthCheckTokens = nil, 0 // what is saved up is spent
-		for _, m := range b.r.sortedMembers {
-			m.healthCheckPending = false
+func TestPrimaryIsSoughtByHealthChecksOnlyOnDemand(t *testing.T) {
+	for _, class := range []int{strongRead, sessionRead, boundedRead} {
+		h := newHarness(t, testConfig(), Endpoint{Member: "a", Group: 1}, Endpoint{Member: "b", Group: 1}, Endpoint{Member: "c", Group: 1})
+		h.advance(time.Second)
+		h.healthChecks, h.router.healthCheckTokens = nil, 0 // what is saved up is spent
+		for _, member := range h.router.sortedMembers {
+			member.healthCheckPending = false
 		}
-		b.pass(2 * time.Second)
-		b.want("probes while nothing wants the primary", len(b.probes), 0)
-		b.ask(class, func(q *Request) { q.SinceWrite = ms })
-		b.pass(300 * ms)
-		if len(b.probes) < 3 {
-			t.Errorf("%d probes while a read of class %d waits for the primary", len(b.probes), class)
+		h.advance(2 * time.Second)
+		h.want("probes while nothing wants the primary", len(h.healthChecks), 0)
+		h.request(class, func(req *Request) { req.SinceWrite = ms })
+		h.advance(300 * ms)
+		if len(h.healthChecks) < 3 {
+			t.Errorf("%d probes while a read of class %d waits for the primary", len(h.healthChecks), class)
 		}
 	}
 }
 
-// TestStartOfManyProbesNobody starts gateways beside few and beside many others: each probe of a start costs its member the
+// TestOneOfManyGatewaysChecksNobodyAtItsStart starts gateways beside few and beside many others: each probe of a start costs its member the
 // same, and all gateways pay for it together.
-func TestStartOfManyProbesNobody(t *testing.T) {
-	var entries []Endpoint
+func TestOneOfManyGatewaysChecksNobodyAtItsStart(t *testing.T) {
+	var endpoints []Endpoint
 	for i := range 24 {
-		entries = append(entries, Endpoint{Member: fmt.Sprint("m", i), Group: i / 3, Primary: i%3 == 0, Capacity: 1})
+		endpoints = append(endpoints, Endpoint{Member: fmt.Sprint("m", i), Group: i / 3, Primary: i%3 == 0, Capacity: 1})
 	}
 	for gateways, want := range map[int]int{2: 24, 6: 24, 36: 0} {
-		c := config()
-		c.Gateways = gateways
-		if got := len(newRig(t, c, entries...).probes); got != want {
+		cfg := testConfig()
+		cfg.Gateways = gateways
+		if got := len(newHarness(t, cfg, endpoints...).healthChecks); got != want {
 			t.Errorf("one of %d gateways probes %d members at its start, want %d", gateways, got, want)
 		}
 	}
 }
 
-// TestReadsThatMembersDoNotCheckFindFreshOnes has a gateway that sees little of a large site whose members answer from what they
+// TestUncheckedReadsFindFreshMembers has a gateway that sees little of a large site whose members answer from what they
 // have. No position that it knows is recent enough for a bounded read, and the primary has no room: members of that group are
 // asked, though the budget for probes is spent, and the read goes to one that has told.
-func TestReadsThatMembersDoNotCheckFindFreshOnes(t *testing.T) {
+func TestUncheckedReadsFindFreshMembers(t *testing.T) {
 	for _, guards := range []StaleReadPolicy{StaleReadServed, StaleReadDelayed} {
-		c := config()
-		c.StaleReads = guards
-		b := newRig(t, c)
-		b.told("a", 10*ms)
-		b.pass(10 * time.Second)
-		for _, m := range b.r.sortedMembers {
-			m.healthCheckPending, m.answeredAt = false, b.now
+		cfg := testConfig()
+		cfg.StaleReads = guards
+		h := newHarness(t, cfg)
+		h.reportAll("a", 10*ms)
+		h.advance(10 * time.Second)
+		for _, member := range h.router.sortedMembers {
+			member.healthCheckPending, member.answeredAt = false, h.now
 		}
-		a := b.r.members["a"]
+		a := h.router.members["a"]
 		for len(a.inFlight) < 20 {
-			a.inFlight = append(a.inFlight, &attemptState{request: &requestState{}, member: a, sentAt: b.now - 100*time.Second, expectedLatency: 2 * time.Second})
+			a.inFlight = append(a.inFlight, &attemptState{request: &requestState{}, member: a, sentAt: h.now - 100*time.Second, expectedLatency: 2 * time.Second})
 		}
-		b.probes, b.r.healthCheckTokens = nil, 0
-		q := b.ask(boundedRead)
-		b.want("sent at once where members check", len(b.to(q)) == 1, guards != StaleReadServed)
-		b.want("it pays for a probe", b.r.healthCheckTokens == 1, guards == StaleReadServed)
-		b.pass(120 * ms)
-		b.want("probes for the read", len(b.probes) > 0, guards == StaleReadServed)
+		h.healthChecks, h.router.healthCheckTokens = nil, 0
+		id := h.request(boundedRead)
+		h.want("sent at once where members check", len(h.membersTried(id)) == 1, guards != StaleReadServed)
+		h.want("it pays for a probe", h.router.healthCheckTokens == 1, guards == StaleReadServed)
+		h.advance(120 * ms)
+		h.want("probes for the read", len(h.healthChecks) > 0, guards == StaleReadServed)
 		if guards != StaleReadServed {
 			continue
 		}
-		b.told("a", 10*ms)
-		b.pass(50 * ms)
-		b.want("sent once a member has told", len(b.to(q)) == 1 && b.to(q)[0] != "a", true)
+		h.reportAll("a", 10*ms)
+		h.advance(50 * ms)
+		h.want("sent once a member has told", len(h.membersTried(id)) == 1 && h.membersTried(id)[0] != "a", true)
 	}
 }
--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -2,30 +2,30 @@
 
 import "testing"
 
-func TestFullMemberIsLeftUntilItServes(t *testing.T) {
-	b := newRig(t, config())
-	b.told("a", 10*ms)
-	for b.pass(10 * ms); ; b.pass(10 * ms) { // until b has answered full once
-		q := b.ask(anyRead)
-		if b.to(q)[0] == "b" {
-			b.answer(q, ResultOverCapacity, RoleReplica, 0)
+func TestMemberOverCapacityIsAvoided(t *testing.T) {
+	h := newHarness(t, testConfig())
+	h.reportAll("a", 10*ms)
+	for h.advance(10 * ms); ; h.advance(10 * ms) { // until b has answered full once
+		id := h.request(anyRead)
+		if h.membersTried(id)[0] == "b" {
+			h.endAttempt(id, ResultOverCapacity, RoleReplica, 0)
 			break
 		}
-		b.answer(q, ResultOK, RoleReplica, 0)
+		h.endAttempt(id, ResultOK, RoleReplica, 0)
 	}
-	b.sends = nil
+	h.sends = nil
 	for range 40 {
-		b.pass(10 * ms)
-		q := b.ask(anyRead)
-		if to := b.to(q); len(to) > 0 && to[0] == "b" {
-			b.answer(q, ResultOverCapacity, RoleReplica, 0)
+		h.advance(10 * ms)
+		id := h.request(anyRead)
+		if to := h.membersTried(id); len(to) > 0 && to[0] == "b" {
+			h.endAttempt(id, ResultOverCapacity, RoleReplica, 0)
 		} else if len(to) > 0 {
-			b.answer(q, ResultOK, RoleReplica, 0)
+			h.endAttempt(id, ResultOK, RoleReplica, 0)
 		}
 	}
 	n := 0
-	for _, s := range b.sends {
-		if s.member == "b" {
+	for _, sent := range h.sends {
+		if sent.member == "b" {
 			n++
 		}
 	}
@@ -34,61 +34,61 @@
 	}
 }
 
-func TestReadsLeaveRoomAtThePrimaryForWrites(t *testing.T) {
-	b := newRig(t, config())
-	b.told("a", 10*ms)
+func TestReadsLeaveCapacityAtThePrimaryForWrites(t *testing.T) {
+	h := newHarness(t, testConfig())
+	h.reportAll("a", 10*ms)
 	for range 40 { // answers that take three quarters of the aim: in time for two at once, not for three
-		b.r.recordLatency(b.r.members["a"], latencySample{at: b.now, ratio: 3})
+		h.router.recordLatency(h.router.members["a"], latencySample{at: h.now, ratio: 3})
 	}
-	b.told("a", 10*ms)
-	b.want("a first write", b.to(b.ask(onceWrite)), "[a]")
+	h.reportAll("a", 10*ms)
+	h.want("a first write", h.membersTried(h.request(nonIdempotentWrite)), "[a]")
 	for _, m := range []string{"b", "c"} {
-		b.r.members[m].position -= 5000
+		h.router.members[m].position -= 5000
 	}
-	q := b.ask(boundedRead)
-	b.want("a bounded read while replicas lag and the primary is slow", b.to(q), "[]")
-	b.want("a write", b.to(b.ask(onceWrite)), "[a]")
+	id := h.request(boundedRead)
+	h.want("a bounded read while replicas lag and the primary is slow", h.membersTried(id), "[]")
+	h.want("a write", h.membersTried(h.request(nonIdempotentWrite)), "[a]")
 }
 
-func TestCrowdedPrimariesMakeAnUnseenOneLessLikely(t *testing.T) {
-	b := newRig(t, config(), Endpoint{Member: "a", Group: 1, Primary: true}, Endpoint{Member: "b", Group: 2, Primary: true},
+func TestLatePrimariesLowerTheScoreOfAnUnknownOne(t *testing.T) {
+	h := newHarness(t, testConfig(), Endpoint{Member: "a", Group: 1, Primary: true}, Endpoint{Member: "b", Group: 2, Primary: true},
 		Endpoint{Member: "c", Group: 2})
 	for range 20 {
-		b.r.recordLatency(b.r.members["a"], latencySample{at: b.now, ratio: 1e3})
+		h.router.recordLatency(h.router.members["a"], latencySample{at: h.now, ratio: 1e3})
 	}
-	if v := b.r.onTimeProbability(b.r.members["b"], 400*ms, 100*ms, 0); v > 0.3 {
+	if v := h.router.onTimeProbability(h.router.members["b"], 400*ms, 100*ms, 0); v > 0.3 {
 		t.Errorf("chance %.2f at a primary never heard while the others are all late", v)
 	}
-	b.want("chance at a replica", b.r.onTimeProbability(b.r.members["c"], 400*ms, 100*ms, 0), 1)
+	h.want("chance at a replica", h.router.onTimeProbability(h.router.members["c"], 400*ms, 100*ms, 0), 1)
 }
 
-func TestFullAnswersFeedAdmission(t *testing.T) {
-	b := newRig(t, config())
-	b.told("a", 10*ms)
+func TestOverCapacityAnswersCauseShedding(t *testing.T) {
+	h := newHarness(t, testConfig())
+	h.reportAll("a", 10*ms)
 	for range 10 {
-		b.r.observe(&attemptState{member: b.r.members["a"], expectedLatency: 50 * ms, request: &requestState{class: &b.r.cfg.Classes[onceWrite]}},
+		h.router.observe(&attemptState{member: h.router.members["a"], expectedLatency: 50 * ms, request: &requestState{class: &h.router.cfg.Classes[nonIdempotentWrite]}},
 			Outcome{Result: ResultOverCapacity})
 	}
-	if v := b.r.onTimeProbability(b.r.members["a"], 400*ms, 50*ms, 0); v > 0.3 {
+	if v := h.router.onTimeProbability(h.router.members["a"], 400*ms, 50*ms, 0); v > 0.3 {
 		t.Errorf("chance %.2f at a primary that answered full ten times", v)
 	}
 }
 
-func TestTheNewestRoundTripsCountMost(t *testing.T) {
+func TestNewestLatenciesWeighMost(t *testing.T) {
 	chance := func(older, newer float64) float64 {
-		b := newRig(t, config())
-		b.told("a", 10*ms)
-		m := b.r.members["b"]
+		h := newHarness(t, testConfig())
+		h.reportAll("a", 10*ms)
+		member := h.router.members["b"]
 		for i := range 20 {
 			ratio := older
 			if i >= 10 {
 				ratio = newer
 			}
-			b.r.recordLatency(m, latencySample{at: b.now, ratio: ratio})
-			b.now += latencyWindowAge / 22
+			h.router.recordLatency(member, latencySample{at: h.now, ratio: ratio})
+			h.now += latencyWindowAge / 22
 		}
-		b.r.advanceClock(b.now)
-		return b.r.onTimeProbability(m, 400*ms, 100*ms, 0)
+		h.router.advanceClock(h.now)
+		return h.router.onTimeProbability(member, 400*ms, 100*ms, 0)
 	}
 	if slower, faster := chance(1, 100), chance(100, 1); slower > 0.35 || faster < 0.65 {
 		t.Errorf("chance %.2f where answers came late of late, %.2f where they came in time", slower, faster)
--- a/routing/primary_test.go
+++ b/routing/primary_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-func TestAWriteTriesAPrimaryThatCannotBeConnectedTo(t *testing.T) {
+func TestWriteTriesAPrimaryThatRefusesConnections(t *testing.T) {
 	for shut, want := range map[int]bool{0: false, maxFailures: true} {
-		b := newRig(t, config())
-		b.told("a", 10*ms)
-		b.r.members["a"].failures, b.r.members["a"].connectFailures = maxFailures, shut
-		b.pass(time.Second)
-		to := b.to(b.ask(onceWrite))
-		b.want(fmt.Sprint("sent to the primary after ", shut, " connects in vain"), slices.Contains(to, "a"), want)
+		h := newHarness(t, testConfig())
+		h.reportAll("a", 10*ms)
+		h.router.members["a"].failures, h.router.members["a"].connectFailures = maxFailures, shut
+		h.advance(time.Second)
+		to := h.membersTried(h.request(nonIdempotentWrite))
+		h.want(fmt.Sprint("sent to the primary after ", shut, " connects in vain"), slices.Contains(to, "a"), want)
 	}
 }
--- a/routing/slow_test.go
+++ b/routing/slow_test.go
@@ -2,5 +2,5 @@
 
 package routing
 
-// rampSeeds is how many seeds of each day are played with cold members: memory is watched, which takes ten times as long.
-const rampSeeds = 6
+// fleetSeeds is how many seeds of each day are played with cold members: memory is watched, which takes ten times as long.
+const fleetSeeds = 6
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -7,51 +7,51 @@
 	"time"
 )
 
-// TestLearnedPassesOn has a router learn, of a primary, of one that is silent and of one that is cold, and hands that to
+// TestSnapshotIsRestored has a router learn, of a primary, of one that is silent and of one that is cold, and hands that to
 // another as text: the other decides alike from its first request on.
-func TestLearnedPassesOn(t *testing.T) {
-	entries := []Endpoint{{Member: "a", Group: 1, Capacity: 1}, {Member: "b", Group: 1, Capacity: 1}, {Member: "c", Group: 1, Capacity: 1}}
-	c := config()
-	c.RoleSource = RoleSourceNone
-	b := newRig(t, c, entries...)
-	b.told("b", 10*ms)
+func TestSnapshotIsRestored(t *testing.T) {
+	endpoints := []Endpoint{{Member: "a", Group: 1, Capacity: 1}, {Member: "b", Group: 1, Capacity: 1}, {Member: "c", Group: 1, Capacity: 1}}
+	cfg := testConfig()
+	cfg.RoleSource = RoleSourceNone
+	h := newHarness(t, cfg, endpoints...)
+	h.reportAll("b", 10*ms)
 	for range 60 {
-		b.answer(b.ask(anyRead), ResultOK, RoleReplica, b.at(10*ms))
-		b.answer(b.ask(onceWrite), ResultOK, RolePrimary, b.at(0))
-		b.pass(10 * ms)
+		h.endAttempt(h.request(anyRead), ResultOK, RoleReplica, h.position(10*ms))
+		h.endAttempt(h.request(nonIdempotentWrite), ResultOK, RolePrimary, h.position(0))
+		h.advance(10 * ms)
 	}
-	for b.r.members["c"].failures < maxFailures { // and then it breaks
-		q := b.ask(anyRead)
+	for h.router.members["c"].failures < maxFailures { // and then it breaks
+		id := h.request(anyRead)
 		result := ResultOK
-		if b.to(q)[0] == "c" {
+		if h.membersTried(id)[0] == "c" {
 			result = ResultReset
 		}
-		b.answer(q, result, RoleReplica, b.at(10*ms))
-		b.r.ClientDisconnected(b.now, q)
+		h.endAttempt(id, result, RoleReplica, h.position(10*ms))
+		h.router.ClientDisconnected(h.now, id)
 	}
-	text, err := json.Marshal(b.r.Snapshot())
+	text, err := json.Marshal(h.router.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l Snapshot
-	if err := json.Unmarshal(text, &l); err != nil {
+	var snapshot Snapshot
+	if err := json.Unmarshal(text, &snapshot); err != nil {
 		t.Fatal(err)
 	}
-	next := newRig(t, c, entries...)
-	next.now = b.now + 100*ms
-	next.r.Restore(l)
-	if got := next.r.Snapshot(); !reflect.DeepEqual(got.Members["b"], l.Members["b"]) || !reflect.DeepEqual(got.ExpectedLatency, l.ExpectedLatency) {
-		t.Errorf("learned %+v, want %+v", got.Members["b"], l.Members["b"])
+	successor := newHarness(t, cfg, endpoints...)
+	successor.now = h.now + 100*ms
+	successor.router.Restore(snapshot)
+	if got := successor.router.Snapshot(); !reflect.DeepEqual(got.Members["b"], snapshot.Members["b"]) || !reflect.DeepEqual(got.ExpectedLatency, snapshot.ExpectedLatency) {
+		t.Errorf("learned %+v, want %+v", got.Members["b"], snapshot.Members["b"])
 	}
-	w := next.ask(onceWrite)
-	next.want("a write at once goes", next.to(w), "[b]")
-	if got, want := next.r.unhealthy(next.r.members["c"]), b.r.unhealthy(b.r.members["c"]); got != want || next.r.members["c"].failures < maxFailures {
+	write := successor.request(nonIdempotentWrite)
+	successor.want("a write at once goes", successor.membersTried(write), "[b]")
+	if got, want := successor.router.unhealthy(successor.router.members["c"]), h.router.unhealthy(h.router.members["c"]); got != want || successor.router.members["c"].failures < maxFailures {
 		t.Errorf("the one that broke is suspect: %t, want %t", got, want)
 	}
-	other := newRig(t, func() Config { c := config(); c.Classes = c.Classes[:2]; return c }())
-	other.r.Restore(l) // of another configuration: nothing of it is taken, and nothing breaks
-	if other.r.warmThroughput.sum != 0 {
+	other := newHarness(t, func() Config { cfg := testConfig(); cfg.Classes = cfg.Classes[:2]; return cfg }())
+	other.router.Restore(snapshot) // of another configuration: nothing of it is taken, and nothing breaks
+	if other.router.warmThroughput.sum != 0 {
 		t.Error("what was learned under other classes is taken over")
 	}
-	other.pass(time.Second)
+	other.advance(time.Second)
 }
--- a/routing/zones_test.go
+++ b/routing/zones_test.go
@@ -10,181 +10,181 @@
 
 // zoned is a rig of three zones with two members each, a1 the primary of their one group. Probes are answered by
 // alive, at once, over a connection that came up at opened.
-type zoned struct {
-	*rig
-	alive  map[string]bool
-	opened map[string]time.Duration
-	read   int // sends that have been answered or left
+type zonedHarness struct {
+	*harness
+	alive        map[string]bool
+	connectedAt  map[string]time.Duration
+	handledSends int // sends that have been answered or left
 }
 
-func newZoned(t *testing.T, own string) *zoned {
-	c := config()
-	c.Zone, c.Zones = own, &zones.Options{Own: own}
-	var all []Endpoint
+func newZonedHarness(t *testing.T, own string) *zonedHarness {
+	cfg := testConfig()
+	cfg.Zone, cfg.Zones = own, &zones.Options{Own: own}
+	var endpoints []Endpoint
 	for _, z := range []string{"a", "b", "c"} {
 		for _, n := range []string{"1", "2"} {
-			all = append(all, Endpoint{Member: z + n, Group: 1, Zone: z, Capacity: 1, Primary: z+n == "a1"})
+			endpoints = append(endpoints, Endpoint{Member: z + n, Group: 1, Zone: z, Capacity: 1, Primary: z+n == "a1"})
 		}
 	}
-	b := &zoned{newRig(t, c, all...), map[string]bool{}, map[string]time.Duration{}, 0}
-	for _, e := range all {
-		b.alive[e.Member] = true
+	h := &zonedHarness{newHarness(t, cfg, endpoints...), map[string]bool{}, map[string]time.Duration{}, 0}
+	for _, endpoint := range endpoints {
+		h.alive[endpoint.Member] = true
 	}
-	return b
+	return h
 }
 
 // live lets time go by and answers probes.
-func (b *zoned) live(d time.Duration) {
-	for end := b.now + d; b.now < end; {
-		b.pass(10 * ms)
-		asked := b.probes
-		b.probes = nil
+func (h *zonedHarness) advanceAnswering(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.advance(10 * ms)
+		asked := h.healthChecks
+		h.healthChecks = nil
 		for _, m := range asked {
-			if p := (HealthCheckResult{Member: m, Result: ResultTimeout}); !b.alive[m] {
-				b.r.HealthChecked(b.now+200*ms, p)
+			if check := (HealthCheckResult{Member: m, Result: ResultTimeout}); !h.alive[m] {
+				h.router.HealthChecked(h.now+200*ms, check)
 			} else {
 				role := RoleReplica
 				if m == "a1" {
 					role = RolePrimary
 				}
-				p.Result, p.ConnectedAt = ResultOK, b.opened[m]
-				p.Report = Report{HasPosition: true, Position: b.r.positionAt(b.now), Role: role}
-				b.r.HealthChecked(b.now, p)
+				check.Result, check.ConnectedAt = ResultOK, h.connectedAt[m]
+				check.Report = Report{HasPosition: true, Position: h.router.positionAt(h.now), Role: role}
+				h.router.HealthChecked(h.now, check)
 			}
 		}
 	}
 }
 
 // placed asks for reads, has members that live answer them and their copies, and counts where they went first.
-func (b *zoned) placed(n int) map[string]int {
+func (h *zonedHarness) place(n int) map[string]int {
 	out := map[string]int{}
 	for range n {
-		b.live(10 * ms)
-		b.ask(anyRead)
-		for ; b.read < len(b.sends); b.read++ {
-			s := b.sends[b.read]
-			number := b.made[s.request]
-			if b.made[s.request]++; number == 0 {
-				out[s.member]++
+		h.advanceAnswering(10 * ms)
+		h.request(anyRead)
+		for ; h.handledSends < len(h.sends); h.handledSends++ {
+			sent := h.sends[h.handledSends]
+			number := h.attemptsEnded[sent.request]
+			if h.attemptsEnded[sent.request]++; number == 0 {
+				out[sent.member]++
 			}
-			if role := RoleReplica; b.alive[s.member] {
-				if s.member == "a1" {
+			if role := RoleReplica; h.alive[sent.member] {
+				if sent.member == "a1" {
 					role = RolePrimary
 				}
-				b.r.Outcome(b.now, Outcome{Request: s.request, Attempt: number, Member: s.member, Result: ResultOK, Latency: ms,
-					Closed: true, Role: role, Position: b.at(0)})
+				h.router.Outcome(h.now, Outcome{Request: sent.request, Attempt: number, Member: sent.member, Result: ResultOK, Latency: ms,
+					Closed: true, Role: role, Position: h.position(0)})
 			}
 		}
 	}
 	return out
 }
 
-// TestTiersAmongNearTies has reads stay in the own zone as long as it has room, and leave it as it is lost.
-func TestTiersAmongNearTies(t *testing.T) {
-	b := newZoned(t, "b")
-	b.live(time.Second)
-	if at := b.placed(200); at["b1"]+at["b2"] < 195 {
+// TestReadsPreferTheOwnZone has reads stay in the own zone as long as it has room, and leave it as it is lost.
+func TestReadsPreferTheOwnZone(t *testing.T) {
+	h := newZonedHarness(t, "b")
+	h.advanceAnswering(time.Second)
+	if at := h.place(200); at["b1"]+at["b2"] < 195 {
 		t.Errorf("with all well: %v", at)
 	}
-	b.alive["b1"], b.alive["b2"] = false, false
-	b.placed(60)
-	if b.r.Zones().Zone("b").State() != zones.Down {
-		t.Fatalf("zone b is %s", b.r.Zones().Zone("b").State())
+	h.alive["b1"], h.alive["b2"] = false, false
+	h.place(60)
+	if h.router.Zones().Zone("b").State() != zones.Down {
+		t.Fatalf("zone b is %s", h.router.Zones().Zone("b").State())
 	}
-	if at := b.placed(100); at["b1"]+at["b2"] > 0 || at["c1"] < 15 || at["c2"] < 15 || at["a2"] < 15 {
+	if at := h.place(100); at["b1"]+at["b2"] > 0 || at["c1"] < 15 || at["c2"] < 15 || at["a2"] < 15 {
 		t.Errorf("with the own zone lost: %v", at)
 	}
-	if !slices.ContainsFunc(b.zones, func(c zones.Change) bool { return c.Zone == "b" && c.To == zones.Down }) {
+	if !slices.ContainsFunc(h.zones, func(change zones.Change) bool { return change.Zone == "b" && change.To == zones.Down }) {
 		t.Error("nobody was told")
 	}
 }
 
-// TestStaleMembersStayOut guards freshness: the own tier does not make a member that lags eligible.
-func TestStaleMembersStayOut(t *testing.T) {
-	b := newZoned(t, "b")
-	b.live(500 * ms)
+// TestPreferredTierDoesNotOverrideFreshness guards freshness: the own tier does not make a member that lags eligible.
+func TestPreferredTierDoesNotOverrideFreshness(t *testing.T) {
+	h := newZonedHarness(t, "b")
+	h.advanceAnswering(500 * ms)
 	for range 50 {
-		b.live(10 * ms)
+		h.advanceAnswering(10 * ms)
 		for _, m := range []string{"b1", "b2"} { // they stand where they stood
-			b.r.members[m].position = b.r.positionAt(b.now - 5*time.Second)
-			b.r.members[m].positionAt = b.now
+			h.router.members[m].position = h.router.positionAt(h.now - 5*time.Second)
+			h.router.members[m].positionAt = h.now
 		}
-		q := b.ask(boundedRead)
-		if to := b.to(q); len(to) > 0 && b.r.members[to[0]].zone == "b" {
+		id := h.request(boundedRead)
+		if to := h.membersTried(id); len(to) > 0 && h.router.members[to[0]].zone == "b" {
 			t.Fatalf("a read of data 200 ms old at most went to %s, 5 s behind", to[0])
 		} else if len(to) > 0 {
-			b.answer(q, ResultOK, RoleReplica, b.at(0))
+			h.endAttempt(id, ResultOK, RoleReplica, h.position(0))
 		}
 	}
 }
 
-// TestConnectionThatOutlives guards the way back: a member that went with its zone counts as started anew, unless a
+// TestSurvivingConnectionMeansNoRestart guards the way back: a member that went with its zone counts as started anew, unless a
 // connection that came up before brings an answer. One that came up since proves nothing.
-func TestConnectionThatOutlives(t *testing.T) {
+func TestSurvivingConnectionMeansNoRestart(t *testing.T) {
 	for _, lived := range []bool{false, true} {
-		b := newZoned(t, "a")
-		b.placed(50)
-		for m := range b.alive {
-			b.opened[m] = b.now - 500*ms // before it was heard last
+		h := newZonedHarness(t, "a")
+		h.place(50)
+		for m := range h.alive {
+			h.connectedAt[m] = h.now - 500*ms // before it was heard last
 		}
-		b.alive["b1"], b.alive["b2"] = false, false
-		b.placed(300)
-		if !b.r.members["b1"].zoneState.Condemned(b.r.members["b1"].answeredAt) {
+		h.alive["b1"], h.alive["b2"] = false, false
+		h.place(300)
+		if !h.router.members["b1"].zoneState.Condemned(h.router.members["b1"].answeredAt) {
 			t.Fatal("zone b is not lost")
 		}
-		b.alive["b1"], b.alive["b2"] = true, true
+		h.alive["b1"], h.alive["b2"] = true, true
 		if !lived {
-			b.opened["b1"] = b.now
+			h.connectedAt["b1"] = h.now
 		}
-		b.placed(100)
-		if w := b.r.slowStartWeight(b.r.members["b1"]); lived != (w == 1) {
+		h.place(100)
+		if w := h.router.slowStartWeight(h.router.members["b1"]); lived != (w == 1) {
 			t.Errorf("its connections lived on: %v, yet its warmth is %.2f", lived, w)
 		}
 	}
 }
 
-// TestMuteAgain guards the evidence of probes: one that went unanswered before the member was heard must not hide those
+// TestHealthCheckSilenceRestartsAfterAnAnswer guards the evidence of probes: one that went unanswered before the member was heard must not hide those
 // that go unanswered after it.
-func TestMuteAgain(t *testing.T) {
-	b := newZoned(t, "a")
-	b.placed(20)
-	m := b.r.members["b1"]
-	m.healthCheckSent(b.now)
-	b.now += ms
-	b.r.advanceClock(b.now)
-	b.r.observeAnswer(m, 0)
-	b.now += 100 * ms
-	b.r.advanceClock(b.now)
-	if m.healthCheckSent(b.now); b.r.healthCheckSilence(m) != 0 {
+func TestHealthCheckSilenceRestartsAfterAnAnswer(t *testing.T) {
+	h := newZonedHarness(t, "a")
+	h.place(20)
+	member := h.router.members["b1"]
+	member.healthCheckSent(h.now)
+	h.now += ms
+	h.router.advanceClock(h.now)
+	h.router.observeAnswer(member, 0)
+	h.now += 100 * ms
+	h.router.advanceClock(h.now)
+	if member.healthCheckSent(h.now); h.router.healthCheckSilence(member) != 0 {
 		t.Error("a probe that has just gone out counts")
 	}
-	b.now += 50 * ms
-	b.r.advanceClock(b.now)
-	if got := b.r.healthCheckSilence(m); got != 50*ms {
+	h.now += 50 * ms
+	h.router.advanceClock(h.now)
+	if got := h.router.healthCheckSilence(member); got != 50*ms {
 		t.Errorf("mute for %v, want 50ms", got)
 	}
 }
 
-// TestDetectOnlyByReload guards the reload: tiers can be turned off and on while the module runs.
-func TestDetectOnlyByReload(t *testing.T) {
-	b := newZoned(t, "b")
-	b.live(time.Second)
+// TestDetectOnlyCanBeReloaded guards the reload: tiers can be turned off and on while the module runs.
+func TestDetectOnlyCanBeReloaded(t *testing.T) {
+	h := newZonedHarness(t, "b")
+	h.advanceAnswering(time.Second)
 	for _, only := range []bool{true, false} {
-		if err := b.r.Zones().Configure(zones.Options{Own: "b", DetectOnly: only}); err != nil {
+		if err := h.router.Zones().Configure(zones.Options{Own: "b", DetectOnly: only}); err != nil {
 			t.Fatal(err)
 		}
-		if at := b.placed(200); only != (at["b1"]+at["b2"] < 150) {
+		if at := h.place(200); only != (at["b1"]+at["b2"] < 150) {
 			t.Errorf("detect_only = %v: %v", only, at)
 		}
 	}
 }
 
-// TestZonesOffNothingChanges guards the platform: without the options no zone is judged and no probe goes another way.
-func TestZonesOffNothingChanges(t *testing.T) {
-	b := newRig(t, config())
-	b.told("a", 10*ms)
-	b.pass(time.Second)
-	if b.r.Zones() != nil || len(b.zones) > 0 || b.r.members["a"].healthCheckConn() != ConnAny {
+// TestZonesOff guards the platform: without the options no zone is judged and no probe goes another way.
+func TestZonesOff(t *testing.T) {
+	h := newHarness(t, testConfig())
+	h.reportAll("a", 10*ms)
+	h.advance(time.Second)
+	if h.router.Zones() != nil || len(h.zones) > 0 || h.router.members["a"].healthCheckConn() != ConnAny {
 		t.Error("zones are judged though they are off")
 	}
 }
