--- a/routing/attempts_test.go
+++ b/routing/attempts_test.go
@@ -25,8 +25,7 @@
 	write := h.request(idempotentWrite)
 	h.endAttempt(write, ResultReset, RoleUnknown, 0)
 	h.now += 100 * ms
-	h.router.HealthChecked(h.now, HealthCheckResult{Member: "c", Result: ResultOK,
-		Report: Report{HasPosition: true, Position: h.position(0), Role: RolePrimary}})
+	h.checkOK("c", RolePrimary, 0)
 	h.endAttempt(write, ResultMissed, RoleReplica, h.position(0)) // a, tried again, is no primary any more
 	h.want("sends", h.membersTried(write), "[a a c]")
 	h.now += 2 * time.Second
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -8,9 +8,9 @@
 func TestDrainingStopsSendsAtOnce(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
-	h.router.UpdateEndpoints(h.now, EndpointList{Kind: EndpointListPatch, Endpoints: []Endpoint{{Member: "b", Group: 1, Phase: PhaseDraining}}})
-	h.router.UpdateEndpoints(h.now, EndpointList{Kind: EndpointListComplete, Endpoints: []Endpoint{{Member: "a", Group: 1}, {Member: "b", Group: 1,
-		Phase: PhaseDraining}}})
+	h.updateEndpoints(EndpointListPatch, Endpoint{Member: "b", Group: 1, Phase: PhaseDraining})
+	h.updateEndpoints(EndpointListComplete, Endpoint{Member: "a", Group: 1}, Endpoint{Member: "b", Group: 1,
+		Phase: PhaseDraining})
 	for range 30 {
 		h.request(anyRead)
 		h.advance(10 * ms)
@@ -27,10 +27,10 @@
 	cfg.Subscribe, cfg.MaxPollInterval = true, 10*time.Second
 	h := newHarness(t, cfg)
 	h.want("at the start", h.subscriptions, 1)
-	h.router.UpdateEndpoints(h.now, EndpointList{Kind: EndpointListFailed})
+	h.updateEndpoints(EndpointListFailed)
 	h.advance(3 * time.Second)
 	h.want("after a break", h.subscriptions, 2)
-	h.router.UpdateEndpoints(h.now, EndpointList{Kind: EndpointListPatch})
+	h.updateEndpoints(EndpointListPatch)
 	h.advance(20 * time.Second)
 	h.want("while subscribed", h.subscriptions, 2)
 }
@@ -39,8 +39,8 @@
 	cfg := testConfig()
 	cfg.UseRemovedMembers = true
 	h := newHarness(t, cfg)
-	h.router.UpdateEndpoints(h.now, EndpointList{Kind: EndpointListPatch, Endpoints: []Endpoint{{Member: "b", Group: 1, Phase: PhaseRemoved},
-		{Member: "c", Group: 1, Phase: PhaseDraining}}})
+	h.updateEndpoints(EndpointListPatch, Endpoint{Member: "b", Group: 1, Phase: PhaseRemoved},
+		Endpoint{Member: "c", Group: 1, Phase: PhaseDraining})
 	h.want("a read", h.membersTried(h.request(anyRead)), "[b]")
 }
 
@@ -50,8 +50,8 @@
 	h := newHarness(t, cfg)
 	h.reportAll("a", 10*ms)
 	list := func(phase Phase, started time.Duration) {
-		h.router.UpdateEndpoints(h.now, EndpointList{Kind: EndpointListComplete, Endpoints: []Endpoint{{Member: "a", Group: 1}, {Member: "c", Group: 1},
-			{Member: "b", Group: 1, Phase: phase, StartedAt: started}}})
+		h.updateEndpoints(EndpointListComplete, Endpoint{Member: "a", Group: 1}, Endpoint{Member: "c", Group: 1},
+			Endpoint{Member: "b", Group: 1, Phase: phase, StartedAt: started})
 	}
 	list(PhaseDraining, 0)
 	list(PhaseServing, 0)
--- a/routing/events_test.go
+++ b/routing/events_test.go
@@ -30,8 +30,7 @@
 	}
 	h.want("a round by sorted id", h.membersTried(write), "[a a b c]")
 	h.now += 5 * ms
-	h.router.HealthChecked(h.now, HealthCheckResult{Member: "c", Result: ResultOK,
-		Report: Report{HasPosition: true, Position: h.position(0), Role: RolePrimary}})
+	h.checkOK("c", RolePrimary, 0)
 	to := h.membersTried(write)
 	h.want("after the probe named c", to[len(to)-1], "c")
 }
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// sent is one attempt that the module asked for.
+// sentAttempt is one call of Gateway.Send.
 type sentAttempt struct {
 	request   uint64
 	member    string
@@ -18,35 +18,51 @@
 	startBy   time.Duration
 }
 
-// recorder is a gateway that writes down what it is asked.
+// recorder is a Gateway that records its calls.
 type recorder struct {
-	sends                    []sentAttempt
-	rejected, failed         map[uint64]int
-	retryAfter               time.Duration
-	reason                   Reason
-	cancels                  []string
-	healthChecks, closedIdle []string
-	subscriptions            int
-	timers                   int
-	zones                    []zones.Change
-}
-
-func (r *recorder) Send(id uint64, m string, at, by time.Duration) {
-	r.sends = append(r.sends, sentAttempt{id, m, at, by})
-}
-func (r *recorder) Cancel(id uint64, n int) { r.cancels = append(r.cancels, fmt.Sprint(id, "/", n)) }
-func (r *recorder) Reject(id uint64, comeBack time.Duration, why Reason) {
-	r.rejected[id]++
-	r.retryAfter, r.reason = comeBack, why
-}
-func (r *recorder) Fail(id uint64, why Reason)                { r.failed[id]++; r.reason = why }
-func (r *recorder) CloseIdle(m string)                        { r.closedIdle = append(r.closedIdle, m) }
-func (r *recorder) CheckHealth(m string, by ConnPolicy)       { r.healthChecks = append(r.healthChecks, m) }
-func (r *recorder) SetTimer(after time.Duration, name string) { r.timers++ }
-func (r *recorder) Subscribe(on bool)                         { r.subscriptions++ }
-func (r *recorder) FetchEndpoints()                           {}
-func (r *recorder) ZoneChanged(change zones.Change)           { r.zones = append(r.zones, change) }
-func (r *recorder) Log(string)                                {}
+	sends         []sentAttempt
+	rejected      map[uint64]int // by request
+	failed        map[uint64]int // by request
+	retryAfter    time.Duration  // of the last rejection
+	reason        Reason         // of the last rejection or failure
+	cancels       []string       // request/attempt
+	healthChecks  []string       // members
+	closedIdle    []string       // members
+	subscriptions int
+	timers        int
+	zones         []zones.Change
+}
+
+func (r *recorder) Send(request uint64, member string, abandonAt, startBy time.Duration) {
+	r.sends = append(r.sends, sentAttempt{request, member, abandonAt, startBy})
+}
+
+func (r *recorder) Cancel(request uint64, attempt int) {
+	r.cancels = append(r.cancels, fmt.Sprint(request, "/", attempt))
+}
+
+func (r *recorder) Reject(request uint64, retryAfter time.Duration, reason Reason) {
+	r.rejected[request]++
+	r.retryAfter = retryAfter
+	r.reason = reason
+}
+
+func (r *recorder) Fail(request uint64, reason Reason) {
+	r.failed[request]++
+	r.reason = reason
+}
+
+func (r *recorder) CloseIdle(member string) { r.closedIdle = append(r.closedIdle, member) }
+
+func (r *recorder) CheckHealth(member string, _ ConnPolicy) {
+	r.healthChecks = append(r.healthChecks, member)
+}
+
+func (r *recorder) ZoneChanged(change zones.Change) { r.zones = append(r.zones, change) }
+func (r *recorder) SetTimer(time.Duration, string)  { r.timers++ }
+func (r *recorder) Subscribe(bool)                  { r.subscriptions++ }
+func (r *recorder) FetchEndpoints()                 {}
+func (r *recorder) Log(string)                      {}
 
 // Classes of the test configuration.
 const (
@@ -58,64 +74,103 @@
 	idempotentWrite
 )
 
+// testConfig is a configuration of six classes, in which everything is allowed.
 func testConfig() Config {
-	read := Class{LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 1}
-	cfg := Config{Gateways: 2, StaleReads: StaleReadRejected, Positions: true, RoleSource: RoleSourceDelayed, AllowCancel: true,
-		AllowHedging: true, AllowHealthChecks: true, MaxAttempts: 10, MaxRetryAfter: time.Second,
-		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadFactor: 3, OverloadWindow: 2 * time.Second}
-	for need := ConsistencyAny; need <= ConsistencyStrong; need++ {
-		class := read
-		class.Name, class.Consistency = fmt.Sprint("read", need), need
-		cfg.Classes = append(cfg.Classes, class)
+	cfg := Config{
+		Gateways:          2,
+		StaleReads:        StaleReadRejected,
+		Positions:         true,
+		RoleSource:        RoleSourceDelayed,
+		AllowCancel:       true,
+		AllowHedging:      true,
+		AllowHealthChecks: true,
+		MaxAttempts:       10,
+		MaxRetryAfter:     time.Second,
+		SlowStartCapacity: 0.2,
+		SlowStartDuration: 10 * time.Second,
+		OverloadFactor:    3,
+		OverloadWindow:    2 * time.Second,
+	}
+	for consistency := ConsistencyAny; consistency <= ConsistencyStrong; consistency++ {
+		cfg.Classes = append(cfg.Classes, Class{
+			Name:             fmt.Sprint("read", consistency),
+			Consistency:      consistency,
+			LatencyObjective: 400 * ms,
+			Deadline:         time.Second,
+			PriorityWeight:   1,
+		})
 	}
 	cfg.Classes[boundedRead].StalenessBound = 200 * ms
-	write := Class{Name: "once", Consistency: ConsistencyWrite, LatencyObjective: 400 * ms, Deadline: 3 * time.Second, PriorityWeight: 4, LateShare: 0.5,
-		Effect: NonIdempotent}
+	write := Class{
+		Name:             "once",
+		Consistency:      ConsistencyWrite,
+		LatencyObjective: 400 * ms,
+		Deadline:         3 * time.Second,
+		PriorityWeight:   4,
+		LateShare:        0.5,
+		Effect:           NonIdempotent,
+	}
 	keyed := write
-	keyed.Name, keyed.Effect, keyed.IdempotencyTTL = "keyed", IdempotentByKey, 2*time.Second
+	keyed.Name = "keyed"
+	keyed.Effect = IdempotentByKey
+	keyed.IdempotencyTTL = 2 * time.Second
 	cfg.Classes = append(cfg.Classes, write, keyed)
 	return cfg
 }
 
-// rig drives a router by hand.
+// harness drives a Router step by step on a clock of its own.
 type harness struct {
 	*testing.T
 	*recorder
 	router        *Router
 	now           time.Duration
 	lastRequest   uint64
-	attemptsEnded map[uint64]int // attempts of each request
+	attemptsEnded map[uint64]int // by request, for tests that end attempts in order
 }
 
+// newHarness starts a Router over the given endpoints; with none, over a primary a and two replicas b and c.
 func newHarness(t *testing.T, cfg Config, endpoints ...Endpoint) *harness {
 	t.Helper()
-	h := &harness{T: t, now: 100 * time.Second, attemptsEnded: map[uint64]int{},
-		recorder: &recorder{rejected: map[uint64]int{}, failed: map[uint64]int{}}}
+	h := &harness{
+		T:             t,
+		recorder:      &recorder{rejected: map[uint64]int{}, failed: map[uint64]int{}},
+		now:           100 * time.Second,
+		attemptsEnded: map[uint64]int{},
+	}
 	router, err := New(h.now, cfg, 7, h.recorder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.router = router
 	if endpoints == nil {
-		endpoints = []Endpoint{{Member: "a", Group: 1, Primary: true, Capacity: 1}, {Member: "b", Group: 1, Capacity: 1},
-			{Member: "c", Group: 1, Capacity: 1}}
+		endpoints = []Endpoint{
+			{Member: "a", Group: 1, Primary: true, Capacity: 1},
+			{Member: "b", Group: 1, Capacity: 1},
+			{Member: "c", Group: 1, Capacity: 1},
+		}
 	}
-	router.UpdateEndpoints(h.now, EndpointList{Kind: EndpointListStale, Endpoints: endpoints})
+	h.updateEndpoints(EndpointListStale, endpoints...)
 	return h
 }
 
-// pass lets time go by in sweeps.
+// advance moves the clock on, with a sweep every 10 ms.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += 10 * ms
-		h.router.Timer(h.now, "sweep")
+		h.router.Timer(h.now, sweepTimer)
 	}
 }
 
-// ask brings a request and returns its id.
+// updateEndpoints passes an endpoint list message to the router.
+func (h *harness) updateEndpoints(kind EndpointListKind, endpoints ...Endpoint) {
+	h.router.UpdateEndpoints(h.now, EndpointList{Kind: kind, Endpoints: endpoints})
+}
+
+// request passes a request to the router and returns its id.
 func (h *harness) request(class int, change ...func(*Request)) uint64 {
 	h.lastRequest++
-	req := Request{ID: h.lastRequest, Class: class, Tenant: -1, Remaining: h.router.cfg.Classes[class].Deadline, Group: 1}
+	deadline := h.router.cfg.Classes[class].Deadline
+	req := Request{ID: h.lastRequest, Class: class, Tenant: -1, Remaining: deadline, Group: 1}
 	for _, f := range change {
 		f(&req)
 	}
@@ -123,41 +178,49 @@
 	return h.lastRequest
 }
 
-// to lists where the attempts of a request went.
-func (h *harness) membersTried(id uint64) (out []string) {
+// membersTried returns the members that the attempts of a request were sent to, in order.
+func (h *harness) membersTried(id uint64) (members []string) {
 	for _, sent := range h.sends {
 		if sent.request == id {
-			out = append(out, sent.member)
+			members = append(members, sent.member)
 		}
 	}
-	return out
+	return members
 }
 
-// answer ends the latest attempt of a request.
+// endAttempt ends the last attempt of a request.
 func (h *harness) endAttempt(id uint64, result Result, role Role, position int64) {
 	h.Helper()
-	to := h.membersTried(id)
-	if len(to) == 0 {
+	tried := h.membersTried(id)
+	if len(tried) == 0 {
 		h.Fatalf("request %d was not sent", id)
 	}
-	h.router.Outcome(h.now, Outcome{Request: id, Attempt: len(to) - 1, Member: to[len(to)-1], Result: result,
+	last := len(tried) - 1
+	h.router.Outcome(h.now, Outcome{Request: id, Attempt: last, Member: tried[last], Result: result,
 		Latency: ms, Closed: result == ResultOK, Role: role, Position: position})
 }
 
-// at is the position of the present, less a lag.
+// position is the primary's position as of a time ago.
 func (h *harness) position(lag time.Duration) int64 { return int64((h.now - lag) / ms) }
 
-// told lets every member tell its role and position by a probe.
+// checkOK ends a health check of a member with a report of its role and position.
+func (h *harness) checkOK(member string, role Role, lag time.Duration) {
+	report := Report{HasPosition: true, Position: h.position(lag), Role: role}
+	h.router.HealthChecked(h.now, HealthCheckResult{Member: member, Result: ResultOK, Report: report})
+}
+
+// reportAll has every member report its role and position by a health check. Replicas lag.
 func (h *harness) reportAll(primary string, lag time.Duration) {
 	for _, member := range h.router.sortedMembers {
-		report := Report{HasPosition: true, Position: h.position(lag), Role: RoleReplica}
 		if member.id == primary {
-			report.Role, report.Position = RolePrimary, h.position(0)
+			h.checkOK(member.id, RolePrimary, 0)
+		} else {
+			h.checkOK(member.id, RoleReplica, lag)
 		}
-		h.router.HealthChecked(h.now, HealthCheckResult{Member: member.id, Result: ResultOK, Report: report})
 	}
 }
 
+// want compares two values by their printed form.
 func (h *harness) want(what string, got, want any) {
 	h.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -165,7 +228,5 @@
 	}
 }
 
-// expectedLatencyOf is a class's learned round trip.
-func (router *Router) expectedLatencyOf(class int) *time.Duration {
-	return &router.expectedLatency[class]
-}
+// expectedLatencyOf returns a class's expected latency, which a test may set.
+func (r *Router) expectedLatencyOf(class int) *time.Duration { return &r.expectedLatency[class] }
--- a/routing/healthcheck_test.go
+++ b/routing/healthcheck_test.go
@@ -76,8 +76,7 @@
 			h.endAttempt(id, ResultOK, RoleReplica, h.position(0))
 			for _, member := range h.router.sortedMembers {
 				if member.healthCheckPending {
-					h.router.HealthChecked(h.now, HealthCheckResult{Member: member.id, Result: ResultOK,
-						Report: Report{HasPosition: true, Position: h.position(0)}})
+					h.checkOK(member.id, RoleUnknown, 0)
 				}
 			}
 		}
--- a/routing/observations_test.go
+++ b/routing/observations_test.go
@@ -11,8 +11,7 @@
 	h.reportAll("a", 10*ms)
 	write := h.request(nonIdempotentWrite)
 	h.endAttempt(write, ResultMissed, RoleReplica, h.position(0))
-	h.router.HealthChecked(h.now, HealthCheckResult{Member: "a", Result: ResultOK,
-		Report: Report{HasPosition: true, Position: h.position(2 * time.Second), Role: RolePrimary}})
+	h.checkOK("a", RolePrimary, 2*time.Second)
 	if p := h.router.groups[1].primary(); p != nil {
 		t.Errorf("%s is taken for the primary on a report older than its answer", p.id)
 	}
@@ -60,8 +59,7 @@
 	h.reportAll("a", 10*ms)
 	id := h.request(anyRead)
 	h.endAttempt(id, ResultConnectFailed, RoleUnknown, 0) // goes again at once
-	h.router.HealthChecked(h.now, HealthCheckResult{Member: h.membersTried(id)[0], Result: ResultOK,
-		Report: Report{HasPosition: true, Position: h.position(0), Role: RoleReplica}})
+	h.checkOK(h.membersTried(id)[0], RoleReplica, 0)
 	h.endAttempt(h.request(nonIdempotentWrite), ResultOK, RolePrimary, h.position(0))
 	h.want("shut after the answer", h.closedIdle, "[a]")
 	h.advance(connectionShortageDuration + time.Second)
@@ -76,8 +74,7 @@
 		member := h.router.members["b"]
 		h.advance(minRestartSilence)
 		member.failures = maxFailures
-		h.router.HealthChecked(h.now, HealthCheckResult{Member: "b", Result: ResultOK,
-			Report: Report{HasPosition: true, Position: h.position(lag), Role: RoleReplica}})
+		h.checkOK("b", RoleReplica, lag)
 		h.want(fmt.Sprint("cold when it stands ", lag, " behind"), h.router.slowStartWeight(member) < 1, lag > time.Second)
 	}
 }
@@ -102,7 +99,7 @@
 	h.want("warmth after two breaks and an answer", h.router.slowStartWeight(member), 1)
 	h.router.HealthChecked(h.now, HealthCheckResult{Member: "b", Result: ResultReset})
 	h.advance(2 * time.Second)
-	h.router.HealthChecked(h.now, HealthCheckResult{Member: "b", Result: ResultOK, Report: Report{HasPosition: true, Position: h.position(10 * ms), Role: RoleReplica}})
+	h.checkOK("b", RoleReplica, 10*ms)
 	h.want("warmth after a probe that broke", h.router.slowStartWeight(h.router.members["b"]), 1)
 	h.want("short of connections", h.router.now < h.router.connectionShortageUntil, false)
 	h.router.members["b"].failures, h.router.members["b"].connectFailures = 1, 1
@@ -117,7 +114,7 @@
 	*h.router.expectedLatencyOf(nonIdempotentWrite) = 50 * ms
 	h.request(nonIdempotentWrite)
 	h.now += 900 * ms // no sweep in between
-	h.router.Timer(h.now, "sweep")
+	h.router.Timer(h.now, sweepTimer)
 	h.want("suspect after standing still", h.router.unhealthy(h.router.members["a"]), false)
 	h.advance(400 * ms)
 	h.want("suspect after real silence", h.router.unhealthy(h.router.members["a"]), true)
@@ -128,12 +125,12 @@
 	h.reportAll("a", 10*ms)
 	h.advance(2 * time.Second)
 	started := h.now
-	h.router.UpdateEndpoints(h.now, EndpointList{Kind: EndpointListPatch, Endpoints: []Endpoint{{Member: "b", Group: 1, Capacity: 1, StartedAt: started}}})
+	h.updateEndpoints(EndpointListPatch, Endpoint{Member: "b", Group: 1, Capacity: 1, StartedAt: started})
 	for range maxFailures { // it still can't be reached from here
 		h.router.HealthChecked(h.now, HealthCheckResult{Member: "b", Result: ResultConnectFailed})
 	}
 	h.advance(4 * time.Second)
-	h.router.HealthChecked(h.now, HealthCheckResult{Member: "b", Result: ResultOK, Report: Report{HasPosition: true, Position: h.position(0)}})
+	h.checkOK("b", RoleUnknown, 0)
 	h.want("start", h.router.members["b"].startedAt, started)
 }
 
