--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -1,14 +1,19 @@
 package routing
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
-func TestIncompleteConfigurationIsAnError(t *testing.T) {
-	for _, change := range []func(*Config){func(cfg *Config) { cfg.Classes = nil }, func(cfg *Config) { cfg.Gateways = 0 },
-		func(cfg *Config) { cfg.MaxAttempts = 0 }, func(cfg *Config) { cfg.Classes[0].LatencyObjective = 0 }} {
-		c := testConfig()
-		change(&c)
-		if _, err := New(0, c, 1, &recorder{}); err == nil {
-			t.Error("no error")
-		}
+// TestLatencyObjectivePastTheDeadline has a class whose latency objective lies far past its deadline: the initial
+// expected latency follows the shorter of them, or each request would be hopeless and nothing ever learned.
+func TestLatencyObjectivePastTheDeadline(t *testing.T) {
+	cfg := testConfig()
+	cfg.Classes[anyRead].LatencyObjective = 10 * time.Second
+	cfg.Classes[anyRead].Deadline = 200 * ms
+	h := newHarness(t, cfg)
+	h.reportAll("a", 10*ms)
+	if id := h.request(anyRead); len(h.membersTried(id)) != 1 {
+		t.Errorf("sent to %v, rejected %d times", h.membersTried(id), h.rejected[id])
 	}
 }
