--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -44,10 +44,10 @@
 	monitor         *invariant.Monitor
 	status          *agentcheck.Status
 	limiter         *connlimit.Limiter // descriptors for clients
-	budget          *framebuf.Budget  // bytes buffered for clients
-	maxBackendConns int               // connections to the database hosts of each protocol
-	maxAdminCalls   int               // concurrent callers at the platform's admin address
-	serializer      admin.Serializer  // orders the admin calls of all admin addresses
+	budget          *framebuf.Budget   // bytes buffered for clients
+	maxBackendConns int                // connections to the database hosts of each protocol
+	maxAdminCalls   int                // concurrent callers at the platform's admin address
+	serializer      admin.Serializer   // orders the admin calls of all admin addresses
 
 	stopping  context.Context         // ends when a graceful shutdown begins
 	lifetime  context.Context         // outlives stopping, as accepted requests are still answered
--- a/cmd/cranegate/handoff.go
+++ b/cmd/cranegate/handoff.go
@@ -19,7 +19,7 @@
 type handoffState struct {
 	EndpointLists map[string]discovery.Snapshot   `json:"lists"`
 	StartTimes    map[string]map[string]time.Time `json:"starts"` // by host id, of hosts that may be warming up
-	Learned       map[string]routing.Learned      `json:"learned"`
+	Learned       map[string]routing.Snapshot     `json:"learned"`
 }
 
 // exportState returns the state for a newer process: what the cores tell within exportTimeout. It is nil where that can't be encoded.
@@ -29,7 +29,7 @@
 	exported := handoffState{
 		EndpointLists: map[string]discovery.Snapshot{},
 		StartTimes:    map[string]map[string]time.Time{},
-		Learned:       map[string]routing.Learned{},
+		Learned:       map[string]routing.Snapshot{},
 	}
 	for name, f := range g.fleets {
 		exported.EndpointLists[name] = f.watcher.Snapshot()
@@ -53,7 +53,7 @@
 // without them requests wait, and hosts that are warming up get too much.
 func (s handoffState) encode(maxBytes int) ([]byte, error) {
 	text, err := json.Marshal(s)
-	for _, reduce := range []func(routing.Learned) routing.Learned{withoutSamples, withoutMembers} {
+	for _, reduce := range []func(routing.Snapshot) routing.Snapshot{withoutSamples, withoutMembers} {
 		if err != nil || len(text) <= maxBytes {
 			break
 		}
@@ -66,15 +66,15 @@
 	return text, err
 }
 
-func withoutSamples(learned routing.Learned) routing.Learned {
+func withoutSamples(learned routing.Snapshot) routing.Snapshot {
 	for id, member := range learned.Members {
-		member.Window = nil
+		member.LatencyWindow = nil
 		learned.Members[id] = member
 	}
 	return learned
 }
 
-func withoutMembers(learned routing.Learned) routing.Learned {
+func withoutMembers(learned routing.Snapshot) routing.Snapshot {
 	learned.Members = nil
 	return learned
 }
--- a/cmd/cranegate/handoff_test.go
+++ b/cmd/cranegate/handoff_test.go
@@ -17,8 +17,8 @@
 	s := handoffState{
 		EndpointLists: map[string]discovery.Snapshot{},
 		StartTimes:    map[string]map[string]time.Time{"postgres": {}},
-		Learned: map[string]routing.Learned{"postgres": {
-			Members:         map[string]routing.LearnedMember{},
+		Learned: map[string]routing.Snapshot{"postgres": {
+			Members:         map[string]routing.MemberSnapshot{},
 			ExpectedLatency: []time.Duration{1, 2},
 		}},
 	}
@@ -35,12 +35,12 @@
 }
 
 // newLearnedMember fills each field with a value that takes many bytes.
-func newLearnedMember(window int) routing.LearnedMember {
+func newLearnedMember(window int) routing.MemberSnapshot {
 	at := 123456789 * time.Second
-	m := routing.LearnedMember{RoleDate: 1 << 50, Position: 1 << 50, PosAt: at, HeardAt: at, TrialAt: at, Lost: 1.0 / 3, StartedAt: at, CreditAt: at,
-		SeenAt: at, AskedAt: at, WasAt: at, AwayAt: at, Credit: 1.0 / 3}
+	m := routing.MemberSnapshot{RolePosition: 1 << 50, Position: 1 << 50, PositionAt: at, AnsweredAt: at, NextTrialAt: at, EndedSilence: 1.0 / 3, StartedAt: at, TokensAt: at,
+		HealthCheckAnsweredAt: at, UnansweredCheckAt: at, PreviousStartedAt: at, AnsweredBeforeZoneLoss: at, Tokens: 1.0 / 3}
 	for range window {
-		m.Window = append(m.Window, routing.LearnedSample{At: at, Ratio: 1.0 / 3})
+		m.LatencyWindow = append(m.LatencyWindow, routing.LatencySnapshot{At: at, Ratio: 1.0 / 3})
 	}
 	return m
 }
@@ -70,8 +70,8 @@
 			t.Fatalf("%+v: %d hosts, %d starts, %d learned of, expected latencies %v", c, hosts, starts, len(learned.Members), learned.ExpectedLatency)
 		}
 		for id, m := range learned.Members {
-			if len(m.Window) != c.wantWindow {
-				t.Fatalf("%+v: %d latency samples of %s", c, len(m.Window), id)
+			if len(m.LatencyWindow) != c.wantWindow {
+				t.Fatalf("%+v: %d latency samples of %s", c, len(m.LatencyWindow), id)
 			}
 		}
 		t.Logf("%d hosts with %d latency samples each take %d bytes", c.hosts, c.window, len(text))
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -29,8 +29,8 @@
 type Attempt struct {
 	Request  *Request
 	Member   string
-	Deadline time.Time    // when the gateway stops waiting for it
-	Conn     routing.Conn // the connection that a health check goes by
+	Deadline time.Time          // when the gateway stops waiting for it
+	Conn     routing.ConnPolicy // the connection that a health check goes by
 
 	core   *Core
 	number int // within the request, from 0
@@ -173,7 +173,7 @@
 	a.timeoutTimer.cancel()
 	a.firstByteLatency = c.now - a.sentAt
 	c.options.Counters.Add("streams", 1)
-	c.router.Started(c.now, request.id, a.number)
+	c.router.StreamStarted(c.now, request.id, a.number)
 	c.answer(request, Answer{Status: Served, Value: value})
 	return true
 }
@@ -209,7 +209,7 @@
 	latency := c.now - a.sentAt
 	if a.Request == nil {
 		c.router.HealthChecked(c.now, routing.HealthCheckResult{Member: a.Member, Result: outcome.Result, Latency: latency,
-			Report: outcome.Report, Opened: c.openedAt(outcome)})
+			Report: outcome.Report, ConnectedAt: c.openedAt(outcome)})
 		return
 	}
 	request := a.Request
@@ -228,7 +228,7 @@
 	}
 	c.router.Outcome(c.now, routing.Outcome{Request: request.id, Attempt: a.number, Member: a.Member, Result: outcome.Result,
 		Latency: latency, Closed: request.ended, Role: outcome.Role, Position: outcome.Position, Report: outcome.Report,
-		Opened: c.openedAt(outcome)})
+		ConnectedAt: c.openedAt(outcome)})
 	c.removeIfDone(request)
 }
 
--- a/internal/core/control.go
+++ b/internal/core/control.go
@@ -82,7 +82,7 @@
 func (c *Core) Starts(ctx context.Context) (map[string]time.Time, error) {
 	starts := map[string]time.Time{}
 	collect := func() {
-		for id, at := range c.router.Starts() {
+		for id, at := range c.router.SlowStartTimes() {
 			starts[id] = c.clock.time(at)
 		}
 	}
@@ -93,17 +93,17 @@
 }
 
 // Learned returns what the router has observed so far, for the router of the next process.
-func (c *Core) Learned(ctx context.Context) (routing.Learned, error) {
-	var learned routing.Learned
-	if err := c.call(ctx, func() { learned = c.router.Learned() }); err != nil {
-		return routing.Learned{}, err
+func (c *Core) Learned(ctx context.Context) (routing.Snapshot, error) {
+	var learned routing.Snapshot
+	if err := c.call(ctx, func() { learned = c.router.Snapshot() }); err != nil {
+		return routing.Snapshot{}, err
 	}
 	return learned, nil
 }
 
 // Learn gives the router what that of the previous process had observed. It must come after the first endpoint list.
-func (c *Core) Learn(learned routing.Learned) {
-	c.post(actorCall(func() { c.router.Learn(learned) }))
+func (c *Core) Learn(learned routing.Snapshot) {
+	c.post(actorCall(func() { c.router.Restore(learned) }))
 }
 
 // Started sets the start times of hosts that another process knew. It must come before the first endpoint list.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -78,7 +78,7 @@
 
 // New makes a Core; Run starts its actor.
 func New(options Options, backend Backend) (*Core, error) {
-	options.Routing.PositionZero = 0 // the core's clock counts from the Unix epoch, and so do positions on the wire
+	options.Routing.PositionEpoch = 0 // the core's clock counts from the Unix epoch, and so do positions on the wire
 	c := &Core{
 		options:    options,
 		classIndex: map[string]int{},
@@ -213,7 +213,7 @@
 	for _, endpoint := range list.Endpoints {
 		serving[endpoint.Member] = endpoint.Phase == routing.PhaseServing
 	}
-	c.withdrawals.update(c.now, list, c.options.Routing.OnlyDrainingBinds)
+	c.withdrawals.update(c.now, list, c.options.Routing.UseRemovedMembers)
 	c.router.UpdateEndpoints(c.now, list)
 	for member, attempts := range c.unwritten {
 		serves, listed := serving[member]
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -70,7 +70,7 @@
 func (g *gateway) CloseIdle(member string) { g.backend.CloseIdle(member) }
 
 // CheckHealth starts a health check of a member, over a connection of the given kind.
-func (g *gateway) CheckHealth(member string, by routing.Conn) {
+func (g *gateway) CheckHealth(member string, by routing.ConnPolicy) {
 	c := (*Core)(g)
 	c.options.Counters.Add("probes", 1)
 	a := c.newAttempt(nil, member, c.now+c.options.HealthCheckTimeout)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -333,4 +333,3 @@
 
 // pairs are all links, in order.
 var pairs = [][2]int{{0, 1}, {0, 2}, {1, 0}, {1, 2}, {2, 0}, {2, 1}}
-
--- a/internal/membership/ring_test.go
+++ b/internal/membership/ring_test.go
@@ -9,21 +9,21 @@
 
 // deviation is one fault of a run.
 type deviation struct {
-	kind string // "loss", "twice", "late", "pause" or "cut"
-	at   int    // the message's number, or the tick
-	a, b int    // the member that stands still, or the direction of the cut
+	kind  string // "loss", "twice", "late", "pause" or "cut"
+	at    int    // the message's number, or the tick
+	a, b  int    // the member that stands still, or the direction of the cut
 	ticks int    // ticks that it lasts
 }
 
 // ring is a few members on a network without loss, apart from the deviations.
 type ring struct {
-	nodes   []*Node
-	now     time.Duration
-	sent    int
-	waiting []waiting
-	deviations    []deviation
-	failed  []string
-	maxBudget    float64 // parts of a budget
+	nodes      []*Node
+	now        time.Duration
+	sent       int
+	waiting    []waiting
+	deviations []deviation
+	failed     []string
+	maxBudget  float64 // parts of a budget
 }
 
 type waiting struct {
@@ -32,7 +32,7 @@
 }
 
 const (
-	tick   = 100 * time.Millisecond
+	tick        = 100 * time.Millisecond
 	transitTime = 2 * time.Millisecond
 )
 
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -6,183 +6,155 @@
 )
 
 const (
-	retryShare, retryBurst = 0.1, 20.0 // further attempts for each first one: none must feed a jam
+	retryTokensPerRequest = 0.1  // retries earned by each first attempt: retries must not amplify an overload
+	maxRetryTokens        = 20.0 // retries that can be saved up
 
-	hedgeAfter  = 3.0                   // times usual before a second copy: about the slowest twentieth
-	pauseFull   = 25 * time.Millisecond // before a write or fresh read asks a full primary again
-	roleHolds   = 75 * time.Millisecond // an answer that names another primary counts as known after 100 ms
-	adviceShare = 0.05                  // advice to come back, of the deadline: while an answer still earns
+	// roleValidityPeriod is how long after its decision a read may start at the presumed primary. An answer
+	// that names another primary counts as known 100 ms after it was sent.
+	roleValidityPeriod = 75 * time.Millisecond
+
+	// retryAfterShare is the Retry-After of a rejection, as a share of the class's deadline: a retry is
+	// still in time.
+	retryAfterShare = 0.05
 )
 
-// legal is the gate that every send passes; each line keeps one rule.
-func (r *Router) legal(q *request, m *member) bool {
+// eligible reports whether a request may be sent to a member now. Every attempt has to pass it.
+func (r *Router) eligible(req *requestState, member *memberState) bool {
 	switch {
-	case q.ended, q.streaming, r.now < q.pause, r.now >= q.repeatBy(), q.sent >= r.cfg.MaxAttempts,
-		!m.usable, m.group != q.group, // drains, and groups
-		len(q.out) > 0 && (!r.cfg.AllowHedging || q.class.Effect == NonIdempotent), // copies out together
-		slices.ContainsFunc(q.out, func(a *attempt) bool { return a.m == m }),
-		slices.Contains(q.missed, m) && m.position < r.minimum(q) && m != q.group.primary(),              // a sure miss
-		r.cfg.StaleReads == StaleReadServed && q.class.Consistency != ConsistencyWrite && !r.fresh(q, m): // stale reads
+	case req.ended, req.streaming:
+		return false
+	case r.now < req.pausedUntil, r.now >= req.retryDeadline(), req.attempts >= r.cfg.MaxAttempts:
+		return false
+	case !member.usable, member.group != req.group:
+		return false
+	case len(req.inFlight) > 0 && !r.mayHedge(req), req.isInFlightAt(member):
+		return false
+	case r.wouldMiss(req, member), r.wouldBeStale(req, member):
 		return false
 	}
-	return r.coldRoom(m, r.work[q.Class])
+	return r.admitSlowStart(member, r.expectedWork[req.Class])
 }
 
-// repeatBy is when an attempt has to have begun as things are: in time, and inside the window for repeats.
-func (q *request) repeatBy() time.Duration {
-	if q.class.Effect == Idempotent || !q.mayRun {
-		return q.limit
-	} else if q.class.Effect == IdempotentByKey {
-		return min(q.limit, q.ranAt+q.class.IdempotencyTTL)
-	}
-	return 0
+// mayHedge reports whether two attempts of a request may be in flight at the same time.
+func (r *Router) mayHedge(req *requestState) bool {
+	return r.cfg.AllowHedging && req.class.Effect != NonIdempotent
 }
 
-// beginBy is the same where it waits for a connection: what its member has must be recent enough then too.
-func (r *Router) beginBy(q *request, m *member) time.Duration {
-	holds := r.cfg.PositionZero + time.Duration(m.position)*time.Millisecond + q.class.StalenessBound
-	if r.cfg.StaleReads != StaleReadServed || q.class.Consistency != ConsistencyBounded && m.position >= q.need {
-		return q.repeatBy()
-	} else if m == q.group.primary() {
-		holds = max(holds, r.now+roleHolds)
-	}
-	return min(q.repeatBy(), holds)
+// isInFlightAt reports whether the request has an attempt in flight at a member.
+func (r *requestState) isInFlightAt(member *memberState) bool {
+	return slices.ContainsFunc(r.inFlight, func(a *attemptState) bool { return a.member == member })
 }
 
-// send is the only way to a server.
-func (r *Router) send(q *request, m *member) *attempt {
-	if !r.legal(q, m) {
-		return nil
-	}
-	a := &attempt{q: q, number: q.sent, m: m, sentAt: r.now, usual: *q.usual, work: r.work[q.Class]}
-	if q.sent == 0 {
-		r.tokens = min(retryBurst, r.tokens+retryShare)
-	}
-	by := r.beginBy(q, m)
-	if !q.mayRun {
-		q.mayRun, q.ranAt = true, r.now
-	}
-	q.sent++
-	q.out, m.out = append(q.out, a), append(m.out, a)
-	m.credit -= a.work.Seconds() // as flow counts it, however long queues are
-	r.gw.Send(q.ID, m.id, q.limit, by)
-	return a
+// wouldMiss reports whether a member has answered ResultMissed and would do so again.
+func (r *Router) wouldMiss(req *requestState, member *memberState) bool {
+	return slices.Contains(req.missedMembers, member) && member.position < r.requiredPosition(req) &&
+		member != req.group.primary()
 }
 
-func (r *Router) cancel(a *attempt) {
-	if r.cfg.AllowCancel && !a.cancelled {
-		a.cancelled = true
-		r.gw.Cancel(a.q.ID, a.number)
-	}
+// wouldBeStale reports whether a member would serve a read from data that is too old.
+func (r *Router) wouldBeStale(req *requestState, member *memberState) bool {
+	return r.cfg.StaleReads == StaleReadServed && req.class.Consistency != ConsistencyWrite &&
+		!r.freshEnough(req, member)
 }
 
-// end is the only way to end a request. Where an answer is owed it is given at once: a refusal where that is
-// true, else a failure. Copies still out are cancelled where they may be.
-func (r *Router) end(q *request, owed bool, why Reason) {
-	harmless := !q.mayRun || q.class.Effect == IdempotentByKey && q.class.KeyIsGlobal
-	if !q.ended && owed && (harmless || q.class.Effect == Idempotent) {
-		r.gw.Reject(q.ID, min(time.Duration(adviceShare*float64(q.class.Deadline)), r.cfg.MaxRetryAfter), why)
-	} else if !q.ended && owed {
-		r.gw.Fail(q.ID, why)
-	}
-	q.ended = true
-	for _, a := range q.out {
-		if q.class.Effect == Idempotent && !q.streaming { // what streams is the client's
-			r.cancel(a)
-		}
-	}
-	if len(q.out) == 0 {
-		if r.requests[q.ID] == q {
-			r.leaveGroup(q.group)
-		}
-		delete(r.requests, q.ID)
+// retryDeadline is when the next attempt must have started: while its answer is useful, and before a retry
+// could run a second time. It is 0 if no further attempt is allowed.
+func (r *requestState) retryDeadline() time.Duration {
+	switch {
+	case r.class.Effect == Idempotent || !r.mayHaveRun:
+		return r.usefulUntil
+	case r.class.Effect == IdempotentByKey:
+		return min(r.usefulUntil, r.firstRunAt+r.class.IdempotencyTTL)
 	}
+	return 0
 }
 
-// afterAttempt decides what follows an attempt that did not answer.
-func (r *Router) afterAttempt(q *request, a *attempt, result Result) {
-	switch result {
-	case ResultMissed:
-		q.missed = append(q.missed, a.m)
-	case ResultOverCapacity:
-		if q.atPrimary {
-			q.pause = r.now + pauseFull
-		}
-	case ResultConnectFailed, ResultNotSent:
-	case ResultInvalidStatement: // the client's fault: no other member would do better
-		r.gw.Fail(q.ID, ReasonRejected)
-		r.end(q, false, ReasonRejected)
-		return
-	default:
-		q.ran = true
+// startDeadline is when an attempt at a member must have started if it has to wait for a connection: before
+// the retry deadline, and while the member's data is recent enough.
+func (r *Router) startDeadline(req *requestState, member *memberState) time.Duration {
+	class := req.class
+	if r.cfg.StaleReads != StaleReadServed {
+		return req.retryDeadline()
 	}
-	q.reached = q.reached || result != ResultConnectFailed && result != ResultNotSent
-	q.mayRun = q.ran || len(q.out) > 0
-	if again := q.ran && !a.cancelled && len(q.out) == 0; again && r.tokens < 1 {
-		r.end(q, true, ReasonRetryBudget)
-	} else if again {
-		r.tokens--
+	if class.Consistency != ConsistencyBounded && member.position >= req.minPosition {
+		return req.retryDeadline()
 	}
-	r.advance(q)
+	freshUntil := r.cfg.PositionEpoch + time.Duration(member.position)*time.Millisecond + class.StalenessBound
+	if member == req.group.primary() {
+		freshUntil = max(freshUntil, r.now+roleValidityPeriod)
+	}
+	return min(req.retryDeadline(), freshUntil)
 }
 
-// givesUp says why a request that has nothing out is ended; none if it goes on.
-func (r *Router) givesUp(q *request) Reason {
-	p := q.group.primary()
-	switch waited := r.now - q.deadline + q.Remaining; {
-	case r.now+max(*q.usual/2, sweepEvery) > q.limit:
-		return ReasonHopeless
-	case q.sent >= r.cfg.MaxAttempts:
-		return ReasonAttemptsUsed
-	case r.now >= q.repeatBy():
-		return ReasonWindowOver
-	case r.now >= q.heldTo && !q.reached:
-		return ReasonUnsent
-	case q.group.vain > vainAbove && !q.ran && (p == nil || r.suspect(p)) && waited > q.Remaining/8:
-		return ReasonUnreachable
+// sendAttempt sends a request to a member and returns the attempt; nil if the request is not eligible
+// there. There is no other way to send.
+func (r *Router) sendAttempt(req *requestState, member *memberState) *attemptState {
+	if !r.eligible(req, member) {
+		return nil
 	}
-	return ""
+	attempt := &attemptState{
+		request:         req,
+		number:          req.attempts,
+		member:          member,
+		sentAt:          r.now,
+		expectedLatency: *req.expectedLatency,
+		work:            r.expectedWork[req.Class],
+	}
+	if req.attempts == 0 {
+		r.retryTokens = min(maxRetryTokens, r.retryTokens+retryTokensPerRequest)
+	}
+	startBy := r.startDeadline(req, member)
+	if !req.mayHaveRun {
+		req.mayHaveRun = true
+		req.firstRunAt = r.now
+	}
+	req.attempts++
+	req.inFlight = append(req.inFlight, attempt)
+	member.inFlight = append(member.inFlight, attempt)
+	// The budget counts work as recordThroughput does, however long queues are.
+	member.tokens -= attempt.work.Seconds()
+	r.gateway.Send(req.ID, member.id, req.usefulUntil, startBy)
+	return attempt
 }
 
-// advance decides what to do next for a request: on arrival, after an outcome, and at each sweep.
-func (r *Router) advance(q *request) {
-	p := q.group.primary()
-	if q.ended || q.streaming {
+// cancelAttempt cancels an attempt, where that is allowed.
+func (r *Router) cancelAttempt(attempt *attemptState) {
+	if !r.cfg.AllowCancel || attempt.cancelled {
 		return
-	} else if len(q.out) > 0 {
-		r.reconsider(q)
-	} else if why := r.givesUp(q); why != "" {
-		if r.end(q, true, why); !q.ran {
-			q.group.vain += vainGain * (1 - q.group.vain)
-		}
-	} else if m := r.choose(q); m != nil && q.sent == 0 && (m == p || !q.atPrimary) && !r.admit(q, m) {
-		r.end(q, true, ReasonShed)
-	} else if m != nil {
-		a := r.send(q, m)
-		if r.placed(a); m != p && q.atPrimary {
-			q.group.seeking = a
-		}
 	}
+	attempt.cancelled = true
+	r.gateway.Cancel(attempt.request.ID, attempt.number)
+}
+
+// abandonRequest gives an open request its final answer and ends it. The request is rejected if nothing ran
+// or a retry by the client does no harm; else it fails.
+func (r *Router) abandonRequest(req *requestState, reason Reason) {
+	class := req.class
+	harmless := !req.mayHaveRun || class.Effect == IdempotentByKey && class.KeyIsGlobal
+	if harmless || class.Effect == Idempotent {
+		retryAfter := time.Duration(retryAfterShare * float64(class.Deadline))
+		r.gateway.Reject(req.ID, min(retryAfter, r.cfg.MaxRetryAfter), reason)
+	} else {
+		r.gateway.Fail(req.ID, reason)
+	}
+	r.endRequest(req)
 }
 
-// reconsider moves a request off a silent member, or sends a second copy of a slow one.
-func (r *Router) reconsider(q *request) {
-	a := q.out[len(q.out)-1]
-	slow := r.cfg.AllowHedging && float64(r.now-a.sentAt) > hedgeAfter*float64(a.usual)
-	if len(q.out) > 1 || q.class.Effect == NonIdempotent || a.cancelled || r.tokens < 1 || r.now+*q.usual > q.limit ||
-		!slow && !r.suspect(a.m) {
+// endRequest ends a request that is owed no further answer. It cancels attempts that are still in flight,
+// unless their effect is wanted or the client is reading the answer. The request is forgotten with its last
+// attempt.
+func (r *Router) endRequest(req *requestState) {
+	req.ended = true
+	for _, attempt := range req.inFlight {
+		if req.class.Effect == Idempotent && !req.streaming {
+			r.cancelAttempt(attempt)
+		}
+	}
+	if len(req.inFlight) > 0 {
 		return
 	}
-	p := q.group.primary()
-	if r.cfg.AllowHedging {
-		if m := r.choose(q); m != nil && (m == p || !q.atPrimary) {
-			r.tokens--
-			r.send(q, m)
-		}
-	} else if r.cfg.AllowCancel && slices.ContainsFunc(q.group.members, func(m *member) bool {
-		return m != a.m && m.usable && !r.suspect(m) && (m == p || !q.atPrimary && r.fresh(q, m))
-	}) {
-		r.tokens--
-		r.cancel(a)
+	if r.requests[req.ID] == req {
+		r.closeGroupRequest(req.group)
 	}
+	delete(r.requests, req.ID)
 }
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -7,117 +7,130 @@
 	"cranegate/internal/zones"
 )
 
-// minimum is the position that a read needs when sent now.
-func (r *Router) minimum(q *request) int64 {
-	if q.class.Consistency == ConsistencyBounded {
-		return r.ms(r.now - q.class.StalenessBound)
-	}
-	return q.need
-}
+const (
+	tieMargin         = 0.1  // scores that differ by less, relative to the best, are equal
+	minPrimaryScore   = 0.85 // reads avoid a primary whose score is lower
+	maxTierLoadExcess = 1.0  // attempts by which a member of the preferred tier may be busier than others
 
-// reached is the position that a member has. Where members check reads, its lag is presumed to be what it was
-// when last heard, as long as a primary lives: a quiet gateway hears most seldom. A miss corrects a guess.
-func (r *Router) reached(m *member) int64 {
-	p := m.group.primary()
-	if r.cfg.StaleReads == StaleReadServed || p == nil || r.suspect(p) {
-		return m.position
-	} else if m.position == 0 {
-		return r.ms(r.now) // unheard: no worse than one not heard for long
-	}
-	return m.position + (r.now - m.posAt).Milliseconds()
-}
+	minLoadCapacity = 0.1 // capacities below it count as this
+	crossZoneLoad   = 0.5 // load that a member in another zone counts as having, where crossing zones costs
+)
 
-// fresh says whether a member may serve a read: its position suffices, or it was last told to be primary.
-func (r *Router) fresh(q *request, m *member) bool {
-	need := r.minimum(q)
-	return need <= 0 || r.reached(m) >= need || m == q.group.primary()
+// candidates are the members that may serve a read.
+type candidates struct {
+	healthy []*memberState
+	trial   *memberState // unhealthy, and may be tried
+	lagging *memberState // the most advanced one that may have caught up by now
+	top     float64      // the best score of those that are healthy
 }
 
-const tieMargin, primarySpare = 0.1, 0.85 // noise of products; chance below which reads keep off the primary
-
-// choose finds the place for a request; nil holds it. Where none is fresh and the primary has no room but
-// members check, it is the most advanced that can have caught up since it was heard, at twice time's pace.
-func (r *Router) choose(q *request) *member {
-	if q.atPrimary {
-		return r.choosePrimary(q)
+// chooseMember returns the member for a request; nil if it has to wait. A read goes to a member at random
+// among the best that are fresh enough. Where none is, it goes to the most advanced that may have caught
+// up.
+func (r *Router) chooseMember(req *requestState) *memberState {
+	if req.needsPrimary {
+		return r.choosePrimary(req)
 	}
-	p, top := q.group.primary(), 0.0
-	r.forgetZones()
-	var fit []*member
-	var tried, hope *member
-	for _, m := range q.group.members {
-		switch suspect := r.suspect(m); {
-		case !r.legal(q, m):
-		case !r.fresh(q, m):
-			caught := r.reached(m) + (r.now - m.posAt + r.cfg.CatchUpWait).Milliseconds()
-			may := r.cfg.StaleReads != StaleReadServed && caught >= r.minimum(q) && !suspect
-			if may && (hope == nil || m.position > hope.position) {
-				hope = m
-			}
-		case suspect:
-			tried = m
-		default:
-			if m.value = r.product(q, m); m != p || m.value >= primarySpare {
-				fit, top = append(fit, m), max(top, m.value)
-			}
-		}
-	}
-	if len(fit) == 0 {
-		q.group.soughtAt = r.now
-		return hope
+	primary := req.group.primary()
+	r.forgetZoneDraw()
+	found := r.findCandidates(req, primary)
+	if len(found.healthy) == 0 {
+		req.group.primaryWantedAt = r.now
+		return found.lagging
 	}
-	if tried != nil && r.trial(q, tried) {
-		return tried
+	if found.trial != nil && r.allowTrial(req, found.trial) {
+		return found.trial
 	}
-	tied := slices.DeleteFunc(slices.Clone(fit), func(m *member) bool {
-		return m == p || m.value < top*(1-tieMargin)
+	tied := slices.DeleteFunc(slices.Clone(found.healthy), func(m *memberState) bool {
+		return m == primary || m.score < found.top*(1-tieMargin)
 	})
 	if len(tied) == 0 {
-		return p
+		return primary
 	}
-	tied = r.prefer(q.group, p, tied)
-	m := slices.MinFunc(tied, func(a, b *member) int { return cmp.Compare(a.position, b.position) })
-	if q.class.Consistency != ConsistencyAny || r.ms(m.posAt)-m.position <= laggard { // those serve only such reads
-		m = tied[r.rng.IntN(len(tied))]
-		if b := tied[r.rng.IntN(len(tied))]; r.crowd(b) < r.crowd(m) { // of two the less crowded
-			m = b
+	return r.pickTied(req, r.preferTier(req.group, primary, tied))
+}
+
+// findCandidates scores the eligible members of a read's group. The primary is a candidate only while it
+// has capacity left for writes.
+func (r *Router) findCandidates(req *requestState, primary *memberState) candidates {
+	var found candidates
+	for _, member := range req.group.members {
+		unhealthy := r.unhealthy(member)
+		switch {
+		case !r.eligible(req, member):
+		case !r.freshEnough(req, member):
+			ahead := found.lagging == nil || member.position > found.lagging.position
+			if ahead && !unhealthy && r.mayCatchUp(req, member) {
+				found.lagging = member
+			}
+		case unhealthy:
+			found.trial = member
+		default:
+			member.score = r.score(req, member)
+			if member != primary || member.score >= minPrimaryScore {
+				found.healthy = append(found.healthy, member)
+				found.top = max(found.top, member.score)
+			}
 		}
 	}
-	return m
+	return found
 }
 
-const tierCrowd = 1.0 // attempts by which a preferred tier may be fuller than others
+// pickTied picks the less loaded of two random members. A read that accepts any data goes to a replica that
+// lags far, if there is one, as that can serve no other reads.
+func (r *Router) pickTied(req *requestState, tied []*memberState) *memberState {
+	byPosition := func(a, b *memberState) int { return cmp.Compare(a.position, b.position) }
+	oldest := slices.MinFunc(tied, byPosition)
+	lagsFar := r.positionAt(oldest.positionAt)-oldest.position > maxReplicaLagMillis
+	if req.class.Consistency == ConsistencyAny && lagsFar {
+		return oldest
+	}
+	first := tied[r.rng.IntN(len(tied))]
+	second := tied[r.rng.IntN(len(tied))]
+	if r.localLoad(second) < r.localLoad(first) {
+		return second
+	}
+	return first
+}
 
-// prefer keeps of near-ties those in the tier that the stated shares draw; one that is full spills over.
-func (r *Router) prefer(g *group, p *member, tied []*member) []*member {
+// preferTier keeps, of tied members, those of the tier that is drawn by the tiers' configured shares.
+// Members that are busier than the least loaded one are left out first, so that a tier without capacity
+// left spills over.
+func (r *Router) preferTier(group *groupState, primary *memberState, tied []*memberState) []*memberState {
 	if r.zones == nil || !r.zones.SpilloverEnabled() {
 		return tied
 	}
-	crowds := func(a, b *member) int { return cmp.Compare(r.crowd(a), r.crowd(b)) }
-	least := r.crowd(slices.MinFunc(tied, crowds))
-	tied = slices.DeleteFunc(tied, func(m *member) bool { return r.crowd(m) > least+tierCrowd })
+	byLoad := func(a, b *memberState) int { return cmp.Compare(r.localLoad(a), r.localLoad(b)) }
+	minLoad := r.localLoad(slices.MinFunc(tied, byLoad))
+	tied = slices.DeleteFunc(tied, func(m *memberState) bool {
+		return r.localLoad(m) > minLoad+maxTierLoadExcess
+	})
 	var plan zones.Plan
-	for _, m := range g.members {
-		if able := 0.0; m != p {
-			if slices.Contains(tied, m) {
-				able = m.size * r.warmth(m) * r.zones.RecoveryShare(m.at)
-			}
-			plan.Add(m.at.Tier(), m.size, able)
+	for _, member := range group.members {
+		if member == primary {
+			continue
 		}
+		usable := 0.0
+		if slices.Contains(tied, member) {
+			usable = member.capacity * r.slowStartWeight(member) * r.zones.RecoveryShare(member.zoneState)
+		}
+		plan.Add(member.zoneState.Tier(), member.capacity, usable)
 	}
-	t := r.zones.Draw(&plan, r.rng)
-	kept := slices.DeleteFunc(slices.Clone(tied), func(m *member) bool { return m.at.Tier() != t })
+	tier := r.zones.Draw(&plan, r.rng)
+	kept := slices.DeleteFunc(slices.Clone(tied), func(m *memberState) bool {
+		return m.zoneState.Tier() != tier
+	})
 	if len(kept) == 0 {
 		return tied
 	}
 	return kept
 }
 
-// crowd is our work out at a member, with a little for distance where crossing zones costs.
-func (r *Router) crowd(m *member) float64 {
-	n := float64(len(m.out)) / max(m.size, 0.1)
-	if r.cfg.CrossZoneCost > 0 && m.zone != r.cfg.Zone {
-		n += 0.5
+// localLoad is how many of this gateway's attempts a member has in flight, in relation to its capacity.
+func (r *Router) localLoad(member *memberState) float64 {
+	load := float64(len(member.inFlight)) / max(member.capacity, minLoadCapacity)
+	if r.cfg.CrossZoneCost > 0 && member.zone != r.cfg.Zone {
+		load += crossZoneLoad
 	}
-	return n
+	return load
 }
--- a/routing/events.go
+++ b/routing/events.go
@@ -5,166 +5,166 @@
 	"time"
 )
 
-const sweepEvery, lookEvery = 20 * time.Millisecond, 100 * time.Millisecond // looks at requests; at members
+// maxUnsentShare is the share of its remaining time for which a request may wait until a member receives
+// it. A client that is rejected later than that has no time left for a retry of its own.
+const maxUnsentShare = 0.5
 
-// wake moves the clock. Where sweeps are long overdue this gateway stood still: members were not silent.
-func (r *Router) wake(now time.Duration) {
-	if now-r.now > 2*lookEvery {
-		r.awakeAt = now
-	}
-	r.now = now
-}
-
-const heldAtMost, vainAbove, vainGain = 0.5, 0.5, 0.1 // of its time unsent; an eighth if most wait in vain
-
-// Request takes a client's request.
+// Request handles a client's request. A request whose id is open, or whose class is unknown, is ignored.
 func (r *Router) Request(now time.Duration, in Request) {
-	r.wake(now)
+	r.advanceClock(now)
 	if r.requests[in.ID] != nil || in.Class < 0 || in.Class >= len(r.cfg.Classes) {
 		return
 	}
-	c := &r.cfg.Classes[in.Class]
-	q := &request{Request: in, class: c, usual: &r.usual[in.Class], group: r.groupOf(in.Group),
-		deadline: now + in.Remaining, over: r.overShare(in.Tenant)}
-	q.atPrimary = c.Consistency == ConsistencyWrite || c.Consistency == ConsistencyStrong
-	q.aimAt = min(now+c.LatencyObjective+time.Duration(c.ObjectiveWorkFactor*float64(in.Work)), q.deadline)
-	q.heldTo = now + time.Duration(heldAtMost*float64(in.Remaining)) - sweepEvery
-	if q.limit = q.aimAt; c.LateShare > 0 {
-		q.limit = q.deadline
-	}
-	if c.Consistency == ConsistencyStrong {
-		q.need = r.ms(now)
-	} else if c.Consistency == ConsistencySession && r.cfg.LocalSessions {
-		q.need = r.marks.positions[in.Session]
-	} else if c.Consistency == ConsistencySession && in.SinceWrite > 0 {
-		q.need = r.ms(now - in.SinceWrite)
-	}
-	r.worth += (c.PriorityWeight - r.worth) / askedKept
-	r.weight += (q.usual.Seconds() - r.weight) / askedKept
-	share := probeShare * min(1, probeMembers/float64(1+len(r.sorted)))
-	if r.cfg.StaleReads == StaleReadServed && c.Consistency == ConsistencyBounded {
-		share = 1 // members do not check: one may have to be asked first
-	}
-	r.probes = min(probeBurst, r.probes+share)
-	q.group.open++
-	r.requests[q.ID], r.open = q, append(r.open, q)
-	r.advance(q)
-	r.setTimer()
+	req := r.newRequest(in)
+	r.observeTraffic(req)
+	r.earnHealthChecks(req.class)
+	req.group.openRequests++
+	r.requests[req.ID] = req
+	r.openRequests = append(r.openRequests, req)
+	r.advanceRequest(req)
+	r.scheduleSweep()
+}
+
+// newRequest computes the deadlines and requirements of a request that arrives now.
+func (r *Router) newRequest(in Request) *requestState {
+	class := &r.cfg.Classes[in.Class]
+	req := &requestState{
+		Request:         in,
+		class:           class,
+		expectedLatency: &r.expectedLatency[in.Class],
+		group:           r.findGroup(in.Group),
+		overQuota:       r.overQuota(in.Tenant),
+		needsPrimary:    class.Consistency == ConsistencyWrite || class.Consistency == ConsistencyStrong,
+		deadline:        r.now + in.Remaining,
+		minPosition:     r.sessionPosition(class, in),
+	}
+	objective := class.LatencyObjective + time.Duration(class.ObjectiveWorkFactor*float64(in.Work))
+	req.latencyObjectiveAt = min(r.now+objective, req.deadline)
+	req.usefulUntil = req.latencyObjectiveAt
+	if class.LateShare > 0 {
+		req.usefulUntil = req.deadline
+	}
+	// The sweep that rejects it may come one interval late.
+	req.unsentDeadline = r.now + time.Duration(maxUnsentShare*float64(in.Remaining)) - requestSweepInterval
+	return req
+}
+
+// sessionPosition is the position that a strong or session read requires; 0 for none.
+func (r *Router) sessionPosition(class *Class, in Request) int64 {
+	switch {
+	case class.Consistency == ConsistencyStrong:
+		return r.positionAt(r.now)
+	case class.Consistency != ConsistencySession:
+		return 0
+	case r.cfg.LocalSessions:
+		return r.sessionMarks.positions[in.Session]
+	case in.SinceWrite > 0:
+		return r.positionAt(r.now - in.SinceWrite)
+	}
+	return 0
 }
 
-// Outcome takes the end of an attempt.
-func (r *Router) Outcome(now time.Duration, o Outcome) {
-	r.wake(now)
-	q := r.requests[o.Request]
-	i := q.find(o.Attempt)
+// observeTraffic updates the means over the latest requests.
+func (r *Router) observeTraffic(req *requestState) {
+	r.meanPriorityWeight += (req.class.PriorityWeight - r.meanPriorityWeight) / trafficAveragingRequests
+	expected := req.expectedLatency.Seconds()
+	r.meanExpectedLatency += (expected - r.meanExpectedLatency) / trafficAveragingRequests
+}
+
+// Outcome handles the end of an attempt. An attempt that is not in flight is ignored.
+func (r *Router) Outcome(now time.Duration, outcome Outcome) {
+	r.advanceClock(now)
+	req := r.requests[outcome.Request]
+	i := req.attemptIndex(outcome.Attempt)
 	if i < 0 {
 		return
 	}
-	a := q.out[i]
-	q.out = slices.Delete(q.out, i, i+1)
-	a.m.out = slices.DeleteFunc(a.m.out, func(x *attempt) bool { return x == a })
-	if q.group.seeking == a {
-		q.group.seeking = nil
+	attempt := req.inFlight[i]
+	req.inFlight = slices.Delete(req.inFlight, i, i+1)
+	attempt.member.removeAttempt(attempt)
+	if req.group.searchAttempt == attempt {
+		req.group.searchAttempt = nil
 	}
-	before := q.group.primary()
-	r.learn(a, o)
-	if r.now < r.tightUntil && len(a.m.out) == 0 {
-		r.gw.CloseIdle(a.m.id) // idle connections of ours would keep other gateways out
+	primaryBefore := req.group.primary()
+	r.observe(attempt, outcome)
+	if r.now < r.connectionShortageUntil && len(attempt.member.inFlight) == 0 {
+		r.gateway.CloseIdle(attempt.member.id) // frees connections for other gateways
 	}
-	if o.Closed || q.ended {
-		r.end(q, false, "")
+	if outcome.Closed || req.ended {
+		r.endRequest(req)
 	} else {
-		r.afterAttempt(q, a, o.Result)
+		r.attemptFailed(req, attempt, outcome.Result)
 	}
-	r.release(q.group, before)
+	r.resumeGroup(req.group, primaryBefore)
 }
 
-// Started tells that a streamed answer has begun: the attempt is the client's now, other copies are waste.
-func (r *Router) Started(now time.Duration, id uint64, number int) {
-	r.wake(now)
-	q := r.requests[id]
-	if q == nil || q.ended {
+// StreamStarted handles the start of a streamed answer. Its attempt is no longer observed for silence, and
+// all other attempts of the request are cancelled.
+func (r *Router) StreamStarted(now time.Duration, id uint64, number int) {
+	r.advanceClock(now)
+	req := r.requests[id]
+	if req == nil || req.ended {
 		return
 	}
-	q.streaming = true
-	for _, a := range q.out {
-		a.m.out = slices.DeleteFunc(a.m.out, func(x *attempt) bool { return x == a }) // no silence
-		if a.number != number {
-			r.cancel(a)
+	req.streaming = true
+	for _, attempt := range req.inFlight {
+		attempt.member.removeAttempt(attempt)
+		if attempt.number != number {
+			r.cancelAttempt(attempt)
 		}
 	}
 }
 
-// ClientDisconnected tells that the client has left: nothing is owed.
+// ClientDisconnected handles the end of a client's connection: no answer is owed any more.
 func (r *Router) ClientDisconnected(now time.Duration, id uint64) {
-	r.wake(now)
-	if q := r.requests[id]; q != nil {
-		r.end(q, false, "")
+	r.advanceClock(now)
+	if req := r.requests[id]; req != nil {
+		r.endRequest(req)
 	}
 }
 
-// Probed takes the end of a probe: it ends doubts of the connection, of silence if the position moved on.
-func (r *Router) HealthChecked(now time.Duration, p HealthCheckResult) {
-	r.wake(now)
-	m := r.members[p.Member]
-	if m == nil {
+// HealthChecked handles the end of a health check. A successful one clears failed connections; it ends a
+// silence only if the member's position has advanced, or the check proves that the process is the same or a
+// new one.
+func (r *Router) HealthChecked(now time.Duration, check HealthCheckResult) {
+	r.advanceClock(now)
+	member := r.members[check.Member]
+	if member == nil {
 		return
 	}
-	before, moved := m.group.primary(), p.Report.Position > m.position
-	m.probing = false
-	r.learnReport(m, p.Report)
-	r.seen(m, p)
-	if p.Result == ResultOK && (m.down || moved || m.lived(p.Opened)) {
-		r.hear(m, p.Opened)
-	} else if p.Result == ResultOK {
-		m.failed, m.shut = 0, 0
-	} else if p.Result == ResultConnectFailed || p.Result == ResultReset {
-		if m.failed++; p.Result == ResultConnectFailed {
-			m.shut, m.down = m.shut+1, true
+	primaryBefore := member.group.primary()
+	advanced := check.Report.Position > member.position
+	member.healthCheckPending = false
+	r.observeReport(member, check.Report)
+	r.recordHealthCheck(member, check)
+	switch check.Result {
+	case ResultOK:
+		if member.down || advanced || member.survivedZoneLoss(check.ConnectedAt) {
+			r.observeAnswer(member, check.ConnectedAt)
+		} else {
+			member.failures = 0
+			member.connectFailures = 0
 		}
-	}
-	r.release(m.group, before)
+	case ResultConnectFailed:
+		member.failures++
+		member.connectFailures++
+		member.down = true
+	case ResultReset:
+		member.failures++
+	}
+	r.resumeGroup(member.group, primaryBefore)
 }
 
-// Timer takes a timer.
-func (r *Router) Timer(now time.Duration, name string) {
-	if name != "sweep" || now+time.Millisecond < r.sweepAt {
+// resumeGroup advances a group's waiting requests as soon as it has another primary than before.
+func (r *Router) resumeGroup(group *groupState, before *memberState) {
+	primary := group.primary()
+	if primary == nil || primary == before {
 		return
 	}
-	r.wake(now)
-	r.sweepAt = 0
-	if now >= r.lookAt {
-		r.lookAt = now + lookEvery
-		r.followList()
-		r.lookZones()
-		r.probeAll()
-	}
-	for _, q := range r.open {
-		r.advance(q)
-	}
-	r.open = slices.DeleteFunc(r.open, func(q *request) bool { return q.ended })
-	r.setTimer()
-}
-
-// setTimer asks for the next sweep: soon while requests are open. Timers that are overtaken are ignored.
-func (r *Router) setTimer() {
-	at := r.now + lookEvery
-	if len(r.open) > 0 {
-		at = r.now + sweepEvery
-	}
-	if r.sweepAt == 0 || at < r.sweepAt {
-		r.sweepAt = at
-		r.gw.SetTimer(at-r.now, "sweep")
-	}
-}
-
-// release looks again at a group's open requests as soon as another primary is named.
-func (r *Router) release(g *group, before *member) {
-	p := g.primary()
-	for _, q := range r.open {
-		if q.group == g && len(q.out) == 0 && p != nil && p != before {
-			q.pause = 0
-			r.advance(q)
+	for _, req := range r.openRequests {
+		if req.group == group && len(req.inFlight) == 0 {
+			req.pausedUntil = 0
+			r.advanceRequest(req)
 		}
 	}
 }
--- /dev/null
+++ b/routing/group_test.go
@@ -0,0 +1,27 @@
+package routing
+
+import "testing"
+
+// TestUnknownGroupsAreForgotten has clients name ever new groups, which no host is in. The table of groups must not grow by what
+// clients say; groups with hosts, and with open requests, stay.
+func TestUnknownGroupsAreForgotten(t *testing.T) {
+	h := newHarness(t, testConfig())
+	known := len(h.router.groups)
+	var last uint64
+	for n := range 20_000 {
+		id := h.request(anyRead, func(req *Request) { req.Group = 1000 + n })
+		if n%100 == 99 {
+			h.advance(100 * ms)
+		}
+		last = id
+	}
+	h.advance(2 * h.router.cfg.maxDeadline())
+	h.want("answers to the last", h.rejected[last], 1)
+	h.want("open requests", len(h.router.requests), 0)
+	if grown := len(h.router.groups) - known; grown > maxEmptyGroups {
+		t.Errorf("%d groups more than at first, %d may be", grown, maxEmptyGroups)
+	}
+	if h.router.groups[1] == nil {
+		t.Error("a group with hosts was forgotten")
+	}
+}
--- /dev/null
+++ b/routing/observations.go
@@ -0,0 +1,123 @@
+package routing
+
+import (
+	"cmp"
+	"time"
+)
+
+const (
+	latencyGain     = 0.03 // weight of one answer in its class's expected latency
+	maxLatencyRatio = 4.0  // an answer counts as at most this multiple of the expected latency
+
+	workGain         = 0.25        // weight of an answer that took less than the expected work
+	workGrowthPeriod = time.Minute // expected work without such an answer doubles in about this time
+
+	unansweredGain = 0.1 // weight of one request in its group's share of unanswered requests
+
+	// lateRatio is the latency ratio of an answer that is too late for any request.
+	lateRatio = 1e9
+)
+
+// observe learns from the end of an attempt.
+func (r *Router) observe(attempt *attemptState, outcome Outcome) {
+	member := attempt.member
+	ratio := float64(outcome.Latency) / float64(attempt.expectedLatency)
+	r.observeReport(member, outcome.Report)
+	r.observeReport(member, Report{HasPosition: true, Position: outcome.Position})
+	r.observeAnsweredRole(attempt, outcome)
+	r.recordZoneAnswer(attempt, outcome.Result)
+	switch outcome.Result {
+	case ResultOK:
+		r.observeSuccess(attempt, outcome, ratio)
+	case ResultMissed, ResultInvalidStatement, ResultMalformed: // no sign of load
+		r.observeAnswer(member, outcome.ConnectedAt)
+	case ResultError:
+		r.observeAnswer(member, outcome.ConnectedAt)
+		r.recordLatency(member, latencySample{at: r.now, ratio: lateRatio})
+	case ResultTimeout, ResultCancelled: // the request's retry is not to be a trial of this member
+		member.endedSilence = max(member.endedSilence, r.attemptSilence(attempt))
+		member.nextTrialAt = r.now + trialInterval/2
+		r.recordLatency(member, latencySample{at: r.now, ratio: ratio, censored: true})
+	case ResultOverCapacity: // a sign of load, but no proof of service: an unresponsive member fills up too
+		r.recordLatency(member, latencySample{at: r.now, ratio: lateRatio})
+	case ResultConnectFailed: // no sign of load: it must not cause load shedding
+		member.failures++
+		member.connectFailures++
+		member.nextTrialAt = r.now + trialInterval/2
+	case ResultReset: // likewise
+		member.failures++
+		member.nextTrialAt = r.now + trialInterval/2
+	}
+}
+
+// observeAnsweredRole learns the role that an answer tells. A member that rejects a write is a replica,
+// whatever it says.
+func (r *Router) observeAnsweredRole(attempt *attemptState, outcome Outcome) {
+	role := outcome.Role
+	if outcome.Result == ResultMissed && attempt.request.class.Consistency == ConsistencyWrite {
+		role = RoleReplica
+	}
+	if role == RoleUnknown {
+		return
+	}
+	position := cmp.Or(outcome.Position, r.positionAt(r.now))
+	r.observeRole(attempt.member, role, max(position, attempt.member.rolePosition))
+}
+
+// observeSuccess learns from an attempt that was answered. The ratio is its latency over the expected one.
+func (r *Router) observeSuccess(attempt *attemptState, outcome Outcome, ratio float64) {
+	req, member := attempt.request, attempt.member
+	r.observeAnswer(member, outcome.ConnectedAt)
+	member.group.unansweredShare -= unansweredGain * member.group.unansweredShare
+	r.recordThroughput(member, attempt.work)
+	r.recordLatency(member, latencySample{at: r.now, ratio: ratio})
+	r.updateExpectedWork(req.Class, outcome.Latency)
+	expected := req.expectedLatency
+	bounded := min(ratio, maxLatencyRatio) * float64(attempt.expectedLatency)
+	*expected += time.Duration(latencyGain * (bounded - float64(*expected)))
+	isWrite := req.class.Consistency == ConsistencyWrite
+	if r.cfg.LocalSessions && isWrite && req.Session != "" && outcome.Position > 0 {
+		r.sessionMarks.put(req.Session, outcome.Position, maxSessionMarks)
+	}
+}
+
+// updateExpectedWork updates the work of a class, which follows the shortest latencies: others include
+// queueing.
+func (r *Router) updateExpectedWork(class int, latency time.Duration) {
+	work := &r.expectedWork[class]
+	periods := float64(r.now-r.workUpdatedAt[class]) / float64(workGrowthPeriod)
+	r.workUpdatedAt[class] = r.now
+	*work = min(*work+time.Duration(periods*float64(*work)), r.expectedLatency[class])
+	*work -= time.Duration(workGain * float64(max(0, *work-latency)))
+}
+
+// observeReport learns from a member's report. The position dates the report: its role counts only if its
+// position is higher than that of the role that is known, as reports may arrive seconds late.
+func (r *Router) observeReport(member *memberState, report Report) {
+	if !report.HasPosition {
+		return
+	}
+	if report.Role != RoleUnknown && report.Position > member.rolePosition {
+		r.observeRole(member, report.Role, report.Position)
+	}
+	if report.Position > member.position {
+		member.position = report.Position
+		member.positionAt = r.now
+	}
+}
+
+// observeRole learns a role that is dated by a position. Of two members that claim to be the primary, the
+// one with the higher position prevails.
+func (r *Router) observeRole(member *memberState, role Role, position int64) {
+	for _, other := range member.group.members {
+		if role != RolePrimary || other == member || other.role != RolePrimary {
+			continue
+		}
+		if other.rolePosition > position {
+			return
+		}
+		other.role = RoleUnknown
+	}
+	member.role = role
+	member.rolePosition = position
+}
--- a/routing/router.go
+++ b/routing/router.go
@@ -7,103 +7,79 @@
 	"cranegate/internal/zones"
 )
 
-// Router decides for one gateway.
+// Router decides for one gateway. It is not safe for concurrent use.
 type Router struct {
-	cfg                           Config
-	gw                            Gateway
-	rng                           *rand.Rand
-	zones                         *zones.Zones // nil: off
-	members                       map[string]*member
-	sorted                        []*member
-	groups                        map[int]*group
-	empty                         []*group // without members, in the order in which their last requests ended
-	requests                      map[uint64]*request
-	open                          []*request        // in order of arrival
-	usual, work, workAt           []time.Duration   // by class: round trips in the mean, and the work in them
-	pools                         map[bool][]sample // round trips at primaries (true), and at all others
-	tokens, probes, worth, weight float64           // budgets of tries and probes; mean worth and usual
-	asked                         []float64         // requests of each tenant, older ones counting less
-	flow                          decaying          // work answered a second by a warm member
-	marks                         marks             // remembered session commits
-	listed, asking, followed      bool              // a list has come; a call to discovery is out; subscribed
-	sweepAt, lookAt, tightUntil   time.Duration     // next sweep, and look at members; they lack room
-	probeNext                     int
+	cfg     Config
+	gateway Gateway
+	rng     *rand.Rand
+	zones   *zones.Zones // nil: zones are not judged
 
-	now, awakeAt, startAt, askedAt, askAfter time.Duration
+	members       map[string]*memberState // by id
+	sortedMembers []*memberState          // by id
+	groups        map[int]*groupState     // by number
+	emptyGroups   []*groupState           // without members, in the order in which their last requests ended
+	requests      map[uint64]*requestState
+	openRequests  []*requestState // in order of arrival
+
+	expectedLatency []time.Duration          // by class: mean round trip
+	expectedWork    []time.Duration          // by class: round trip without queueing
+	workUpdatedAt   []time.Duration          // by class: when expectedWork was last updated
+	latencyPools    map[bool][]latencySample // latest round trips at primaries (true), and at all others
+
+	retryTokens         float64     // the retry budget
+	healthCheckTokens   float64     // the health check budget
+	meanPriorityWeight  float64     // of the latest requests
+	meanExpectedLatency float64     // of the latest requests, in seconds
+	tenantRequests      []float64   // by tenant: its share of the latest requests, as a count
+	warmThroughput      decayingSum // work answered by one warm member, in seconds a second
+	sessionMarks        sessionMarks
+
+	hasEndpoints     bool // an endpoint list has come
+	subscribing      bool // a call to subscribe is out
+	subscribed       bool
+	subscribeSentAt  time.Duration
+	subscribeBackoff time.Duration
+
+	now                     time.Duration
+	startedAt               time.Duration
+	resumedAt               time.Duration // when this gateway last went on after a standstill
+	nextSweepAt             time.Duration // 0: none is scheduled
+	nextMemberSweepAt       time.Duration
+	nextHealthCheck         int           // index into sortedMembers
+	connectionShortageUntil time.Duration // members are presumed to lack free connections until then
 }
 
-const firstUsual = 0.25 // usual before any answer, as a share of the aim
+// initialLatencyShare is the expected latency before any answer, as a share of the latency objective.
+const initialLatencyShare = 0.25
 
-// New starts a gateway's decisions.
-func New(now time.Duration, cfg Config, seed uint64, gw Gateway) (*Router, error) {
-	judged, err := cfg.check(seed)
+// New returns the Router of one gateway. The seed determines its random draws. It returns a *ConfigError
+// where cfg can't serve, or an error of the zones' options.
+func New(now time.Duration, cfg Config, seed uint64, gateway Gateway) (*Router, error) {
+	judged, err := cfg.validate(seed)
 	if err != nil {
 		return nil, err
 	}
-	r := &Router{cfg: cfg, gw: gw, now: now, startAt: now, zones: judged, rng: rand.New(rand.NewPCG(seed, 0)),
-		members: map[string]*member{}, pools: map[bool][]sample{}, asked: make([]float64, len(cfg.Tenants)),
-		groups: map[int]*group{}, requests: map[uint64]*request{}, tokens: retryBurst / 2, askAfter: askAgain}
-	for i, c := range cfg.Classes {
-		r.usual = append(r.usual, time.Duration(float64(min(c.LatencyObjective, c.Deadline))*firstUsual))
-		r.work, r.workAt = append(r.work, r.usual[i]), append(r.workAt, now)
+	r := &Router{
+		cfg:              cfg,
+		gateway:          gateway,
+		rng:              rand.New(rand.NewPCG(seed, 0)),
+		zones:            judged,
+		members:          map[string]*memberState{},
+		groups:           map[int]*groupState{},
+		requests:         map[uint64]*requestState{},
+		latencyPools:     map[bool][]latencySample{},
+		tenantRequests:   make([]float64, len(cfg.Tenants)),
+		retryTokens:      maxRetryTokens / 2,
+		subscribeBackoff: minSubscribeBackoff,
+		now:              now,
+		startedAt:        now,
 	}
-	r.setTimer()
+	for _, class := range cfg.Classes {
+		expected := time.Duration(float64(min(class.LatencyObjective, class.Deadline)) * initialLatencyShare)
+		r.expectedLatency = append(r.expectedLatency, expected)
+		r.expectedWork = append(r.expectedWork, expected)
+		r.workUpdatedAt = append(r.workUpdatedAt, now)
+	}
+	r.scheduleSweep()
 	return r, nil
 }
-
-type member struct {
-	id, zone                         string
-	group                            *group
-	at                               *zones.Zone
-	usable, drained, leader, probing bool          // may be sent work; listed draining; listed primary
-	size, value                      float64       // value: product for the read being placed
-	startedAt, heardAt, trialAt      time.Duration // heardAt: last answer; trialAt: next trial while suspect
-	role                             Role
-	position, roleDate               int64   // highest told, in ms, at posAt; the one of its role
-	failed, shut                     int     // connects and connections broken since it was heard; connects
-	lost                             float64 // longest silence on attempts that have ended unanswered
-	window                           []sample
-	out                              []*attempt // in order of sends
-	down                             bool       // a probe could not reach it; heard again it started anew
-	posAt, creditAt                  time.Duration
-	probedAt, seenAt, askedAt        time.Duration // last probe; last answer to one; first since
-	was, awayAt                      time.Duration // startedAt before it went with its zone, heard at awayAt
-	credit                           float64       // while cold: work that may be sent, in s, as of creditAt
-}
-
-// group is one primary and its replicas, sorted by id.
-type group struct {
-	number, open       int  // open: requests of it that the module holds
-	empty              bool // it is among the router's empty groups
-	members            []*member
-	next               int             // where the search for the primary goes on
-	seeking            *attempt        // a search attempt that is out
-	searchAt, soughtAt time.Duration   // from when the next may go; when a request last wanted it in vain
-	shedTo             []time.Duration // by class: an aim past the last first try refused for load
-	vain               float64         // share of requests of late that ended unanswered
-}
-
-type attempt struct {
-	q                   *request
-	number              int
-	m                   *member
-	sentAt, usual, work time.Duration // usual and work of its class, as of the send
-	cancelled           bool
-}
-
-type request struct {
-	Request
-	class                             *Class
-	usual                             *time.Duration
-	group                             *group
-	deadline, aimAt, limit            time.Duration // an answer past aimAt earns less, past limit nothing
-	reached                           bool          // a member has had it, though it may have turned it away
-	need                              int64         // position that fresh and session reads need
-	out                               []*attempt
-	sent                              int
-	mayRun, ran                       bool          // an attempt may have run; one that is over may have
-	ranAt                             time.Duration // the earliest of them was sent then
-	missed                            []*member     // turned this request away
-	heldTo, pause                     time.Duration // unsent till then it is refused; nothing is sent before
-	over, atPrimary, ended, streaming bool          // past its tenant's share; only the primary can serve it
-}
--- a/routing/slow_test.go
+++ /dev/null
@@ -1,6 +0,0 @@
-//go:build race
-
-package routing
-
-// rampSeeds is how many seeds of each day are played with cold members: memory is watched, which takes ten times as long.
-const rampSeeds = 6
--- a/routing/zones.go
+++ b/routing/zones.go
@@ -7,105 +7,136 @@
 	"cranegate/internal/zones"
 )
 
-// This file brings what is known of members to the zones; what follows from it is decided there and in the files of decisions.
+// Zones returns the state of the zones; nil where they are not judged. It shares the Router's goroutine.
+func (r *Router) Zones() *zones.Zones { return r.zones }
 
-// seen notes the end of a probe.
-func (r *Router) seen(m *member, p HealthCheckResult) {
-	if p.Result == ResultOK {
-		m.seenAt, m.askedAt = r.now, 0
-		m.at.ObserveRTT(p.Latency)
+// zoneState returns the state of a zone; nil where zones are not judged.
+func (r *Router) zoneState(name string) *zones.Zone {
+	if r.zones == nil {
+		return nil
 	}
+	return r.zones.Zone(name)
 }
 
-// ask notes that a probe goes out: the first since the member was last heard, or since one was answered, counts.
-func (m *member) ask(now time.Duration) {
-	if m.askedAt <= m.heardAt {
-		m.askedAt = now
+// judgeZones judges the zones by what is known of their members.
+func (r *Router) judgeZones() {
+	if r.zones == nil {
+		return
+	}
+	r.zones.BeginRound(r.now)
+	for _, member := range r.sortedMembers {
+		if member.usable {
+			r.zones.Observe(member.zoneState, r.zoneObservation(member))
+		}
+	}
+	r.zones.EndRound()
+	for _, change := range r.zones.Changes() {
+		r.gateway.ZoneChanged(change)
 	}
 }
 
-// mute is how long a member's probes have gone unanswered. A member that answers requests meanwhile is not mute.
-func (r *Router) mute(m *member) time.Duration {
-	if m.askedAt == 0 || m.askedAt <= m.heardAt {
-		return 0
+// zoneObservation is what a member contributes to the judgement of its zone.
+func (r *Router) zoneObservation(member *memberState) zones.Observation {
+	observation := zones.Observation{
+		LastHeard:       max(member.answeredAt, member.healthCheckAnsweredAt),
+		Silence:         r.silence(member),
+		Pending:         len(member.inFlight) > 0 || member.endedSilence > 0 || member.failures > 0,
+		Broken:          member.failures > 0 && r.now-member.answeredAt >= failureGracePeriod,
+		Unhealthy:       r.unhealthy(member),
+		Capacity:        member.capacity,
+		UnansweredFor:   r.healthCheckSilence(member),
+		ExpectedLatency: slices.Min(r.expectedLatency),
+	}
+	if !observation.Unhealthy {
+		observation.UsableCapacity = member.capacity * r.slowStartWeight(member)
 	}
-	return r.now - max(m.askedAt, r.awakeAt)
+	return observation
 }
 
-// lookZones has the zones judged by what is known of their members.
-func (r *Router) lookZones() {
-	if r.zones == nil {
+// recordHealthCheck records the end of a health check.
+func (r *Router) recordHealthCheck(member *memberState, check HealthCheckResult) {
+	if check.Result != ResultOK {
 		return
 	}
-	r.zones.BeginRound(r.now)
-	for _, m := range r.sorted {
-		if m.usable {
-			e := zones.Observation{LastHeard: max(m.heardAt, m.seenAt), Silence: r.silence(m), Pending: len(m.out) > 0 || m.lost > 0 || m.failed > 0,
-				Broken: m.failed > 0 && r.now-m.heardAt >= heardLately, Unhealthy: r.suspect(m), Capacity: m.size,
-				UnansweredFor: r.mute(m), ExpectedLatency: slices.Min(r.usual)}
-			if !e.Unhealthy {
-				e.UsableCapacity = m.size * r.warmth(m)
-			}
-			r.zones.Observe(m.at, e)
-		}
+	member.healthCheckAnsweredAt = r.now
+	member.unansweredCheckAt = 0
+	member.zoneState.ObserveRTT(check.Latency)
+}
+
+// healthCheckSent records that a health check is sent. The first one after the member's last answer counts.
+func (m *memberState) healthCheckSent(now time.Duration) {
+	if m.unansweredCheckAt <= m.answeredAt {
+		m.unansweredCheckAt = now
 	}
-	r.zones.EndRound()
-	for _, c := range r.zones.Changes() {
-		r.gw.ZoneChanged(c)
+}
+
+// healthCheckSilence is how long a member's health checks have gone unanswered; 0 if it has answered
+// requests meanwhile.
+func (r *Router) healthCheckSilence(member *memberState) time.Duration {
+	if member.unansweredCheckAt == 0 || member.unansweredCheckAt <= member.answeredAt {
+		return 0
 	}
+	return r.now - max(member.unansweredCheckAt, r.resumedAt)
 }
 
-// zone is a member's zone; nil where zones are not judged.
-func (r *Router) zone(name string) *zones.Zone {
+// recordZoneAnswer records that a member's zone has answered an attempt.
+func (r *Router) recordZoneAnswer(attempt *attemptState, result Result) {
 	if r.zones == nil {
-		return nil
+		return
 	}
-	return r.zones.Zone(name)
+	switch result {
+	case ResultTimeout, ResultCancelled, ResultConnectFailed, ResultReset, ResultNotSent:
+		return
+	}
+	r.zones.Reinstate(attempt.member.zoneState, attempt.sentAt)
 }
 
-// forgetZones drops what was drawn for the placing before.
-func (r *Router) forgetZones() {
+// forgetZoneDraw discards the tier that was drawn for the previous placement.
+func (r *Router) forgetZoneDraw() {
 	if r.zones != nil {
 		r.zones.DiscardDraw()
 	}
 }
 
-// placed counts where a request went, unless that was a search for the primary.
-func (r *Router) placed(a *attempt) {
-	if r.zones != nil && a != nil && (!a.q.atPrimary || a.m == a.q.group.primary()) {
-		r.zones.RecordRoute(a.m.at.Tier())
+// countPlacement counts the tier of an attempt that was sent, unless it searches for the primary.
+func (r *Router) countPlacement(attempt *attemptState) {
+	if r.zones == nil || attempt == nil {
+		return
+	}
+	if !attempt.request.needsPrimary || attempt.member == attempt.request.group.primary() {
+		r.zones.RecordRoute(attempt.member.zoneState.Tier())
 	}
 }
 
-// spare notes that a member's zone has answered an attempt.
-func (r *Router) spare(a *attempt, result Result) {
-	if r.zones != nil && result != ResultTimeout && result != ResultCancelled && !away(result) {
-		r.zones.Reinstate(a.m.at, a.sentAt)
+// survivedZoneLoss reports whether a connection that was established before a member was lost with its zone
+// has carried an answer since: then the process has survived, and only the network was partitioned. The
+// answer may also come after the zone has recovered.
+func (m *memberState) survivedZoneLoss(connectedAt time.Duration) bool {
+	lastAnswer := m.answeredBeforeZoneLoss
+	if m.zoneState.MemberDown(m.answeredAt) {
+		lastAnswer = m.answeredAt
+	} else if lastAnswer == 0 {
+		return false
 	}
+	return connectedAt > 0 && connectedAt <= lastAnswer
 }
 
-// away says that a result shows nothing of a member but that it could not be reached.
-func away(r Result) bool { return r == ResultConnectFailed || r == ResultReset || r == ResultNotSent }
-
-// Zones is what is held of zones; nil where they are not judged. Only the module's actor may use it.
-func (r *Router) Zones() *zones.Zones { return r.zones }
-
-// lived says that a connection that came up before a member went with its zone has brought an answer since: the process
-// has lived on, and only the network was cut.
-func (m *member) lived(opened time.Duration) bool {
-	if m.at.MemberDown(m.heardAt) {
-		return opened > 0 && opened <= m.heardAt
+// undoZoneLoss restores the start of a member whose process has survived the loss of its zone.
+func (m *memberState) undoZoneLoss() {
+	if m.answeredBeforeZoneLoss > 0 {
+		m.startedAt = m.previousStartedAt
+		m.answeredBeforeZoneLoss = 0
 	}
-	return m.awayAt > 0 && opened > 0 && opened <= m.awayAt // the answer may also come after the zone is back
 }
 
-// probeBy is the connection of the next probe: a new one while the member is away, so that idle ones are kept, and the
-// oldest as soon as it is back, which shows whether it has lived on.
-func (m *member) probeBy() Conn {
-	switch {
-	case m.at.MemberDown(m.heardAt):
+// healthCheckConn is the connection of the next health check: a new one while the member is lost with its
+// zone, so that idle ones are kept, and the oldest as soon as the zone has recovered, which shows whether
+// the process has survived.
+func (m *memberState) healthCheckConn() ConnPolicy {
+	if m.zoneState.MemberDown(m.answeredAt) {
 		return ConnNew
-	case m.awayAt > 0 && m.probedAt <= m.heardAt:
+	}
+	if m.answeredBeforeZoneLoss > 0 && m.healthCheckSentAt <= m.answeredAt {
 		return ConnOldest
 	}
 	return ConnAny
