--- a/internal/backend/host.go
+++ b/internal/backend/host.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"log/slog"
-	"math"
 	"slices"
 	"time"
 
@@ -13,313 +12,231 @@
 	"cranegate/routing"
 )
 
-// What may wait for a host's actor, and for those of all hosts together: the actors only sort, so that hundreds of hosts need
-// no room for a crowd at each. A place takes 16 bytes, as soon as the host is listed.
+// The bounds on the messages that may wait for one host's actor, and for those of all hosts together. The actors only sort, so
+// that they need no large mailboxes where there are hundreds. A message takes 16 bytes, allocated when the host is listed.
 const (
-	mailboxSize  = 1024
-	mailboxLeast = 128
-	mailboxesAll = 128 << 10
+	maxMailboxSize   = 1024
+	minMailboxSize   = 128
+	totalMailboxSize = 128 << 10
 )
 
-// mailboxOf is the size of a mailbox among so many hosts: 1,024 up to 128 hosts, 128 from 1,024 hosts on.
-func mailboxOf(hosts int) int {
-	return min(mailboxSize, max(mailboxLeast, mailboxesAll/max(1, hosts)))
+// mailboxSize returns the size of a host's mailbox among so many hosts: 1,024 up to 128 hosts, 128 from 1,024 hosts on.
+func mailboxSize(hosts int) int {
+	return min(maxMailboxSize, max(minMailboxSize, totalMailboxSize/max(1, hosts)))
 }
 
-const (
-	restFor   = 100 * time.Millisecond // a connection rests after an answer: what does not belong to it may follow
-	mostRests = 12                     // but no more than so many connections to a host are opened for that
-	lookAgain = 50 * time.Millisecond  // after a full mailbox
-	waitFor   = 10 * time.Millisecond  // an attempt that has waited so long for a new connection takes any
-)
+// connectLogInterval is how often a host's failed connects are logged at most: an outage fails many.
+const connectLogInterval = time.Second
 
 // host is one database host's actor.
 type host struct {
-	pool          *Pool
-	name, address string
-	mailbox       chan any
-	ctx           context.Context // ends when the host is gone from the list
-	retire        context.CancelFunc
+	pool            *Pool
+	member, address string
+	mailbox         chan any        // takes *core.Attempt and the messages below
+	ctx             context.Context // ends when the host is removed from the list
+	retire          context.CancelFunc
 
-	idle    []*link // the one used last is at the end
-	waiting []waiter
-	links   int           // connections open or being opened
-	opening int           // of those: not yet up
-	asked   poolsize.Host // how often attempts come
-	trimAt  time.Time     // when idle connections are looked at next; zero: not planned
+	idle       []*pooledConn // the most recently used at the end
+	waiting    []connRequest // the oldest first
+	open       int           // connections open or being opened
+	connecting int           // of those: being opened
+	demand     poolsize.Host // how often attempts come
+	trimAt     time.Time     // when idle connections are trimmed next; zero: not scheduled
 
-	loggedAt time.Time // when a failed connect was logged last
+	connectLogged time.Time // when a failed connect was logged last
 }
 
-// waiter is an attempt without a connection.
-type waiter struct {
+// connRequest is an attempt that waits for a connection.
+type connRequest struct {
 	*core.Attempt
 	since time.Time
 }
 
-// What a host's mailbox takes, beside attempts.
+// The messages of a host's mailbox, beside attempts.
 type (
-	closeIdle struct{}
-	trim      struct{}            // some idle connection's time may be up
-	relieve   struct{}            // another host's connection needs a descriptor
-	opened    struct{ l *link }   // a connection is up
-	notOpened struct{ err error } // or is not
-	freed     struct{ l *link }   // a connection can take another attempt
-	lost      struct{ l *link }   // a connection has ended
+	closeIdle     struct{}                   // close all idle connections
+	trimIdle      struct{}                   // close the idle connections whose time is over
+	evictOldest   struct{}                   // close the longest idle connection: another host's needs a slot
+	connOpened    struct{ conn *pooledConn } // a new connection is ready
+	connectFailed struct{ err error }        // a new connection failed
+	connFreed     struct{ conn *pooledConn } // a connection can take another attempt
+	connClosed    struct{ conn *pooledConn } // a connection has ended
 )
 
-// tell puts a message into the mailbox without waiting.
-func (h *host) tell(m any) bool {
+// post puts a message into the mailbox without waiting. It returns false if the mailbox is full.
+func (h *host) post(message any) bool {
 	select {
-	case h.mailbox <- m:
+	case h.mailbox <- message:
 		return true
 	default:
 		return false
 	}
 }
 
-// run is the actor's life: until the host is gone and its last connection has ended.
+// run is the actor's loop: until the host is retired and its last connection has ended.
 func (h *host) run() error {
-	gone := h.ctx.Done()
-	for gone != nil || h.links > 0 {
+	retired := h.ctx.Done()
+	for retired != nil || h.open > 0 {
 		select {
-		case m := <-h.mailbox:
-			h.take(m)
-		case <-gone:
-			gone = nil
+		case message := <-h.mailbox:
+			h.handle(message)
+		case <-retired:
+			retired = nil
 			h.closeIdle(0)
 		}
 	}
-	for { // what came too late never ran
+	h.failLeft()
+	return nil
+}
+
+// failLeft fails the attempts that are left in the mailbox when the actor ends: they have not run.
+func (h *host) failLeft() {
+	for {
 		select {
-		case m := <-h.mailbox:
-			if a, ok := m.(*core.Attempt); ok {
-				h.fail(a, routing.ResultConnectFailed)
+		case message := <-h.mailbox:
+			if a, ok := message.(*core.Attempt); ok {
+				h.failAttempt(a, routing.ResultConnectFailed, 0)
 			}
 		default:
-			return nil
+			return
 		}
 	}
 }
 
-func (h *host) take(m any) {
-	switch m := m.(type) {
+func (h *host) handle(message any) {
+	switch m := message.(type) {
 	case *core.Attempt:
-		h.place(m)
+		h.assign(m)
 	case closeIdle:
 		h.closeIdle(0)
-	case trim:
+	case trimIdle:
 		h.trimAt = time.Time{}
-		h.trim()
-	case relieve:
+		h.trimIdle()
+	case evictOldest:
 		h.closeIdle(max(0, len(h.idle)-1))
-	case opened:
-		h.opening--
-		h.free(m.l)
-	case freed:
-		h.free(m.l)
-	case notOpened:
-		h.links--
-		h.opening--
-		h.notOpened(m.err)
-	case lost:
-		h.links--
-		h.drop(m.l)
-		select {
-		case a := <-m.l.jobs: // it was handed over as the connection ended, and never began
-			if m.l.untried { // or it would go round for all its time where each new connection ends like this
-				h.fail(a, routing.ResultConnectFailed)
-			} else {
-				h.place(a)
-			}
-		default:
-		}
-	}
-}
-
-// place gives an attempt an idle connection, or opens one and lets it wait for that.
-func (h *host) place(a *core.Attempt) {
+	case connOpened:
+		h.connecting--
+		h.putConn(m.conn)
+	case connFreed:
+		h.putConn(m.conn)
+	case connectFailed:
+		h.open--
+		h.connecting--
+		h.handleConnectFailed(m.err)
+	case connClosed:
+		h.open--
+		h.removeIdle(m.conn)
+		h.reassign(m.conn)
+	}
+}
+
+// assign gives an attempt an idle connection, or opens one and lets the attempt wait for it.
+func (h *host) assign(a *core.Attempt) {
 	if !a.Waiting() {
 		return
 	}
-	h.pool.keep.asked(&h.asked)
-	if l := h.link(a.Conn); l != nil {
-		l.give(a)
+	h.pool.sizer.recordAttempt(&h.demand)
+	if c := h.takeIdle(a.Conn); c != nil {
+		c.give(a)
 		return
 	}
 	if h.ctx.Err() != nil {
-		h.fail(a, routing.ResultConnectFailed)
+		h.failAttempt(a, routing.ResultConnectFailed, 0)
 		return
 	}
-	h.waiting = append(h.waiting, waiter{a, time.Now()})
-	h.links++
-	h.opening++
-	h.pool.group.Go(func() error { h.open(); return nil })
-}
-
-// link takes the idle connection that an attempt may go by; nil: a new one.
-func (h *host) link(by routing.Conn) *link {
-	switch {
-	case by == routing.ConnNew:
+	h.waiting = append(h.waiting, connRequest{a, time.Now()})
+	h.open++
+	h.connecting++
+	h.pool.group.Go(func() error {
+		h.openConn()
 		return nil
-	case by == routing.ConnOldest && len(h.idle) > 0:
-		l := slices.MinFunc(h.idle, func(a, b *link) int { return a.openedAt.Compare(b.openedAt) })
-		h.drop(l)
-		return l
-	}
-	return h.rested()
+	})
 }
 
-// rested takes the idle connection that was used last of those that have rested since, so that the surplus ages;
-// where many are open and none has, the one that rests longest.
-func (h *host) rested() *link {
-	trusted := h.pool.stale.trusted(h.pool.opt.IdleTimeout)
-	for len(h.idle) > 0 && time.Since(h.idle[0].freedAt) >= trusted {
-		h.closeIdle(len(h.idle) - 1)
-	}
-	for i := len(h.idle) - 1; i >= 0; i-- {
-		if l := h.idle[i]; time.Since(l.freedAt) >= restFor || i == 0 && (h.links >= mostRests || h.pool.full()) {
-			h.idle = append(h.idle[:i:i], h.idle[i+1:]...)
-			return l
+// reassign gives the attempt that was handed to a connection as that ended, and never began, another connection. If it was
+// the connection's first it fails: where each new connection ends like this it would try one after the other until its
+// deadline.
+func (h *host) reassign(c *pooledConn) {
+	select {
+	case a := <-c.attempts:
+		if c.firstUse {
+			h.failAttempt(a, routing.ResultConnectFailed, 0)
+		} else {
+			h.assign(a)
 		}
+	default:
 	}
-	return nil
 }
 
-// next takes the oldest attempt that still waits, if it has done so for a time.
-func (h *host) next(atLeast time.Duration) *core.Attempt {
+// nextRequest removes and returns the oldest attempt that still waits, if it has waited for at least minWait; else nil.
+func (h *host) nextRequest(minWait time.Duration) *core.Attempt {
 	for len(h.waiting) > 0 {
-		w := h.waiting[0]
-		if w.Waiting() && time.Since(w.since) < atLeast {
+		request := h.waiting[0]
+		if request.Waiting() && time.Since(request.since) < minWait {
 			return nil
 		}
 		h.waiting = h.waiting[1:]
-		if w.Waiting() {
-			return w.Attempt
+		if request.Waiting() {
+			return request.Attempt
 		}
 	}
 	return nil
 }
 
-// free keeps a connection idle, unless an attempt waits: a new one serves that at once, a used one only if it has
-// waited in vain.
-func (h *host) free(l *link) {
-	wait := waitFor
-	if l.freedAt.IsZero() || h.links >= mostRests || h.pool.full() {
-		wait = 0
-	}
-	first := l.freedAt.IsZero()
-	l.freedAt, l.untried = time.Now(), false
-	if a := h.next(wait); a != nil {
-		l.untried = first
-		l.give(a)
-		return
-	}
-	h.idle = append(h.idle, l)
-	if h.ctx.Err() != nil {
-		h.closeIdle(0)
-	} else {
-		h.trim()
-	}
-}
-
-// trim closes the idle connections whose time is up, and plans the next look. Those used longest ago have the least
-// time left.
-func (h *host) trim() {
-	now := time.Now()
-	next := time.Duration(math.MaxInt64)
-	for len(h.idle) > 0 {
-		if h.pool.keep.left(&h.asked, h.idle[0].freedAt, now, len(h.idle)-1) > 0 {
-			break
-		}
-		h.closeIdle(len(h.idle) - 1)
-	}
-	for i, l := range h.idle {
-		next = min(next, h.pool.keep.left(&h.asked, l.freedAt, now, len(h.idle)-1-i))
-	}
-	if at := now.Add(next); len(h.idle) > 0 && next < h.pool.opt.IdleTimeout && (h.trimAt.IsZero() || at.Before(h.trimAt)) {
-		h.trimAt = at
-		h.lookAfter(next)
-	}
-}
-
-// lookAfter has idle connections looked at after a time. Where the mailbox is full it comes again: no other look is planned.
-func (h *host) lookAfter(wait time.Duration) {
-	time.AfterFunc(wait, func() {
-		if !h.tell(trim{}) && h.ctx.Err() == nil {
-			h.lookAfter(lookAgain)
-		}
-	})
-}
-
-// closeIdle closes idle connections but for a number of them. The oldest go first.
-func (h *host) closeIdle(keep int) {
-	for len(h.idle) > keep {
-		l := h.idle[0]
-		h.idle = h.idle[1:]
-		l.conn.Close()
-	}
-}
-
-func (h *host) drop(l *link) {
-	for i, x := range h.idle {
-		if x == l {
-			h.idle = append(h.idle[:i:i], h.idle[i+1:]...)
-			return
-		}
-	}
-}
-
-// notOpened takes a connection that did not come up: the oldest attempt has waited for it, unless another one is coming up for
-// that.
-func (h *host) notOpened(err error) {
-	result, wait := routing.ResultConnectFailed, time.Duration(0)
+// handleConnectFailed handles a failed connect: the oldest attempt has waited for it, unless another connection is being
+// opened for that.
+func (h *host) handleConnectFailed(err error) {
+	result, delay := routing.ResultConnectFailed, time.Duration(0)
 	switch {
 	case errors.Is(err, ErrRejected):
 		result = routing.ResultOverCapacity
-		h.noRoom()
-	case ownFault(err):
-		result, wait = routing.ResultNotSent, ownFaultWait
-		h.pool.opt.Counters.Add("server_connects_failed_here", 1)
+		h.recordRejection()
+	case isLocalFault(err):
+		result, delay = routing.ResultNotSent, localFaultDelay
+		h.pool.options.Counters.Add("server_connects_failed_here", 1)
 	}
-	h.pool.opt.Counters.Add("server_connects_failed", 1)
-	if now := time.Now(); now.Sub(h.loggedAt) > time.Second { // an outage fails many
-		h.loggedAt = now
-		slog.Warn("connect_failed", "member", h.name, "error", err)
+	h.pool.options.Counters.Add("server_connects_failed", 1)
+	if now := time.Now(); now.Sub(h.connectLogged) > connectLogInterval {
+		h.connectLogged = now
+		slog.Warn("connect_failed", "host", h.member, "error", err)
 	}
-	if h.expected() {
+	if h.connectsCoverWaiting() {
 		return
 	}
-	if a := h.next(0); a != nil && len(h.idle) > 0 {
-		l := h.idle[0]
+	a := h.nextRequest(0)
+	switch {
+	case a == nil:
+	case len(h.idle) > 0:
+		c := h.idle[0]
 		h.idle = h.idle[1:]
-		l.give(a)
-	} else if a != nil {
-		h.failAfter(wait, a, result)
+		c.give(a)
+	default:
+		h.failAttempt(a, result, delay)
 	}
 }
 
-// expected says whether each attempt that waits has a connection coming up still: others were served by used connections, or
-// ended. One that has waited for as long as its own connect may have taken isn't made to wait for another's.
-func (h *host) expected() bool {
-	h.waiting = slices.DeleteFunc(h.waiting, func(w waiter) bool { return !w.Waiting() })
-	return len(h.waiting) <= h.opening && (len(h.waiting) == 0 || time.Since(h.waiting[0].since) < h.pool.opt.ConnectTimeout)
+// connectsCoverWaiting reports whether each attempt that waits still has a connection being opened for it: others were
+// served by used connections, or have ended. An attempt that has waited for as long as its own connect may have taken
+// must not wait for another's.
+func (h *host) connectsCoverWaiting() bool {
+	h.waiting = slices.DeleteFunc(h.waiting, func(r connRequest) bool { return !r.Waiting() })
+	if len(h.waiting) > h.connecting {
+		return false
+	}
+	return len(h.waiting) == 0 || time.Since(h.waiting[0].since) < h.pool.options.ConnectTimeout
 }
 
-// fail ends an attempt that was never written. It does not begin: where its time runs out before the core hears of this, it
-// still never ran. The core hears of it from a goroutine of its own, as this actor must not wait for the core, which may be
-// telling it something.
-func (h *host) fail(a *core.Attempt, result routing.Result) { h.failAfter(0, a, result) }
-
-// failAfter is fail some time later, or as soon as the attempt is given up.
-func (h *host) failAfter(wait time.Duration, a *core.Attempt, result routing.Result) {
+// failAttempt ends an attempt that was never written, after a delay or as soon as it is abandoned. It does not begin: where
+// its deadline passes before the core handles the outcome, it still never ran. The outcome is reported from a goroutine of
+// its own, as this actor must not wait for the core, which may be calling it.
+func (h *host) failAttempt(a *core.Attempt, result routing.Result, delay time.Duration) {
 	if !a.Waiting() {
 		return
 	}
 	h.pool.group.Go(func() error {
-		if wait > 0 {
+		if delay > 0 {
 			select {
-			case <-time.After(wait):
+			case <-time.After(delay):
 			case <-a.Context().Done():
 			}
 		}
@@ -328,11 +245,11 @@
 	})
 }
 
-// noRoom notes a new connection that brought nothing but a refusal and its end: the host is short of room for
-// connections. A full queue leaves them open.
-func (h *host) noRoom() {
-	h.pool.opt.Counters.Add("server_connections_no_room", 1)
-	if h.pool.keep.noRoom() {
-		h.pool.tell(trim{}) // what is kept idle elsewhere keeps others out, too
+// recordRejection records a new connection that the host rejected, or closed after it rejected the first attempt: the host
+// is short of capacity for connections.
+func (h *host) recordRejection() {
+	h.pool.options.Counters.Add("server_connections_no_room", 1)
+	if h.pool.sizer.recordRejection() {
+		h.pool.broadcast(trimIdle{}) // idle connections to other hosts use up capacity there, too
 	}
 }
--- /dev/null
+++ b/internal/backend/idle_test.go
@@ -0,0 +1,38 @@
+package backend
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"cranegate/internal/core"
+	"cranegate/internal/poolsize"
+)
+
+// TestTrimSurvivesFullMailbox has a host's mailbox be full at the moment that its idle connections are due: they are trimmed
+// once there is room.
+func TestTrimSurvivesFullMailbox(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		pool := &Pool{options: Options{IdleTimeout: 20 * time.Second},
+			sizer: sharedSizer{sizer: poolsize.New(300, 20*time.Second, time.Now())}}
+		h := &host{pool: pool, mailbox: make(chan any, 1), ctx: context.Background()}
+		pool.sizer.recordAttempt(&h.demand)
+		h.idle = []*pooledConn{{freedAt: time.Now()}}
+		if h.trimIdle(); h.trimAt.IsZero() || h.trimAt.After(time.Now().Add(20*time.Second)) {
+			t.Fatalf("no trim is scheduled: %v", h.trimAt)
+		}
+		h.mailbox <- &core.Attempt{}
+		time.Sleep(time.Until(h.trimAt) + 3*time.Second)
+		<-h.mailbox
+		time.Sleep(time.Second)
+		select {
+		case message := <-h.mailbox:
+			if _, ok := message.(trimIdle); !ok {
+				t.Errorf("%T came", message)
+			}
+		default:
+			t.Error("the trim is lost: connections stay idle until an attempt comes")
+		}
+	})
+}
--- /dev/null
+++ b/internal/backend/mysql/prepared.go
@@ -0,0 +1,188 @@
+package mysql
+
+import (
+	"slices"
+	"time"
+
+	"cranegate/internal/backend"
+	"cranegate/internal/core"
+	"cranegate/internal/mysqlwire"
+	"cranegate/routing"
+)
+
+const (
+	maxStatements    = 256         // prepared on one connection; the oldest is closed for another
+	latePrepareGrace = time.Second // how long after its deadline a prepare may still be answered
+)
+
+// errUnknownStatement is the error of a host that has forgotten the statement. It proves that nothing ran.
+const errUnknownStatement = 1243
+
+// prepared is a statement as it was prepared on one connection.
+type prepared struct {
+	id          uint32
+	definitions *mysqlwire.Definitions
+}
+
+// prepareOnly runs a client's prepare. Its connection is not closed when it is abandoned: its answer, if it still comes, is
+// read so that the connection stays in step, and a statement whose client has disconnected meanwhile is closed.
+func (c *Conn) prepareOnly(a *core.Attempt, statement *mysqlwire.Statement) (core.Outcome, bool) {
+	if !c.Alive() {
+		return backend.NotSent, false
+	}
+	if !a.Begin() {
+		return c.discard(len(c.w.B))
+	}
+	serverError, err := c.prepare(statement, time.Until(a.Deadline)+latePrepareGrace)
+	if err != nil {
+		return core.Outcome{Result: resultOf(nil, err)}, false
+	}
+	definitions := c.statements[statement].definitions
+	c.w.Reset(0)
+	c.closeDropped()
+	inStep := c.flush() == nil
+	if serverError != nil {
+		return core.Outcome{Result: resultOf(serverError, nil)}, inStep
+	}
+	return core.Outcome{Result: routing.ResultOK, Value: definitions}, inStep
+}
+
+// execute runs a prepared statement, which it prepares on this connection first if need be. Where the host has forgotten
+// a statement that was prepared before, it is prepared again, once.
+func (c *Conn) execute(a *core.Attempt, command *mysqlwire.Command) (core.Outcome, bool) {
+	begun, stop := false, func() bool { return true }
+	for {
+		statement, wasPrepared := c.statements[command.Statement]
+		if !wasPrepared {
+			if !begun && !a.Waiting() {
+				return c.discard(len(c.w.B))
+			}
+			if !begun && !c.Alive() {
+				return backend.NotSent, false
+			}
+			serverError, err := c.prepare(command.Statement, c.account.PrepareTimeout)
+			if err != nil { // the execute was never written
+				return core.Outcome{Result: routing.ResultConnectFailed}, false
+			} else if serverError != nil {
+				return core.Outcome{Result: resultOf(serverError, nil)}, stop()
+			}
+			statement = c.statements[command.Statement]
+		}
+		buffered := len(c.w.B)
+		c.appendExecute(statement.id, command, time.Until(a.Deadline))
+		if !c.Alive() {
+			if wasPrepared { // what came did so while the connection was idle
+				return backend.NotSent, false
+			}
+			return core.Outcome{Result: routing.ResultConnectFailed}, false // it came behind the prepare's answer
+		}
+		if !begun {
+			if !a.Begin() {
+				return c.discard(buffered)
+			}
+			begun, stop = true, backend.CloseOnAbandon(a, c)
+		}
+		if err := c.flush(); err != nil {
+			return core.Outcome{Result: routing.ResultConnectFailed}, false
+		}
+		c.SetReadDeadline(time.Time{})
+		response, serverError, err := c.readResponse(true)
+		forgotten := serverError != nil && response == nil && serverError.Code == errUnknownStatement
+		if forgotten && wasPrepared {
+			c.forget(command.Statement)
+			continue
+		}
+		return c.outcome(a, response, serverError, err), stop() && err == nil && c.Buffered() == 0
+	}
+}
+
+// appendExecute buffers an execute, with the long data of its parameters before it.
+func (c *Conn) appendExecute(id uint32, command *mysqlwire.Command, wait time.Duration) {
+	for param, data := range command.Long {
+		c.w.Seq = 0
+		c.w.Begin()
+		c.w.Byte(mysqlwire.ComStmtLongData)
+		c.w.U32(id)
+		c.w.U16(uint16(param))
+		c.w.B = append(c.w.B, data...)
+		c.w.End()
+	}
+	c.w.Seq = 0
+	c.w.Execute(id, command.Params, attributes(command, wait), c.caps)
+}
+
+// prepare prepares a statement on this connection. The connection is in step after an error of the host, and is not after
+// any other.
+func (c *Conn) prepare(statement *mysqlwire.Statement, timeout time.Duration) (*mysqlwire.Error, error) {
+	for len(c.order) >= maxStatements {
+		c.closeStatement(c.order[0])
+	}
+	c.w.Seq = 0
+	c.w.Begin()
+	c.w.Byte(mysqlwire.ComStmtPrepare)
+	c.w.Text(statement.Text)
+	c.w.End()
+	if err := c.flush(); err != nil {
+		return nil, err
+	}
+	c.SetReadDeadline(time.Now().Add(timeout))
+	c.seq = 1
+	packet, err := c.readPacket()
+	if err != nil {
+		return nil, err
+	}
+	if len(packet) > 0 && packet[0] == mysqlwire.HeadErr {
+		serverError, err := mysqlwire.ParseErr(packet)
+		return &serverError, err
+	}
+	return nil, c.readPrepared(statement, packet)
+}
+
+// readPrepared reads the definitions that follow a successful prepare's first packet, and records the statement.
+func (c *Conn) readPrepared(statement *mysqlwire.Statement, first []byte) error {
+	cursor := mysqlwire.Cursor{B: first}
+	head, id := cursor.Byte(), cursor.U32()
+	columns, params := int(cursor.U16()), int(cursor.U16())
+	if cursor.Err != nil || head != mysqlwire.HeadOK {
+		return mysqlwire.ErrMalformed
+	}
+	definitions := &mysqlwire.Definitions{}
+	bytesLeft := maxResponseBytes
+	var err error
+	if definitions.Params, err = c.readDefinitions(params, &bytesLeft); err != nil {
+		return err
+	}
+	if definitions.Columns, err = c.readDefinitions(columns, &bytesLeft); err != nil {
+		return err
+	}
+	c.statements[statement] = prepared{id, definitions}
+	c.order = append(c.order, statement)
+	return nil
+}
+
+// closeDropped closes, with the next write, the statements whose clients closed them or disconnected.
+func (c *Conn) closeDropped() {
+	for _, statement := range slices.Clone(c.order) {
+		if statement.Dropped() {
+			c.closeStatement(statement)
+		}
+	}
+}
+
+// closeStatement closes one statement with the next write; the host gives no answer.
+func (c *Conn) closeStatement(statement *mysqlwire.Statement) {
+	c.w.Seq = 0
+	c.w.Begin()
+	c.w.Byte(mysqlwire.ComStmtClose)
+	c.w.U32(c.statements[statement].id)
+	c.w.End()
+	c.forget(statement)
+}
+
+// forget removes a statement from those prepared on this connection.
+func (c *Conn) forget(statement *mysqlwire.Statement) {
+	delete(c.statements, statement)
+	if i := slices.Index(c.order, statement); i >= 0 {
+		c.order = append(c.order[:i:i], c.order[i+1:]...)
+	}
+}
--- a/internal/backend/postgres/stream.go
+++ b/internal/backend/postgres/stream.go
@@ -1,7 +1,6 @@
 package postgres
 
 import (
-	"context"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -16,59 +15,69 @@
 )
 
 const (
-	mostWhole   = 64<<10 + 64      // bytes of a row's message that are kept until the answer is whole; longer ones stream
-	mostRow     = 32 << 20         // and no row is longer: 4 MiB are asked for
-	rowHead     = 5 + 2 + 4        // a message's head, the number of columns, and the size of the only one
-	copySize    = 32 << 10         // what a stream holds at once
-	stalledFor  = 10 * time.Second // a host that gives nothing for so long in mid-row has broken
-	takenWithin = 2 * time.Second  // a client that is still there begins to take its answer at once
+	maxBufferedRow     = 64<<10 + 64      // bytes of a row's message that are buffered until the answer is complete; longer ones stream
+	maxRow             = 32 << 20         // bytes of a row that streams
+	messageHeadLength  = 5                // kind and length
+	rowHeadLength      = 5 + 2 + 4        // a message's head, the number of columns, and the length of the only one
+	valueOffset        = 2 + 4            // of the only value, in a row's body
+	streamBufferSize   = 32 << 10         // bytes
+	streamStallTimeout = 10 * time.Second // a host that sends nothing for so long in the middle of a row has broken
+	streamStartTimeout = 2 * time.Second  // a client that is still connected begins to take its answer at once
 )
 
-// ErrAnswerCut says that a host broke off an answer that had begun to reach its client. Nothing can be done for that request:
-// the client sees that its answer is not whole.
+// ErrAnswerCut is the error of a host that broke off an answer that had begun to reach its client. The request can't be
+// retried: the client gets an incomplete answer.
 var ErrAnswerCut = errors.New("the database host broke the answer off")
 
-// ErrClientDisconnected says that the client had left before its answer began.
-var ErrClientDisconnected = errors.New("the client had left")
+// ErrClientDisconnected is the error of a client that had disconnected before its answer began.
+var ErrClientDisconnected = errors.New("the client had disconnected")
 
-// Stream is an answer whose row is too long to be kept. Its head is in hand; the rest passes from the host's connection to
-// the client as it comes. It is written once.
+// Stream is an answer whose row is too long to be buffered. Its head is buffered; the rest is forwarded from the host's
+// connection to the client as it comes. It is written once.
 type Stream struct {
 	conn  *Conn
 	head  []byte // what comes before the row, and the row's head
-	left  int    // of the row, still to come
+	left  int    // bytes of the row, still to come
 	taken atomic.Bool
 	begun chan struct{} // closed when the client takes it
-	done  chan error    // how it went; what follows the row is the host's connection's again
+	done  chan error    // takes the result of the row; the host's connection then reads on
 	tail  chan []byte   // what follows the row, once that is known; closed where nothing will
 }
 
-// long says whether the next message is a row that has to stream, and how long its body is.
-func (c *Conn) long() (size int, ok bool, err error) {
-	b, err := c.Need(1)
-	if err != nil || b[0] != 'D' {
+// longRow reports whether the next message is a row that has to stream, and the length of its body in bytes.
+func (c *Conn) longRow() (size int, ok bool, err error) {
+	head, err := c.Need(1)
+	if err != nil || head[0] != messageDataRow {
 		return 0, false, err
 	}
-	if b, err = c.Need(5); err != nil {
+	if head, err = c.Need(messageHeadLength); err != nil {
 		return 0, false, err
 	}
-	n := int64(binary.BigEndian.Uint32(b[1:])) - 4
-	return int(n), n > mostWhole && n <= mostRow, nil
+	n := int64(binary.BigEndian.Uint32(head[1:])) - 4
+	return int(n), n > maxBufferedRow && n <= maxRow, nil
 }
 
-// stream hands a long row to the client while it comes, and returns once it has passed. The outcome is the attempt's so
-// far, to which what follows the row is still to be added.
+// stream offers a long row to the client, and returns once it has been forwarded. What follows the row is to be added to
+// the reply.
 func (c *Conn) stream(a *core.Attempt, r *reply, size int) error {
-	b, err := c.Need(rowHead)
+	head, err := c.Need(rowHeadLength)
 	if err != nil {
 		return err
 	}
-	if binary.BigEndian.Uint16(b[5:]) != 1 || int64(binary.BigEndian.Uint32(b[7:])) != int64(size-6) || r.step != described || r.rows > 0 {
+	columns, valueLength := binary.BigEndian.Uint16(head[5:]), binary.BigEndian.Uint32(head[7:])
+	expected := r.state == replyDescribed && r.rows == 0
+	if columns != 1 || int64(valueLength) != int64(size-valueOffset) || !expected {
 		return fmt.Errorf("long row: %w", pgwire.ErrMalformed)
 	}
-	s := &Stream{conn: c, head: append(r.value, b[:rowHead]...), left: size - 6, begun: make(chan struct{}),
-		done: make(chan error, 1), tail: make(chan []byte, 1)}
-	c.Skip(rowHead)
+	s := &Stream{
+		conn:  c,
+		head:  append(r.value, head[:rowHeadLength]...), // Need may return more
+		left:  size - valueOffset,
+		begun: make(chan struct{}),
+		done:  make(chan error, 1),
+		tail:  make(chan []byte, 1),
+	}
+	c.Skip(rowHeadLength)
 	r.rows++
 	r.value = nil
 	r.tail = s.tail
@@ -76,32 +85,39 @@
 		return ErrClientDisconnected
 	}
 	r.streamed = true
-	late := time.NewTimer(takenWithin)
-	defer late.Stop()
-	select {
-	case <-s.begun:
-	case <-late.C:
-		if s.taken.CompareAndSwap(false, true) {
-			return ErrClientDisconnected
-		}
+	if !s.waitTaken() {
+		return ErrClientDisconnected
 	}
 	err = <-s.done
-	c.SetReadDeadline(time.Now().Add(stalledFor))
+	c.SetReadDeadline(time.Now().Add(streamStallTimeout))
 	return err
 }
 
-// WriteTo passes the answer on, up to what comes before Ready. It is called once, by the client's own goroutine, which
-// owns the reading side of the host's connection meanwhile.
+// waitTaken waits until the client begins to take the answer, and returns false if it does not in time; it can't any more then.
+func (s *Stream) waitTaken() bool {
+	timeout := time.NewTimer(streamStartTimeout)
+	defer timeout.Stop()
+	select {
+	case <-s.begun:
+		return true
+	case <-timeout.C:
+		return !s.taken.CompareAndSwap(false, true)
+	}
+}
+
+// WriteTo forwards the answer, except for Ready. It is called once, by the client's own goroutine, which owns the reading
+// side of the host's connection meanwhile. It returns ErrClientDisconnected if it was called too late, ErrAnswerCut if the
+// host broke the answer off, or the writer's error.
 func (s *Stream) WriteTo(w io.Writer) (n int64, err error) {
 	if !s.taken.CompareAndSwap(false, true) {
 		return 0, ErrClientDisconnected
 	}
 	close(s.begun)
-	if n, err = s.row(w); err != nil {
-		s.done <- err
+	n, err = s.writeRow(w)
+	s.done <- err
+	if err != nil {
 		return n, err
 	}
-	s.done <- nil
 	tail, ok := <-s.tail
 	if !ok {
 		return n, ErrAnswerCut
@@ -110,51 +126,43 @@
 	return n + int64(m), err
 }
 
-// row passes on the head and the row.
-func (s *Stream) row(w io.Writer) (n int64, err error) {
-	pass := func(b []byte) error {
-		m, err := w.Write(b)
-		n += int64(m)
-		return err
+// writeRow forwards the head and the row.
+func (s *Stream) writeRow(w io.Writer) (n int64, err error) {
+	if buffered, _ := s.conn.Need(0); len(buffered) > 0 {
+		buffered = buffered[:min(len(buffered), s.left)]
+		s.head = append(s.head, buffered...)
+		s.conn.Skip(len(buffered))
+		s.left -= len(buffered)
 	}
-	if b, _ := s.conn.Need(0); len(b) > 0 {
-		b = b[:min(len(b), s.left)]
-		s.head = append(s.head, b...)
-		s.conn.Skip(len(b))
-		s.left -= len(b)
-	}
-	if err := pass(s.head); err != nil {
+	written, err := w.Write(s.head)
+	if n += int64(written); err != nil {
 		return n, err
 	}
-	b := make([]byte, min(copySize, s.left))
+	chunk := make([]byte, min(streamBufferSize, s.left))
 	for s.left > 0 {
-		s.conn.SetReadDeadline(time.Now().Add(stalledFor))
-		got, err := s.conn.Conn.Conn.Read(b[:min(len(b), s.left)])
-		if s.left -= got; got > 0 {
-			if err := pass(b[:got]); err != nil {
+		s.conn.SetReadDeadline(time.Now().Add(streamStallTimeout))
+		read, readErr := s.conn.Conn.Conn.Read(chunk[:min(len(chunk), s.left)])
+		if s.left -= read; read > 0 {
+			written, err := w.Write(chunk[:read])
+			if n += int64(written); err != nil {
 				return n, err
 			}
 		}
-		if err != nil && s.left > 0 {
-			return n, fmt.Errorf("%w: %w", ErrAnswerCut, err)
+		if readErr != nil && s.left > 0 {
+			return n, fmt.Errorf("%w: %w", ErrAnswerCut, readErr)
 		}
 	}
 	return n, nil
 }
 
-// cut is the outcome of an attempt whose answer did not pass whole.
-func (r *reply) cut(err error) core.Outcome {
-	o := core.Outcome{Role: r.note.Role, Position: r.note.Position, Report: r.note.Report, Result: routing.ResultReset}
+// cutOutcome returns the outcome of an attempt whose answer did not reach the client complete. Where the host did not break
+// it off, the client did.
+func (r *reply) cutOutcome(err error) core.Outcome {
 	switch {
-	case errors.Is(err, ErrClientDisconnected) || !errors.Is(err, ErrAnswerCut): // it is the client that went
-		o.Result = routing.ResultCancelled
+	case errors.Is(err, ErrClientDisconnected) || !errors.Is(err, ErrAnswerCut):
+		return r.status.Outcome(routing.ResultCancelled)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		o.Result = routing.ResultMalformed
+		return r.status.Outcome(routing.ResultMalformed)
 	}
-	return o
-}
-
-// watch closes the connection when the attempt is given up.
-func (c *Conn) watch(a *core.Attempt) (stop func() bool) {
-	return context.AfterFunc(a.Context(), func() { c.Close() })
+	return r.status.Outcome(routing.ResultReset)
 }
