--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -23,182 +23,233 @@
 	"cranegate/routing"
 )
 
-// soon bounds what has to come about, on a busy machine too. Nothing is measured by it.
-const soon = 20 * time.Second
+// testTimeout bounds what has to come about, on a busy machine too. Nothing is measured by it.
+const testTimeout = 20 * time.Second
 
-// restsFor is longer than a connection rests before it is used again.
-const restsFor = 150 * time.Millisecond
+// pastReuseDelay is longer than a connection stays idle before it is used again.
+const pastReuseDelay = 150 * time.Millisecond
 
-var forms = []string{"postgres", "mysql", "prepared"}
+// protocols are the protocols of the tests: "prepared" is MySQL's with prepared statements.
+var protocols = []string{"postgres", "mysql", "prepared"}
 
-// rig is a core with one database host, the primary of group 4, on real sockets.
-type rig struct {
+// harness is a core with one database host, the primary of group 4, on real sockets.
+type harness struct {
 	t        *testing.T
-	form     string
+	protocol string
 	host     *fake.Host
 	listener net.Listener
 	core     *core.Core
 	counters *metrics.Counters
-	serve    func(net.Conn) // in place of the host
+	serve    func(net.Conn) // in place of the host; nil: the host
 
 	mu    sync.Mutex
-	conns []*net.TCPConn // the host's ends, in the order of their coming
+	conns []*net.TCPConn // the host's ends, in the order of their opening
 
 	prepared map[string]*mysqlwire.Statement // by class
 }
 
-// newRig plays a host; change may alter the pool's options, among them the seams: how connections are opened and started.
-func newRig(t *testing.T, form string, host *fake.Host, change func(*backend.Options), serve ...func(net.Conn)) *rig {
+// newHarness starts a core and a host. change, if not nil, may alter the pool's options, among them how connections are
+// opened and started. serve, if given, serves the host's connections in the host's place.
+func newHarness(t *testing.T, protocol string, host *fake.Host, change func(*backend.Options), serve ...func(net.Conn)) *harness {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	host.Primary = true
-	r := &rig{t: t, form: form, host: host, listener: l, counters: &metrics.Counters{},
+	h := &harness{t: t, protocol: protocol, host: host, listener: listener, counters: &metrics.Counters{},
 		prepared: map[string]*mysqlwire.Statement{}}
-	opt := backend.Options{Start: postgres.Start, ConnectTimeout: soon, IdleTimeout: soon, MaxOpen: 50, Gateways: 1, Counters: r.counters}
-	if form != "postgres" {
-		opt.Start = mysql.Account{User: "svc", HealthCheck: "SHOW pressure", PrepareTimeout: soon}.Start
-	}
 	for _, f := range serve {
-		r.serve = f
+		h.serve = f
 	}
+	options := h.poolOptions()
 	if change != nil {
-		change(&opt)
+		change(&options)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	pool := backend.New(ctx, opt)
-	// Deadlines are as long as a busy machine may need.
-	c, err := core.New(core.Options{Routing: routing.Config{Gateways: 1, MaxAttempts: 6, StaleReads: routing.StaleReadDelayed, Positions: true,
-		RoleSource: routing.RoleSourceDelayed, AllowCancel: true, Classes: []routing.Class{
-			{Name: "put", Consistency: routing.ConsistencyWrite, LatencyObjective: soon / 2, Deadline: soon, PriorityWeight: 1, Effect: routing.NonIdempotent},
-			{Name: "brief", Consistency: routing.ConsistencyWrite, LatencyObjective: 300 * time.Millisecond, Deadline: 600 * time.Millisecond, PriorityWeight: 1, Effect: routing.NonIdempotent},
-		}}, Seed: 1, AnswerSlack: 20 * time.Millisecond, HealthCheckTimeout: time.Second, Counters: r.counters,
-		Monitor: &invariant.Monitor{Counters: r.counters}}, pool)
-	if err != nil {
+	pool := backend.New(ctx, options)
+	if h.core, err = core.New(h.coreOptions(), pool); err != nil {
 		t.Fatal(err)
 	}
-	r.core = c
-	var all sync.WaitGroup
-	all.Go(func() { c.Run(ctx) })
-	all.Go(func() { r.accept(&all) })
+	var running sync.WaitGroup
+	running.Go(func() { h.core.Run(ctx) })
+	running.Go(func() { h.accept(&running) })
 	t.Cleanup(func() {
-		if n := r.counters.Get("violations"); n > 0 {
-			t.Errorf("%d violations: %v", n, r.counters)
+		if n := h.counters.Get("violations"); n > 0 {
+			t.Errorf("%d violations: %v", n, h.counters)
 		}
 		cancel()
-		l.Close()
-		r.mu.Lock()
-		for _, x := range r.conns {
-			x.Close()
-		}
-		r.mu.Unlock()
+		listener.Close()
+		h.closeConns()
 		pool.Wait()
-		all.Wait()
+		running.Wait()
 	})
-	c.UpdateEndpoints(core.EndpointList{Kind: routing.EndpointListComplete, Hosts: []core.Host{{Address: l.Addr().String(),
-		Endpoint: routing.Endpoint{Member: "db-0", Group: 4, Primary: true, Capacity: 1}}}})
-	return r
+	h.core.UpdateEndpoints(h.list(routing.EndpointListComplete, routing.PhaseServing))
+	return h
 }
 
-func (r *rig) accept(all *sync.WaitGroup) {
+func (h *harness) poolOptions() backend.Options {
+	options := backend.Options{Start: postgres.Start, ConnectTimeout: testTimeout, IdleTimeout: testTimeout, MaxOpen: 50,
+		Gateways: 1, Counters: h.counters}
+	if h.protocol != "postgres" {
+		options.Start = mysql.Account{User: "svc", HealthCheck: "SHOW pressure", PrepareTimeout: testTimeout}.Start
+	}
+	return options
+}
+
+// coreOptions are options with deadlines as long as a busy machine may need, except for those of class "brief".
+func (h *harness) coreOptions() core.Options {
+	classes := []routing.Class{
+		{Name: "put", Consistency: routing.ConsistencyWrite, LatencyObjective: testTimeout / 2, Deadline: testTimeout,
+			PriorityWeight: 1, Effect: routing.NonIdempotent},
+		{Name: "brief", Consistency: routing.ConsistencyWrite, LatencyObjective: 300 * time.Millisecond,
+			Deadline: 600 * time.Millisecond, PriorityWeight: 1, Effect: routing.NonIdempotent},
+	}
+	return core.Options{
+		Routing: routing.Config{Gateways: 1, MaxAttempts: 6, StaleReads: routing.StaleReadDelayed, Positions: true,
+			RoleSource: routing.RoleSourceDelayed, AllowCancel: true, Classes: classes},
+		Seed:               1,
+		AnswerSlack:        20 * time.Millisecond,
+		HealthCheckTimeout: time.Second,
+		Counters:           h.counters,
+		Monitor:            &invariant.Monitor{Counters: h.counters},
+	}
+}
+
+// list returns an endpoint list of the host.
+func (h *harness) list(kind routing.EndpointListKind, phase routing.Phase) core.EndpointList {
+	return core.EndpointList{Kind: kind, Hosts: []core.Host{{Address: h.listener.Addr().String(),
+		Endpoint: routing.Endpoint{Member: "db-0", Group: 4, Primary: true, Capacity: 1, Phase: phase}}}}
+}
+
+func (h *harness) accept(running *sync.WaitGroup) {
 	for {
-		c, err := r.listener.Accept()
+		conn, err := h.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.mu.Lock()
-		r.conns = append(r.conns, c.(*net.TCPConn))
-		r.mu.Unlock()
-		all.Go(func() {
-			if r.serve != nil {
-				r.serve(c)
-			} else if r.form == "postgres" {
-				r.host.ServePostgres(c)
+		h.mu.Lock()
+		h.conns = append(h.conns, conn.(*net.TCPConn))
+		h.mu.Unlock()
+		running.Go(func() {
+			if h.serve != nil {
+				h.serve(conn)
+			} else if h.protocol == "postgres" {
+				h.host.ServePostgres(conn)
 			} else {
-				r.host.ServeMySQL(c)
+				h.host.ServeMySQL(conn)
 			}
 		})
 	}
 }
 
-// conn is the host's end of a connection, by the order of their coming.
-func (r *rig) conn(i int) *net.TCPConn {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.conns[i]
+func (h *harness) closeConns() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, conn := range h.conns {
+		conn.Close()
+	}
+}
+
+// hostConn returns the host's end of a connection, by the order of their opening.
+func (h *harness) hostConn(i int) *net.TCPConn {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.conns[i]
 }
 
-// opened is how many connections have come.
-func (r *rig) opened() int { r.mu.Lock(); defer r.mu.Unlock(); return len(r.conns) }
+// connCount returns how many connections were opened.
+func (h *harness) connCount() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.conns)
+}
 
-// ask sends a request on, whose answer comes by the channel.
-func (r *rig) ask(class, id string) <-chan core.Answer {
-	r.t.Helper()
+// updateHost gives the core an endpoint list with the host in a phase, and returns once it has been applied.
+func (h *harness) updateHost(kind routing.EndpointListKind, phase routing.Phase) {
+	h.t.Helper()
+	h.core.UpdateEndpoints(h.list(kind, phase))
+	h.waitCore()
+}
+
+// waitCore returns once the core has handled all events that were posted before.
+func (h *harness) waitCore() {
+	h.t.Helper()
+	if _, err := h.core.Known(h.t.Context(), "x"); err != nil {
+		h.t.Error(err)
+	}
+}
+
+// request submits a request and returns the channel of its answer.
+func (h *harness) request(class, id string) <-chan core.Answer {
+	h.t.Helper()
 	answers := make(chan core.Answer, 10)
-	r.send(class, id, func(a core.Answer) { answers <- a })
+	h.send(class, id, func(a core.Answer) { answers <- a })
 	return answers
 }
 
-// submit sends a request on whose answer nobody waits for.
-func (r *rig) submit(class, id string) *core.Request {
-	r.t.Helper()
-	return r.send(class, id, func(core.Answer) {})
+// submit submits a request whose answer is ignored.
+func (h *harness) submit(class, id string) *core.Request {
+	h.t.Helper()
+	return h.send(class, id, func(core.Answer) {})
 }
 
-func (r *rig) send(class, id string, reply func(core.Answer)) *core.Request {
-	r.t.Helper()
+// send submits a request with the given handler of its answer.
+func (h *harness) send(class, id string, reply func(core.Answer)) *core.Request {
+	h.t.Helper()
 	text := "/* id=" + id + ",c=" + class + ",d=60000,cluster=4 */ SELECT v FROM records WHERE k = '" + id + "'"
-	s, err := sqlcomment.Parse([]byte(text))
+	statement, err := sqlcomment.Parse([]byte(text))
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	q := &core.Request{Class: class, Group: 4, Arrived: time.Now(), Payload: s, Reply: reply}
-	switch r.form {
+	request := &core.Request{Class: class, Group: 4, Arrived: time.Now(), Payload: statement, Reply: reply}
+	switch h.protocol {
 	case "mysql":
-		q.Payload = &mysqlwire.Command{Kind: mysqlwire.ComQuery, Meta: s}
+		request.Payload = &mysqlwire.Command{Kind: mysqlwire.ComQuery, Meta: statement}
 	case "prepared":
-		if r.prepared[class] == nil {
-			r.prepared[class] = &mysqlwire.Statement{Text: "/* c=" + class + ",cluster=4 */ SELECT v FROM records WHERE k = ?", Params: 1}
+		if h.prepared[class] == nil {
+			h.prepared[class] = &mysqlwire.Statement{
+				Text: "/* c=" + class + ",cluster=4 */ SELECT v FROM records WHERE k = ?", Params: 1}
 		}
-		q.Payload = &mysqlwire.Command{Kind: mysqlwire.ComStmtExecute, Meta: s, Statement: r.prepared[class],
-			Params: []mysqlwire.Param{mysqlwire.Attribute("", id)}, Attributes: []mysqlwire.Param{mysqlwire.Attribute("id", id)}}
+		request.Payload = &mysqlwire.Command{Kind: mysqlwire.ComStmtExecute, Meta: statement, Statement: h.prepared[class],
+			Params:     []mysqlwire.Param{mysqlwire.Attribute("", id)},
+			Attributes: []mysqlwire.Param{mysqlwire.Attribute("id", id)}}
 	}
-	if !r.core.Submit(q) {
-		r.t.Fatal("the core has ended")
+	if !h.core.Submit(request) {
+		h.t.Fatal("the core has ended")
 	}
-	return q
+	return request
 }
 
-// wait takes an answer.
-func (r *rig) wait(answers <-chan core.Answer) core.Answer {
-	r.t.Helper()
+// wait returns the answer of a request.
+func (h *harness) wait(answers <-chan core.Answer) core.Answer {
+	h.t.Helper()
 	select {
 	case a := <-answers:
 		return a
-	case <-time.After(2 * soon):
-		r.t.Fatal("no answer")
+	case <-time.After(2 * testTimeout):
+		h.t.Fatal("no answer")
 		return core.Answer{}
 	}
 }
 
-// served asks and wants the value that was made for this request, which ran once.
-func (r *rig) served(class, id string) {
-	r.t.Helper()
-	r.isServed(r.wait(r.ask(class, id)), id)
+// checkServes submits a request, and checks that it is served.
+func (h *harness) checkServes(class, id string) {
+	h.t.Helper()
+	h.checkServed(h.wait(h.request(class, id)), id)
 }
 
-func (r *rig) isServed(a core.Answer, id string) {
-	r.t.Helper()
-	if n := r.host.Ran(id); a.Status != core.Served || !holds(a.Value, "value of "+id) || n != 1 {
-		r.t.Errorf("%s: status %d, value %q, ran %d times", id, a.Status, a.Value, n)
+// checkServed checks that an answer is the value that was made for a request, and that this ran once.
+func (h *harness) checkServed(a core.Answer, id string) {
+	h.t.Helper()
+	if n := h.host.Ran(id); a.Status != core.Served || !hasValue(a.Value, "value of "+id) || n != 1 {
+		h.t.Errorf("%s: status %d, value %q, ran %d times", id, a.Status, a.Value, n)
 	}
 }
 
-// holds says whether an answer's value has a text.
-func holds(v any, text string) bool {
-	switch v := v.(type) {
+// hasValue reports whether an answer's value contains a text.
+func hasValue(value any, text string) bool {
+	switch v := value.(type) {
 	case []byte:
 		return bytes.Contains(v, []byte(text))
 	case *mysqlwire.Result:
@@ -207,23 +258,33 @@
 	return false
 }
 
-// messages cuts an answer into its messages, or packets.
-func messages(form string, b []byte) (out [][]byte) {
-	for len(b) > 0 {
-		n := 1 + int(binary.BigEndian.Uint32(append(bytes.Clone(b[1:5]), 0)))
-		if form != "postgres" {
-			n = 4 + int(b[0]) + int(b[1])<<8 + int(b[2])<<16
+// waitFor waits until a condition holds.
+func waitFor(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%s: never", what)
+		}
+	}
+}
+
+// splitMessages splits an answer into its messages, or packets.
+func splitMessages(protocol string, answer []byte) (messages [][]byte) {
+	for len(answer) > 0 {
+		n := 4 + int(answer[0]) + int(answer[1])<<8 + int(answer[2])<<16
+		if protocol == "postgres" {
+			n = 1 + int(binary.BigEndian.Uint32(answer[1:5]))
 		}
-		out, b = append(out, b[:n]), b[n:]
+		messages, answer = append(messages, answer[:n]), answer[n:]
 	}
-	return out
+	return messages
 }
 
-// failAfter is an answer cut off behind so many messages by a host's error.
-func failAfter(form string, answer []byte, n int, code string) []byte {
-	b := bytes.Join(messages(form, answer)[:n], nil)
-	if form == "postgres" {
-		return pgwire.AppendReady(pgwire.AppendError(b, "ERROR", code, "no", ""))
+// errorAfter returns an answer that a host's error cuts off after n messages. The code is a SQLSTATE code, or MySQL's own.
+func errorAfter(protocol string, answer []byte, n int, code string) []byte {
+	begun := bytes.Join(splitMessages(protocol, answer)[:n], nil)
+	if protocol == "postgres" {
+		return pgwire.AppendReady(pgwire.AppendError(begun, "ERROR", code, "no", ""))
 	}
 	var w mysqlwire.Writer
 	w.Reset(byte(1 + n))
@@ -233,5 +294,5 @@
 		e.Code, e.State = 1105, code
 	}
 	w.Err(e, mysqlwire.CapProtocol41)
-	return append(b, w.B...)
+	return append(begun, w.B...)
 }
