--- a/internal/backend/hoststatus.go
+++ b/internal/backend/hoststatus.go
@@ -24,7 +24,7 @@
 }
 
 // maxPositionLead is how far a position may be ahead of this clock, as commits are rounded up. One further ahead is
-// malformed, and must not make a member look fresh for ever.
+// malformed, and must not make a member look fresh indefinitely.
 const maxPositionLead = time.Second
 
 // parsePosition converts a Unix time in milliseconds, rounded down, and reports whether it is valid.
--- a/internal/backend/hoststatus_test.go
+++ b/internal/backend/hoststatus_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestReportsAreCompleteOrIgnored protects the router against load reports and positions that were damaged on the way: one
-// that lies in the future would make its member look fresh for ever, and its claim to be primary the newest.
+// that lies in the future would make its member look fresh indefinitely, and its claim to be primary the newest.
 func TestReportsAreCompleteOrIgnored(t *testing.T) {
 	now := time.Now().UnixMilli()
 	good := fmt.Sprintf("x0=%d.250,x1=1,util=0.5,queue=3", now/1000-2)
--- a/internal/backend/write_test.go
+++ b/internal/backend/write_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestWriteHangs holds a write back for ever, as a host's full window does: the request is answered when its time is up, and its
+// TestWriteHangs blocks a write indefinitely, as a host's full window does: the request is answered when its time is up, and its
 // connection closed with it.
 func TestWriteHangs(t *testing.T) {
 	closed := make(chan struct{})
