--- a/cmd/cranegate/hotrestart.go
+++ b/cmd/cranegate/hotrestart.go
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithTimeout(g.work, startFor)
 	defer cancel()
 	for name, f := range g.lists {
-		if err := f.core.Started(ctx, g.inherited.Starts[name]); err != nil {
+		if err := f.core.SetStartTimes(ctx, g.inherited.Starts[name]); err != nil {
 			slog.Warn("handover_doubt", "error", err)
 		}
 	}
@@ -195,7 +195,7 @@
 		Learned: map[string]routing.Learned{}}
 	for name, f := range g.lists {
 		k.Lists[name] = f.watch.Snapshot()
-		if starts, err := f.core.Starts(ctx); err == nil {
+		if starts, err := f.core.StartTimes(ctx); err == nil {
 			k.Starts[name] = starts
 		}
 		if l, err := f.core.Learned(ctx); err == nil {
--- a/internal/backend/answer_test.go
+++ b/internal/backend/answer_test.go
@@ -18,7 +18,8 @@
 	const valueLength = 64 << 10
 	row := pgwire.Append(nil, 'T', "\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
 	head := len(row)
-	row = pgwire.Append(row, 'D', "\x00\x01", string(binary.BigEndian.AppendUint32(nil, valueLength)), strings.Repeat("v", valueLength))
+	length := string(binary.BigEndian.AppendUint32(nil, valueLength))
+	row = pgwire.Append(row, 'D', "\x00\x01", length, strings.Repeat("v", valueLength))
 	row = pgwire.AppendReady(pgwire.Append(row, 'C', "SELECT 1\x00"))
 	for _, sent := range []int{head, head + 5, head + 11, valueLength / 2, len(row) - 7, len(row)} {
 		t.Run(fmt.Sprint(sent), func(t *testing.T) {
--- a/internal/backend/localfault.go
+++ b/internal/backend/localfault.go
@@ -8,7 +8,8 @@
 )
 
 // errNoDescriptor is the error of a connect for which there was no slot in time.
-var errNoDescriptor = errors.New("no descriptor left for a connection; raise limits.sockets or the limit on open files (ulimit -n)")
+var errNoDescriptor = errors.New(
+	"no descriptor left for a connection; raise limits.sockets or the limit on open files (ulimit -n)")
 
 // localFaults are the errors of a connect that failed for want of something on this machine: descriptors, memory, local
 // ports, or a network.
--- a/internal/backend/postgres/stream.go
+++ b/internal/backend/postgres/stream.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	maxBufferedRow     = 64<<10 + 64      // bytes of a row's message that are buffered until the answer is complete; longer ones stream
+	// maxBufferedRow is the size in bytes of a row's message that is buffered until the answer is complete. Longer ones stream.
+	maxBufferedRow     = 64<<10 + 64
 	maxRow             = 32 << 20         // bytes of a row that streams
 	messageHeadLength  = 5                // kind and length
 	rowHeadLength      = 5 + 2 + 4        // a message's head, the number of columns, and the length of the only one
--- a/internal/core/control.go
+++ b/internal/core/control.go
@@ -78,8 +78,8 @@
 	return known, nil
 }
 
-// Starts returns the start times of the hosts that may still be in slow start, by id.
-func (c *Core) Starts(ctx context.Context) (map[string]time.Time, error) {
+// StartTimes returns the start times of the hosts that may still be in slow start, by id.
+func (c *Core) StartTimes(ctx context.Context) (map[string]time.Time, error) {
 	starts := map[string]time.Time{}
 	collect := func() {
 		for id, at := range c.router.Starts() {
@@ -106,8 +106,8 @@
 	c.post(actorCall(func() { c.router.Learn(learned) }))
 }
 
-// Started sets the start times of hosts that another process knew. It must come before the first endpoint list.
-func (c *Core) Started(ctx context.Context, starts map[string]time.Time) error {
+// SetStartTimes sets the start times of hosts that another process knew. It must come before the first endpoint list.
+func (c *Core) SetStartTimes(ctx context.Context, starts map[string]time.Time) error {
 	return c.call(ctx, func() {
 		for id, at := range starts {
 			c.overrides.SetStarted(id, c.clock.at(at))
--- a/internal/core/idempotency_test.go
+++ b/internal/core/idempotency_test.go
@@ -116,9 +116,11 @@
 	}
 	unsent, failed := h.counters.Get("attempts_never_sent"), h.counters.Get("attempts_error")
 	if !c.begins && (unsent != 1 || failed != 0) {
-		t.Errorf("connection after %v: %d attempts counted as never sent and %d as failed, want one and none", c.connected, unsent, failed)
+		t.Errorf("connection after %v: %d attempts counted as never sent and %d as failed, want one and none",
+			c.connected, unsent, failed)
 	}
 	if !c.begins && r.ended.Sub(r.first) > idempotencyWindow+c.busy+time.Millisecond {
-		t.Errorf("connection after %v: the wait ended %v after the first attempt, want %v", c.connected, r.ended.Sub(r.first), idempotencyWindow)
+		t.Errorf("connection after %v: the wait ended %v after the first attempt, want %v",
+			c.connected, r.ended.Sub(r.first), idempotencyWindow)
 	}
 }
