--- a/cmd/cranegate/handoff.go
+++ b/cmd/cranegate/handoff.go
@@ -33,7 +33,7 @@
 	}
 	for name, f := range g.fleets {
 		exported.EndpointLists[name] = f.watcher.Snapshot()
-		if starts, err := f.core.Starts(ctx); err == nil {
+		if starts, err := f.core.StartTimes(ctx); err == nil {
 			exported.StartTimes[name] = starts
 		}
 		if learned, err := f.core.Learned(ctx); err == nil {
--- a/cmd/cranegate/hotrestart.go
+++ b/cmd/cranegate/hotrestart.go
@@ -91,7 +91,7 @@
 	ctx, cancel := context.WithTimeout(g.lifetime, importTimeout)
 	defer cancel()
 	for name, f := range g.fleets {
-		if err := f.core.Started(ctx, g.inherited.StartTimes[name]); err != nil {
+		if err := f.core.SetStartTimes(ctx, g.inherited.StartTimes[name]); err != nil {
 			slog.Warn("hotrestart_unconfirmed", "error", err)
 		}
 	}
