--- a/routing/healthcheck_test.go
+++ b/routing/healthcheck_test.go
@@ -13,7 +13,7 @@
 		h.advance(100 * ms)
 		h.reportAll("a", 10*ms)
 	}
-	h.want("probes of an idle gateway in 40 s", len(h.healthChecks) <= int(maxHealthCheckTokens), true)
+	h.want("health checks of an idle gateway in 40 s are within the budget", len(h.healthChecks) <= int(maxHealthCheckTokens), true)
 }
 
 func TestHealthChecksReachAllMembersInDoubt(t *testing.T) {
@@ -28,12 +28,12 @@
 	}
 	h.healthChecks = nil
 	h.advance(2 * time.Second)
-	n := map[string]int{}
-	for _, m := range h.healthChecks {
-		n[m]++
-		h.router.members[m].healthCheckPending = false
+	checked := map[string]bool{}
+	for _, name := range h.healthChecks {
+		checked[name] = true
+		h.router.members[name].healthCheckPending = false
 	}
-	h.want("members probed", len(n), 20)
+	h.want("members checked", len(checked), 20)
 }
 
 func TestLargeFleetIsNotCheckedAtEachStart(t *testing.T) {
@@ -42,22 +42,23 @@
 		endpoints = append(endpoints, Endpoint{Member: fmt.Sprint("m", 100+i), Group: i / 5, Primary: i%5 == 0})
 	}
 	h := newHarness(t, testConfig(), endpoints...)
-	h.want("probes at the start", len(h.healthChecks), 0)
+	h.want("health checks at the start", len(h.healthChecks), 0)
 	id := h.request(boundedRead)
-	if to := h.membersTried(id); len(to) == 0 || to[0] == "m105" {
-		t.Errorf("the first bounded read of a gateway that has heard nobody went %v", to)
+	if tried := h.membersTried(id); len(tried) == 0 || tried[0] == "m105" {
+		t.Errorf("the first bounded read of a gateway that knows nothing of members went to %v", tried)
 	}
 	cfg := testConfig()
 	cfg.StaleReads = StaleReadServed
 	h = newHarness(t, cfg, endpoints...)
-	h.want("probes where members do not check reads", len(h.healthChecks), 100)
+	h.want("health checks where members do not check reads", len(h.healthChecks), 100)
 }
 
 func TestLargeFleetIsCheckedLessPerRequest(t *testing.T) {
-	share := func(members int) float64 {
+	checksPerRequest := func(members int) float64 {
 		var endpoints []Endpoint
 		for i := range members {
-			endpoints = append(endpoints, Endpoint{Member: fmt.Sprint("m", 10+i), Group: i / 4, Primary: i%4 == 0, Capacity: 1})
+			endpoints = append(endpoints,
+				Endpoint{Member: fmt.Sprint("m", 10+i), Group: i / 4, Primary: i%4 == 0, Capacity: 1})
 		}
 		h := newHarness(t, testConfig(), endpoints...)
 		for _, member := range h.router.sortedMembers {
@@ -66,11 +67,12 @@
 				member.role = RolePrimary
 			}
 		}
-		asked := 0
+		requests := 0
 		for range 40 * 20 {
 			h.advance(50 * ms)
-			id := h.request(anyRead, func(req *Request) { req.Group = asked % (members / 4) })
-			if asked++; asked == 400 {
+			id := h.request(anyRead, func(req *Request) { req.Group = requests % (members / 4) })
+			requests++
+			if requests == 400 {
 				h.healthChecks = nil // what was saved up for the start is spent
 			}
 			h.endAttempt(id, ResultOK, RoleReplica, h.position(0))
@@ -80,34 +82,35 @@
 				}
 			}
 		}
-		return float64(len(h.healthChecks)) / float64(asked-400)
+		return float64(len(h.healthChecks)) / float64(requests-400)
 	}
-	few, many := share(8), share(60)
+	few, many := checksPerRequest(8), checksPerRequest(60)
 	if few < 0.1 || many > 0.1 || many == 0 {
-		t.Errorf("%.2f probes a request with 8 members, %.2f with 60", few, many)
+		t.Errorf("%.2f health checks a request with 8 members, %.2f with 60", few, many)
 	}
 }
 
 func TestPrimaryIsSoughtByHealthChecksOnlyOnDemand(t *testing.T) {
 	for _, class := range []int{strongRead, sessionRead, boundedRead} {
-		h := newHarness(t, testConfig(), Endpoint{Member: "a", Group: 1}, Endpoint{Member: "b", Group: 1}, Endpoint{Member: "c", Group: 1})
+		h := newHarness(t, testConfig(), groupWithoutRoles...)
 		h.advance(time.Second)
-		h.healthChecks, h.router.healthCheckTokens = nil, 0 // what is saved up is spent
+		h.healthChecks = nil
+		h.router.healthCheckTokens = 0
 		for _, member := range h.router.sortedMembers {
 			member.healthCheckPending = false
 		}
 		h.advance(2 * time.Second)
-		h.want("probes while nothing wants the primary", len(h.healthChecks), 0)
+		h.want("health checks while no request wants the primary", len(h.healthChecks), 0)
 		h.request(class, func(req *Request) { req.SinceWrite = ms })
 		h.advance(300 * ms)
 		if len(h.healthChecks) < 3 {
-			t.Errorf("%d probes while a read of class %d waits for the primary", len(h.healthChecks), class)
+			t.Errorf("%d health checks while a read of class %d waits for the primary", len(h.healthChecks), class)
 		}
 	}
 }
 
-// TestOneOfManyGatewaysChecksNobodyAtItsStart starts gateways beside few and beside many others: each probe of a start costs its member the
-// same, and all gateways pay for it together.
+// TestOneOfManyGatewaysChecksNobodyAtItsStart starts gateways beside few and beside many others: each health check of a
+// start costs its member the same, so that many gateways would cost it much.
 func TestOneOfManyGatewaysChecksNobodyAtItsStart(t *testing.T) {
 	var endpoints []Endpoint
 	for i := range 24 {
@@ -117,39 +120,47 @@
 		cfg := testConfig()
 		cfg.Gateways = gateways
 		if got := len(newHarness(t, cfg, endpoints...).healthChecks); got != want {
-			t.Errorf("one of %d gateways probes %d members at its start, want %d", gateways, got, want)
+			t.Errorf("one of %d gateways checks %d members at its start, want %d", gateways, got, want)
 		}
 	}
 }
 
-// TestUncheckedReadsFindFreshMembers has a gateway that sees little of a large site whose members answer from what they
-// have. No position that it knows is recent enough for a bounded read, and the primary has no room: members of that group are
-// asked, though the budget for probes is spent, and the read goes to one that has told.
+// TestUncheckedReadsFindFreshMembers has a gateway with little traffic, and members that answer from the data they have.
+// No position that it knows is recent enough for a bounded read, and the primary has no capacity left: members of that
+// group are health-checked, though the budget is spent, and the read goes to one that has reported.
 func TestUncheckedReadsFindFreshMembers(t *testing.T) {
-	for _, guards := range []StaleReadPolicy{StaleReadServed, StaleReadDelayed} {
+	for _, policy := range []StaleReadPolicy{StaleReadServed, StaleReadDelayed} {
 		cfg := testConfig()
-		cfg.StaleReads = guards
+		cfg.StaleReads = policy
 		h := newHarness(t, cfg)
 		h.reportAll("a", 10*ms)
 		h.advance(10 * time.Second)
 		for _, member := range h.router.sortedMembers {
-			member.healthCheckPending, member.answeredAt = false, h.now
+			member.healthCheckPending = false
+			member.answeredAt = h.now
 		}
 		a := h.router.members["a"]
 		for len(a.inFlight) < 20 {
-			a.inFlight = append(a.inFlight, &attemptState{request: &requestState{}, member: a, sentAt: h.now - 100*time.Second, expectedLatency: 2 * time.Second})
+			a.inFlight = append(a.inFlight, &attemptState{
+				request:         &requestState{},
+				member:          a,
+				sentAt:          h.now - 100*time.Second,
+				expectedLatency: 2 * time.Second,
+			})
 		}
-		h.healthChecks, h.router.healthCheckTokens = nil, 0
+		h.healthChecks = nil
+		h.router.healthCheckTokens = 0
 		id := h.request(boundedRead)
-		h.want("sent at once where members check", len(h.membersTried(id)) == 1, guards != StaleReadServed)
-		h.want("it pays for a probe", h.router.healthCheckTokens == 1, guards == StaleReadServed)
+		h.want("sent at once where members check", len(h.membersTried(id)) == 1, policy != StaleReadServed)
+		h.want("it earns a health check", h.router.healthCheckTokens == 1, policy == StaleReadServed)
 		h.advance(120 * ms)
-		h.want("probes for the read", len(h.healthChecks) > 0, guards == StaleReadServed)
-		if guards != StaleReadServed {
+		h.want("health checks for the read", len(h.healthChecks) > 0, policy == StaleReadServed)
+		if policy != StaleReadServed {
 			continue
 		}
 		h.reportAll("a", 10*ms)
 		h.advance(50 * ms)
-		h.want("sent once a member has told", len(h.membersTried(id)) == 1 && h.membersTried(id)[0] != "a", true)
+		tried := h.membersTried(id)
+		h.want("sent once a member has reported", len(tried) == 1 && tried[0] != "a", true)
 	}
 }
--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -5,7 +5,7 @@
 func TestMemberOverCapacityIsAvoided(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
-	for h.advance(10 * ms); ; h.advance(10 * ms) { // until b has answered full once
+	for h.advance(10 * ms); ; h.advance(10 * ms) { // until b has been over capacity once
 		id := h.request(anyRead)
 		if h.membersTried(id)[0] == "b" {
 			h.endAttempt(id, ResultOverCapacity, RoleReplica, 0)
@@ -17,33 +17,33 @@
 	for range 40 {
 		h.advance(10 * ms)
 		id := h.request(anyRead)
-		if to := h.membersTried(id); len(to) > 0 && to[0] == "b" {
+		if tried := h.membersTried(id); len(tried) > 0 && tried[0] == "b" {
 			h.endAttempt(id, ResultOverCapacity, RoleReplica, 0)
-		} else if len(to) > 0 {
+		} else if len(tried) > 0 {
 			h.endAttempt(id, ResultOK, RoleReplica, 0)
 		}
 	}
-	n := 0
+	count := 0
 	for _, sent := range h.sends {
 		if sent.member == "b" {
-			n++
+			count++
 		}
 	}
-	if n > 2 {
-		t.Errorf("%d of 40 reads went to a member that answers full and nothing else", n)
+	if count > 2 {
+		t.Errorf("%d of 40 reads went to a member that is over capacity all the time", count)
 	}
 }
 
 func TestReadsLeaveCapacityAtThePrimaryForWrites(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
-	for range 40 { // answers that take three quarters of the aim: in time for two at once, not for three
+	for range 40 { // three quarters of the latency objective: on time with two attempts in flight, not with three
 		h.router.recordLatency(h.router.members["a"], latencySample{at: h.now, ratio: 3})
 	}
 	h.reportAll("a", 10*ms)
 	h.want("a first write", h.membersTried(h.request(nonIdempotentWrite)), "[a]")
-	for _, m := range []string{"b", "c"} {
-		h.router.members[m].position -= 5000
+	for _, name := range []string{"b", "c"} {
+		h.router.members[name].position -= 5000
 	}
 	id := h.request(boundedRead)
 	h.want("a bounded read while replicas lag and the primary is slow", h.membersTried(id), "[]")
@@ -51,31 +51,36 @@
 }
 
 func TestLatePrimariesLowerTheScoreOfAnUnknownOne(t *testing.T) {
-	h := newHarness(t, testConfig(), Endpoint{Member: "a", Group: 1, Primary: true}, Endpoint{Member: "b", Group: 2, Primary: true},
+	h := newHarness(t, testConfig(),
+		Endpoint{Member: "a", Group: 1, Primary: true},
+		Endpoint{Member: "b", Group: 2, Primary: true},
 		Endpoint{Member: "c", Group: 2})
 	for range 20 {
 		h.router.recordLatency(h.router.members["a"], latencySample{at: h.now, ratio: 1e3})
 	}
-	if v := h.router.onTimeProbability(h.router.members["b"], 400*ms, 100*ms, 0); v > 0.3 {
-		t.Errorf("chance %.2f at a primary never heard while the others are all late", v)
+	if p := h.router.onTimeProbability(h.router.members["b"], 400*ms, 100*ms, 0); p > 0.3 {
+		t.Errorf("probability %.2f at a primary without samples while all others are late", p)
 	}
-	h.want("chance at a replica", h.router.onTimeProbability(h.router.members["c"], 400*ms, 100*ms, 0), 1)
+	h.want("probability at a replica", h.router.onTimeProbability(h.router.members["c"], 400*ms, 100*ms, 0), 1)
 }
 
 func TestOverCapacityAnswersCauseShedding(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
 	for range 10 {
-		h.router.observe(&attemptState{member: h.router.members["a"], expectedLatency: 50 * ms, request: &requestState{class: &h.router.cfg.Classes[nonIdempotentWrite]}},
-			Outcome{Result: ResultOverCapacity})
+		h.router.observe(&attemptState{
+			member:          h.router.members["a"],
+			expectedLatency: 50 * ms,
+			request:         &requestState{class: &h.router.cfg.Classes[nonIdempotentWrite]},
+		}, Outcome{Result: ResultOverCapacity})
 	}
-	if v := h.router.onTimeProbability(h.router.members["a"], 400*ms, 50*ms, 0); v > 0.3 {
-		t.Errorf("chance %.2f at a primary that answered full ten times", v)
+	if p := h.router.onTimeProbability(h.router.members["a"], 400*ms, 50*ms, 0); p > 0.3 {
+		t.Errorf("probability %.2f at a primary that was over capacity ten times", p)
 	}
 }
 
 func TestNewestLatenciesWeighMost(t *testing.T) {
-	chance := func(older, newer float64) float64 {
+	probability := func(older, newer float64) float64 {
 		h := newHarness(t, testConfig())
 		h.reportAll("a", 10*ms)
 		member := h.router.members["b"]
@@ -90,7 +95,7 @@
 		h.router.advanceClock(h.now)
 		return h.router.onTimeProbability(member, 400*ms, 100*ms, 0)
 	}
-	if slower, faster := chance(1, 100), chance(100, 1); slower > 0.35 || faster < 0.65 {
-		t.Errorf("chance %.2f where answers came late of late, %.2f where they came in time", slower, faster)
+	if slower, faster := probability(1, 100), probability(100, 1); slower > 0.35 || faster < 0.65 {
+		t.Errorf("probability %.2f where the latest answers were late, %.2f where they were on time", slower, faster)
 	}
 }
--- a/routing/norace_test.go
+++ b/routing/norace_test.go
@@ -2,5 +2,5 @@
 
 package routing
 
-// fleetSeeds is how many seeds of each day are played with cold members.
+// fleetSeeds is the number of seeds of each slow start scenario.
 const fleetSeeds = 50
--- a/routing/race_test.go
+++ b/routing/race_test.go
@@ -2,5 +2,5 @@
 
 package routing
 
-// fleetSeeds is how many seeds of each day are played with cold members: memory is watched, which takes ten times as long.
+// fleetSeeds is the number of seeds of each slow start scenario: the race detector takes ten times as long.
 const fleetSeeds = 6
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -7,20 +7,61 @@
 	"time"
 )
 
-// TestSnapshotIsRestored has a router learn, of a primary, of one that is silent and of one that is cold, and hands that to
-// another as text: the other decides alike from its first request on.
+// TestSnapshotIsRestored has a router learn of a primary and of a member that fails, and passes that to another router
+// as JSON: the other decides alike from its first request on.
 func TestSnapshotIsRestored(t *testing.T) {
-	endpoints := []Endpoint{{Member: "a", Group: 1, Capacity: 1}, {Member: "b", Group: 1, Capacity: 1}, {Member: "c", Group: 1, Capacity: 1}}
+	h := newLearnedHarness(t)
+	snapshot := h.encodedSnapshot()
+	successor := newHarness(t, h.router.cfg, groupWithoutRoles...)
+	successor.now = h.now + 100*ms
+	successor.router.Restore(snapshot)
+	restored := successor.router.Snapshot()
+	if !reflect.DeepEqual(restored.Members["b"], snapshot.Members["b"]) ||
+		!reflect.DeepEqual(restored.ExpectedLatency, snapshot.ExpectedLatency) {
+		t.Errorf("restored %+v, want %+v", restored.Members["b"], snapshot.Members["b"])
+	}
+	write := successor.request(nonIdempotentWrite)
+	successor.want("the first write goes to", successor.membersTried(write), "[b]")
+	failing := successor.router.members["c"]
+	got, want := successor.router.unhealthy(failing), h.router.unhealthy(h.router.members["c"])
+	if got != want || failing.failures < maxFailures {
+		t.Errorf("the member that failed is unhealthy: %t, want %t", got, want)
+	}
+}
+
+// TestSnapshotOfOtherClassesIsIgnored restores a snapshot under another configuration: nothing of it is taken over.
+func TestSnapshotOfOtherClassesIsIgnored(t *testing.T) {
+	h := newLearnedHarness(t)
+	cfg := testConfig()
+	cfg.Classes = cfg.Classes[:2]
+	other := newHarness(t, cfg)
+	other.router.Restore(h.encodedSnapshot())
+	if other.router.warmThroughput.sum != 0 {
+		t.Error("what was learned under other classes was taken over")
+	}
+	other.advance(time.Second)
+}
+
+// groupWithoutRoles is a group of three members whose primary is not listed.
+var groupWithoutRoles = []Endpoint{
+	{Member: "a", Group: 1, Capacity: 1},
+	{Member: "b", Group: 1, Capacity: 1},
+	{Member: "c", Group: 1, Capacity: 1},
+}
+
+// newLearnedHarness answers requests, of which writes go to the primary b, and then has the replica c fail.
+func newLearnedHarness(t *testing.T) *harness {
+	t.Helper()
 	cfg := testConfig()
 	cfg.RoleSource = RoleSourceNone
-	h := newHarness(t, cfg, endpoints...)
+	h := newHarness(t, cfg, groupWithoutRoles...)
 	h.reportAll("b", 10*ms)
 	for range 60 {
 		h.endAttempt(h.request(anyRead), ResultOK, RoleReplica, h.position(10*ms))
 		h.endAttempt(h.request(nonIdempotentWrite), ResultOK, RolePrimary, h.position(0))
 		h.advance(10 * ms)
 	}
-	for h.router.members["c"].failures < maxFailures { // and then it breaks
+	for h.router.members["c"].failures < maxFailures {
 		id := h.request(anyRead)
 		result := ResultOK
 		if h.membersTried(id)[0] == "c" {
@@ -29,29 +70,19 @@
 		h.endAttempt(id, result, RoleReplica, h.position(10*ms))
 		h.router.ClientDisconnected(h.now, id)
 	}
+	return h
+}
+
+// encodedSnapshot is the router's snapshot, encoded and decoded.
+func (h *harness) encodedSnapshot() Snapshot {
+	h.Helper()
 	text, err := json.Marshal(h.router.Snapshot())
 	if err != nil {
-		t.Fatal(err)
+		h.Fatal(err)
 	}
 	var snapshot Snapshot
 	if err := json.Unmarshal(text, &snapshot); err != nil {
-		t.Fatal(err)
-	}
-	successor := newHarness(t, cfg, endpoints...)
-	successor.now = h.now + 100*ms
-	successor.router.Restore(snapshot)
-	if got := successor.router.Snapshot(); !reflect.DeepEqual(got.Members["b"], snapshot.Members["b"]) || !reflect.DeepEqual(got.ExpectedLatency, snapshot.ExpectedLatency) {
-		t.Errorf("learned %+v, want %+v", got.Members["b"], snapshot.Members["b"])
-	}
-	write := successor.request(nonIdempotentWrite)
-	successor.want("a write at once goes", successor.membersTried(write), "[b]")
-	if got, want := successor.router.unhealthy(successor.router.members["c"]), h.router.unhealthy(h.router.members["c"]); got != want || successor.router.members["c"].failures < maxFailures {
-		t.Errorf("the one that broke is suspect: %t, want %t", got, want)
+		h.Fatal(err)
 	}
-	other := newHarness(t, func() Config { cfg := testConfig(); cfg.Classes = cfg.Classes[:2]; return cfg }())
-	other.router.Restore(snapshot) // of another configuration: nothing of it is taken, and nothing breaks
-	if other.router.warmThroughput.sum != 0 {
-		t.Error("what was learned under other classes is taken over")
-	}
-	other.advance(time.Second)
+	return snapshot
 }
