--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -11,39 +11,36 @@
 	h := newHarness(t, cfg)
 	h.reportAll("a", time.Second)
 	id := h.request(sessionRead, func(req *Request) { req.SinceWrite = 500 * ms })
-	h.want("written lately", h.membersTried(id), "[a]")
+	h.want("a read of a recent write", h.membersTried(id), "[a]")
 	id = h.request(sessionRead, func(req *Request) { req.SinceWrite = 2 * time.Second })
 	if h.membersTried(id)[0] == "a" {
-		t.Error("a session read whose write all replicas have went to the primary")
+		t.Error("a session read whose write all replicas have applied went to the primary")
 	}
 }
 
 func TestUnresponsiveMemberIsAvoidedBeforeAnyTimeout(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
-	for range 200 {
-		h.advance(10 * ms)
-		id := h.request(anyRead)
-		if h.membersTried(id)[0] == "c" {
-			h.endAttempt(id, ResultOK, RoleReplica, h.position(10*ms)) // b never answers
+	read := func(n int) {
+		for range n {
+			h.advance(10 * ms)
+			id := h.request(anyRead)
+			if h.membersTried(id)[0] == "c" { // b never answers
+				h.endAttempt(id, ResultOK, RoleReplica, h.position(10*ms))
+			}
 		}
 	}
+	read(200)
 	h.sends = nil
-	for range 50 {
-		h.advance(10 * ms)
-		id := h.request(anyRead)
-		if h.membersTried(id)[0] == "c" {
-			h.endAttempt(id, ResultOK, RoleReplica, h.position(10*ms))
-		}
-	}
-	hung := 0
+	read(50)
+	unanswered := 0
 	for _, sent := range h.sends {
 		if sent.member == "b" {
-			hung++
+			unanswered++
 		}
 	}
-	if hung > 2 {
-		t.Errorf("%d of %d attempts went to a hung member", hung, len(h.sends))
+	if unanswered > 2 {
+		t.Errorf("%d of %d attempts went to a member that never answers", unanswered, len(h.sends))
 	}
 }
 
@@ -60,7 +57,7 @@
 	h.now += 500 * ms
 	id := h.request(boundedRead)
 	if h.membersTried(id)[0] == "a" {
-		t.Error("replicas that kept up half a second ago were passed over: reads pile onto the primary")
+		t.Error("a read went to the primary though replicas had kept up half a second ago")
 	}
 }
 
@@ -82,26 +79,26 @@
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
 	h.now += 8 * time.Second
-	if to := h.membersTried(h.request(boundedRead)); len(to) == 0 || to[0] == "a" {
-		t.Errorf("a bounded read went %v: quiet gateways would all crowd the primary", to)
+	if tried := h.membersTried(h.request(boundedRead)); len(tried) == 0 || tried[0] == "a" {
+		t.Errorf("a bounded read went to %v: gateways with little traffic would overload the primary", tried)
 	}
 }
 
 func TestReadsGoToThePrimaryWithSpareCapacity(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
-	for range latencyWindowSize { // in a large fleet a gateway sees few answers of a member
-		h.router.recordLatency(h.router.members["a"], latencySample{at: h.now, ratio: 1.8})
+	primary := h.router.members["a"]
+	for range latencyWindowSize {
+		h.router.recordLatency(primary, latencySample{at: h.now, ratio: 1.8})
 		h.router.recordLatency(h.router.members["b"], latencySample{at: h.now, ratio: 1e3})
 		h.router.recordLatency(h.router.members["c"], latencySample{at: h.now, ratio: 1e3})
 	}
-	member := h.router.members["a"]
-	member.latencyWindow = member.latencyWindow[:3]
+	primary.latencyWindow = primary.latencyWindow[:3] // in a large fleet a gateway has few samples of a member
 	h.want("a read", h.membersTried(h.request(boundedRead)), "[a]")
-	h.want("beside a write there", len(h.membersTried(h.request(nonIdempotentWrite))), 1)
-	h.want("and one more", len(h.membersTried(h.request(nonIdempotentWrite))), 1)
-	if to := h.membersTried(h.request(boundedRead)); len(to) > 0 && to[0] == "a" {
-		t.Error("a read took the room that is left for writes")
+	h.want("attempts of a write beside it", len(h.membersTried(h.request(nonIdempotentWrite))), 1)
+	h.want("attempts of one more", len(h.membersTried(h.request(nonIdempotentWrite))), 1)
+	if tried := h.membersTried(h.request(boundedRead)); len(tried) > 0 && tried[0] == "a" {
+		t.Error("a read took the capacity that is left for writes")
 	}
 }
 
@@ -112,9 +109,9 @@
 		h.router.recordLatency(h.router.members["a"], latencySample{at: h.now, ratio: 100})
 	}
 	id := h.request(boundedRead)
-	h.want("just after it was told", h.membersTried(id), "[]")
+	h.want("a read just after the report", h.membersTried(id), "[]")
 	h.now += 500 * ms
-	if to := h.membersTried(h.request(boundedRead)); len(to) == 0 || to[0] == "a" {
-		t.Errorf("half a second later a read of 200 ms went %v", to)
+	if tried := h.membersTried(h.request(boundedRead)); len(tried) == 0 || tried[0] == "a" {
+		t.Errorf("half a second later a read of 200 ms went to %v", tried)
 	}
 }
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -8,38 +8,40 @@
 func TestDrainingStopsSendsAtOnce(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
-	h.updateEndpoints(EndpointListPatch, Endpoint{Member: "b", Group: 1, Phase: PhaseDraining})
-	h.updateEndpoints(EndpointListComplete, Endpoint{Member: "a", Group: 1}, Endpoint{Member: "b", Group: 1,
-		Phase: PhaseDraining})
+	draining := Endpoint{Member: "b", Group: 1, Phase: PhaseDraining}
+	h.updateEndpoints(EndpointListPatch, draining)
+	h.updateEndpoints(EndpointListComplete, Endpoint{Member: "a", Group: 1}, draining)
 	for range 30 {
 		h.request(anyRead)
 		h.advance(10 * ms)
 	}
 	for _, sent := range h.sends {
 		if sent.member != "a" {
-			t.Fatalf("a send to %s, which drains or is gone", sent.member)
+			t.Fatalf("a request was sent to %s, which is draining or removed", sent.member)
 		}
 	}
 }
 
 func TestSubscriptionIsRenewed(t *testing.T) {
 	cfg := testConfig()
-	cfg.Subscribe, cfg.MaxPollInterval = true, 10*time.Second
+	cfg.Subscribe = true
+	cfg.MaxPollInterval = 10 * time.Second
 	h := newHarness(t, cfg)
-	h.want("at the start", h.subscriptions, 1)
+	h.want("subscriptions at the start", h.subscriptions, 1)
 	h.updateEndpoints(EndpointListFailed)
 	h.advance(3 * time.Second)
-	h.want("after a break", h.subscriptions, 2)
+	h.want("subscriptions after a failure", h.subscriptions, 2)
 	h.updateEndpoints(EndpointListPatch)
 	h.advance(20 * time.Second)
-	h.want("while subscribed", h.subscriptions, 2)
+	h.want("subscriptions while subscribed", h.subscriptions, 2)
 }
 
 func TestRemovedMemberIsUsedWhereAllowed(t *testing.T) {
 	cfg := testConfig()
 	cfg.UseRemovedMembers = true
 	h := newHarness(t, cfg)
-	h.updateEndpoints(EndpointListPatch, Endpoint{Member: "b", Group: 1, Phase: PhaseRemoved},
+	h.updateEndpoints(EndpointListPatch,
+		Endpoint{Member: "b", Group: 1, Phase: PhaseRemoved},
 		Endpoint{Member: "c", Group: 1, Phase: PhaseDraining})
 	h.want("a read", h.membersTried(h.request(anyRead)), "[b]")
 }
@@ -49,13 +51,15 @@
 	cfg.UseRemovedMembers = true
 	h := newHarness(t, cfg)
 	h.reportAll("a", 10*ms)
-	list := func(phase Phase, started time.Duration) {
-		h.updateEndpoints(EndpointListComplete, Endpoint{Member: "a", Group: 1}, Endpoint{Member: "c", Group: 1},
-			Endpoint{Member: "b", Group: 1, Phase: phase, StartedAt: started})
+	update := func(phase Phase, startedAt time.Duration) {
+		h.updateEndpoints(EndpointListComplete,
+			Endpoint{Member: "a", Group: 1},
+			Endpoint{Member: "c", Group: 1},
+			Endpoint{Member: "b", Group: 1, Phase: phase, StartedAt: startedAt})
 	}
-	list(PhaseDraining, 0)
-	list(PhaseServing, 0)
-	h.want("usable on an old list", h.router.members["b"].usable, false)
-	list(PhaseServing, h.now)
-	h.want("usable once started anew", h.router.members["b"].usable, true)
+	update(PhaseDraining, 0)
+	update(PhaseServing, 0)
+	h.want("usable on a stale list", h.router.members["b"].usable, false)
+	update(PhaseServing, h.now)
+	h.want("usable after a restart", h.router.members["b"].usable, true)
 }
--- a/routing/events_test.go
+++ b/routing/events_test.go
@@ -25,14 +25,14 @@
 	h.reportAll("a", 10*ms)
 	write := h.request(nonIdempotentWrite)
 	h.endAttempt(write, ResultMissed, RoleReplica, h.position(0))
-	for range 3 { // a round of misses finds no primary
+	for range 3 { // the search finds no primary
 		h.endAttempt(write, ResultMissed, RoleReplica, h.position(0))
 	}
-	h.want("a round by sorted id", h.membersTried(write), "[a a b c]")
+	h.want("a search in the order of ids", h.membersTried(write), "[a a b c]")
 	h.now += 5 * ms
 	h.checkOK("c", RolePrimary, 0)
-	to := h.membersTried(write)
-	h.want("after the probe named c", to[len(to)-1], "c")
+	tried := h.membersTried(write)
+	h.want("after a health check named c", tried[len(tried)-1], "c")
 }
 
 func TestIdleGatewaySetsFewTimers(t *testing.T) {
--- a/routing/group_test.go
+++ b/routing/group_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestUnknownGroupsAreForgotten has clients name ever new groups, which no host is in. The table of groups must not grow by what
-// clients say; groups with hosts, and with open requests, stay.
+// TestUnknownGroupsAreForgotten has clients name ever new groups, which have no members. The table of groups must not
+// grow with what clients name; groups with members, and with open requests, stay.
 func TestUnknownGroupsAreForgotten(t *testing.T) {
 	h := newHarness(t, testConfig())
 	known := len(h.router.groups)
@@ -16,12 +16,12 @@
 		last = id
 	}
 	h.advance(2 * h.router.cfg.maxDeadline())
-	h.want("answers to the last", h.rejected[last], 1)
+	h.want("rejections of the last request", h.rejected[last], 1)
 	h.want("open requests", len(h.router.requests), 0)
 	if grown := len(h.router.groups) - known; grown > maxEmptyGroups {
-		t.Errorf("%d groups more than at first, %d may be", grown, maxEmptyGroups)
+		t.Errorf("%d groups more than at first, want %d at most", grown, maxEmptyGroups)
 	}
 	if h.router.groups[1] == nil {
-		t.Error("a group with hosts was forgotten")
+		t.Error("a group with members was forgotten")
 	}
 }
