--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -8,25 +8,29 @@
 	"cranegate/routing"
 )
 
-// printer is a gateway that prints what it is asked to do.
+// printer is a Gateway that prints what it is asked to do.
 type printer struct{}
 
-func (printer) Send(id uint64, member string, abandonAt, beginBy time.Duration) {
-	fmt.Printf("send %d to %s until %v\n", id, member, abandonAt)
+func (printer) Send(request uint64, member string, abandonAt, _ time.Duration) {
+	fmt.Printf("send %d to %s until %v\n", request, member, abandonAt)
 }
-func (printer) Cancel(id uint64, attempt int) { fmt.Println("cancel", id, attempt) }
-func (printer) Reject(id uint64, comeBack time.Duration, _ routing.Reason) {
-	fmt.Println("refuse", id, comeBack)
+
+func (printer) Cancel(request uint64, attempt int) { fmt.Println("cancel", request, attempt) }
+
+func (printer) Reject(request uint64, retryAfter time.Duration, _ routing.Reason) {
+	fmt.Println("reject", request, retryAfter)
 }
-func (printer) Fail(id uint64, _ routing.Reason)                 { fmt.Println("fail", id) }
-func (printer) CloseIdle(member string)                          {}
-func (printer) CheckHealth(member string, by routing.ConnPolicy) {}
-func (printer) SetTimer(after time.Duration, name string)        {}
-func (printer) Subscribe(on bool)                                {}
-func (printer) FetchEndpoints()                                  {}
-func (printer) ZoneChanged(zones.Change)                         {}
-func (printer) Log(text string)                                  {}
 
+func (printer) Fail(request uint64, _ routing.Reason)  { fmt.Println("fail", request) }
+func (printer) CloseIdle(string)                       {}
+func (printer) CheckHealth(string, routing.ConnPolicy) {}
+func (printer) SetTimer(time.Duration, string)         {}
+func (printer) Subscribe(bool)                         {}
+func (printer) FetchEndpoints()                        {}
+func (printer) ZoneChanged(zones.Change)               {}
+func (printer) Log(string)                             {}
+
+// A router sends a read to a replica and a write to the primary, and fails the write when its connection breaks.
 func Example() {
 	config := routing.Config{
 		Gateways:    1,
@@ -34,9 +38,22 @@
 		StaleReads:  routing.StaleReadRejected,
 		RoleSource:  routing.RoleSourceDelayed,
 		Classes: []routing.Class{
-			{Name: "read", Consistency: routing.ConsistencyAny, LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
-			{Name: "write", Consistency: routing.ConsistencyWrite, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 4,
-				LateShare: 0.5, Effect: routing.NonIdempotent},
+			{
+				Name:             "read",
+				Consistency:      routing.ConsistencyAny,
+				LatencyObjective: 200 * time.Millisecond,
+				Deadline:         time.Second,
+				PriorityWeight:   1,
+			},
+			{
+				Name:             "write",
+				Consistency:      routing.ConsistencyWrite,
+				LatencyObjective: 500 * time.Millisecond,
+				Deadline:         2 * time.Second,
+				PriorityWeight:   4,
+				LateShare:        0.5,
+				Effect:           routing.NonIdempotent,
+			},
 		},
 	}
 	now := 10 * time.Second
--- a/routing/healthcheck_test.go
+++ b/routing/healthcheck_test.go
@@ -13,7 +13,9 @@
 		h.advance(100 * ms)
 		h.reportAll("a", 10*ms)
 	}
-	h.want("health checks of an idle gateway in 40 s are within the budget", len(h.healthChecks) <= int(maxHealthCheckTokens), true)
+	if n := len(h.healthChecks); n > int(maxHealthCheckTokens) {
+		t.Errorf("%d health checks of an idle gateway in 40 s", n)
+	}
 }
 
 func TestHealthChecksReachAllMembersInDoubt(t *testing.T) {
--- a/routing/invariants_test.go
+++ b/routing/invariants_test.go
@@ -175,8 +175,15 @@
 		if result == ResultOK && !c.answered[id] && req.answers == 0 {
 			req.answers++
 		}
-		outcome := Outcome{Request: id, Attempt: number, Member: c.membersTried(id)[number], Result: result, Closed: closed,
-			Role: Role(c.rng.IntN(3)), Position: c.position(time.Duration(c.rng.IntN(2000)) * ms)}
+		outcome := Outcome{
+			Request:  id,
+			Attempt:  number,
+			Member:   c.membersTried(id)[number],
+			Result:   result,
+			Closed:   closed,
+			Role:     Role(c.rng.IntN(3)),
+			Position: c.position(time.Duration(c.rng.IntN(2000)) * ms),
+		}
 		c.observeOutcome(outcome)
 		c.router.Outcome(c.now, outcome)
 		c.check()
--- a/routing/zones_test.go
+++ b/routing/zones_test.go
@@ -8,143 +8,165 @@
 	"cranegate/internal/zones"
 )
 
-// zoned is a rig of three zones with two members each, a1 the primary of their one group. Probes are answered by
-// alive, at once, over a connection that came up at opened.
+// zonedHarness is a harness of three zones with two members each; a1 is the primary of their one group. Members that are
+// alive answer health checks at once.
 type zonedHarness struct {
 	*harness
 	alive        map[string]bool
-	connectedAt  map[string]time.Duration
-	handledSends int // sends that have been answered or left
+	connectedAt  map[string]time.Duration // by member: of the connection that answers health checks
+	handledSends int                      // sends that were answered, or ignored by a dead member
 }
 
 func newZonedHarness(t *testing.T, own string) *zonedHarness {
+	t.Helper()
 	cfg := testConfig()
-	cfg.Zone, cfg.Zones = own, &zones.Options{Own: own}
+	cfg.Zone = own
+	cfg.Zones = &zones.Options{Own: own}
 	var endpoints []Endpoint
-	for _, z := range []string{"a", "b", "c"} {
-		for _, n := range []string{"1", "2"} {
-			endpoints = append(endpoints, Endpoint{Member: z + n, Group: 1, Zone: z, Capacity: 1, Primary: z+n == "a1"})
+	alive := map[string]bool{}
+	for _, zone := range []string{"a", "b", "c"} {
+		for _, number := range []string{"1", "2"} {
+			name := zone + number
+			endpoints = append(endpoints,
+				Endpoint{Member: name, Group: 1, Zone: zone, Capacity: 1, Primary: name == "a1"})
+			alive[name] = true
 		}
 	}
-	h := &zonedHarness{newHarness(t, cfg, endpoints...), map[string]bool{}, map[string]time.Duration{}, 0}
-	for _, endpoint := range endpoints {
-		h.alive[endpoint.Member] = true
+	return &zonedHarness{
+		harness:     newHarness(t, cfg, endpoints...),
+		alive:       alive,
+		connectedAt: map[string]time.Duration{},
 	}
-	return h
 }
 
-// live lets time go by and answers probes.
+// role is a member's role.
+func (h *zonedHarness) role(name string) Role {
+	if name == "a1" {
+		return RolePrimary
+	}
+	return RoleReplica
+}
+
+// advanceAnswering moves the clock on and ends health checks.
 func (h *zonedHarness) advanceAnswering(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.advance(10 * ms)
-		asked := h.healthChecks
+		checked := h.healthChecks
 		h.healthChecks = nil
-		for _, m := range asked {
-			if check := (HealthCheckResult{Member: m, Result: ResultTimeout}); !h.alive[m] {
-				h.router.HealthChecked(h.now+200*ms, check)
-			} else {
-				role := RoleReplica
-				if m == "a1" {
-					role = RolePrimary
-				}
-				check.Result, check.ConnectedAt = ResultOK, h.connectedAt[m]
-				check.Report = Report{HasPosition: true, Position: h.router.positionAt(h.now), Role: role}
-				h.router.HealthChecked(h.now, check)
-			}
+		for _, name := range checked {
+			h.endHealthCheck(name)
 		}
 	}
 }
 
-// placed asks for reads, has members that live answer them and their copies, and counts where they went first.
+// endHealthCheck has a member answer a health check, or not.
+func (h *zonedHarness) endHealthCheck(name string) {
+	if !h.alive[name] {
+		h.router.HealthChecked(h.now+200*ms, HealthCheckResult{Member: name, Result: ResultTimeout})
+		return
+	}
+	h.router.HealthChecked(h.now, HealthCheckResult{
+		Member:      name,
+		Result:      ResultOK,
+		ConnectedAt: h.connectedAt[name],
+		Report:      Report{HasPosition: true, Position: h.router.positionAt(h.now), Role: h.role(name)},
+	})
+}
+
+// place sends reads, which members that are alive answer, and counts the members that their first attempts went to.
 func (h *zonedHarness) place(n int) map[string]int {
-	out := map[string]int{}
+	placed := map[string]int{}
 	for range n {
 		h.advanceAnswering(10 * ms)
 		h.request(anyRead)
 		for ; h.handledSends < len(h.sends); h.handledSends++ {
 			sent := h.sends[h.handledSends]
 			number := h.attemptsEnded[sent.request]
-			if h.attemptsEnded[sent.request]++; number == 0 {
-				out[sent.member]++
+			h.attemptsEnded[sent.request]++
+			if number == 0 {
+				placed[sent.member]++
 			}
-			if role := RoleReplica; h.alive[sent.member] {
-				if sent.member == "a1" {
-					role = RolePrimary
-				}
-				h.router.Outcome(h.now, Outcome{Request: sent.request, Attempt: number, Member: sent.member, Result: ResultOK, Latency: ms,
-					Closed: true, Role: role, Position: h.position(0)})
+			if h.alive[sent.member] {
+				h.router.Outcome(h.now, Outcome{Request: sent.request, Attempt: number, Member: sent.member,
+					Result: ResultOK, Latency: ms, Closed: true, Role: h.role(sent.member), Position: h.position(0)})
 			}
 		}
 	}
-	return out
+	return placed
 }
 
-// TestReadsPreferTheOwnZone has reads stay in the own zone as long as it has room, and leave it as it is lost.
+// TestReadsPreferTheOwnZone has reads stay in the gateway's own zone as long as that has capacity, and leave it when it
+// is lost.
 func TestReadsPreferTheOwnZone(t *testing.T) {
 	h := newZonedHarness(t, "b")
 	h.advanceAnswering(time.Second)
-	if at := h.place(200); at["b1"]+at["b2"] < 195 {
-		t.Errorf("with all well: %v", at)
+	if placed := h.place(200); placed["b1"]+placed["b2"] < 195 {
+		t.Errorf("with all zones healthy: %v", placed)
 	}
 	h.alive["b1"], h.alive["b2"] = false, false
 	h.place(60)
 	if h.router.Zones().Zone("b").State() != zones.Down {
 		t.Fatalf("zone b is %s", h.router.Zones().Zone("b").State())
 	}
-	if at := h.place(100); at["b1"]+at["b2"] > 0 || at["c1"] < 15 || at["c2"] < 15 || at["a2"] < 15 {
-		t.Errorf("with the own zone lost: %v", at)
+	placed := h.place(100)
+	if placed["b1"]+placed["b2"] > 0 || placed["c1"] < 15 || placed["c2"] < 15 || placed["a2"] < 15 {
+		t.Errorf("with the own zone lost: %v", placed)
 	}
-	if !slices.ContainsFunc(h.zones, func(change zones.Change) bool { return change.Zone == "b" && change.To == zones.Down }) {
-		t.Error("nobody was told")
+	reported := slices.ContainsFunc(h.zones, func(change zones.Change) bool {
+		return change.Zone == "b" && change.To == zones.Down
+	})
+	if !reported {
+		t.Error("the loss of the zone was not reported")
 	}
 }
 
-// TestPreferredTierDoesNotOverrideFreshness guards freshness: the own tier does not make a member that lags eligible.
+// TestPreferredTierDoesNotOverrideFreshness has the members of the preferred tier lag: that does not make them eligible.
 func TestPreferredTierDoesNotOverrideFreshness(t *testing.T) {
 	h := newZonedHarness(t, "b")
 	h.advanceAnswering(500 * ms)
 	for range 50 {
 		h.advanceAnswering(10 * ms)
-		for _, m := range []string{"b1", "b2"} { // they stand where they stood
-			h.router.members[m].position = h.router.positionAt(h.now - 5*time.Second)
-			h.router.members[m].positionAt = h.now
+		for _, name := range []string{"b1", "b2"} {
+			h.router.members[name].position = h.router.positionAt(h.now - 5*time.Second)
+			h.router.members[name].positionAt = h.now
 		}
 		id := h.request(boundedRead)
-		if to := h.membersTried(id); len(to) > 0 && h.router.members[to[0]].zone == "b" {
-			t.Fatalf("a read of data 200 ms old at most went to %s, 5 s behind", to[0])
-		} else if len(to) > 0 {
+		if tried := h.membersTried(id); len(tried) > 0 && h.router.members[tried[0]].zone == "b" {
+			t.Fatalf("a read of data 200 ms old at most went to %s, which lags 5 s", tried[0])
+		} else if len(tried) > 0 {
 			h.endAttempt(id, ResultOK, RoleReplica, h.position(0))
 		}
 	}
 }
 
-// TestSurvivingConnectionMeansNoRestart guards the way back: a member that went with its zone counts as started anew, unless a
-// connection that came up before brings an answer. One that came up since proves nothing.
+// TestSurvivingConnectionMeansNoRestart has a member answer again after its zone was lost: it counts as restarted, unless
+// a connection that was established before brings the answer. One that was established since proves nothing.
 func TestSurvivingConnectionMeansNoRestart(t *testing.T) {
-	for _, lived := range []bool{false, true} {
+	for _, survived := range []bool{false, true} {
 		h := newZonedHarness(t, "a")
 		h.place(50)
-		for m := range h.alive {
-			h.connectedAt[m] = h.now - 500*ms // before it was heard last
+		for name := range h.alive {
+			h.connectedAt[name] = h.now - 500*ms // before its last answer
 		}
 		h.alive["b1"], h.alive["b2"] = false, false
 		h.place(300)
-		if !h.router.members["b1"].zoneState.Condemned(h.router.members["b1"].answeredAt) {
+		member := h.router.members["b1"]
+		if !member.zoneState.Condemned(member.answeredAt) {
 			t.Fatal("zone b is not lost")
 		}
 		h.alive["b1"], h.alive["b2"] = true, true
-		if !lived {
+		if !survived {
 			h.connectedAt["b1"] = h.now
 		}
 		h.place(100)
-		if w := h.router.slowStartWeight(h.router.members["b1"]); lived != (w == 1) {
-			t.Errorf("its connections lived on: %v, yet its warmth is %.2f", lived, w)
+		if weight := h.router.slowStartWeight(member); survived != (weight == 1) {
+			t.Errorf("its connections survived: %v, yet its slow start weight is %.2f", survived, weight)
 		}
 	}
 }
 
-// TestHealthCheckSilenceRestartsAfterAnAnswer guards the evidence of probes: one that went unanswered before the member was heard must not hide those
-// that go unanswered after it.
+// TestHealthCheckSilenceRestartsAfterAnAnswer has a health check go unanswered before a member answers a request: it must
+// not hide those that go unanswered after it.
 func TestHealthCheckSilenceRestartsAfterAnAnswer(t *testing.T) {
 	h := newZonedHarness(t, "a")
 	h.place(20)
@@ -155,17 +177,18 @@
 	h.router.observeAnswer(member, 0)
 	h.now += 100 * ms
 	h.router.advanceClock(h.now)
-	if member.healthCheckSent(h.now); h.router.healthCheckSilence(member) != 0 {
-		t.Error("a probe that has just gone out counts")
+	member.healthCheckSent(h.now)
+	if h.router.healthCheckSilence(member) != 0 {
+		t.Error("a health check that was sent just now counts as unanswered")
 	}
 	h.now += 50 * ms
 	h.router.advanceClock(h.now)
 	if got := h.router.healthCheckSilence(member); got != 50*ms {
-		t.Errorf("mute for %v, want 50ms", got)
+		t.Errorf("silent for %v, want 50ms", got)
 	}
 }
 
-// TestDetectOnlyCanBeReloaded guards the reload: tiers can be turned off and on while the module runs.
+// TestDetectOnlyCanBeReloaded turns the preference of tiers off and on while the router runs.
 func TestDetectOnlyCanBeReloaded(t *testing.T) {
 	h := newZonedHarness(t, "b")
 	h.advanceAnswering(time.Second)
@@ -173,13 +196,13 @@
 		if err := h.router.Zones().Configure(zones.Options{Own: "b", DetectOnly: only}); err != nil {
 			t.Fatal(err)
 		}
-		if at := h.place(200); only != (at["b1"]+at["b2"] < 150) {
-			t.Errorf("detect_only = %v: %v", only, at)
+		if placed := h.place(200); only != (placed["b1"]+placed["b2"] < 150) {
+			t.Errorf("detect_only = %v: %v", only, placed)
 		}
 	}
 }
 
-// TestZonesOff guards the platform: without the options no zone is judged and no probe goes another way.
+// TestZonesOff has no options of zones: no zone is judged, and health checks use any connection.
 func TestZonesOff(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
