--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -274,13 +274,13 @@
 func mysqlFleet(o *config.Operator) fleet {
 	m, s := o.MySQL, *o.Settings
 	s.Routing.Classes = append(slices.Clone(s.Routing.Classes), routing.Class{Name: mysql.PrepareClass,
-		Consistency: routing.ConsistencyAny, LatencyObjective: m.PrepareAim(), Deadline: m.PrepareDeadline(), PriorityWeight: 1, Effect: routing.Idempotent})
+		Consistency: routing.ConsistencyAny, LatencyObjective: m.PrepareObjective(), Deadline: m.PrepareDeadline(), PriorityWeight: 1, Effect: routing.Idempotent})
 	known := discovery.Snapshot{Rev: -1, All: true, Targets: m.Hosts}
 	password := ""
 	if m.PasswordEnv != "" {
 		password = os.Getenv(m.PasswordEnv)
 	}
-	account := myservers.Account{Password: password, User: m.User, Database: m.Database, HealthCheck: m.Probe, PrepareTimeout: s.ConnectTimeout}
+	account := myservers.Account{Password: password, User: m.User, Database: m.Database, HealthCheck: m.HealthCheck, PrepareTimeout: s.ConnectTimeout}
 	return fleet{name: "mysql", listen: m.Listen, listener: listenTCP, discovery: m.Discovery, settings: s, seed: o.Seed, known: known,
 		start: account.Start, front: mysql.Protocol{}}
 }
@@ -288,7 +288,7 @@
 // prepare starts the actors of one fleet. Nothing is sent yet.
 func (g *gateway) prepare(f *fleet) error {
 	pool := backend.New(g.work, backend.Options{Start: f.start, ConnectTimeout: f.settings.ConnectTimeout,
-		IdleTimeout: f.settings.IdleClose * 2 / 3, MaxOpen: g.servers, Gateways: f.settings.Routing.Gateways, Counters: g.counters})
+		IdleTimeout: f.settings.HostIdleTimeout * 2 / 3, MaxOpen: g.servers, Gateways: f.settings.Routing.Gateways, Counters: g.counters})
 	c, err := core.New(core.Options{Routing: f.settings.Routing, Seed: f.seed, AnswerSlack: f.settings.AnswerSlack,
 		HealthCheckTimeout: f.settings.ConnectTimeout, Counters: g.counters, Monitor: g.monitor}, pool)
 	if err != nil {
--- a/internal/config/format_test.go
+++ b/internal/config/format_test.go
@@ -75,13 +75,13 @@
 		"health":      {o.Health, Listener{"127.0.0.1:2"}},
 		"admin":       {o.Admin, Listener{"127.0.0.1:3"}},
 		"limits":      {o.Limits, Limits{Cores: 1.5, MemoryMB: 100, Sockets: 200}},
-		"zones": {*o.Zones, Zones{Tiers: [][]string{{"a"}, {"b"}}, Overprovision: 1.5, HoldMS: 301, RampMS: 3001,
+		"zones": {*o.Zones, Zones{Tiers: [][]string{{"a"}, {"b"}}, Overprovision: 1.5, RecoveryDelayMS: 301, RecoveryRampMS: 3001,
 			DetectOnly: true}},
 		"fleet": {*o.Fleet, Fleet{Fleet: "f", Name: "g", Listen: "127.0.0.1:4", Advertise: "127.0.0.1:5", Join: []string{"127.0.0.1:6"},
 			KeyFile: key, Zone: "a", Keys: o.Fleet.Keys}},
 		"keys": {len(o.Fleet.Keys), 1},
-		"mysql": {*o.MySQL, MySQL{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8", User: "u", Database: "d", PasswordEnv: "P", Probe: "SHOW x",
-			PrepareAimMS: 501, PrepareDeadlineMS: 2001, Hosts: []discovery.Target{{UID: "db-1", Endpoint: "127.0.0.1:9", Zone: "a", Group: 3,
+		"mysql": {*o.MySQL, MySQL{Listen: "127.0.0.1:7", Discovery: "127.0.0.1:8", User: "u", Database: "d", PasswordEnv: "P", HealthCheck: "SHOW x",
+			PrepareObjectiveMS: 501, PrepareDeadlineMS: 2001, Hosts: []discovery.Target{{UID: "db-1", Endpoint: "127.0.0.1:9", Zone: "a", Group: 3,
 				State: "DRAINING", Capacity: 2.5, BootMS: 4, Replication: "primary"}}}},
 	} {
 		if !reflect.DeepEqual(pair[0], pair[1]) {
