--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost hosts many instances of the decision module on the simulator's wire.
+// Command simhost runs many instances of the router for the simulator. It reads batches of events from its standard input and writes the
+// instances' actions to its standard output, in the simulator's text protocol.
 package main
 
 import (
@@ -19,65 +20,81 @@
 	}
 }
 
+// host has the routers of all instances, by the instances' names.
+type host struct {
+	routers map[string]*routing.Router
+	writer  *simwire.Writer
+}
+
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	r, w := simwire.NewReader(in), simwire.NewWriter(out)
-	instances := map[string]*routing.Router{}
+	reader := simwire.NewReader(in)
+	h := &host{routers: map[string]*routing.Router{}, writer: simwire.NewWriter(out)}
 	for {
-		b, err := r.Batch()
+		batch, err := reader.Batch()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return fmt.Errorf("reading a batch: %w", err)
 		}
-		for _, e := range b.Events {
-			if err := deliver(instances, w, b.Now, e); err != nil {
+		for _, event := range batch.Events {
+			if err := h.handle(batch.Now, event); err != nil {
 				return err
 			}
 		}
-		if err := w.End(); err != nil {
+		if err := h.writer.End(); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
 	}
 }
 
-// deliver hands one event to its instance; a panic there becomes a bug with its text.
-func deliver(instances map[string]*routing.Router, w *simwire.Writer, now time.Duration, e simwire.Event) (err error) {
+// handle passes one event to its instance. A panic there is reported as a bug of the instance, with its text.
+func (h *host) handle(now time.Duration, event simwire.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			w.Bug(e.Instance, fmt.Sprint(p))
+			h.writer.Bug(event.Instance, fmt.Sprint(p))
 		}
 	}()
-	if o, ok := e.What.(simwire.Open); ok {
-		m, err := routing.New(now, o.Config, o.Seed, &simwire.Actions{Writer: w, Instance: e.Instance})
-		if err != nil {
-			return fmt.Errorf("opening %s: %w", e.Instance, err)
-		}
-		instances[e.Instance] = m
+	switch payload := event.Payload.(type) {
+	case simwire.InstanceOpened:
+		return h.open(now, event.Instance, payload)
+	case simwire.InstanceClosed:
+		delete(h.routers, event.Instance)
 		return nil
 	}
-	m := instances[e.Instance]
-	if m == nil {
-		return nil
+	if router := h.routers[event.Instance]; router != nil {
+		dispatch(router, now, event.Payload)
 	}
-	switch x := e.What.(type) {
-	case simwire.Detach:
-		delete(instances, e.Instance)
+	return nil
+}
+
+// open makes an instance.
+func (h *host) open(now time.Duration, instance string, opened simwire.InstanceOpened) error {
+	router, err := routing.New(now, opened.Config, opened.Seed, &simwire.Actions{Writer: h.writer, Instance: instance})
+	if err != nil {
+		return fmt.Errorf("opening %s: %w", instance, err)
+	}
+	h.routers[instance] = router
+	return nil
+}
+
+// dispatch passes one event to a router. Others, such as datagrams, are none of a router's.
+func dispatch(router *routing.Router, now time.Duration, payload any) {
+	switch payload := payload.(type) {
 	case routing.EndpointList:
-		m.UpdateEndpoints(now, x)
+		router.UpdateEndpoints(now, payload)
 	case routing.Request:
-		m.Request(now, x)
+		router.Request(now, payload)
 	case routing.Outcome:
-		m.Outcome(now, x)
+		router.Outcome(now, payload)
 	case routing.HealthCheckResult:
-		m.HealthChecked(now, x)
+		router.HealthChecked(now, payload)
 	case simwire.ClientDisconnected:
-		m.ClientDisconnected(now, x.Request)
-	case simwire.TimerDue:
-		m.Timer(now, x.Name)
-	case simwire.Started:
-		m.Started(now, x.Request, x.Attempt)
+		router.ClientDisconnected(now, payload.Request)
+	case simwire.TimerFired:
+		router.Timer(now, payload.Name)
+	case simwire.AnswerStarted:
+		router.Started(now, payload.Request, payload.Attempt)
 	}
-	return nil
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -11,8 +11,8 @@
 	"classes.1.deadlineS=3 classes.1.points=4 classes.1.repeat=once discovery=automatic domain.guards=refuse " +
 	"domain.needsByClass=any,write domain.positions=true domain.roleInList=start policyLimits.maxAttempts=3"
 
-// script is a conversation: a list, a read and a write, and their answers.
-const script = "tick 5\nopen_instance gateway/0 42 " + settingsLine + `
+// conversation is the input of one instance: a list, a read and a write, and their answers.
+const conversation = "tick 5\nopen_instance gateway/0 42 " + settingsLine + `
 list 0 2
 entry on east std 1 1 - a:1 4
 entry on east std 1 0 - b:1 4
@@ -28,9 +28,10 @@
 over_to_you
 `
 
+// TestConversation checks where the attempts of one instance go.
 func TestConversation(t *testing.T) {
 	var out bytes.Buffer
-	if err := serve(strings.NewReader(script), &out); err != nil {
+	if err := serve(strings.NewReader(conversation), &out); err != nil {
 		t.Fatal(err)
 	}
 	replies := strings.Split(out.String(), "next\n")
@@ -48,19 +49,20 @@
 	}
 }
 
-func TestInstancesShareNothing(t *testing.T) {
+// TestInstancesAreIndependent runs two instances beside each other: each acts as it does alone.
+func TestInstancesAreIndependent(t *testing.T) {
 	var alone, both bytes.Buffer
-	if err := serve(strings.NewReader(script), &alone); err != nil {
+	if err := serve(strings.NewReader(conversation), &alone); err != nil {
 		t.Fatal(err)
 	}
-	two := ""
-	for _, line := range strings.SplitAfter(script, "\n") {
-		two += line
+	var input strings.Builder
+	for _, line := range strings.SplitAfter(conversation, "\n") {
+		input.WriteString(line)
 		if strings.Contains(line, "gateway/0") {
-			two += strings.Replace(line, "gateway/0", "gateway/1", 1)
+			input.WriteString(strings.Replace(line, "gateway/0", "gateway/1", 1))
 		}
 	}
-	if err := serve(strings.NewReader(two), &both); err != nil {
+	if err := serve(strings.NewReader(input.String()), &both); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"gateway/0", "gateway/1"} {
@@ -71,12 +73,13 @@
 			}
 		}
 		if got.String() != alone.String() {
-			t.Errorf("%s acts otherwise in company:\n%s\nalone:\n%s", name, got.String(), alone.String())
+			t.Errorf("%s acts differently beside another:\n%s\nalone:\n%s", name, got.String(), alone.String())
 		}
 	}
 }
 
-func TestMalformedInputIsNamed(t *testing.T) {
+// TestMalformedInput checks that malformed input ends the program with an error that names the line.
+func TestMalformedInput(t *testing.T) {
 	var out bytes.Buffer
 	err := serve(strings.NewReader("tick 5\nwhat is this\nover_to_you\n"), &out)
 	if err == nil || !strings.Contains(err.Error(), "line 2") {
--- /dev/null
+++ b/internal/simwire/config.go
@@ -0,0 +1,186 @@
+package simwire
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+
+	"cranegate/routing"
+)
+
+// Config maps settings, by their paths in the simulator's protocol, to the router's configuration. This is where their names are
+// mapped to the gateway's terms: the words of settings by the tables below, the paths in config, class and tenants. A gateway on sockets
+// finds the same settings in its configuration file. The error is a *SettingError for the first setting that can't be used.
+func Config(values map[string]string) (routing.Config, error) {
+	return (&settings{values: values}).config()
+}
+
+var consistencyByWord = map[string]routing.Consistency{
+	"any":     routing.ConsistencyAny,
+	"bounded": routing.ConsistencyBounded,
+	"session": routing.ConsistencySession,
+	"fresh":   routing.ConsistencyStrong,
+	"write":   routing.ConsistencyWrite,
+}
+
+var effectByWord = map[string]routing.Effect{
+	"repeatable": routing.Idempotent,
+	"by_key":     routing.IdempotentByKey,
+	"once":       routing.NonIdempotent,
+}
+
+var staleReadPolicyByWord = map[string]routing.StaleReadPolicy{
+	"none":   routing.StaleReadServed,
+	"refuse": routing.StaleReadRejected,
+	"wait":   routing.StaleReadDelayed,
+}
+
+var roleSourceByWord = map[string]routing.RoleSource{
+	"":      routing.RoleSourceNone,
+	"none":  routing.RoleSourceNone,
+	"start": routing.RoleSourceInitial,
+	"late":  routing.RoleSourceDelayed,
+}
+
+var localSessionsByWord = map[string]bool{"": false, "carried": false, "remembered": true}
+
+var keyIsGlobalByWord = map[string]bool{"": false, absent: false, "cell": false, "all": true}
+
+var subscribeByWord = map[string]bool{"": false, "automatic": false, "subscribe": true}
+
+// Paths that more than one function names.
+const (
+	pathConsistencies     = "domain.needsByClass"
+	pathStalenessBounds   = "domain.classBoundS"
+	pathOverloadFactor    = "rules.tipMultiple"
+	pathOverloadWindow    = "rules.fallS"
+	pathSlowStartDuration = "rules.coldS"
+	pathTenants           = "realms"
+	pathTenantCount       = "realms.count"
+)
+
+// config maps the settings to the router's configuration.
+func (s *settings) config() (routing.Config, error) {
+	c := routing.Config{
+		Gateways:          s.count("balancers"),
+		Zone:              s.values["zone"],
+		OverQuotaWeight:   s.number("overShareWorth", 0, maxNumber),
+		Subscribe:         word(s, "discovery", subscribeByWord),
+		MaxPollInterval:   s.seconds("rules.askWithinS"),
+		StaleReads:        word(s, "domain.guards", staleReadPolicyByWord),
+		CatchUpWait:       s.seconds("domain.catchUpWaitS"),
+		Positions:         s.flag("domain.positions"),
+		PositionZero:      seconds(s.number("domain.positionZeroS", -maxPositionZeroSeconds, maxPositionZeroSeconds)),
+		LocalSessions:     word(s, "domain.writeMarks", localSessionsByWord),
+		RoleSource:        word(s, "domain.roleInList", roleSourceByWord),
+		AllowCancel:       s.flag("policyLimits.mayCancel"),
+		AllowHedging:      s.flag("policyLimits.mayDuplicate"),
+		AllowHealthChecks: s.flag("policyLimits.probes"),
+		MaxAttempts:       s.count("policyLimits.maxAttempts"),
+		MaxRetryAfter:     s.seconds("policyLimits.maxRetryAfterS"),
+		CrossZoneCost:     s.number("deductions.crossZone", -maxNumber, maxNumber),
+		SlowStartCapacity: s.number("rules.coldFrom", 0, 1),
+		SlowStartDuration: s.seconds(pathSlowStartDuration),
+		OverloadFactor:    s.number(pathOverloadFactor, 0, maxNumber),
+		OverloadWindow:    s.seconds(pathOverloadWindow),
+		OnlyDrainingBinds: s.flag("rules.onlyDrainingBinds"),
+	}
+	if !s.flag("policyLimits.retryAfter") {
+		c.MaxRetryAfter = 0 // a Retry-After does not reach clients
+	}
+	c.Classes = s.classes()
+	if c.SlowStartDuration > 0 {
+		if c.OverloadFactor <= 0 {
+			s.fail(pathOverloadFactor, "more than 0 where "+pathSlowStartDuration+" is given")
+		} else if c.OverloadWindow <= 0 {
+			s.fail(pathOverloadWindow, "more than 0 where "+pathSlowStartDuration+" is given")
+		}
+	}
+	c.Tenants = s.tenants()
+	return c, s.err
+}
+
+// classes reads the classes up to the first error.
+func (s *settings) classes() []routing.Class {
+	consistencies := s.list(pathConsistencies)
+	stalenessBounds := s.list(pathStalenessBounds)
+	count := s.count("classes.count")
+	if s.err == nil && len(consistencies) != count {
+		s.fail(pathConsistencies, fmt.Sprintf("a list of %d needs, one for each class", count))
+	}
+	var classes []routing.Class
+	names := map[string]bool{}
+	for i := 0; i < count && s.err == nil; i++ {
+		class := s.class(i, consistencies[i], stalenessBounds)
+		if names[class.Name] {
+			s.fail(fmt.Sprintf("classes.%d.name", i), "a name that no class before has")
+		}
+		names[class.Name] = true
+		classes = append(classes, class)
+	}
+	return classes
+}
+
+// class reads the class with an index. The word of its consistency and the staleness bounds stand in lists with a value for each class.
+func (s *settings) class(i int, consistency string, stalenessBounds []string) routing.Class {
+	prefix := fmt.Sprintf("classes.%d.", i)
+	s.required(prefix + "points")
+	class := routing.Class{
+		Name:                s.required(prefix + "name"),
+		LatencyObjective:    s.positiveSeconds(prefix + "aimS"),
+		ObjectiveWorkFactor: s.number(prefix+"aimStretch", 0, maxNumber),
+		Deadline:            s.positiveSeconds(prefix + "deadlineS"),
+		PriorityWeight:      s.number(prefix+"points", 0, maxNumber),
+		LateShare:           s.number(prefix+"lateWorth", 0, 1),
+		Effect:              word(s, prefix+"repeat", effectByWord),
+		KeyIsGlobal:         word(s, prefix+"keyScope", keyIsGlobalByWord),
+		IdempotencyTTL:      s.seconds(prefix + "keyTtlS"),
+		Stream:              s.flag(prefix + "stream"),
+	}
+	var ok bool
+	if class.Consistency, ok = consistencyByWord[consistency]; !ok {
+		s.fail(pathConsistencies, "a list of "+strings.Join(slices.Sorted(maps.Keys(consistencyByWord)), ", "))
+	}
+	if class.Consistency != routing.ConsistencyBounded {
+		return class
+	}
+	bound, ok := stalenessBound(i, stalenessBounds)
+	if !ok {
+		s.fail(pathStalenessBounds, fmt.Sprintf("a list with the bound of class %d, %s: from 0 to %g s", i, class.Name, maxSeconds))
+		return class
+	}
+	class.StalenessBound = seconds(bound)
+	return class
+}
+
+// stalenessBound returns the bound of the class with an index, in seconds. It reports false if it is missing or out of range.
+func stalenessBound(i int, bounds []string) (bound float64, ok bool) {
+	if i >= len(bounds) {
+		return 0, false
+	}
+	bound, err := strconv.ParseFloat(bounds[i], 64)
+	if err != nil || math.IsNaN(bound) {
+		return 0, false
+	}
+	return bound, bound >= 0 && bound <= maxSeconds
+}
+
+// tenants reads the tenants: a list of objects with a count, or names alone.
+func (s *settings) tenants() []routing.Tenant {
+	var tenants []routing.Tenant
+	if !s.has(pathTenantCount) {
+		for _, name := range s.list(pathTenants) {
+			tenants = append(tenants, routing.Tenant{Name: name})
+		}
+		return tenants
+	}
+	count := int(s.number(pathTenantCount, 0, maxCount))
+	for i := 0; i < count && s.err == nil; i++ {
+		prefix := fmt.Sprintf("%s.%d.", pathTenants, i)
+		tenants = append(tenants, routing.Tenant{Name: s.required(prefix + "name"), Quota: s.number(prefix+"quotaPerS", 0, maxNumber)})
+	}
+	return tenants
+}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/reader_test.go
@@ -1,7 +1,6 @@
 package simwire
 
 import (
-	"bytes"
 	"errors"
 	"io"
 	"strings"
@@ -11,8 +10,8 @@
 	"cranegate/routing"
 )
 
-// Settings is a small whole set, in the wire's form.
-const settingsLine = "balancers=2 zone=east classes.count=2 classes.0.name=look classes.0.aimS=0.5 " +
+// validSettingsLine is a small complete set of settings, as in an open_instance line.
+const validSettingsLine = "balancers=2 zone=east classes.count=2 classes.0.name=look classes.0.aimS=0.5 " +
 	"classes.0.deadlineS=1.5 classes.0.points=1 classes.0.repeat=repeatable classes.1.name=put classes.1.aimS=0.5 " +
 	"classes.1.deadlineS=3 classes.1.points=4 classes.1.repeat=by_key classes.1.keyScope=cell classes.1.keyTtlS=2 " +
 	"discovery=subscribe domain.guards=wait domain.needsByClass=bounded,write domain.classBoundS=0.8,0 " +
@@ -20,9 +19,11 @@
 	"loadInfo.columns=depth,x0,x1 policyLimits.maxAttempts=10 realms.count=1 realms.0.name=acme " +
 	"realms.0.quotaPerS=12.5 something.unknown=7"
 
-const opened = "tick 8.5\nopen_instance gateway/0 42 " + settingsLine + "\nover_to_you\n"
+// openingBatch is a batch that opens an instance.
+const openingBatch = "tick 8.5\nopen_instance gateway/0 42 " + validSettingsLine + "\nover_to_you\n"
 
-func read(t *testing.T, r *Reader) *Batch {
+// readBatch reads a batch that must be valid.
+func readBatch(t *testing.T, r *Reader) *Batch {
 	t.Helper()
 	b, err := r.Batch()
 	if err != nil {
@@ -31,29 +32,31 @@
 	return b
 }
 
-func TestSettingsBecomeTyped(t *testing.T) {
-	b := read(t, NewReader(strings.NewReader(opened)))
-	o := b.Events[0].What.(Open)
-	c := o.Config
-	if b.Now != 8500*time.Millisecond || o.Seed != 42 || c.Gateways != 2 || !c.Subscribe || !c.LocalSessions {
-		t.Fatalf("batch %v, open %+v", b.Now, o)
+// TestOpenInstance checks how settings are mapped to the configuration.
+func TestOpenInstance(t *testing.T) {
+	batch := readBatch(t, NewReader(strings.NewReader(openingBatch)))
+	opened := batch.Events[0].Payload.(InstanceOpened)
+	config := opened.Config
+	if batch.Now != 8500*time.Millisecond || opened.Seed != 42 || config.Gateways != 2 || !config.Subscribe || !config.LocalSessions {
+		t.Fatalf("batch %v, open %+v", batch.Now, opened)
 	}
-	if c.StaleReads != routing.StaleReadDelayed || c.RoleSource != routing.RoleSourceDelayed || c.PositionZero != 100500*time.Millisecond {
-		t.Errorf("domain settings: %+v", c)
+	if config.StaleReads != routing.StaleReadDelayed || config.RoleSource != routing.RoleSourceDelayed || config.PositionZero != 100500*time.Millisecond {
+		t.Errorf("domain settings: %+v", config)
 	}
-	if c.Classes[0].Consistency != routing.ConsistencyBounded || c.Classes[0].StalenessBound != 800*time.Millisecond {
-		t.Errorf("bounded class: %+v", c.Classes[0])
+	if config.Classes[0].Consistency != routing.ConsistencyBounded || config.Classes[0].StalenessBound != 800*time.Millisecond {
+		t.Errorf("bounded class: %+v", config.Classes[0])
 	}
-	if k := c.Classes[1]; k.Effect != routing.IdempotentByKey || k.KeyIsGlobal || k.IdempotencyTTL != 2*time.Second || k.Consistency != routing.ConsistencyWrite {
+	if k := config.Classes[1]; k.Effect != routing.IdempotentByKey || k.KeyIsGlobal || k.IdempotencyTTL != 2*time.Second || k.Consistency != routing.ConsistencyWrite {
 		t.Errorf("keyed class: %+v", k)
 	}
-	if len(c.Tenants) != 1 || c.Tenants[0].Quota != 12.5 {
-		t.Errorf("tenants: %+v", c.Tenants)
+	if len(config.Tenants) != 1 || config.Tenants[0].Quota != 12.5 {
+		t.Errorf("tenants: %+v", config.Tenants)
 	}
 }
 
-func TestEventsInOrderWithReusedTables(t *testing.T) {
-	r := NewReader(strings.NewReader(opened + `tick 9
+// TestEvents checks each event, and that a list's number can be used again for another list.
+func TestEvents(t *testing.T) {
+	r := NewReader(strings.NewReader(openingBatch + `tick 9
 list 3 1
 entry on east std 2 1 7.25 10.0.0.1:50 4
 roster_change gateway/0 stale_copy 1 3
@@ -73,104 +76,72 @@
 detach gateway/0
 over_to_you
 `))
-	read(t, r)
-	e := read(t, r).Events
-	first, second := e[0].What.(routing.EndpointList), e[1].What.(routing.EndpointList)
+	readBatch(t, r)
+	events := readBatch(t, r).Events
+	first, second := events[0].Payload.(routing.EndpointList), events[1].Payload.(routing.EndpointList)
 	if len(first.Endpoints) != 1 || !first.Endpoints[0].Primary || first.Endpoints[0].StartedAt != 7250*time.Millisecond {
 		t.Errorf("first list: %+v", first)
 	}
 	if len(second.Endpoints) != 2 || second.Endpoints[0].Phase != routing.PhaseDraining || second.Endpoints[1].Phase != routing.PhaseRemoved {
 		t.Errorf("second list: %+v", second)
 	}
-	if e[2].What.(routing.EndpointList).Kind != routing.EndpointListFailed {
-		t.Errorf("broken: %+v", e[2])
+	if events[2].Payload.(routing.EndpointList).Kind != routing.EndpointListFailed {
+		t.Errorf("broken: %+v", events[2])
 	}
 	want := routing.Request{ID: 77, Session: "s1", Remaining: 250 * time.Millisecond, Work: 12 * time.Millisecond,
 		Group: 4, SinceWrite: 12500 * time.Microsecond, Retry: true}
-	if got := e[3].What.(routing.Request); got != want {
+	if got := events[3].Payload.(routing.Request); got != want {
 		t.Errorf("request %+v, want %+v", got, want)
 	}
-	o := e[4].What.(routing.Outcome)
+	o := events[4].Payload.(routing.Outcome)
 	if o.Role != routing.RoleReplica || o.Position != 6371 || !o.Closed || o.Report.Position != 6204 || o.Report.Role != routing.RolePrimary {
 		t.Errorf("reply: %+v", o)
 	}
-	if o := e[5].What.(routing.Outcome); o.Result != routing.ResultTimeout || o.Role != routing.RoleUnknown || o.Report.Role != routing.RoleUnknown {
+	if o := events[5].Payload.(routing.Outcome); o.Result != routing.ResultTimeout || o.Role != routing.RoleUnknown || o.Report.Role != routing.RoleUnknown {
 		t.Errorf("timeout: %+v", o)
 	}
-	if p := e[6].What.(routing.HealthCheckResult); p.Report.Position != 7500 || p.Report.Role != routing.RoleReplica {
+	if p := events[6].Payload.(routing.HealthCheckResult); p.Report.Position != 7500 || p.Report.Role != routing.RoleReplica {
 		t.Errorf("probe: %+v", p)
 	}
-	if s := e[7].What.(Started); s.Attempt != 1 {
+	if s := events[7].Payload.(AnswerStarted); s.Attempt != 1 {
 		t.Errorf("started: %+v", s)
 	}
-	if string(e[8].What.(Datagram).Payload) != "hi 7" {
-		t.Errorf("datagram: %+v", e[8])
+	if string(events[8].Payload.(Datagram).Payload) != "hi 7" {
+		t.Errorf("datagram: %+v", events[8])
 	}
 	if _, err := r.Batch(); err != io.EOF {
 		t.Errorf("end of input: %v", err)
 	}
 }
 
-func TestFaultsNameTheLine(t *testing.T) {
+// TestErrorsNameTheLine checks that invalid input gives an error with the line's number.
+func TestErrorsNameTheLine(t *testing.T) {
 	for _, line := range []string{"nonsense gateway/0", "knock gateway/0 77 nosuch - - 0.2", "knock gateway/0 x look",
 		"knock gateway/9 77 look", "reply gateway/0 77 0 10.0.0.1:50 0 0.1 0 11", "list 1 1\nentr",
 		"roster_change gateway/0 patch 2 9", "roster_change gateway/0 odd 2 9", "knock gateway/0 77 look - - NaN"} {
 		_, err := func() (*Batch, error) {
-			r := NewReader(strings.NewReader(opened + "tick 9\n" + line + "\nover_to_you\n"))
-			read(t, r)
+			r := NewReader(strings.NewReader(openingBatch + "tick 9\n" + line + "\nover_to_you\n"))
+			readBatch(t, r)
 			return r.Batch()
 		}()
 		if err == nil || !strings.Contains(err.Error(), "line ") {
 			t.Errorf("%q: %v", line, err)
 		}
 	}
-	missing := strings.Replace(opened, "balancers=2 ", "", 1)
+	missing := strings.Replace(openingBatch, "balancers=2 ", "", 1)
 	if _, err := NewReader(strings.NewReader(missing)).Batch(); err == nil || !strings.Contains(err.Error(), "balancers") {
 		t.Errorf("missing setting: %v", err)
 	}
-	cut := strings.TrimSuffix(opened, "over_to_you\n")
+	cut := strings.TrimSuffix(openingBatch, "over_to_you\n")
 	if _, err := NewReader(strings.NewReader(cut)).Batch(); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("cut input: %v", err)
 	}
 }
 
-func TestActionsOnTheWire(t *testing.T) {
-	var out bytes.Buffer
-	w := NewWriter(&out)
-	a := &Actions{Writer: w, Instance: "gateway/3"}
-	a.Send(1564119492, "10.0.0.1:50", 8492250*time.Microsecond, 0)
-	a.Cancel(7, 2)
-	a.Reject(8, 300*time.Millisecond, routing.ReasonShed)
-	a.Fail(9, routing.ReasonRejected)
-	a.CheckHealth("m", routing.ConnAny)
-	a.SetTimer(10*time.Millisecond, "sweep")
-	a.Subscribe(true)
-	a.FetchEndpoints()
-	a.Log("two\nlines")
-	w.Bug("gateway/3", "index out of range")
-	if err := w.End(); err != nil {
-		t.Fatal(err)
-	}
-	want := `try gateway/3 1564119492 8.492250 10.0.0.1:50
-drop_attempt gateway/3 7 2
-busy gateway/3 8 0.300000
-surrender gateway/3 9
-sound_out gateway/3 m
-set_alarm gateway/3 0.010000 sweep
-keep_informed gateway/3 1
-lookup gateway/3
-debug gateway/3 two lines
-bug gateway/3 index out of range
-next
-`
-	if out.String() != want {
-		t.Errorf("got\n%s", out.String())
-	}
-}
-
+// FuzzBatch checks that no input panics, and that each event has an instance.
 func FuzzBatch(f *testing.F) {
-	f.Add(opened)
-	f.Add(opened + "tick 9\nlist 1 1\nentry on a k 1 1 - m 1\nroster_change gateway/0 whole 1 1\nover_to_you\n")
+	f.Add(openingBatch)
+	f.Add(openingBatch + "tick 9\nlist 1 1\nentry on a k 1 1 - m 1\nroster_change gateway/0 whole 1 1\nover_to_you\n")
 	f.Add("tick -\nover_to_you\n")
 	f.Add("tick 1\nlist 1 -5\nover_to_you\n")
 	f.Fuzz(func(t *testing.T, s string) {
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -11,91 +11,100 @@
 	"cranegate/routing"
 )
 
-// Writer writes replies.
+// Writer writes replies. Errors are kept until End.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter returns a writer on w.
-func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, 1<<16)} }
+// NewWriter returns a Writer to out.
+func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, 1<<16)} }
 
-// End closes the reply and flushes it.
+// End ends a reply and flushes it.
 func (w *Writer) End() error {
-	w.out.WriteString("next\n")
+	w.out.WriteString(messageReplyEnd + "\n")
 	return w.out.Flush()
 }
 
-// action writes one line.
-func (w *Writer) action(name, instance string, values ...string) {
-	w.out.WriteString(name)
+// line writes one line.
+func (w *Writer) line(message, instance string, values ...string) {
+	w.out.WriteString(message)
 	w.out.WriteByte(' ')
 	w.out.WriteString(instance)
-	for _, v := range values {
+	for _, value := range values {
 		w.out.WriteByte(' ')
-		w.out.WriteString(v)
+		w.out.WriteString(value)
 	}
 	w.out.WriteByte('\n')
 }
 
-// Bug declares that the decision code failed.
-func (w *Writer) Bug(instance, text string) { w.action("bug", instance, oneLine(text)) }
+// Bug reports that the decision code of an instance failed.
+func (w *Writer) Bug(instance, text string) { w.line(messageBug, instance, oneLine(text)) }
 
-// Actions is one instance's side of a reply; it implements routing.Gateway.
+// Actions writes the actions of one instance to a reply. It implements routing.Gateway.
 type Actions struct {
 	Writer   *Writer
 	Instance string
 }
 
-func (a *Actions) act(name string, values ...string) { a.Writer.action(name, a.Instance, values...) }
+var _ routing.Gateway = (*Actions)(nil)
 
-// Send writes a try. On this wire an attempt begins at once.
+func (a *Actions) write(message string, values ...string) {
+	a.Writer.line(message, a.Instance, values...)
+}
+
+// Send writes the beginning of an attempt. In this protocol an attempt begins at once.
 func (a *Actions) Send(request uint64, member string, abandonAt, _ time.Duration) {
-	a.act("try", id(request), clock(abandonAt), member)
+	a.write(messageSend, formatID(request), formatSeconds(abandonAt), member)
 }
 
-// Cancel writes a drop_attempt.
+// Cancel writes the end of an attempt.
 func (a *Actions) Cancel(request uint64, attempt int) {
-	a.act("drop_attempt", id(request), strconv.Itoa(attempt))
+	a.write(messageCancel, formatID(request), strconv.Itoa(attempt))
 }
 
-// Refuse writes a busy.
-func (a *Actions) Reject(request uint64, comeBack time.Duration, _ routing.Reason) {
-	a.act("busy", id(request), clock(comeBack))
+// Reject writes a final answer that promises that nothing ran.
+func (a *Actions) Reject(request uint64, retryAfter time.Duration, _ routing.Reason) {
+	a.write(messageReject, formatID(request), formatSeconds(retryAfter))
 }
 
-// Fail writes a surrender.
-func (a *Actions) Fail(request uint64, _ routing.Reason) { a.act("surrender", id(request)) }
+// Fail writes a final answer that promises nothing.
+func (a *Actions) Fail(request uint64, _ routing.Reason) {
+	a.write(messageFail, formatID(request))
+}
 
-// Close writes a close.
-func (a *Actions) CloseIdle(member string) { a.act("close", member) }
+// CloseIdle writes that idle connections to a member are closed.
+func (a *Actions) CloseIdle(member string) { a.write(messageCloseIdle, member) }
 
-// Probe writes a sound_out.
-func (a *Actions) CheckHealth(member string, _ routing.Conn) { a.act("sound_out", member) }
+// CheckHealth writes a health check.
+func (a *Actions) CheckHealth(member string, _ routing.Conn) { a.write(messageCheckHealth, member) }
 
-// SetTimer writes a set_alarm.
-func (a *Actions) SetTimer(after time.Duration, name string) { a.act("set_alarm", clock(after), name) }
+// SetTimer writes a timer.
+func (a *Actions) SetTimer(after time.Duration, name string) {
+	a.write(messageSetTimer, formatSeconds(after), name)
+}
 
-// Subscribe writes a keep_informed.
+// Subscribe writes whether changes of the endpoint list are wanted.
 func (a *Actions) Subscribe(on bool) {
+	value := "0"
 	if on {
-		a.act("keep_informed", "1")
-		return
+		value = "1"
 	}
-	a.act("keep_informed", "0")
+	a.write(messageSubscribe, value)
 }
 
-// FetchEndpoints writes a lookup.
-func (a *Actions) FetchEndpoints() { a.act("lookup") }
+// FetchEndpoints writes that the endpoint list is wanted once.
+func (a *Actions) FetchEndpoints() { a.write(messageFetchEndpoints) }
 
-// ZoneChanged writes a debug line.
+// ZoneChanged writes a zone's change as a line of the log.
 func (a *Actions) ZoneChanged(c zones.Change) { a.Log(c.String()) }
 
-// Log writes a debug line.
-func (a *Actions) Log(text string) { a.act("debug", oneLine(text)) }
+// Log writes a line of the log.
+func (a *Actions) Log(text string) { a.write(messageLog, oneLine(text)) }
 
-func id(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatID(n uint64) string { return strconv.FormatUint(n, 10) }
 
-// clock writes a time in seconds, cut to the microsecond.
-func clock(d time.Duration) string {
+// formatSeconds formats a time in seconds, truncated to the microsecond.
+func formatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(float64(d/time.Microsecond)/1e6, 'f', 6, 64)
 }
 
+// oneLine replaces line breaks and other white space by single spaces.
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
