--- a/cmd/cranegate/main.go
+++ b/cmd/cranegate/main.go
@@ -59,7 +59,7 @@
 
 // Run runs the gateway until SIGTERM. A failure is logged as the last line.
 func (r runCmd) Run() error {
-	logging.Survive()
+	logging.IgnoreSIGPIPE()
 	logs := logging.NewSink(os.Stderr)
 	logging.Use(logging.New(logs, logging.Level(os.Getenv(logging.LevelVariable))))
 	defer logs.Flush(flushFor)
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -71,10 +71,10 @@
 func (a *Attempt) guard(write func() bool) bool {
 	q, c := a.Request, a.core
 	now := c.clock.now()
-	send, by := invariant.CheckSend(invariant.Attempt{Now: now, Deadline: q.deadline, Latest: a.latest, Answered: q.answered.Load(),
-		LeftAt: time.Duration(q.leftAt.Load()), WithdrawnAt: c.notices.since(a.Member)})
-	repeat, written := q.ledger.Begin(a.number, now, invariant.Limits{Effect: q.class.Effect, Window: q.class.IdempotencyTTL,
-		Copies: c.opt.Routing.AllowHedging, Attempts: c.opt.Routing.MaxAttempts}, write)
+	send, by := invariant.CheckSend(invariant.Attempt{Now: now, Deadline: q.deadline, LatestStart: a.latest, Answered: q.answered.Load(),
+		DisconnectedAt: time.Duration(q.leftAt.Load()), WithdrawnAt: c.notices.since(a.Member)})
+	repeat, written := q.ledger.Begin(a.number, now, invariant.Limits{Effect: q.class.Effect, IdempotencyTTL: q.class.IdempotencyTTL,
+		AllowHedging: c.opt.Routing.AllowHedging, MaxAttempts: c.opt.Routing.MaxAttempts}, write)
 	if !written {
 		return false
 	}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging sets up the structured log: a line of key=value text for each record, the event's name under the key event.
+// Package logging sets up the structured log: a line of key=value text for each record, with the event's name under the key "event".
 //
 // The level is Info, or what LevelVariable names: debug adds a line for each request, attempt and closed connection.
 package logging
@@ -9,16 +9,16 @@
 	"log/slog"
 )
 
-// LevelVariable is the environment variable that names the least level that is logged: debug, info, warn or error.
+// LevelVariable is the environment variable that names the lowest level that is logged: debug, info, warn or error.
 const LevelVariable = "CRANEGATE_LOG_LEVEL"
 
-// timeForm is how times are written, in UTC.
-const timeForm = "2006-01-02T15:04:05.000000Z"
+// timeFormat is the layout of times, which are in UTC.
+const timeFormat = "2006-01-02T15:04:05.000000Z"
 
-// eventKey replaces slog's key of the message.
+// eventKey is the key of a record's message, in place of slog's.
 const eventKey = "event"
 
-// Level reads a level's name; anything else is Info.
+// Level parses a level's name. It returns Info for anything that is not one.
 func Level(name string) slog.Level {
 	var level slog.Level
 	if level.UnmarshalText([]byte(name)) != nil {
@@ -27,22 +27,23 @@
 	return level
 }
 
-// New returns a logger that writes lines of text, with times in UTC.
+// New returns a logger that writes a line of text to w for each record of level or above.
 func New(w io.Writer, level slog.Level) *slog.Logger {
-	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level, ReplaceAttr: rename}))
+	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level, ReplaceAttr: replaceAttr}))
 }
 
-// Use makes a logger the program's, and returns a call that undoes it.
+// Use makes l the program's default logger. The caller may call undo to restore the one before.
 func Use(l *slog.Logger) (undo func()) {
-	old := slog.Default()
+	previous := slog.Default()
 	slog.SetDefault(l)
-	return func() { slog.SetDefault(old) }
+	return func() { slog.SetDefault(previous) }
 }
 
-// Debugs says whether lines of level Debug are logged: whoever has to gather what they say looks first.
+// Debugs reports whether records of level Debug are logged. Callers check it before they gather attributes at some cost.
 func Debugs() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
 
-func rename(groups []string, a slog.Attr) slog.Attr {
+// replaceAttr sets the key of messages and the layout of times.
+func replaceAttr(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) > 0 {
 		return a
 	}
@@ -50,7 +51,7 @@
 	case slog.MessageKey:
 		a.Key = eventKey
 	case slog.TimeKey:
-		a.Value = slog.StringValue(a.Value.Time().UTC().Format(timeForm))
+		a.Value = slog.StringValue(a.Value.Time().UTC().Format(timeFormat))
 	}
 	return a
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -13,7 +13,7 @@
 	"cranegate/internal/metrics"
 )
 
-// TestLines holds the form of a line, which operators and cranelab read, and the levels.
+// TestLines checks the form of a line, which operators and cranelab read, and the levels.
 func TestLines(t *testing.T) {
 	var out bytes.Buffer
 	defer Use(New(&out, Level("")))()
@@ -33,46 +33,59 @@
 	}
 }
 
-// gate is a reader of the log that can stop.
-type gate struct {
-	mu   sync.Mutex
-	open *sync.Cond
-	shut bool
-	out  strings.Builder
+// pausableWriter is a reader of the log that can stop.
+type pausableWriter struct {
+	mu      sync.Mutex
+	resumed *sync.Cond
+	paused  bool
+	out     strings.Builder
 }
 
-func newGate() *gate { g := &gate{}; g.open = sync.NewCond(&g.mu); return g }
+func newPausableWriter() *pausableWriter {
+	w := &pausableWriter{}
+	w.resumed = sync.NewCond(&w.mu)
+	return w
+}
 
-func (g *gate) Write(b []byte) (int, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for g.shut {
-		g.open.Wait()
+func (w *pausableWriter) Write(b []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for w.paused {
+		w.resumed.Wait()
 	}
-	return g.out.Write(b)
+	return w.out.Write(b)
 }
 
-func (g *gate) set(shut bool) { g.mu.Lock(); defer g.mu.Unlock(); g.shut = shut; g.open.Broadcast() }
+func (w *pausableWriter) setPaused(paused bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.paused = paused
+	w.resumed.Broadcast()
+}
 
-func (g *gate) String() string { g.mu.Lock(); defer g.mu.Unlock(); return g.out.String() }
+func (w *pausableWriter) String() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.out.String()
+}
 
-// TestSinkNeverWaits stops the reader: writes go on at once, up to the bounds all lines are kept in order, past them they are
-// counted; once it reads again it is told how many are missing. Flush waits no longer than it may.
-func TestSinkNeverWaits(t *testing.T) {
+// TestSinkNeverBlocks stops the reader: writes don't block, all lines up to the bounds are kept in order, and those beyond are counted. Once
+// it reads again a line reports how many are missing. Flush waits no longer than its timeout.
+func TestSinkNeverBlocks(t *testing.T) {
 	for name, c := range map[string]struct {
 		line  string
 		lines int // that fit
 	}{
-		"many lines":   {"short\n", mostLines},
-		"larger lines": {strings.Repeat("x", 1023) + "\n", mostBytes >> 10},
+		"many lines":   {"short\n", maxLines},
+		"larger lines": {strings.Repeat("x", 1023) + "\n", maxBytes >> 10},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, counters := newGate(), &metrics.Counters{}
-			s := NewSink(g)
+			out, counters := newPausableWriter(), &metrics.Counters{}
+			s := NewSink(out)
 			s.Count(counters)
-			g.set(true)
+			out.setPaused(true)
 			s.Write([]byte("first\n"))
-			for len(s.wake) > 0 { // it has the first line in hand
+			for len(s.wake) > 0 { // the goroutine has taken the first line
 				time.Sleep(time.Millisecond)
 			}
 			s.Flush(time.Millisecond)
@@ -80,12 +93,12 @@
 				s.Write([]byte(c.line))
 			}
 			dropped := counters.Get(droppedCounter)
-			if dropped < 6 || dropped > 7 { // the first line may have gone by then or not
+			if dropped < 6 || dropped > 7 { // the first line may have been written by then or not
 				t.Errorf("%d dropped", dropped)
 			}
-			g.set(false)
+			out.setPaused(false)
 			s.Flush(time.Minute)
-			lines := strings.SplitAfter(g.String(), "\n")
+			lines := strings.SplitAfter(out.String(), "\n")
 			if want := c.lines + 7 - int(dropped) + 2; len(lines) != want+1 || lines[0] != "first\n" || lines[1] != c.line {
 				t.Errorf("%d lines, want %d", len(lines)-1, want)
 			}
--- a/internal/logging/sink.go
+++ b/internal/logging/sink.go
@@ -12,60 +12,60 @@
 	"cranegate/internal/metrics"
 )
 
-// What may wait to be written. Past it lines are dropped and counted: whoever logs holds the program's actors and locks, and must
-// never wait for whoever reads the log.
+// Bounds of a Sink's queue. Beyond them lines are dropped and counted: callers that log may hold locks and must never wait for the
+// reader of the log.
 const (
-	mostLines = 4096
-	mostBytes = 256 << 10
+	maxLines = 4096
+	maxBytes = 256 << 10
 )
 
-// droppedCounter counts the lines that were dropped.
+// droppedCounter is the counter, and the log event, of dropped lines.
 const droppedCounter = "log_lines_dropped"
 
-// Sink is a writer that never waits. A goroutine of its own passes on what is written, in order. Where the other end does not take
-// it, lines wait up to a bound and are dropped past that; once it does, a line tells how many are missing.
+// Sink is a writer that never blocks. A goroutine of its own forwards what is written, in order. Where the other end does not accept
+// it, lines are queued up to a bound and dropped beyond that; once it does again, a line reports how many are missing.
 type Sink struct {
 	out io.Writer
 
-	mu       sync.Mutex
-	lines    [][]byte // that wait
-	bytes    int      // of these
-	dropped  int64    // since the last line that told of it
-	counters *metrics.Counters
-	writing  bool          // the goroutine has a line in hand
-	wake     chan struct{} // holds one: there is something to write
-	idle     chan struct{} // closed once all is written; nil while nobody waits for that
+	mu          sync.Mutex
+	lines       [][]byte // the queue
+	queuedBytes int
+	dropped     int64 // since the last line that reported it
+	counters    *metrics.Counters
+	writing     bool          // the goroutine may be writing a line
+	wake        chan struct{} // has room for one value: there is something to write
+	idle        chan struct{} // closed once all is written; nil while no Flush waits
 }
 
-// NewSink returns a sink before a writer. Its goroutine lives as long as the program.
+// NewSink returns a Sink that forwards to out. Its goroutine lives as long as the program.
 func NewSink(out io.Writer) *Sink {
 	s := &Sink{out: out, wake: make(chan struct{}, 1)}
 	go s.run()
 	return s
 }
 
-// Survive has the process live on where a write of the log to a pipe that nobody reads any more would end it: such a write fails
-// instead. It is for the program's start.
-func Survive() { signal.Ignore(syscall.SIGPIPE) }
+// IgnoreSIGPIPE keeps the process alive when the log is written to a pipe that nobody reads any more: the write fails instead. Call it at
+// the program's start.
+func IgnoreSIGPIPE() { signal.Ignore(syscall.SIGPIPE) }
 
-// Count has dropped lines counted from now on.
+// Count sets the counters that count dropped lines from now on.
 func (s *Sink) Count(c *metrics.Counters) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counters = c
 }
 
-// Write takes a line. It never waits, and never fails.
+// Write queues a line, or drops it if the queue is full. It never blocks and never fails.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.lines) >= mostLines || s.bytes+len(line) > mostBytes {
+	if len(s.lines) >= maxLines || s.queuedBytes+len(line) > maxBytes {
 		s.dropped++
 		s.counters.Add(droppedCounter, 1)
 		return len(line), nil
 	}
 	s.lines = append(s.lines, bytes.Clone(line))
-	s.bytes += len(line)
+	s.queuedBytes += len(line)
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -73,35 +73,43 @@
 	return len(line), nil
 }
 
-// Flush waits until all that was written has been passed on, but no longer than a time.
-func (s *Sink) Flush(most time.Duration) {
+// Flush waits until all that was written has been forwarded, or until the timeout.
+func (s *Sink) Flush(timeout time.Duration) {
+	idle := s.idleChannel()
+	if idle == nil {
+		return
+	}
+	select {
+	case <-idle:
+	case <-time.After(timeout):
+	}
+}
+
+// idleChannel returns a channel that is closed once all is written, or nil if it is already.
+func (s *Sink) idleChannel() chan struct{} {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	if len(s.lines) == 0 && !s.writing {
-		s.mu.Unlock()
-		return
+		return nil
 	}
 	if s.idle == nil {
 		s.idle = make(chan struct{})
 	}
-	idle := s.idle
-	s.mu.Unlock()
-	select {
-	case <-idle:
-	case <-time.After(most):
-	}
+	return s.idle
 }
 
-// run passes lines on.
+// run forwards lines.
 func (s *Sink) run() {
 	for range s.wake {
-		for line := s.next(); line != nil; line = s.next() {
-			s.out.Write(line) // what it says of a failure can be told nowhere
+		for line := s.nextLine(); line != nil; line = s.nextLine() {
+			s.out.Write(line) // a failure can't be reported anywhere
 		}
 	}
 }
 
-// next takes the oldest line, or says how many were dropped once all others are written; nil: there is nothing to write.
-func (s *Sink) next() []byte {
+// nextLine takes the oldest line from the queue. Behind the last it returns a line that reports how many were dropped, if any were, and then
+// nil.
+func (s *Sink) nextLine() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writing = true
@@ -110,14 +118,15 @@
 		line := s.lines[0]
 		s.lines[0] = nil
 		s.lines = s.lines[1:]
-		s.bytes -= len(line)
+		s.queuedBytes -= len(line)
 		return line
 	case s.dropped > 0:
-		line := fmt.Appendf(nil, "time=%s level=WARN event=%s count=%d\n", time.Now().UTC().Format(timeForm), droppedCounter, s.dropped)
+		line := fmt.Appendf(nil, "time=%s level=WARN event=%s count=%d\n", time.Now().UTC().Format(timeFormat), droppedCounter, s.dropped)
 		s.dropped = 0
 		return line
 	}
-	s.lines, s.writing = nil, false
+	s.lines = nil
+	s.writing = false
 	if s.idle != nil {
 		close(s.idle)
 		s.idle = nil
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -172,13 +172,14 @@
 	return InstanceOpened{Seed: seed, Config: config}, nil
 }
 
-// parseSeed parses a seed, which may be written as a signed or an unsigned number.
+// parseSeed parses a seed, which may be written as an unsigned or a signed number.
 func parseSeed(text string) (uint64, error) {
-	if unsigned, err := strconv.ParseUint(text, 10, 64); err == nil {
+	unsigned, err := strconv.ParseUint(text, 10, 64)
+	if err == nil {
 		return unsigned, nil
 	}
-	signed, err := strconv.ParseInt(text, 10, 64)
-	if err != nil {
+	signed, signedErr := strconv.ParseInt(text, 10, 64)
+	if signedErr != nil {
 		return 0, fmt.Errorf("seed: %w", err)
 	}
 	return uint64(signed), nil
