--- a/cmd/cranegate/fleet.go
+++ b/cmd/cranegate/fleet.go
@@ -77,7 +77,7 @@
 	settings.Routing.Classes = append(slices.Clone(settings.Routing.Classes), routing.Class{
 		Name:             mysql.PrepareClass,
 		Consistency:      routing.ConsistencyAny,
-		LatencyObjective: configured.PrepareAim(),
+		LatencyObjective: configured.PrepareObjective(),
 		Deadline:         configured.PrepareDeadline(),
 		PriorityWeight:   1,
 		Effect:           routing.Idempotent,
@@ -85,7 +85,7 @@
 	account := mysqlbackend.Account{
 		User:           configured.User,
 		Database:       configured.Database,
-		HealthCheck:    configured.Probe,
+		HealthCheck:    configured.HealthCheck,
 		PrepareTimeout: settings.ConnectTimeout,
 	}
 	if configured.PasswordEnv != "" {
@@ -135,7 +135,7 @@
 	pool := backend.New(g.lifetime, backend.Options{
 		Start:          f.starter,
 		ConnectTimeout: f.settings.ConnectTimeout,
-		IdleTimeout:    f.settings.IdleClose * 2 / 3,
+		IdleTimeout:    f.settings.HostIdleTimeout * 2 / 3,
 		MaxOpen:        g.maxBackendConns,
 		Gateways:       f.settings.Routing.Gateways,
 		Counters:       g.counters,
--- a/cmd/cranegate/main.go
+++ b/cmd/cranegate/main.go
@@ -63,7 +63,7 @@
 
 // Run runs the gateway until SIGTERM or SIGINT. On an error it exits with 1, and the error is the last log line.
 func (r runCmd) Run() error {
-	logging.Survive()
+	logging.IgnoreSIGPIPE()
 	logs := logging.NewSink(os.Stderr)
 	logging.Use(logging.New(logs, logging.Level(os.Getenv(logging.LevelVariable))))
 	defer logs.Flush(flushTimeout)
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -77,18 +77,18 @@
 	request, c := a.Request, a.core
 	now := c.clock.now()
 	send, by := invariant.CheckSend(invariant.Attempt{
-		Now:         now,
-		Deadline:    request.deadline,
-		Latest:      a.startDeadline,
-		Answered:    request.answered.Load(),
-		LeftAt:      time.Duration(request.disconnectedAt.Load()),
-		WithdrawnAt: c.withdrawals.withdrawnAt(a.Member),
+		Now:            now,
+		Deadline:       request.deadline,
+		LatestStart:    a.startDeadline,
+		Answered:       request.answered.Load(),
+		DisconnectedAt: time.Duration(request.disconnectedAt.Load()),
+		WithdrawnAt:    c.withdrawals.withdrawnAt(a.Member),
 	})
 	repeat, written := request.ledger.Begin(a.number, now, invariant.Limits{
-		Effect:   request.class.Effect,
-		Window:   request.class.IdempotencyTTL,
-		Copies:   c.options.Routing.AllowHedging,
-		Attempts: c.options.Routing.MaxAttempts,
+		Effect:         request.class.Effect,
+		IdempotencyTTL: request.class.IdempotencyTTL,
+		AllowHedging:   c.options.Routing.AllowHedging,
+		MaxAttempts:    c.options.Routing.MaxAttempts,
 	}, write)
 	if !written {
 		return false
