--- /dev/null
+++ b/internal/frontend/client_test.go
@@ -0,0 +1,106 @@
+package frontend_test
+
+import (
+	"cranegate/internal/fake"
+	"cranegate/internal/framebuf"
+	"cranegate/internal/mysqlwire"
+	"cranegate/internal/pgwire"
+)
+
+// The forms of a request: by the protocol, and with MySQL as a text query or by a prepared statement.
+const (
+	formPostgres = "postgres"
+	formMySQL    = "mysql"
+	formPrepared = "prepared"
+)
+
+var (
+	clientForms = []string{formPostgres, formMySQL, formPrepared}
+	protocols   = clientForms[:2] // a form for each
+	mysqlForms  = clientForms[1:]
+)
+
+// lookStatement is a read whose key is its id, as a format.
+const lookStatement = "/* id=%s,c=look,d=1000,cluster=4 */ SELECT v FROM records WHERE k = '%[1]s'"
+
+// statementPrefix is the text of a class's statements, up to the key.
+var statementPrefix = map[string]string{"look": "SELECT v FROM records WHERE k = ", "put": "INSERT INTO records (k) VALUES "}
+
+// testClient is a client of either protocol.
+type testClient struct {
+	form string
+	pg   *fake.PostgresClient // with formPostgres
+	my   *fake.MySQLClient    // with the other forms
+}
+
+// newClient connects a client that asks in a form.
+func (h *testHarness) newClient(form string) (*testClient, error) {
+	c, err := &testClient{form: form}, error(nil)
+	if form == formPostgres {
+		c.pg, err = fake.DialPostgres(h.connect(), "")
+	} else {
+		c.my, err = fake.DialMySQL(h.connect(), mysqlwire.CapQueryAttributes|mysqlwire.CapSessionTrack)
+	}
+	return c, err
+}
+
+// request sends one request and returns its answer. Its key is its id, so that a value shows for which request it was made.
+func (c *testClient) request(class, id string) (fake.Reply, error) {
+	if c.form != formPrepared {
+		return c.query("/* id=" + id + ",c=" + class + ",d=1000,cluster=4 */ " + statementPrefix[class] + "'" + id + "'")
+	}
+	reply, statement, _, err := c.my.Prepare("/* c=" + class + ",cluster=4 */ " + statementPrefix[class] + "?")
+	if err != nil || reply.Outcome != "served" {
+		return reply, err
+	}
+	reply, err = c.my.Execute(statement, []mysqlwire.Param{mysqlwire.Attribute("", id)}, mysqlwire.Attribute("id", id),
+		mysqlwire.Attribute("d", "1000"))
+	c.my.CloseStatement(statement) // never answered; it may fail where the gateway has closed the connection
+	return reply, err
+}
+
+// query sends a text query and returns its answer.
+func (c *testClient) query(text string) (fake.Reply, error) {
+	if c.pg != nil {
+		return c.pg.Ask(text)
+	}
+	return c.my.Query(text)
+}
+
+// conn returns the client's connection.
+func (c *testClient) conn() *framebuf.Conn {
+	if c.pg != nil {
+		return c.pg.Conn
+	}
+	return c.my.Conn
+}
+
+func (c *testClient) disconnect() {
+	if c.pg != nil {
+		c.pg.Close()
+	} else {
+		c.my.Close()
+	}
+}
+
+// mysqlPacket frames a MySQL command as the first packet of an exchange.
+func mysqlPacket(kind byte, body string) string {
+	n := len(body) + 1
+	return string([]byte{byte(n), byte(n >> 8), byte(n >> 16), 0, kind}) + body
+}
+
+// postgresQuery frames a simple query.
+func postgresQuery(text string) string { return string(pgwire.Append(nil, 'Q', text, "\x00")) }
+
+// queryBytes frames a text query of the harness's protocol.
+func (h *testHarness) queryBytes(text string) string {
+	if h.mysql {
+		return mysqlPacket(mysqlwire.ComQuery, text)
+	}
+	return postgresQuery(text)
+}
+
+// requestBytes frames a request with something behind its text. Its key is its id.
+func (h *testHarness) requestBytes(class, id, suffix string) string {
+	return h.queryBytes("/* id=" + id + ",c=" + class + ",d=1000,cluster=4 */ " + statementPrefix[class] + "'" + id + "'" + suffix)
+}
