--- a/internal/frontend/drain/drain.go
+++ b/internal/frontend/drain/drain.go
@@ -17,7 +17,7 @@
 	newClientTimeout   = 500 * time.Millisecond  // for a connection accepted meanwhile to stay idle
 	readTimeout        = 1900 * time.Millisecond // for messages that have begun; one that comes 2 s on may not be held at 4 s
 	answerTimeout      = 3300 * time.Millisecond // for all answers: past every deadline, and before the process is killed
-	maxDeadline        = 3 * time.Second         // the longest request deadline that the times above assume; a shorter one scales them
+	maxDeadline        = 3 * time.Second         // the longest request deadline the times above assume; a shorter one scales them
 	shutdownDelay      = 500 * time.Millisecond  // from the longest deadline until a process that ends has answered all, 0.2 s before the kill
 	finalAnswerTimeout = 150 * time.Millisecond  // of that, for what has come in last
 	minReadTimeout     = 50 * time.Millisecond   // for a message that has begun
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -17,8 +17,8 @@
 const (
 	messageTimeout      = 10 * time.Second        // for a complete message from its first byte on
 	stallTimeout        = 2500 * time.Millisecond // without another byte of a message: a client that stops is closed within 3 s
-	startupTimeout      = 2500 * time.Millisecond // from accept until the startup, and as long as that lasts a first request, is complete
-	firstRequestTimeout = time.Second             // for a first request that begins later
+	startupTimeout      = 2500 * time.Millisecond // from accept, for the startup and a first request
+	firstRequestTimeout = time.Second             // for a first request that begins when less of startupTimeout is left
 	finalReadTimeout    = 20 * time.Millisecond   // for bytes that had arrived when one of these times ended
 	maxFaults           = 16                      // unusable messages in a row
 )
@@ -168,7 +168,11 @@
 	deadline := s.schedule().ReadDeadline(time.Now(), s.messageDeadline())
 	for {
 		buffered := s.Buffered()
-		s.SetReadDeadline(earlier(deadline, time.Now().Add(stallTimeout)))
+		readDeadline := time.Now().Add(stallTimeout)
+		if deadline.Before(readDeadline) {
+			readDeadline = deadline
+		}
+		s.SetReadDeadline(readDeadline)
 		err := read()
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
@@ -191,21 +195,11 @@
 	if s.firstRequestDeadline.IsZero() {
 		return time.Now().Add(messageTimeout)
 	}
-	return later(s.firstRequestDeadline, time.Now().Add(firstRequestTimeout))
-}
-
-func earlier(a, b time.Time) time.Time {
-	if a.Before(b) {
-		return a
-	}
-	return b
-}
-
-func later(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
+	deadline := time.Now().Add(firstRequestTimeout)
+	if deadline.Before(s.firstRequestDeadline) {
+		return s.firstRequestDeadline
 	}
-	return b
+	return deadline
 }
 
 // disconnectError returns ErrDisconnected for an error that only tells that the client has disconnected, any other error as
