--- a/internal/frontend/reservation_test.go
+++ b/internal/frontend/reservation_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"strings"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"cranegate/internal/fake"
@@ -65,6 +66,7 @@
 			!strings.Contains(err.Error(), "limits.sockets") {
 			return fmt.Errorf("past the half: %v", err)
 		}
+		synctest.Wait()    // until the clients that stay are idle: while all of them are active a new client is rejected
 		for i := range 2 { // they get slots of idle clients, not reserved ones
 			closeOne, err := harness.connectClients(1)
 			defer closeOne()
