--- a/internal/mysqlwire/auth.go
+++ b/internal/mysqlwire/auth.go
@@ -1,48 +1,51 @@
 package mysqlwire
 
 import (
+	"bytes"
 	"crypto/sha1"
 	"crypto/sha256"
 	"hash"
 )
 
-// The ways to log in that the gateway knows.
+// The authentication plugins that the gateway supports.
 const (
 	NativePassword      = "mysql_native_password"
 	CachingSHA2Password = "caching_sha2_password"
 )
 
-// The second byte of a packet with more about a login (MoreAuth).
+// MoreAuth is the first byte of a packet with more data of a login. FastAuth and FullAuth are values of its second byte.
 const (
 	MoreAuth = 0x01
 	FastAuth = 0x03 // the password was right
-	FullAuth = 0x04 // it is wanted in the clear, which needs an encrypted connection
+	FullAuth = 0x04 // it is required in plain text, which needs an encrypted connection
 )
 
-// Scramble answers a server's challenge with a password, without telling it. It returns nil for an empty password
-// and for a way to log in that it does not know.
+// Scramble returns the response to a server's challenge, which proves knowledge of the password. It returns nil for an empty password
+// and for a plugin that is not supported.
 func Scramble(plugin, password string, nonce []byte) []byte {
 	if password == "" {
 		return nil
 	}
 	switch plugin {
 	case NativePassword: // SHA1(password) XOR SHA1(nonce + SHA1(SHA1(password)))
-		once := digest(sha1.New(), []byte(password))
-		return xor(once, digest(sha1.New(), nonce, digest(sha1.New(), once)))
+		hashed := digest(sha1.New(), []byte(password))
+		return xor(hashed, digest(sha1.New(), nonce, digest(sha1.New(), hashed)))
 	case CachingSHA2Password: // SHA256(password) XOR SHA256(SHA256(SHA256(password)) + nonce)
-		once := digest(sha256.New(), []byte(password))
-		return xor(once, digest(sha256.New(), digest(sha256.New(), once), nonce))
+		hashed := digest(sha256.New(), []byte(password))
+		return xor(hashed, digest(sha256.New(), digest(sha256.New(), hashed), nonce))
 	}
 	return nil
 }
 
+// digest returns the hash of all parts together.
 func digest(h hash.Hash, parts ...[]byte) []byte {
-	for _, p := range parts {
-		h.Write(p)
+	for _, part := range parts {
+		h.Write(part)
 	}
 	return h.Sum(nil)
 }
 
+// xor sets a to a XOR b and returns it.
 func xor(a, b []byte) []byte {
 	for i := range a {
 		a[i] ^= b[i]
@@ -50,7 +53,7 @@
 	return a
 }
 
-// SwitchAuth writes a server's wish to log in another way.
+// SwitchAuth writes a server's request for another authentication plugin.
 func (w *Writer) SwitchAuth(plugin string, nonce []byte) {
 	w.Begin()
 	w.Byte(HeadEOF)
@@ -59,13 +62,10 @@
 	w.End()
 }
 
-// ParseSwitchAuth reads it.
+// ParseSwitchAuth parses such a request.
 func ParseSwitchAuth(payload []byte) (plugin string, nonce []byte, err error) {
 	c := Cursor{B: payload}
 	c.Byte()
 	plugin = string(c.Zero())
-	if nonce = c.B; len(nonce) > 0 && nonce[len(nonce)-1] == 0 {
-		nonce = nonce[:len(nonce)-1]
-	}
-	return plugin, append([]byte(nil), nonce...), c.Err
+	return plugin, bytes.Clone(bytes.TrimSuffix(c.B, []byte{0})), c.Err
 }
--- a/internal/mysqlwire/command.go
+++ b/internal/mysqlwire/command.go
@@ -6,27 +6,27 @@
 	"cranegate/internal/sqlcomment"
 )
 
-// Statement is a prepared statement of a client. Database hosts' connections each map it to a statement of
-// their own, for as long as it is not dropped.
+// Statement is a prepared statement of a client. Each connection to a database host maps it to a statement of
+// its own, until it is dropped.
 type Statement struct {
 	Text    string
-	Meta    *sqlcomment.Statement // what its comment tells
+	Meta    *sqlcomment.Statement // from its comment
 	Params  int
 	dropped atomic.Bool
 }
 
-// Drop says that its client has closed it or left.
+// Drop marks the statement as closed by its client, or the client as disconnected. Any goroutine may call it.
 func (s *Statement) Drop() { s.dropped.Store(true) }
 
-// Dropped says whether Drop was called.
+// Dropped reports whether Drop was called. Any goroutine may call it.
 func (s *Statement) Dropped() bool { return s.dropped.Load() }
 
-// Command is what a request asks of a database host. Its bytes are its own.
+// Command is a request to a database host. It shares no bytes with a connection's buffer.
 type Command struct {
 	Kind       byte                  // ComQuery, ComStmtPrepare or ComStmtExecute
 	Meta       *sqlcomment.Statement // of this execution
-	Statement  *Statement            // prepare and execute
-	Params     []Param               // execute
-	Long       map[int][]byte        // execute: parameters whose values went ahead
-	Attributes []Param               // passed on, but for the deadline
+	Statement  *Statement            // of a prepare or execute
+	Params     []Param               // of an execute
+	Long       map[int][]byte        // of an execute: the values that were sent ahead, by the parameter's index
+	Attributes []Param               // forwarded, but for the deadline
 }
--- a/internal/mysqlwire/mysqlwire_test.go
+++ b/internal/mysqlwire/mysqlwire_test.go
@@ -9,20 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// CI's verdict never varies: the seed is fixed. The flags still override it.
+// The seed of rapid is fixed, so that CI's verdict does not vary. The flags still override it.
 func init() {
 	flag.Set("rapid.seed", "20261201")
 	flag.Set("rapid.nofailfile", "true")
 }
 
-var sizes = map[byte]int{TypeTiny: 1, TypeShort: 2, TypeLong: 4, TypeLongLong: 8, TypeDouble: 8, TypeFloat: 4}
+// fixedSizes are the sizes of values, by type, in bytes.
+var fixedSizes = map[byte]int{TypeTiny: 1, TypeShort: 2, TypeLong: 4, TypeLongLong: 8, TypeDouble: 8, TypeFloat: 4}
 
-var params = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Param {
+// paramsGenerator generates parameters of all kinds of types.
+var paramsGenerator = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Param {
 	kind := rapid.SampledFrom([]byte{TypeTiny, TypeShort, TypeLong, TypeLongLong, TypeDouble, TypeFloat, TypeDatetime,
 		TypeVarString, TypeBlob, TypeNull}).Draw(t, "type")
 	p := Param{Type: uint16(kind), Name: rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "name"), Null: rapid.Bool().Draw(t, "null")}
 	bytes := rapid.SliceOfN(rapid.Byte(), 0, 300)
-	switch n, fixed := sizes[kind]; {
+	switch n, fixed := fixedSizes[kind]; {
 	case p.Null || kind == TypeNull:
 	case fixed:
 		p.Value = rapid.SliceOfN(rapid.Byte(), n, n).Draw(t, "value")
@@ -36,11 +38,11 @@
 	return p
 }), 0, 20)
 
-// TestExecuteComesBack checks that parameters and attributes are read as they were written, and that a payload
-// cut short or changed is never read past its end.
-func TestExecuteComesBack(t *testing.T) {
+// TestExecuteRoundTrip checks that parameters and attributes are parsed as they were written, and that a payload
+// that is cut short or changed is never read past its end.
+func TestExecuteRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in, attributes := params.Draw(t, "params"), params.Draw(t, "attributes")
+		in, attributes := paramsGenerator.Draw(t, "params"), paramsGenerator.Draw(t, "attributes")
 		var w Writer
 		w.Execute(7, in, attributes, CapQueryAttributes)
 		c := Cursor{B: w.B[5:]}
@@ -66,7 +68,7 @@
 	})
 }
 
-// TestRandomPayloads guards every reader of what a peer sends against any bytes at all.
+// TestRandomPayloads checks that no parser of a peer's bytes panics, whatever they are.
 func TestRandomPayloads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, 80).Draw(t, "payload")
@@ -79,7 +81,8 @@
 	})
 }
 
-func TestSessionVariablesComeBack(t *testing.T) {
+// TestSessionVariablesRoundTrip checks that an OK packet is parsed as it was written, with its session variables.
+func TestSessionVariablesRoundTrip(t *testing.T) {
 	const caps = CapProtocol41 | CapSessionTrack
 	in := OK{Affected: 300, LastID: 70000, Warnings: 2, Session: [][2]string{{"replication_role", "primary"}, {"log_position", "1767225600123"}}}
 	var w Writer
@@ -90,7 +93,8 @@
 	}
 }
 
-func TestHandshakeComesBack(t *testing.T) {
+// TestHandshakeRoundTrip checks that a handshake is parsed as it was written, and a login of before version 4.1.
+func TestHandshakeRoundTrip(t *testing.T) {
 	var w Writer
 	w.Handshake("8.0.0", 1, CapProtocol41|CapSecure|CapPluginAuth|CapSessionTrack)
 	h, err := ParseHandshake(w.B[4:])
@@ -103,12 +107,12 @@
 	}
 }
 
-// TestScramble compares with answers worked out elsewhere from the published formulas.
+// TestScramble compares with values computed elsewhere from the published formulas.
 func TestScramble(t *testing.T) {
 	for plugin, want := range map[string]string{
 		NativePassword:      "cc3fe733cea1f98cf83c2326c9e9218ce96719c8",
 		CachingSHA2Password: "a5ac1a5f311c8d5e77581775029e1db779e84e6b396291cca391008fd67a25bb",
-		"sha256_password":   "", // not known
+		"sha256_password":   "", // not supported
 	} {
 		if got := hex.EncodeToString(Scramble(plugin, "geheim", []byte(Nonce))); got != want {
 			t.Errorf("%s: %s", plugin, got)
--- a/internal/mysqlwire/params.go
+++ b/internal/mysqlwire/params.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// Types of values that have a fixed size or a form of their own; all others are length-encoded strings.
+// Types of values that have a fixed size or an encoding of their own. All others are length-encoded strings.
 const (
 	TypeTiny      = 0x01
 	TypeShort     = 0x02
@@ -23,48 +23,52 @@
 	TypeYear      = 0x0d
 	TypeBlob      = 0xfc
 	TypeVarString = 0xfd
-	unsigned      = 0x8000
 )
 
-// mostParams bounds a statement's parameters and attributes together.
-const mostParams = 4096
+// flagUnsigned is the flag in a parameter's type of an unsigned number.
+const flagUnsigned = 0x8000
 
-// Param is a parameter of a statement, or a query attribute, which has a name.
+// maxParams bounds the parameters and attributes of a statement together.
+const maxParams = 4096
+
+// Param is a parameter of a statement or, with a name, a query attribute.
 type Param struct {
-	Type  uint16 // with the flag for unsigned numbers
+	Type  uint16 // with flagUnsigned
 	Name  string
 	Null  bool
 	Value []byte // as encoded on the wire
 }
 
-// Attribute makes a query attribute of a text.
+// Attribute returns a query attribute with a string value.
 func Attribute(name, value string) Param {
-	return Param{Type: TypeVarString, Name: name, Value: append(AppendInt(nil, uint64(len(value))), value...)}
+	return Param{Type: TypeVarString, Name: name, Value: appendString(nil, value)}
 }
 
-// Text returns a value as text: strings as they are, whole numbers in digits.
+// Text returns the value as text: strings as they are, numbers in decimal, and nothing for null and for dates and times.
 func (p Param) Text() string {
 	c := Cursor{B: p.Value}
-	switch t := byte(p.Type); {
-	case p.Null || t == TypeNull:
+	if p.Null {
+		return ""
+	}
+	switch byte(p.Type) {
+	case TypeNull, TypeDate, TypeTime, TypeDatetime, TypeTimestamp:
 		return ""
-	case t == TypeTiny || t == TypeShort || t == TypeYear || t == TypeLong || t == TypeInt24 || t == TypeLongLong:
-		n := c.number(len(p.Value))
-		if shift := 64 - 8*len(p.Value); p.Type&unsigned == 0 {
-			return strconv.FormatInt(int64(n<<shift)>>shift, 10)
+	case TypeTiny, TypeShort, TypeYear, TypeLong, TypeInt24, TypeLongLong:
+		n := c.uintLE(len(p.Value))
+		if p.Type&flagUnsigned != 0 {
+			return strconv.FormatUint(n, 10)
 		}
-		return strconv.FormatUint(n, 10)
-	case t == TypeFloat:
+		shift := 64 - 8*len(p.Value) // extends the sign
+		return strconv.FormatInt(int64(n<<shift)>>shift, 10)
+	case TypeFloat:
 		return strconv.FormatFloat(float64(math.Float32frombits(c.U32())), 'f', -1, 32)
-	case t == TypeDouble:
-		return strconv.FormatFloat(math.Float64frombits(c.number(8)), 'f', -1, 64)
-	case t == TypeDate || t == TypeTime || t == TypeDatetime || t == TypeTimestamp:
-		return ""
+	case TypeDouble:
+		return strconv.FormatFloat(math.Float64frombits(c.uintLE(8)), 'f', -1, 64)
 	}
 	return string(c.String())
 }
 
-// value takes one encoded value.
+// value returns the next value as it is encoded.
 func (c *Cursor) value(kind uint16) []byte {
 	before := c.B
 	switch byte(kind) {
@@ -86,44 +90,46 @@
 	return before[:len(before)-len(c.B)]
 }
 
-// Params takes parameters and attributes. Types that the client bound before stand in where it sends none; a
-// parameter whose value went ahead as long data has none here.
+// Params parses count parameters and attributes. Where the client sends no types, those that it has bound before apply. A
+// parameter whose value was sent ahead as long data has none here.
 func (c *Cursor) Params(count int, named bool, bound []uint16, long map[int][]byte) []Param {
-	if count < 0 || count > mostParams {
-		c.B, c.Err = nil, fmt.Errorf("%d parameters: %w", count, ErrMalformed)
+	if count < 0 || count > maxParams {
+		c.fail(fmt.Errorf("%d parameters: %w", count, ErrMalformed))
 		return nil
 	}
 	if count == 0 {
 		return nil
 	}
-	nulls, fresh, out := c.Take((count+7)/8), c.Byte(), make([]Param, count)
-	if c.Err == nil && fresh != 1 && len(bound) != count {
+	nulls := c.Take((count + 7) / 8)
+	hasTypes := c.Byte() == 1
+	if c.Err == nil && !hasTypes && len(bound) != count {
 		c.Err = fmt.Errorf("parameters without types: %w", ErrMalformed)
 	}
 	if c.Err != nil { // guards against a payload that is cut short
 		return nil
 	}
-	if fresh == 1 {
-		for i := range out {
-			if out[i].Type = c.U16(); named {
-				out[i].Name = string(c.String())
-			}
+	params := make([]Param, count)
+	for i := range params {
+		if !hasTypes {
+			params[i].Type = bound[i]
+			continue
 		}
-	} else {
-		for i := range out {
-			out[i].Type = bound[i]
+		params[i].Type = c.U16()
+		if named {
+			params[i].Name = string(c.String())
 		}
 	}
-	for i := range out {
+	for i := range params {
 		if c.Err != nil {
 			return nil
 		}
+		params[i].Null = nulls[i/8]>>(i%8)&1 == 1
 		_, isLong := long[i]
-		if out[i].Null = nulls[i/8]>>(i%8)&1 == 1; !out[i].Null && !isLong {
-			out[i].Value = c.value(out[i].Type)
+		if !params[i].Null && !isLong {
+			params[i].Value = c.value(params[i].Type)
 		}
 	}
-	return out
+	return params
 }
 
 // Params writes parameters and attributes, always with their types.
@@ -138,9 +144,10 @@
 		}
 	}
 	w.B = append(w.B, nulls...)
-	w.Byte(1)
+	w.Byte(1) // types follow
 	for _, p := range params {
-		if w.U16(p.Type); named {
+		w.U16(p.Type)
+		if named {
 			w.String(p.Name)
 		}
 	}
@@ -151,12 +158,12 @@
 	}
 }
 
-// Query takes what follows the command byte of a text query: its attributes and its text.
+// Query parses what follows the command byte of a text query: its attributes and its text.
 func (c *Cursor) Query(caps uint32) (attributes []Param, text []byte) {
 	if caps&CapQueryAttributes != 0 {
-		n := c.Int()
-		c.Int() // how many sets there are: always one
-		attributes = c.Params(int(min(n, mostParams+1)), true, nil, nil)
+		count := c.Int()
+		c.Int() // the number of parameter sets: always one
+		attributes = c.Params(int(min(count, maxParams+1)), true, nil, nil)
 	}
 	return attributes, c.B
 }
@@ -174,20 +181,20 @@
 	w.End()
 }
 
-// countSent is the flag of an execute that says that a number of parameters follows.
-const countSent = 0x08
+// flagParamCount is the flag of an execute with which the number of parameters follows.
+const flagParamCount = 0x08
 
-// Execute takes what follows the statement's id in an execute: the statement's parameters, then attributes.
+// Execute parses what follows the statement's id in an execute: the statement's parameters, then attributes.
 func (c *Cursor) Execute(caps uint32, params int, bound []uint16, long map[int][]byte) (all []Param) {
 	flags := c.Byte()
 	c.U32() // iterations: always one
 	named := caps&CapQueryAttributes != 0
-	if params == 0 && !(named && flags&countSent != 0) {
+	if params == 0 && !(named && flags&flagParamCount != 0) {
 		return nil
 	}
 	count := params
 	if named {
-		count = int(min(c.Int(), mostParams+1))
+		count = int(min(c.Int(), maxParams+1))
 	}
 	if c.Err == nil && count < params {
 		c.Err = fmt.Errorf("%d of %d parameters: %w", count, params, ErrMalformed)
@@ -198,7 +205,7 @@
 	return c.Params(count, named, bound, long)
 }
 
-// Execute writes an execute.
+// Execute writes an execute of the prepared statement with an id.
 func (w *Writer) Execute(id uint32, params, attributes []Param, caps uint32) {
 	w.Begin()
 	w.Byte(ComStmtExecute)
@@ -207,11 +214,12 @@
 	all := params
 	if named {
 		all = append(params[:len(params):len(params)], attributes...)
-		w.Byte(countSent)
+		w.Byte(flagParamCount)
 	} else {
 		w.Byte(0)
 	}
-	if w.U32(1); named {
+	w.U32(1) // iterations
+	if named {
 		w.Int(uint64(len(all)))
 	}
 	w.Params(all, named)
--- a/internal/mysqlwire/response.go
+++ b/internal/mysqlwire/response.go
@@ -2,191 +2,96 @@
 
 import "fmt"
 
-// Handshake is what a server says first.
-type Handshake struct {
-	Version    string
-	Caps       uint32
-	AuthPlugin string
-	Nonce      []byte // the challenge
-}
-
-// Nonce is the challenge that Handshake writes. It is fixed: the front asks for no password.
-const Nonce = "cranegategatecranega"
-
-// Handshake writes a server's first packet.
-func (w *Writer) Handshake(version string, id, caps uint32) {
-	w.Begin()
-	w.Byte(10)
-	w.Text(version + "\x00")
-	w.U32(id)
-	w.Text(Nonce[:8] + "\x00")
-	w.U16(uint16(caps))
-	w.Byte(45) // utf8mb4
-	w.U16(StatusAutocommit)
-	w.U16(uint16(caps >> 16))
-	w.Byte(21)
-	w.Text("\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00")
-	w.Text(Nonce[8:] + "\x00")
-	w.Text(NativePassword + "\x00")
-	w.End()
-}
-
-// ParseHandshake reads a server's first packet.
-func ParseHandshake(payload []byte) (Handshake, error) {
-	c := Cursor{B: payload}
-	var h Handshake
-	if v := c.Byte(); v != 10 {
-		return h, fmt.Errorf("handshake of version %d: %w", v, ErrMalformed)
-	}
-	h.Version = string(c.Zero())
-	c.Take(4)
-	h.Nonce = append(h.Nonce, c.Take(8)...)
-	c.Take(1)
-	h.Caps = uint32(c.U16())
-	c.Take(1 + 2)
-	h.Caps |= uint32(c.U16()) << 16
-	n := int(c.Byte())
-	c.Take(10)
-	if h.Caps&CapSecure != 0 {
-		if rest := c.Take(max(13, n-8)); c.Err == nil {
-			h.Nonce = append(h.Nonce, rest[:12]...)
-		}
-	}
-	if h.Caps&CapPluginAuth != 0 && c.Err == nil {
-		h.AuthPlugin = string(c.Zero())
-	}
-	return h, c.Err
-}
-
-// Login is what a client answers to a handshake.
-type Login struct {
-	Caps           uint32
-	User, Database string
-	Auth           []byte // the answer to the challenge, 255 bytes at most
-	Plugin         string
-}
-
-// Login writes a client's answer to the handshake.
-func (w *Writer) Login(l Login) {
-	w.Begin()
-	w.U32(l.Caps)
-	w.U32(MaxPacket)
-	w.Byte(45)
-	w.B = append(w.B, make([]byte, 23)...)
-	w.Text(l.User + "\x00")
-	w.Byte(byte(len(l.Auth)))
-	w.B = append(w.B, l.Auth...)
-	if l.Caps&CapConnectWithDB != 0 {
-		w.Text(l.Database + "\x00")
-	}
-	if l.Caps&CapPluginAuth != 0 {
-		w.Text(l.Plugin + "\x00")
-	}
-	w.End()
-}
-
-// ParseLogin reads a client's answer. One of before version 4.1, as an old health check sends it, has no more
-// than flags and a user.
-func ParseLogin(payload []byte) (Login, error) {
-	c := Cursor{B: payload}
-	var l Login
-	if l.Caps = uint32(c.U16()); l.Caps&CapProtocol41 == 0 {
-		c.Take(3)
-		l.User = string(c.Zero())
-		return l, c.Err
-	}
-	l.Caps |= uint32(c.U16()) << 16
-	c.Take(4 + 1 + 23)
-	if len(c.B) == 0 && l.Caps&CapSSL != 0 {
-		return l, fmt.Errorf("encryption was not offered: %w", ErrMalformed)
-	}
-	l.User = string(c.Zero())
-	switch {
-	case l.Caps&CapLenencAuth != 0:
-		l.Auth = append(l.Auth, c.String()...)
-	case l.Caps&CapSecure != 0:
-		l.Auth = append(l.Auth, c.Take(int(c.Byte()))...)
-	default:
-		c.Zero()
-	}
-	if l.Caps&CapConnectWithDB != 0 && len(c.B) > 0 {
-		l.Database = string(c.Zero())
-	}
-	return l, c.Err
-}
-
-// OK is a packet that says that a command went through.
+// OK is the packet that reports success of a command.
 type OK struct {
 	Affected, LastID uint64
 	Status, Warnings uint16
-	Session          [][2]string // session variables that have changed
+	Session          [][2]string // names and values of session variables that have changed
 }
 
-// OK writes the packet with its opening byte: HeadOK, or HeadEOF at the end of rows.
+// OK writes the packet with its first byte: HeadOK, or HeadEOF at the end of rows.
 func (w *Writer) OK(head byte, ok OK, caps uint32) {
 	w.Begin()
 	w.Byte(head)
 	w.Int(ok.Affected)
 	w.Int(ok.LastID)
-	track := caps&CapSessionTrack != 0 && len(ok.Session) > 0
-	if ok.Status |= StatusAutocommit; track {
+	ok.Status |= StatusAutocommit
+	trackSession := caps&CapSessionTrack != 0 && len(ok.Session) > 0
+	if trackSession {
 		ok.Status |= StatusStateChanged
 	}
 	if caps&CapProtocol41 != 0 {
 		w.U16(ok.Status)
 		w.U16(ok.Warnings)
 	}
-	if track {
+	if trackSession {
 		w.String("") // no message
-		var all []byte
-		for _, v := range ok.Session {
-			one := AppendInt(nil, uint64(len(v[0])))
-			one = append(one, v[0]...)
-			one = append(AppendInt(one, uint64(len(v[1]))), v[1]...)
-			all = append(AppendInt(append(all, 0), uint64(len(one))), one...)
-		}
-		w.String(string(all))
+		w.String(string(encodeSession(ok.Session)))
 	}
 	w.End()
 }
 
-// ParseOK reads an OK packet, or the one that ends rows.
+// trackSystemVariable is the kind of a change of session state that is a system variable's.
+const trackSystemVariable = 0
+
+// encodeSession encodes changed session variables.
+func encodeSession(variables [][2]string) []byte {
+	var changes []byte
+	for _, variable := range variables {
+		change := appendString(nil, variable[0])
+		change = appendString(change, variable[1])
+		changes = append(changes, trackSystemVariable)
+		changes = appendString(changes, string(change))
+	}
+	return changes
+}
+
+// ParseOK parses an OK packet, or the one that ends rows.
 func ParseOK(payload []byte, caps uint32) (OK, error) {
 	c := Cursor{B: payload}
 	c.Byte()
 	ok := OK{Affected: c.Int(), LastID: c.Int()}
-	ok.Status, ok.Warnings = c.U16(), c.U16()
+	ok.Status = c.U16()
+	ok.Warnings = c.U16()
 	if caps&CapSessionTrack == 0 || ok.Status&StatusStateChanged == 0 || c.Err != nil {
 		return ok, c.Err
 	}
 	c.String() // the message
-	all := Cursor{B: c.String()}
+	changes := c.String()
 	if c.Err != nil {
 		return ok, c.Err
 	}
-	for len(all.B) > 0 {
-		kind, one := all.Byte(), Cursor{B: all.String()}
-		if kind == 0 { // a system variable; other kinds tell nothing that the gateway needs
-			name, value := string(one.String()), string(one.String())
-			ok.Session = append(ok.Session, [2]string{name, value})
+	ok.Session = parseSession(changes)
+	return ok, nil
+}
+
+// parseSession parses changed session variables. It returns nil if they are malformed: the answer is valid without them.
+func parseSession(changes []byte) (variables [][2]string) {
+	c := Cursor{B: changes}
+	for len(c.B) > 0 {
+		kind := c.Byte()
+		change := Cursor{B: c.String()}
+		if kind == trackSystemVariable { // the gateway needs no other kind
+			name := string(change.String())
+			value := string(change.String())
+			variables = append(variables, [2]string{name, value})
 		}
-		if one.Err != nil || all.Err != nil { // notes that can't be read are passed over, and the answer is good without
-			ok.Session = nil
-			break
+		if change.Err != nil || c.Err != nil {
+			return nil
 		}
 	}
-	return ok, nil
+	return variables
 }
 
-// RowFits says whether a row's lengths agree with its packet's. Of a binary row, whose values have lengths by their
-// types, it sees the head alone.
+// RowFits reports whether the lengths in a row agree with its packet's. Of a binary row, whose values have lengths by their
+// types, it checks only the header.
 func RowFits(row []byte, columns int, binary bool) bool {
 	if binary {
 		return len(row) >= 1+(columns+9)/8 && row[0] == HeadOK
 	}
 	c := Cursor{B: row}
 	for range columns {
-		if len(c.B) > 0 && c.B[0] == 0xfb { // null
+		if len(c.B) > 0 && c.B[0] == lenencNull {
 			c.Byte()
 		} else {
 			c.String()
@@ -198,33 +103,41 @@
 // Error is an ERR packet.
 type Error struct {
 	Code  uint16
-	State string
+	State string // the SQLSTATE
 	Text  string
 }
 
+// Error implements the error interface.
 func (e Error) Error() string { return fmt.Sprintf("%d (%s): %s", e.Code, e.State, e.Text) }
 
+const (
+	sqlStateMarker = '#'
+	sqlStateBytes  = 5
+	maxErrorText   = 512 // bytes that ParseErr keeps
+)
+
 // Err writes an ERR packet.
 func (w *Writer) Err(e Error, caps uint32) {
 	w.Begin()
 	w.Byte(HeadErr)
 	w.U16(e.Code)
 	if caps&CapProtocol41 != 0 {
-		w.Text("#" + e.State)
+		w.Byte(sqlStateMarker)
+		w.Text(e.State)
 	}
 	w.Text(e.Text)
 	w.End()
 }
 
-// ParseErr reads an ERR packet.
+// ParseErr parses an ERR packet.
 func ParseErr(payload []byte) (Error, error) {
 	c := Cursor{B: payload}
 	c.Byte()
 	e := Error{Code: c.U16()}
-	if len(c.B) >= 6 && c.B[0] == '#' {
-		e.State = string(c.Take(6)[1:])
+	if len(c.B) >= 1+sqlStateBytes && c.B[0] == sqlStateMarker {
+		e.State = string(c.Take(1 + sqlStateBytes)[1:])
 	}
-	e.Text = string(c.B[:min(len(c.B), 512)])
+	e.Text = string(c.B[:min(len(c.B), maxErrorText)])
 	return e, c.Err
 }
 
@@ -237,49 +150,58 @@
 	w.End()
 }
 
-// IsEOF says whether a payload ends rows or definitions.
+// Lengths that tell a packet that ends rows from a row that begins with the same byte.
+const (
+	maxEOFPacket  = 9
+	maxPacketSize = 1<<24 - 1
+)
+
+// IsEOF reports whether a payload ends rows or definitions.
 func IsEOF(payload []byte, caps uint32) bool {
 	if len(payload) == 0 || payload[0] != HeadEOF {
 		return false
 	}
-	return caps&CapDeprecateEOF != 0 && len(payload) < 1<<24-1 || len(payload) < 9
+	return caps&CapDeprecateEOF != 0 && len(payload) < maxPacketSize || len(payload) < maxEOFPacket
 }
 
-// Column writes a column's or parameter's definition.
+// Column writes the definition of a column or parameter.
 func (w *Writer) Column(name string, kind byte) {
+	const (
+		fixedFieldsBytes = 0x0c
+		charsetBinary    = 63
+	)
 	w.Begin()
-	for _, s := range []string{"def", "", "", "", name, ""} {
+	for _, s := range []string{"def", "", "", "", name, ""} { // catalog, schema, tables, name, original name
 		w.String(s)
 	}
-	w.Byte(0x0c)
-	w.U16(63) // binary
+	w.Byte(fixedFieldsBytes)
+	w.U16(charsetBinary)
 	w.U32(MaxPacket)
 	w.Byte(kind)
-	w.U16(0)
+	w.U16(0) // flags
 	w.Byte(0)
 	w.U16(0)
 	w.End()
 }
 
-// Result is what a statement brought: rows, or none. Definitions and rows are kept as they came.
+// Result is the result of a statement, with rows or without. Definitions and rows are as the host sent them.
 type Result struct {
 	Columns, Rows [][]byte
 	OK            OK
 }
 
-// Result writes a statement's result. Session variables that the host tracked go along: a client learns there
-// which position its write was committed at.
+// Result writes a statement's result. Session variables that the host tracked are part of it: they tell a client the
+// position at which its write was committed.
 func (w *Writer) Result(r *Result, caps uint32) {
 	if len(r.Columns) == 0 {
-		w.OK(HeadOK, OK{Affected: r.OK.Affected, LastID: r.OK.LastID, Warnings: r.OK.Warnings,
-			Session: r.OK.Session}, caps)
+		w.OK(HeadOK, OK{Affected: r.OK.Affected, LastID: r.OK.LastID, Warnings: r.OK.Warnings, Session: r.OK.Session}, caps)
 		return
 	}
 	w.Begin()
 	w.Int(uint64(len(r.Columns)))
 	w.End()
-	for _, c := range r.Columns {
-		w.Packet(c)
+	for _, column := range r.Columns {
+		w.Packet(column)
 	}
 	if caps&CapDeprecateEOF == 0 {
 		w.EOF(0)
@@ -294,7 +216,7 @@
 	w.OK(HeadEOF, OK{Warnings: r.OK.Warnings, Session: r.OK.Session}, caps)
 }
 
-// Definitions are what a prepare tells of a statement, as it came.
+// Definitions are the parameters and columns of a prepared statement, as the host sent them.
 type Definitions struct{ Params, Columns [][]byte }
 
 // Prepared writes the answer to a prepare.
@@ -305,13 +227,13 @@
 	w.U16(uint16(len(d.Columns)))
 	w.U16(uint16(len(d.Params)))
 	w.Byte(0)
-	w.U16(0)
+	w.U16(0) // warnings
 	w.End()
-	for _, list := range [][][]byte{d.Params, d.Columns} {
-		for _, p := range list {
-			w.Packet(p)
+	for _, definitions := range [][][]byte{d.Params, d.Columns} {
+		for _, definition := range definitions {
+			w.Packet(definition)
 		}
-		if len(list) > 0 && caps&CapDeprecateEOF == 0 {
+		if len(definitions) > 0 && caps&CapDeprecateEOF == 0 {
 			w.EOF(0)
 		}
 	}
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -1,5 +1,5 @@
-// Package pgwire frames the messages of PostgreSQL's wire protocol, version 3, as far as the gateway speaks
-// it: no password, simple queries. Bodies are slices of the connection's buffer and hold until its next read.
+// Package pgwire frames the messages of PostgreSQL's frontend/backend protocol, version 3, as far as the gateway needs
+// it: no password, simple queries. Bodies are slices of the connection's buffer and are valid until its next read.
 package pgwire
 
 import (
@@ -11,13 +11,13 @@
 	"cranegate/internal/framebuf"
 )
 
-// Limits of what is read.
+// Limits of messages that are read, in bytes.
 const (
 	MaxStartup = 10 << 10
-	MaxMessage = 192 << 10 // a value of 64 KiB, in hex digits or escaped, and what stands round it
+	MaxMessage = 192 << 10 // a value of 64 KiB, in hex digits or escaped, and the statement around it
 )
 
-// The codes in place of a protocol version that ask for something else.
+// ProtocolVersion is the code of a startup message. The other codes stand in its place in messages that request something else.
 const (
 	ProtocolVersion = 3 << 16
 	CancelRequest   = 80877102
@@ -25,47 +25,57 @@
 	GSSENCRequest   = 80877104
 )
 
-// ErrMalformed says that the peer broke the framing; the connection is of no more use.
+const (
+	lengthBytes        = 4
+	kindBytes          = 1
+	startupHeaderBytes = lengthBytes + 4 // the length and the code
+	messageHeaderBytes = kindBytes + lengthBytes
+	columnCountBytes   = 2
+	columnTypeBytes    = 18 // what a RowDescription has of a column behind its name
+	nullColumnLength   = -1
+)
+
+// ErrMalformed reports that the peer broke the protocol's framing. The connection can't be used any more.
 var ErrMalformed = errors.New("malformed message")
 
-// ReadStartup reads the message that opens a connection.
+// ReadStartup reads the message that opens a connection. It returns ErrMalformed for one over MaxStartup.
 func ReadStartup(c *framebuf.Conn) (code uint32, body []byte, err error) {
-	b, err := c.Need(8)
+	b, err := c.Need(startupHeaderBytes)
 	if err != nil {
 		return 0, nil, err
 	}
-	n := int(binary.BigEndian.Uint32(b))
-	if n < 8 || n > MaxStartup {
-		return 0, nil, fmt.Errorf("startup of %d bytes: %w", n, ErrMalformed)
+	length := int(binary.BigEndian.Uint32(b))
+	if length < startupHeaderBytes || length > MaxStartup {
+		return 0, nil, fmt.Errorf("startup of %d bytes: %w", length, ErrMalformed)
 	}
-	if b, err = c.Need(n); err != nil {
+	if b, err = c.Need(length); err != nil {
 		return 0, nil, err
 	}
-	c.Skip(n)
-	return binary.BigEndian.Uint32(b[4:]), b[8:n], nil
+	c.Skip(length)
+	return binary.BigEndian.Uint32(b[lengthBytes:]), b[startupHeaderBytes:length], nil
 }
 
-// ReadMessage reads one message.
+// ReadMessage reads one message. It returns framebuf.ErrTooLarge for one over MaxMessage.
 func ReadMessage(c *framebuf.Conn) (kind byte, body []byte, err error) {
-	b, err := c.Need(5)
+	b, err := c.Need(messageHeaderBytes)
 	if err != nil {
 		return 0, nil, err
 	}
-	n := int(binary.BigEndian.Uint32(b[1:])) + 1
-	if n < 5 {
-		return 0, nil, fmt.Errorf("message of %d bytes: %w", n, ErrMalformed)
+	length := int(binary.BigEndian.Uint32(b[kindBytes:])) + kindBytes
+	if length < messageHeaderBytes {
+		return 0, nil, fmt.Errorf("message of %d bytes: %w", length, ErrMalformed)
 	}
-	if n > MaxMessage {
-		return 0, nil, fmt.Errorf("message of %d bytes: %w", n, framebuf.ErrTooLarge)
+	if length > MaxMessage {
+		return 0, nil, fmt.Errorf("message of %d bytes: %w", length, framebuf.ErrTooLarge)
 	}
-	if b, err = c.Need(n); err != nil {
+	if b, err = c.Need(length); err != nil {
 		return 0, nil, err
 	}
-	c.Skip(n)
-	return b[0], b[5:n], nil
+	c.Skip(length)
+	return b[0], b[messageHeaderBytes:length], nil
 }
 
-// Text returns a text that ends in a zero byte, and what follows it.
+// Text returns a string that ends with a zero byte, and what follows it.
 func Text(b []byte) (text, rest []byte, err error) {
 	i := bytes.IndexByte(b, 0)
 	if i < 0 {
@@ -74,7 +84,7 @@
 	return b[:i], b[i+1:], nil
 }
 
-// Parameter reads a ParameterStatus.
+// Parameter parses a ParameterStatus.
 func Parameter(body []byte) (name, value []byte, err error) {
 	name, rest, err := Text(body)
 	if err != nil {
@@ -84,7 +94,7 @@
 	return name, value, err
 }
 
-// Field returns one field of an ErrorResponse, nil where it is absent.
+// Field returns one field of an ErrorResponse, or nil if it is absent.
 func Field(body []byte, kind byte) []byte {
 	for len(body) > 1 && body[0] != 0 {
 		text, rest, err := Text(body[1:])
@@ -99,88 +109,90 @@
 	return nil
 }
 
-// Columns reads a DataRow; a null column is nil.
+// Columns parses a DataRow. A null column is nil.
 func Columns(body []byte) ([][]byte, error) {
-	if len(body) < 2 {
+	if len(body) < columnCountBytes {
 		return nil, fmt.Errorf("row: %w", ErrMalformed)
 	}
-	n := int(binary.BigEndian.Uint16(body))
-	body = body[2:]
-	var out [][]byte
-	for range n {
-		if len(body) < 4 {
+	count := int(binary.BigEndian.Uint16(body))
+	body = body[columnCountBytes:]
+	var columns [][]byte
+	for range count {
+		if len(body) < lengthBytes {
 			return nil, fmt.Errorf("row: %w", ErrMalformed)
 		}
-		size := int(int32(binary.BigEndian.Uint32(body)))
-		body = body[4:]
-		if size == -1 {
-			out = append(out, nil)
+		length := int(int32(binary.BigEndian.Uint32(body)))
+		body = body[lengthBytes:]
+		if length == nullColumnLength {
+			columns = append(columns, nil)
 			continue
 		}
-		if size < 0 || size > len(body) {
+		if length < 0 || length > len(body) {
 			return nil, fmt.Errorf("row: %w", ErrMalformed)
 		}
-		out, body = append(out, body[:size]), body[size:]
+		columns = append(columns, body[:length])
+		body = body[length:]
 	}
 	if len(body) > 0 {
 		return nil, fmt.Errorf("%d bytes after the row: %w", len(body), ErrMalformed)
 	}
-	return out, nil
+	return columns, nil
 }
 
 // Names returns the names of a RowDescription's columns.
 func Names(body []byte) ([]string, error) {
-	if len(body) < 2 {
+	if len(body) < columnCountBytes {
 		return nil, fmt.Errorf("row description: %w", ErrMalformed)
 	}
-	n := int(binary.BigEndian.Uint16(body))
-	body = body[2:]
-	var out []string
-	for range n {
+	count := int(binary.BigEndian.Uint16(body))
+	body = body[columnCountBytes:]
+	var names []string
+	for range count {
 		name, rest, err := Text(body)
-		if err != nil || len(rest) < 18 {
+		if err != nil || len(rest) < columnTypeBytes {
 			return nil, fmt.Errorf("row description: %w", ErrMalformed)
 		}
-		out, body = append(out, string(name)), rest[18:]
+		names = append(names, string(name))
+		body = rest[columnTypeBytes:]
 	}
 	if len(body) > 0 {
 		return nil, fmt.Errorf("%d bytes after the row description: %w", len(body), ErrMalformed)
 	}
-	return out, nil
+	return names, nil
 }
 
-// Append writes a message of some parts.
+// Append appends a message whose body consists of parts.
 func Append(b []byte, kind byte, parts ...string) []byte {
-	n := 4
-	for _, p := range parts {
-		n += len(p)
+	length := lengthBytes
+	for _, part := range parts {
+		length += len(part)
 	}
-	b = binary.BigEndian.AppendUint32(append(b, kind), uint32(n))
-	for _, p := range parts {
-		b = append(b, p...)
+	b = binary.BigEndian.AppendUint32(append(b, kind), uint32(length))
+	for _, part := range parts {
+		b = append(b, part...)
 	}
 	return b
 }
 
-// AppendRaw writes a message with a body.
+// AppendRaw appends a message with a body.
 func AppendRaw(b []byte, kind byte, body []byte) []byte {
-	b = binary.BigEndian.AppendUint32(append(b, kind), uint32(len(body)+4))
+	b = binary.BigEndian.AppendUint32(append(b, kind), uint32(len(body)+lengthBytes))
 	return append(b, body...)
 }
 
-// AppendStartup writes the message that opens a connection.
+// AppendStartup appends the message that opens a connection.
 func AppendStartup(b []byte, user, database string) []byte {
 	body := "user\x00" + user + "\x00database\x00" + database + "\x00\x00"
-	b = binary.BigEndian.AppendUint32(b, uint32(len(body)+8))
+	b = binary.BigEndian.AppendUint32(b, uint32(len(body)+startupHeaderBytes))
 	return append(binary.BigEndian.AppendUint32(b, ProtocolVersion), body...)
 }
 
-// AppendParameter writes a ParameterStatus.
+// AppendParameter appends a ParameterStatus.
 func AppendParameter(b []byte, name, value string) []byte {
 	return Append(b, 'S', name, "\x00", value, "\x00")
 }
 
-// AppendError writes an ErrorResponse; detail may be empty.
+// AppendError appends an ErrorResponse. The detail may be empty.
 func AppendError(b []byte, severity, code, text, detail string) []byte {
 	parts := []string{"S", severity, "\x00V", severity, "\x00C", code, "\x00M", text}
 	if detail != "" {
@@ -189,5 +201,5 @@
 	return Append(b, 'E', append(parts, "\x00\x00")...)
 }
 
-// AppendReady writes a ReadyForQuery.
+// AppendReady appends a ReadyForQuery, outside a transaction.
 func AppendReady(b []byte) []byte { return Append(b, 'Z', "I") }
