--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -35,8 +35,8 @@
 // LoadOperator reads the operator's file. Its settings have the names of the platform's; the file may leave them out if
 // platform is not nil.
 func LoadOperator(path string, platform *Settings) (*Operator, error) {
-	o := &Operator{Settings: platform}
-	meta, err := toml.DecodeFile(path, o)
+	operator := &Operator{Settings: platform}
+	meta, err := toml.DecodeFile(path, operator)
 	if err != nil {
 		return nil, fmt.Errorf("reading the operator's file: %w", err)
 	}
@@ -45,21 +45,21 @@
 			return nil, fmt.Errorf("reading the operator's file: unknown key %s", key)
 		}
 	}
-	o.Seed = randomSeed()
-	if o.RawSettings != nil {
-		s, err := ReadSettings(o.RawSettings)
+	operator.Seed = randomSeed()
+	if operator.RawSettings != nil {
+		s, err := ReadSettings(operator.RawSettings)
 		if err != nil {
 			return nil, fmt.Errorf("reading the operator's settings: %w", err)
 		}
-		o.Settings = &s
+		operator.Settings = &s
 	}
-	if err := o.check(); err != nil {
+	if err := operator.check(); err != nil {
 		return nil, err
 	}
-	if o.MySQL == nil {
-		return o, nil
+	if operator.MySQL == nil {
+		return operator, nil
 	}
-	return o, o.MySQL.check(o.Settings)
+	return operator, operator.MySQL.check(operator.Settings)
 }
 
 // check checks all tables but that of MySQL, and sets their defaults.
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -84,27 +84,27 @@
 	if err := decoder.Decode(&file); err != nil {
 		return nil, fmt.Errorf("reading the configuration: %w", err)
 	}
-	p := &Platform{Limits: file.Limits, Endpoints: file.Known}
-	p.Name = orEnv(file.Name, env(nameVariable))
-	p.Listen = orEnv(file.Listen, env(listenVariable))
-	p.Admin = orEnv(file.Admin, env(adminVariable))
-	p.Discovery = orEnv(file.Discovery, env(discoveryVariable))
+	platform := &Platform{Limits: file.Limits, Endpoints: file.Known}
+	platform.Name = orEnv(file.Name, env(nameVariable))
+	platform.Listen = orEnv(file.Listen, env(listenVariable))
+	platform.Admin = orEnv(file.Admin, env(adminVariable))
+	platform.Discovery = orEnv(file.Discovery, env(discoveryVariable))
 	var err error
-	if p.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+	if platform.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("reading the seed: %w", err)
 	}
-	if err := p.Limits.check(); err != nil {
+	if err := platform.Limits.check(); err != nil {
 		return nil, fmt.Errorf("reading the limits: %w", err)
 	}
-	if p.Settings, err = ReadSettings(file.Settings); err != nil {
+	if platform.Settings, err = ReadSettings(file.Settings); err != nil {
 		return nil, fmt.Errorf("reading the settings: %w", err)
 	}
-	if p.Discovery != "" {
-		if _, _, err := net.SplitHostPort(p.Discovery); err != nil {
+	if platform.Discovery != "" {
+		if _, _, err := net.SplitHostPort(platform.Discovery); err != nil {
 			return nil, fmt.Errorf("reading discovery: %w", err)
 		}
 	}
-	return p, nil
+	return platform, nil
 }
 
 // orEnv returns the environment's value where there is one, else the file's.
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -38,15 +38,15 @@
 //
 // A body may have neither a length nor chunks. It then ends with the connection, if that is closed in order: a reset, or a close before
 // the body has begun, is an error. A rejected call gives a rejectedError, an answer over maxAnswerBytes an AnswerTooLongError.
-func get(c *framebuf.Conn, host, target string) (body []byte, reusable bool, err error) {
-	if _, err := c.Write([]byte("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")); err != nil {
+func get(conn *framebuf.Conn, host, target string) (body []byte, reusable bool, err error) {
+	if _, err := conn.Write([]byte("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")); err != nil {
 		return nil, false, err
 	}
-	head, err := readHead(c, host)
+	head, err := readHead(conn, host)
 	if err != nil {
 		return nil, false, err
 	}
-	body, err = head.readBody(c)
+	body, err = head.readBody(conn)
 	if errors.Is(err, framebuf.ErrTooLarge) {
 		err = AnswerTooLongError{host}
 	}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -28,22 +28,22 @@
 // Reason says what was violated.
 type Reason string
 
-// The reasons, by rule. None stands for no violation.
+// The reasons, by rule. None stands for no violation. Their values are those that the operators' pages name.
 const (
 	None Reason = ""
 
 	// Reasons of Send.
-	HostWithdrawn      Reason = "host_withdrawn"      // the host has been draining or removed for longer than Grace
-	RequestEnded       Reason = "request_ended"       // the request has had its final answer
-	ClientDisconnected Reason = "client_disconnected" // the client disconnected longer ago than RemovedGrace
-	PastDeadline       Reason = "past_deadline"       // the client's deadline has passed
-	PastLatestStart    Reason = "past_latest"         // the attempt should have begun earlier, or not at all
+	HostWithdrawn      Reason = "host_withdrawn" // the host has been draining or removed for longer than Grace
+	RequestEnded       Reason = "request_ended"  // the request has had its final answer
+	ClientDisconnected Reason = "client_gone"    // the client disconnected longer ago than RemovedGrace
+	PastDeadline       Reason = "past_deadline"  // the client's deadline has passed
+	PastLatestStart    Reason = "past_latest"    // the attempt should have begun earlier, or not at all
 
 	// Reasons of Repeat.
-	DuplicateRun       Reason = "duplicate_run"      // a non-idempotent request may have run already
-	IdempotencyExpired Reason = "window_over"        // the hosts no longer recognise the idempotency key
-	AttemptsInFlight   Reason = "attempts_in_flight" // another attempt is in flight where hedging is not allowed
-	TooManyAttempts    Reason = "too_many_attempts"  // more attempts than the settings allow
+	DuplicateRun       Reason = "second_run"  // a non-idempotent request may have run already
+	IdempotencyExpired Reason = "window_over" // the hosts no longer recognise the idempotency key
+	AttemptsInFlight   Reason = "copies_out"  // another attempt is in flight where hedging is not allowed
+	TooManyAttempts    Reason = "too_many"    // more attempts than the settings allow
 
 	// Reasons of Close.
 	Unanswered Reason = "unanswered"  // a request was read, its client is connected, and it got no answer
--- a/internal/mysqlwire/handshake.go
+++ b/internal/mysqlwire/handshake.go
@@ -41,30 +41,30 @@
 
 // ParseHandshake parses a server's first packet.
 func ParseHandshake(payload []byte) (Handshake, error) {
-	c := Cursor{B: payload}
-	var h Handshake
-	if version := c.Byte(); version != protocolVersion {
-		return h, fmt.Errorf("handshake of version %d: %w", version, ErrMalformed)
+	cursor := Cursor{B: payload}
+	var handshake Handshake
+	if version := cursor.Byte(); version != protocolVersion {
+		return handshake, fmt.Errorf("handshake of version %d: %w", version, ErrMalformed)
 	}
-	h.Version = string(c.Zero())
-	c.Take(4) // the connection's id
-	h.Nonce = append(h.Nonce, c.Take(nonceFirstBytes)...)
-	c.Take(1)
-	h.Caps = uint32(c.U16())
-	c.Take(1 + 2) // character set and status
-	h.Caps |= uint32(c.U16()) << 16
-	nonceBytes := int(c.Byte())
-	c.Take(10) // reserved
-	if h.Caps&CapSecure != 0 {
-		second := c.Take(max(minSecondPart, nonceBytes-nonceFirstBytes))
-		if c.Err == nil {
-			h.Nonce = append(h.Nonce, second[:nonceSecondBytes]...)
+	handshake.Version = string(cursor.Zero())
+	cursor.Take(4) // the connection's id
+	handshake.Nonce = append(handshake.Nonce, cursor.Take(nonceFirstBytes)...)
+	cursor.Take(1)
+	handshake.Caps = uint32(cursor.U16())
+	cursor.Take(1 + 2) // character set and status
+	handshake.Caps |= uint32(cursor.U16()) << 16
+	nonceBytes := int(cursor.Byte())
+	cursor.Take(10) // reserved
+	if handshake.Caps&CapSecure != 0 {
+		second := cursor.Take(max(minSecondPart, nonceBytes-nonceFirstBytes))
+		if cursor.Err == nil {
+			handshake.Nonce = append(handshake.Nonce, second[:nonceSecondBytes]...)
 		}
 	}
-	if h.Caps&CapPluginAuth != 0 && c.Err == nil {
-		h.AuthPlugin = string(c.Zero())
+	if handshake.Caps&CapPluginAuth != 0 && cursor.Err == nil {
+		handshake.AuthPlugin = string(cursor.Zero())
 	}
-	return h, c.Err
+	return handshake, cursor.Err
 }
 
 // Login is a client's response to a handshake.
@@ -76,49 +76,49 @@
 }
 
 // Login writes a client's response to the handshake.
-func (w *Writer) Login(l Login) {
+func (w *Writer) Login(login Login) {
 	w.Begin()
-	w.U32(l.Caps)
+	w.U32(login.Caps)
 	w.U32(MaxPacket)
 	w.Byte(charsetUTF8MB4)
 	w.B = append(w.B, make([]byte, 23)...) // reserved
-	w.Text(l.User + "\x00")
-	w.Byte(byte(len(l.Auth)))
-	w.B = append(w.B, l.Auth...)
-	if l.Caps&CapConnectWithDB != 0 {
-		w.Text(l.Database + "\x00")
+	w.Text(login.User + "\x00")
+	w.Byte(byte(len(login.Auth)))
+	w.B = append(w.B, login.Auth...)
+	if login.Caps&CapConnectWithDB != 0 {
+		w.Text(login.Database + "\x00")
 	}
-	if l.Caps&CapPluginAuth != 0 {
-		w.Text(l.Plugin + "\x00")
+	if login.Caps&CapPluginAuth != 0 {
+		w.Text(login.Plugin + "\x00")
 	}
 	w.End()
 }
 
 // ParseLogin parses a client's response. One of before version 4.1, as an old health check sends it, has only flags and a user.
 func ParseLogin(payload []byte) (Login, error) {
-	c := Cursor{B: payload}
-	l := Login{Caps: uint32(c.U16())}
-	if l.Caps&CapProtocol41 == 0 {
-		c.Take(3) // the largest packet
-		l.User = string(c.Zero())
-		return l, c.Err
+	cursor := Cursor{B: payload}
+	login := Login{Caps: uint32(cursor.U16())}
+	if login.Caps&CapProtocol41 == 0 {
+		cursor.Take(3) // the largest packet
+		login.User = string(cursor.Zero())
+		return login, cursor.Err
 	}
-	l.Caps |= uint32(c.U16()) << 16
-	c.Take(4 + 1 + 23) // the largest packet, the character set, reserved
-	if len(c.B) == 0 && l.Caps&CapSSL != 0 {
-		return l, fmt.Errorf("encryption was not offered: %w", ErrMalformed)
+	login.Caps |= uint32(cursor.U16()) << 16
+	cursor.Take(4 + 1 + 23) // the largest packet, the character set, reserved
+	if len(cursor.B) == 0 && login.Caps&CapSSL != 0 {
+		return login, fmt.Errorf("encryption was not offered: %w", ErrMalformed)
 	}
-	l.User = string(c.Zero())
+	login.User = string(cursor.Zero())
 	switch {
-	case l.Caps&CapLenencAuth != 0:
-		l.Auth = append(l.Auth, c.String()...)
-	case l.Caps&CapSecure != 0:
-		l.Auth = append(l.Auth, c.Take(int(c.Byte()))...)
+	case login.Caps&CapLenencAuth != 0:
+		login.Auth = append(login.Auth, cursor.String()...)
+	case login.Caps&CapSecure != 0:
+		login.Auth = append(login.Auth, cursor.Take(int(cursor.Byte()))...)
 	default:
-		c.Zero()
+		cursor.Zero()
 	}
-	if l.Caps&CapConnectWithDB != 0 && len(c.B) > 0 {
-		l.Database = string(c.Zero())
+	if login.Caps&CapConnectWithDB != 0 && len(cursor.B) > 0 {
+		login.Database = string(cursor.Zero())
 	}
-	return l, c.Err
+	return login, cursor.Err
 }
--- a/internal/mysqlwire/response.go
+++ b/internal/mysqlwire/response.go
@@ -48,18 +48,18 @@
 
 // ParseOK parses an OK packet, or the one that ends rows.
 func ParseOK(payload []byte, caps uint32) (OK, error) {
-	c := Cursor{B: payload}
-	c.Byte()
-	ok := OK{Affected: c.Int(), LastID: c.Int()}
-	ok.Status = c.U16()
-	ok.Warnings = c.U16()
-	if caps&CapSessionTrack == 0 || ok.Status&StatusStateChanged == 0 || c.Err != nil {
-		return ok, c.Err
-	}
-	c.String() // the message
-	changes := c.String()
-	if c.Err != nil {
-		return ok, c.Err
+	cursor := Cursor{B: payload}
+	cursor.Byte()
+	ok := OK{Affected: cursor.Int(), LastID: cursor.Int()}
+	ok.Status = cursor.U16()
+	ok.Warnings = cursor.U16()
+	if caps&CapSessionTrack == 0 || ok.Status&StatusStateChanged == 0 || cursor.Err != nil {
+		return ok, cursor.Err
+	}
+	cursor.String() // the message
+	changes := cursor.String()
+	if cursor.Err != nil {
+		return ok, cursor.Err
 	}
 	ok.Session = parseSession(changes)
 	return ok, nil
--- a/internal/simwire/config.go
+++ b/internal/simwire/config.go
@@ -64,7 +64,7 @@
 
 // config maps the settings to the router's configuration.
 func (s *settings) config() (routing.Config, error) {
-	c := routing.Config{
+	config := routing.Config{
 		Gateways:          s.count("balancers"),
 		Zone:              s.values["zone"],
 		OverQuotaWeight:   s.number("overShareWorth", 0, maxNumber),
@@ -89,18 +89,18 @@
 		OnlyDrainingBinds: s.flag("rules.onlyDrainingBinds"),
 	}
 	if !s.flag("policyLimits.retryAfter") {
-		c.MaxRetryAfter = 0 // a Retry-After does not reach clients
+		config.MaxRetryAfter = 0 // a Retry-After does not reach clients
 	}
-	c.Classes = s.classes()
-	if c.SlowStartDuration > 0 {
-		if c.OverloadFactor <= 0 {
+	config.Classes = s.classes()
+	if config.SlowStartDuration > 0 {
+		if config.OverloadFactor <= 0 {
 			s.fail(pathOverloadFactor, "more than 0 where "+pathSlowStartDuration+" is given")
-		} else if c.OverloadWindow <= 0 {
+		} else if config.OverloadWindow <= 0 {
 			s.fail(pathOverloadWindow, "more than 0 where "+pathSlowStartDuration+" is given")
 		}
 	}
-	c.Tenants = s.tenants()
-	return c, s.err
+	config.Tenants = s.tenants()
+	return config, s.err
 }
 
 // classes reads the classes up to the first error.
