--- a/cmd/cranegate/admincontrol.go
+++ b/cmd/cranegate/admincontrol.go
@@ -46,7 +46,7 @@
 		return override.UnknownHostError{ID: id}
 	}
 	if c.coordinator != nil {
-		return c.coordinator.Apply(ctx, state.Change{Host: id, Out: detached})
+		return c.coordinator.Apply(ctx, state.Change{Host: id, Detach: detached})
 	}
 	action := core.Attach
 	if detached {
--- a/cmd/cranegate/handoff.go
+++ b/cmd/cranegate/handoff.go
@@ -40,7 +40,7 @@
 			exported.Learned[name] = learned
 		}
 	}
-	text, err := exported.encode(frame.MaxBlob)
+	text, err := exported.encode(frame.MaxBlobBytes)
 	if err != nil {
 		slog.Warn("hotrestart_unconfirmed", "error", err)
 		return nil
--- a/cmd/cranegate/hotrestart.go
+++ b/cmd/cranegate/hotrestart.go
@@ -51,10 +51,10 @@
 		OnState:     g.applyState,
 		Export:      g.exportState,
 		Reserve:     g.limiter.Reserve,
-		NewerExists: g.onNewerProcess,
-		Superseded:  g.onSuperseded,
-		Restored:    g.onRestored,
-		Alone:       g.onOlderProcessGone,
+		OnNewerExists: g.onNewerProcess,
+		OnSuperseded:  g.onSuperseded,
+		OnRestored:    g.onRestored,
+		OnOlderEnded:       g.onOlderProcessGone,
 		Counters:    g.counters,
 	})
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 	g.coordinator, g.olderAlive, g.folder = coordinator, coordinator.Older(), folder
 	known := coordinator.State()
-	slog.Info("hotrestart_opened", "older", g.olderAlive, "out", len(known.Out), "lameduck", known.Lameduck)
+	slog.Info("hotrestart_opened", "older", g.olderAlive, "out", len(known.Detached), "lameduck", known.Lameduck)
 }
 
 // closeHotRestart lets the other processes know that this one has ended.
@@ -141,7 +141,7 @@
 	current := g.detached
 	g.mu.Unlock()
 	next := map[string]bool{}
-	for id := range s.Out {
+	for id := range s.Detached {
 		next[id] = true
 	}
 	for _, f := range g.fleets {
--- /dev/null
+++ b/internal/hotrestart/apply.go
@@ -0,0 +1,172 @@
+package hotrestart
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"cranegate/internal/hotrestart/state"
+	"cranegate/internal/hotrestart/statefile"
+)
+
+// Apply has every live process of the gateway apply a change, and writes it to the file for later ones. Once it returns nil none of them
+// sends to a host that was detached. It takes at most 1 s, and less where ctx ends.
+//
+// With an error the change is not taken back: a host stays detached wherever that could be achieved. Errors: those of
+// state.Registers.Prepare and ErrClosed, when nothing was changed; ErrUnacknowledged (as a *PeerError), ErrNotApplied,
+// ErrNotPersisted, ErrUnverified, which may be joined, and ErrOverruled.
+func (c *Coordinator) Apply(ctx context.Context, change state.Change) error {
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
+	defer cancel()
+	maxAttempts := maxAttachAttempts
+	if change.Restricts() {
+		maxAttempts = maxDetachAttempts
+	}
+	for range maxAttempts {
+		overruled, err := c.attempt(ctx, change)
+		if err != nil || !overruled {
+			c.opt.Counters.Add("handover_sets", 1)
+			if err != nil {
+				c.opt.Counters.Add("handover_sets_failed", 1)
+			}
+			return err
+		}
+	}
+	return ErrOverruled
+}
+
+// attempt makes the change once. overruled reports that another process holds the opposite with a later stamp, set before this
+// call or during it. The clock of this process is past that stamp then.
+func (c *Coordinator) attempt(ctx context.Context, change state.Change) (overruled bool, err error) {
+	if err := ctx.Err(); err != nil {
+		return false, err
+	}
+	delta, err := c.prepare(change)
+	if err != nil {
+		return false, err
+	}
+	var problems []error
+	for _, step := range state.UpdateSteps(change.Restricts()) {
+		if beforeStep != nil {
+			beforeStep(step.String())
+		}
+		err := c.updateStep(ctx, step, delta)
+		if err != nil && step == state.ApplyLocal {
+			return false, err
+		}
+		if err != nil {
+			problems = append(problems, err)
+		}
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.registers.Get(change).On != change.Restricts(), errors.Join(problems...)
+}
+
+// prepare gives a change its stamp.
+func (c *Coordinator) prepare(change state.Change) (delta state.Registers, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return state.Registers{}, ErrClosed
+	}
+	delta, next, err := c.registers.Prepare(change, c.name.Nonce, time.Now().UnixNano())
+	if err != nil {
+		return state.Registers{}, err
+	}
+	c.registers = next
+	return delta, nil
+}
+
+// updateStep makes one step of a change.
+func (c *Coordinator) updateStep(ctx context.Context, step state.UpdateStep, delta state.Registers) error {
+	switch step {
+	case state.Persist:
+		return c.persist(ctx, delta)
+	case state.ApplyLocal:
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		_, err := c.merge(delta)
+		return err
+	case state.DiscoverPeers:
+		err := c.discoverPeers()
+		if err != nil && !errors.Is(err, ErrClosed) {
+			return withCause(ErrUnverified, err)
+		}
+		return err
+	case state.AwaitAcks:
+		return c.awaitAcks(ctx, delta)
+	}
+	return nil
+}
+
+// persist merges the registers and delta into the file, and takes what else the file held. Its errors are ErrNotPersisted.
+func (c *Coordinator) persist(ctx context.Context, delta state.Registers) error {
+	ctx, cancel := context.WithTimeout(ctx, lockTimeout)
+	defer cancel()
+	c.mu.Lock()
+	registers, err := c.registers.Merge(delta)
+	c.mu.Unlock()
+	if err != nil {
+		return withCause(ErrNotPersisted, err)
+	}
+	stored, err := c.file.Update(ctx, registers)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var invalid *statefile.InvalidFileError
+	if errors.As(err, &invalid) {
+		c.addUnconfirmed(err) // the change itself was written
+	} else if err != nil {
+		c.writePending = true
+		return withCause(ErrNotPersisted, err)
+	}
+	if _, err := c.merge(stored); err != nil {
+		return withCause(ErrNotPersisted, err)
+	}
+	return nil
+}
+
+// awaitAcks waits until this process's program and every live peer have applied what delta changes.
+// Errors: ErrNotApplied and a *PeerError of ErrUnacknowledged, which may be joined, and ErrClosed.
+func (c *Coordinator) awaitAcks(ctx context.Context, delta state.Registers) error {
+	ctx, cancel := context.WithTimeout(ctx, ackTimeout)
+	defer cancel()
+	for {
+		c.mu.Lock()
+		appliedHere := !c.running || c.applied.Covers(delta)
+		missing := c.peersWithout(delta)
+		changed, applyErr := c.changed, c.applyErr
+		c.mu.Unlock()
+		if appliedHere && len(missing) == 0 {
+			return nil
+		}
+		select {
+		case <-changed:
+			continue
+		case <-ctx.Done():
+		case <-c.lifetime.Done():
+			return ErrClosed
+		}
+		var problems []error
+		if !appliedHere {
+			if applyErr == nil {
+				applyErr = ctx.Err()
+			}
+			problems = append(problems, withCause(ErrNotApplied, applyErr))
+		}
+		if len(missing) > 0 {
+			problems = append(problems, &PeerError{missing, ErrUnacknowledged})
+		}
+		return errors.Join(problems...)
+	}
+}
+
+// peersWithout lists the sockets of peers that have not acknowledged delta. c.mu is held.
+func (c *Coordinator) peersWithout(delta state.Registers) (sockets []string) {
+	for name, p := range c.peers {
+		if !p.applied.Covers(delta) {
+			sockets = append(sockets, name.String())
+		}
+	}
+	return sockets
+}
--- /dev/null
+++ b/internal/hotrestart/fakepeers_test.go
@@ -0,0 +1,220 @@
+package hotrestart
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"cranegate/internal/hotrestart/frame"
+	"cranegate/internal/hotrestart/rendezvous"
+	"cranegate/internal/hotrestart/state"
+	"cranegate/internal/logging"
+	"cranegate/internal/metrics"
+)
+
+// fakePeers are many processes in one folder, as far as another one sees them: each accepts connections, says who it is, and
+// acknowledges every update.
+type fakePeers struct {
+	t          *testing.T
+	dir        string
+	goroutines sync.WaitGroup
+	mu         sync.Mutex
+	conns      map[net.Conn]bool
+	ended      bool
+}
+
+func newFakePeers(t *testing.T, dir string) *fakePeers {
+	f := &fakePeers{t: t, dir: dir, conns: map[net.Conn]bool{}}
+	t.Cleanup(func() {
+		f.mu.Lock()
+		f.ended = true
+		for conn := range f.conns {
+			conn.Close()
+		}
+		f.mu.Unlock()
+		f.goroutines.Wait()
+	})
+	return f
+}
+
+// name is that of the i-th, which is newer than any real process.
+func (f *fakePeers) name(i int) rendezvous.Name {
+	return rendezvous.Name{OpenedAt: 1<<63 + uint64(i), Nonce: uint64(i)}
+}
+
+// start has one more process live until the test ends.
+func (f *fakePeers) start(i int) {
+	f.t.Helper()
+	l, err := net.Listen("unix", filepath.Join(f.dir, f.name(i).String()))
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.t.Cleanup(func() { l.Close() }) // runs before newFakePeers' cleanup waits
+	f.goroutines.Go(func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			f.add(conn)
+			f.goroutines.Go(func() { f.serve(conn, i) })
+		}
+	})
+}
+
+// add has a connection closed when the test ends.
+func (f *fakePeers) add(conn net.Conn) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.conns[conn] = true
+	if f.ended {
+		conn.Close()
+	}
+}
+
+func (f *fakePeers) serve(conn net.Conn, i int) {
+	defer conn.Close()
+	if frame.Write(conn, frame.Message{Kind: frame.Hello, Version: frame.Version, Name: f.name(i).String()}) != nil {
+		return
+	}
+	for {
+		m, err := frame.Read(conn)
+		if err != nil {
+			return
+		}
+		if m.Kind == frame.Update && frame.Write(conn, frame.Message{Kind: frame.Acknowledge, Registers: m.Registers}) != nil {
+			return
+		}
+	}
+}
+
+// logBuffer is a log that tests read while others write.
+type logBuffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+func (l *logBuffer) Write(b []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(b)
+}
+
+func (l *logBuffer) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.String()
+}
+
+// captureLog has the log written to the returned buffer until the test ends.
+func captureLog(t *testing.T) *logBuffer {
+	l := &logBuffer{}
+	t.Cleanup(logging.Use(logging.New(l, slog.LevelInfo)))
+	return l
+}
+
+// mustApply repeats a call until it succeeds: on a busy machine a thousand processes may not all acknowledge within its time.
+func mustApply(t *testing.T, c *Coordinator, change state.Change) {
+	t.Helper()
+	for end := time.Now().Add(time.Minute); ; {
+		err := c.Apply(context.Background(), change)
+		if err == nil {
+			return
+		}
+		if !errors.Is(err, ErrUnacknowledged) || time.Now().After(end) {
+			t.Fatal(err)
+		}
+	}
+}
+
+// descriptorReserve counts the descriptors that Options.Reserve gives out.
+type descriptorReserve struct{ reserved, maxReserved atomic.Int64 }
+
+func (d *descriptorReserve) reserve(context.Context) (release func(), err error) {
+	if n := d.reserved.Add(1); n > d.maxReserved.Load() {
+		d.maxReserved.Store(n)
+	}
+	return func() { d.reserved.Add(-1) }, nil
+}
+
+// TestThousandProcesses has a process live beside 1,024 others in one folder: a change is acknowledged by all of them, each over one
+// connection. With one more a call reports that there are too many, and what to do.
+func TestThousandProcesses(t *testing.T) {
+	dir, log := t.TempDir(), captureLog(t)
+	var descriptors descriptorReserve
+	counters := &metrics.Counters{}
+	c := openCoordinator(t, Options{Dir: dir, Counters: counters, Reserve: descriptors.reserve})
+	if descriptors.reserved.Load() != 0 {
+		t.Error("a process that is alone has reserved descriptors")
+	}
+	peers := newFakePeers(t, dir)
+	for i := range 1024 {
+		peers.start(i)
+	}
+	mustApply(t, c, detachDB1)
+	known, applied, links := countPeers(c, detachDB1)
+	if known != 1024 || applied != 1024 {
+		t.Fatalf("%d others are known, %d have applied the change", known, applied)
+	}
+	if n := descriptors.reserved.Load(); links < 1024 || n < int64(links-unreservedLinks) {
+		t.Errorf("%d connections, %d of them reserved", links, n)
+	}
+	peers.start(1024)
+	err := c.Apply(context.Background(), detachDB1)
+	if !errors.Is(err, ErrTooManyProcesses) || !errors.Is(err, ErrUnverified) || !strings.Contains(err.Error(), "end those that are left over") {
+		t.Errorf("with one more: %v", err)
+	}
+	if !strings.Contains(log.String(), "event=hotrestart_rejected") || counters.Get("handover_refused") == 0 {
+		t.Errorf("the log says %q", log)
+	}
+	t.Logf("%d descriptors reserved at once", descriptors.maxReserved.Load())
+}
+
+// countPeers counts the peers that a coordinator knows, those that have applied a change, and the links.
+func countPeers(c *Coordinator, change state.Change) (known, applied, links int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, p := range c.peers {
+		if p.applied.Get(change).On {
+			applied++
+		}
+	}
+	return len(c.peers), applied, c.linkCount
+}
+
+// TestNoDescriptorsForLinks has processes start for whose connections there is no descriptor: they are not connected to, the log says
+// why, and a call reports that they have not acknowledged. Once there are descriptors it succeeds.
+func TestNoDescriptorsForLinks(t *testing.T) {
+	dir, log := t.TempDir(), captureLog(t)
+	errFull := errors.New("raise limits.sockets")
+	var free atomic.Bool
+	c := openCoordinator(t, Options{Dir: dir, Counters: &metrics.Counters{}, Reserve: func(context.Context) (func(), error) {
+		if !free.Load() {
+			return nil, errFull
+		}
+		return func() {}, nil
+	}})
+	peers := newFakePeers(t, dir)
+	for i := range 5 {
+		peers.start(i)
+	}
+	err := c.Apply(context.Background(), detachDB1)
+	var missing *PeerError
+	if !errors.Is(err, ErrUnacknowledged) || !errors.As(err, &missing) || len(missing.Peers) != 5-unreservedLinks {
+		t.Errorf("%v", err)
+	}
+	if !strings.Contains(log.String(), fmt.Sprintf("event=hotrestart_rejected error=%q", errFull)) {
+		t.Errorf("the log says %q", log)
+	}
+	free.Store(true)
+	mustApply(t, c, detachDB1)
+}
--- /dev/null
+++ b/internal/hotrestart/fdpass/receiver.go
@@ -0,0 +1,176 @@
+package fdpass
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	maxSenders         = 1024            // processes that send concurrently; two at a time are rare
+	unreservedSenders  = 1               // of them that need nothing from Receiver.Reserve
+	reserveTimeout     = sendTimeout / 2 // a sender waits for its descriptor
+	acceptRetryDelay   = sendTimeout / 10
+	descriptorBytes    = 4 // of a descriptor in a control message
+	messageHeaderBytes = 2 // the version and the flags
+)
+
+// Receiver receives connections.
+type Receiver struct {
+	// Reserve reserves a descriptor for a process that sends beside another, or returns an error that says what an operator can do;
+	// nil: no limit but the system's. release is called when that process has ended.
+	Reserve func(context.Context) (release func(), err error)
+
+	listener   *net.UnixListener
+	socketInfo os.FileInfo // of its socket in the folder, to tell it from others
+}
+
+// Listen makes this process the one that receives connections in a folder, in place of any before it.
+func Listen(folder string) (*Receiver, error) {
+	dir, err := os.Open(folder)
+	if err != nil {
+		return nil, err
+	}
+	defer dir.Close()
+	pendingPath := socketPath(dir, pendingSocketName())
+	os.Remove(pendingPath)
+	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: pendingPath, Net: "unixpacket"})
+	if err != nil {
+		return nil, err
+	}
+	listener.SetUnlinkOnClose(false) // the path may be another process's by then
+	info, err := os.Lstat(pendingPath)
+	if err == nil {
+		err = os.Rename(pendingPath, socketPath(dir, socketName))
+	}
+	if err != nil {
+		listener.Close()
+		return nil, err
+	}
+	return &Receiver{listener: listener, socketInfo: info}, nil
+}
+
+// ownsSocketAt reports whether the socket at a path is this receiver's. A nil receiver owns none.
+func (r *Receiver) ownsSocketAt(path string) bool {
+	if r == nil {
+		return false
+	}
+	info, err := os.Lstat(path)
+	return err == nil && os.SameFile(info, r.socketInfo)
+}
+
+// Run calls accept for each connection that arrives, until the context ends. A connection for which it returns false is closed: the
+// process that sent it has closed its own copy. accept is called concurrently.
+func (r *Receiver) Run(ctx context.Context, accept func(Conn) bool) error {
+	defer context.AfterFunc(ctx, func() { r.listener.Close() })()
+	var senders atomic.Int32
+	var group sync.WaitGroup
+	defer group.Wait()
+	for {
+		sender, err := r.listener.AcceptUnix()
+		if errors.Is(err, net.ErrClosed) {
+			return nil
+		}
+		if err != nil {
+			time.Sleep(acceptRetryDelay)
+			continue
+		}
+		release, err := r.reserve(ctx, int(senders.Add(1)))
+		if err != nil {
+			slog.Warn("fdpass_rejected", "error", err)
+			sender.CloseRead() // what was sent before this is received; later sends fail
+		}
+		group.Go(func() {
+			defer senders.Add(-1)
+			defer release()
+			defer context.AfterFunc(ctx, func() { sender.Close() })()
+			defer sender.Close()
+			receiveFrom(sender, accept)
+		})
+	}
+}
+
+// reserve gives the n-th concurrent sender its descriptor. release is never nil. Errors: ProcessLimitError, and those of Reserve.
+func (r *Receiver) reserve(ctx context.Context, n int) (release func(), err error) {
+	nothing := func() {}
+	switch {
+	case n > maxSenders:
+		return nothing, ProcessLimitError{maxSenders}
+	case n <= unreservedSenders || r.Reserve == nil:
+		return nothing, nil
+	}
+	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
+	defer cancel()
+	if release, err = r.Reserve(ctx); err != nil {
+		return nothing, err
+	}
+	return release, nil
+}
+
+// receiveFrom receives connections from one process until that ends or sends something invalid.
+func receiveFrom(sender *net.UnixConn, accept func(Conn) bool) {
+	message := make([]byte, messageHeaderBytes+maxProtocolBytes)
+	rights := make([]byte, unix.CmsgSpace(descriptorBytes))
+	for {
+		n, rightsBytes, _, _, err := sender.ReadMsgUnix(message, rights)
+		if err != nil || n == 0 {
+			return
+		}
+		conn, err := connFromRights(rights[:rightsBytes])
+		if err != nil || n < messageHeaderBytes || message[0] != version {
+			if conn != nil {
+				conn.Close()
+			}
+			return
+		}
+		received := Conn{
+			Conn:     conn,
+			Protocol: string(message[messageHeaderBytes:n]),
+			Started:  message[1]&flagStarted != 0,
+			Answered: message[1]&flagAnswered != 0,
+		}
+		if !accept(received) {
+			conn.Close()
+		}
+		if _, err := sender.Write([]byte{version}); err != nil {
+			return
+		}
+	}
+}
+
+// connFromRights makes a connection of the first descriptor in control messages. Further ones are closed.
+func connFromRights(rights []byte) (net.Conn, error) {
+	messages, err := syscall.ParseSocketControlMessage(rights)
+	if err != nil {
+		return nil, err
+	}
+	var conn net.Conn
+	for _, m := range messages {
+		descriptors, err := syscall.ParseUnixRights(&m)
+		if err != nil {
+			return conn, err
+		}
+		for _, descriptor := range descriptors {
+			file := os.NewFile(uintptr(descriptor), "passed")
+			if conn == nil {
+				conn, err = net.FileConn(file) // duplicates the descriptor
+			}
+			file.Close()
+			if err != nil {
+				return nil, err
+			}
+		}
+	}
+	if conn == nil {
+		return nil, errors.New("no descriptor came")
+	}
+	return conn, nil
+}
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -10,59 +10,63 @@
 	"cranegate/internal/hotrestart/state"
 )
 
-// What a link still has to send. The texts are made when they are sent, from what holds then; so nothing piles up.
+// messageSet is a set of messages that a link still has to send. Their content is made when they are sent, from the state at that
+// moment, so nothing piles up behind a slow peer.
+type messageSet int
+
 const (
-	oweHello = 1 << iota
-	oweBlob
-	oweRegistry
-	oweHolding
-	oweReady
+	sendHello messageSet = 1 << iota
+	sendBlob
+	sendUpdate
+	sendAck
+	sendReady
 )
 
-// link is one connection to a peer. There may be two to the same one, where both connected at once: then both say
-// the same, which does no harm.
+// link is one connection to a peer. There may be two to the same one, where both connected at once: then both carry the same
+// messages, which does no harm.
 type link struct {
-	h    *Coordinator
-	peer *peer
-	conn net.Conn
-	wake chan struct{}
-	owed int // h.mu guards it
+	coordinator *Coordinator
+	peer        *peer
+	conn        net.Conn
+	wake        chan struct{}
+	pending     messageSet // guarded by coordinator.mu
 }
 
-func newLink(h *Coordinator, p *peer, c net.Conn) *link {
-	return &link{h: h, peer: p, conn: c, wake: make(chan struct{}, 1)}
+func newLink(c *Coordinator, p *peer, conn net.Conn) *link {
+	return &link{coordinator: c, peer: p, conn: conn, wake: make(chan struct{}, 1)}
 }
 
-// owe has something sent. h.mu is held.
-func (l *link) owe(what int) {
-	l.owed |= what
+// queue has messages sent. The coordinator's mu is held.
+func (l *link) queue(messages messageSet) {
+	l.pending |= messages
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// serve reads and writes until the connection ends or the process closes.
+// serve reads and writes until the connection ends or the coordinator closes.
 func (l *link) serve() {
-	ctx, cancel := context.WithCancel(l.h.life)
+	ctx, cancel := context.WithCancel(l.coordinator.lifetime)
 	stop := context.AfterFunc(ctx, func() { l.conn.Close() })
-	wrote := make(chan struct{})
+	writerDone := make(chan struct{})
 	go func() {
-		defer close(wrote)
+		defer close(writerDone)
 		defer cancel()
 		l.write(ctx)
 	}()
 	l.read()
 	cancel()
-	<-wrote
+	<-writerDone
 	stop()
 	l.conn.Close()
-	l.h.mu.Lock()
-	defer l.h.mu.Unlock()
+	l.coordinator.mu.Lock()
+	defer l.coordinator.mu.Unlock()
 	delete(l.peer.links, l)
-	l.h.signal()
+	l.coordinator.broadcast()
 }
 
+// write sends queued messages until ctx ends or a write fails.
 func (l *link) write(ctx context.Context) {
 	for {
 		select {
@@ -70,8 +74,8 @@
 			return
 		case <-l.wake:
 		}
-		for _, m := range l.due() {
-			l.conn.SetWriteDeadline(time.Now().Add(writeFor))
+		for _, m := range l.pendingMessages() {
+			l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if err := frame.Write(l.conn, m); err != nil {
 				return
 			}
@@ -79,124 +83,143 @@
 	}
 }
 
-// due makes the messages that are owed, in their order.
-func (l *link) due() (messages []frame.Message) {
-	h := l.h
+// pendingMessages makes the queued messages, in the order in which they are sent.
+func (l *link) pendingMessages() []frame.Message {
+	c := l.coordinator
+	c.mu.Lock()
+	blobPending := l.pending&sendBlob != 0
+	c.mu.Unlock()
 	var blob []byte
-	h.mu.Lock()
-	wantsBlob := l.owed&oweBlob != 0
-	h.mu.Unlock()
-	if wantsBlob {
-		blob = h.export()
-	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	owed := l.owed
-	if owed&oweBlob != 0 && !wantsBlob {
-		owed &= oweHello // it came meanwhile: next time, and then what follows it
-	}
-	l.owed &^= owed
-	if l.owed != 0 {
-		l.owe(0)
-	}
-	if owed&oweHello != 0 {
-		messages = append(messages, frame.Message{Kind: frame.Hello, Version: frame.Version, Name: h.name.String(),
-			Ready: h.serving, Ask: l.peer.ask && !l.peer.answered})
-	}
-	if owed&oweBlob != 0 {
-		messages = append(messages, frame.Message{Kind: frame.Blob, Blob: blob})
+	if blobPending {
+		blob = c.exportBlob() // without mu, as it calls the program
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	sending := l.pending
+	if sending&sendBlob != 0 && !blobPending {
+		sending &= sendHello // the blob was queued meanwhile: it is sent next time, with what follows it
 	}
-	registers := func(kind frame.Kind, r state.Registers) {
-		s := r.Snapshot()
-		messages = append(messages, frame.Message{Kind: kind, Registers: &s})
+	l.pending &^= sending
+	if l.pending != 0 {
+		l.queue(0)
 	}
-	if owed&oweRegistry != 0 {
-		registers(frame.Update, h.regs)
+	return l.messages(sending, blob)
+}
+
+// messages makes a set of messages. The coordinator's mu is held.
+func (l *link) messages(set messageSet, blob []byte) (messages []frame.Message) {
+	c := l.coordinator
+	if set&sendHello != 0 {
+		messages = append(messages, frame.Message{Kind: frame.Hello, Version: frame.Version, Name: c.name.String(),
+			Ready: c.serving, WantBlob: l.peer.wantBlob && !l.peer.receivedBlob})
+	}
+	if set&sendBlob != 0 {
+		messages = append(messages, frame.Message{Kind: frame.Blob, Blob: blob})
 	}
-	if owed&oweHolding != 0 {
-		registers(frame.Acknowledge, h.holding)
+	if set&sendUpdate != 0 {
+		messages = append(messages, registersMessage(frame.Update, c.registers))
 	}
-	if owed&oweReady != 0 && h.serving {
+	if set&sendAck != 0 {
+		messages = append(messages, registersMessage(frame.Acknowledge, c.applied))
+	}
+	if set&sendReady != 0 && c.serving {
 		messages = append(messages, frame.Message{Kind: frame.Ready})
 	}
 	return messages
 }
 
-func (h *Coordinator) export() []byte {
-	if h.opt.Export == nil {
+func registersMessage(kind frame.Kind, registers state.Registers) frame.Message {
+	snapshot := registers.Snapshot()
+	return frame.Message{Kind: kind, Registers: &snapshot}
+}
+
+// exportBlob returns what Options.Export gives; nil where that is too large.
+func (c *Coordinator) exportBlob() []byte {
+	if c.opt.Export == nil {
 		return nil
 	}
-	h.exports.Lock()
-	defer h.exports.Unlock()
-	blob := h.opt.Export()
-	if len(blob) > frame.MaxBlob {
-		h.opt.Counters.Add("handover_blobs_too_large", 1)
+	c.exportMu.Lock()
+	defer c.exportMu.Unlock()
+	blob := c.opt.Export()
+	if len(blob) > frame.MaxBlobBytes {
+		c.opt.Counters.Add("handover_blobs_too_large", 1)
 		slog.Warn("hotrestart_blob_too_large", "error", BlobSizeError{len(blob)})
 		return nil
 	}
 	return blob
 }
 
-// read takes messages until one can't be taken.
+// read handles messages until the connection ends or one is invalid.
 func (l *link) read() {
 	for {
 		m, err := frame.Read(l.conn)
-		if err == nil {
-			err = l.take(m)
-		}
 		if err != nil {
 			return
 		}
+		if err := l.handle(m); err != nil {
+			return
+		}
 	}
 }
 
-func (l *link) take(m frame.Message) error {
-	h, p := l.h, l.peer
-	var regs state.Registers
+// handle handles one message. After an error the connection can't be used any more.
+func (l *link) handle(m frame.Message) error {
+	var registers state.Registers
 	if m.Registers != nil {
 		var err error
-		if regs, err = m.Registers.Registers(); err != nil {
+		if registers, err = m.Registers.Registers(); err != nil {
 			return err
 		}
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	c, p := l.coordinator, l.peer
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch m.Kind {
 	case frame.Hello:
 		if m.Version != frame.Version || m.Name != p.name.String() {
-			return frame.ErrFrame
+			return frame.ErrInvalidFrame
 		}
-		l.greeted(m)
+		l.handleHello(m)
 	case frame.Blob:
-		p.blob, p.answered = m.Blob, true
+		p.blob, p.receivedBlob = m.Blob, true
 	case frame.Ready:
 		p.ready = true
-	case frame.Update, frame.Acknowledge:
-		news, err := h.adopt(regs)
-		if err != nil {
-			h.doubt(err)
+	case frame.Update:
+		if err := c.mergeFromPeer(registers); err != nil {
 			return err
 		}
-		h.overheard = h.overheard || news
-		if m.Kind == frame.Acknowledge {
-			if p.holds, err = p.holds.Merge(regs); err != nil { // of two connections one may be behind
-				p.holds = regs
-			}
-		} else {
-			p.heard = true
-			if h.holding.Covers(h.regs) { // else whoever applies tells all
-				l.owe(oweHolding)
-			}
+		p.receivedRegisters = true
+		if c.applied.Covers(c.registers) { // else the acknowledgement follows once they are applied
+			l.queue(sendAck)
+		}
+	case frame.Acknowledge:
+		if err := c.mergeFromPeer(registers); err != nil {
+			return err
+		}
+		var err error
+		if p.applied, err = p.applied.Merge(registers); err != nil { // merged, as one of two links may be behind the other
+			p.applied = registers
 		}
 	}
-	h.signal()
+	c.broadcast()
 	return nil
 }
 
-// greeted takes a Hello. h.mu is held.
-func (l *link) greeted(m frame.Message) {
+// handleHello handles a peer's first message. The coordinator's mu is held.
+func (l *link) handleHello(m frame.Message) {
 	l.peer.ready = l.peer.ready || m.Ready
-	if m.Ask {
-		l.owe(oweBlob)
+	if m.WantBlob {
+		l.queue(sendBlob)
 	}
 }
+
+// mergeFromPeer merges what a peer sent. That peer writes the file itself. c.mu is held.
+func (c *Coordinator) mergeFromPeer(registers state.Registers) error {
+	changed, err := c.merge(registers)
+	if err != nil {
+		c.addUnconfirmed(err)
+		return err
+	}
+	c.writtenByPeer = c.writtenByPeer || changed
+	return nil
+}
--- a/internal/hotrestart/peers.go
+++ b/internal/hotrestart/peers.go
@@ -11,196 +11,221 @@
 	"cranegate/internal/hotrestart/state"
 )
 
-// peer is another process that is not known to be dead. h.mu guards it.
+// peer is another process that is not known to be dead. The coordinator's mu guards it.
 type peer struct {
-	name  rendezvous.Name
-	links map[*link]struct{}
-	holds state.Registers // what its module is known to hold
-	ready bool            // it serves
-	heard bool            // it sent its registers
-
-	ask      bool // it is to send its blob
-	answered bool // it has
-	blob     []byte
+	name              rendezvous.Name
+	links             map[*link]struct{}
+	applied           state.Registers // what its program is known to have applied
+	ready             bool            // it serves
+	receivedRegisters bool            // it has sent its registers
+
+	wantBlob     bool // it is older than this process, which starts
+	receivedBlob bool
+	blob         []byte
 }
 
-// meet gives the peer of a name; a new one is tended to until it is known to be dead. h.mu is held.
-func (h *Coordinator) meet(n rendezvous.Name) (*peer, error) {
-	if p, ok := h.peers[n]; ok {
+// peerNamed returns the peer of a name. A link to a new one is maintained until it is known to be dead. c.mu is held.
+// Errors: ErrClosed, ErrTooManyProcesses.
+func (c *Coordinator) peerNamed(name rendezvous.Name) (*peer, error) {
+	if p, ok := c.peers[name]; ok {
 		return p, nil
 	}
-	if h.closed {
+	if c.closed {
 		return nil, ErrClosed
 	}
-	if len(h.peers) >= mostPeers {
-		h.refuse(ErrTooManyProcesses)
+	if len(c.peers) >= maxPeers {
+		c.reject(ErrTooManyProcesses)
 		return nil, ErrTooManyProcesses
 	}
-	p := &peer{name: n, ask: h.opening && n.Before(h.name), links: map[*link]struct{}{}}
-	h.peers[n] = p
-	h.signal()
-	h.work.Go(func() { h.tend(p) })
+	p := &peer{name: name, wantBlob: c.opening && name.Before(c.name), links: map[*link]struct{}{}}
+	c.peers[name] = p
+	c.broadcast()
+	c.goroutines.Go(func() { c.maintainLink(p) })
 	return p, nil
 }
 
-// tend keeps a connection to a peer. The peer is gone when its socket refuses one, and only then: the end of a
+// maintainLink keeps a connection to a peer. The peer is dead when its socket refuses one, and only then: the end of a
 // connection alone proves nothing.
-func (h *Coordinator) tend(p *peer) {
-	for wait := againFirst; h.life.Err() == nil; {
-		h.mu.Lock()
-		linked, changed := len(p.links) > 0, h.changed
-		h.mu.Unlock()
+func (c *Coordinator) maintainLink(p *peer) {
+	for delay := minRetryDelay; c.lifetime.Err() == nil; {
+		c.mu.Lock()
+		linked, changed := len(p.links) > 0, c.changed
+		c.mu.Unlock()
 		if linked {
-			wait = againFirst
+			delay = minRetryDelay
 			select {
 			case <-changed:
-			case <-h.life.Done():
+			case <-c.lifetime.Done():
 			}
 			continue
 		}
-		began := time.Now()
-		if err := h.reach(p); errors.Is(err, rendezvous.ErrProcessEnded) {
-			h.gone(p)
+		started := time.Now()
+		if err := c.connect(p); errors.Is(err, rendezvous.ErrProcessEnded) {
+			c.forget(p)
 			return
 		}
-		if time.Since(began) > againMost {
-			wait = againFirst
+		if time.Since(started) > maxConnectDelay {
+			delay = minRetryDelay
 		}
-		if !h.pause(wait) {
+		if !c.sleep(delay) {
 			return
 		}
-		wait = min(2*wait, againMost)
+		delay = min(2*delay, maxConnectDelay)
 	}
 }
 
-// reach connects to a peer, and speaks with it until the connection ends.
-func (h *Coordinator) reach(p *peer) error {
-	leave, err := h.enter()
+// connect connects to a peer and serves the link until it ends.
+func (c *Coordinator) connect(p *peer) error {
+	release, err := c.reserveLink()
 	if err != nil {
 		return err
 	}
-	defer leave()
-	ctx, cancel := context.WithTimeout(h.life, dialFor)
-	c, err := h.folder.Dial(ctx, p.name)
-	cancel()
-	if err == nil {
-		h.call(p, c)
+	defer release()
+	conn, err := c.dial(p.name)
+	if err != nil {
+		return err
 	}
-	return err
+	c.serveOutgoing(p, conn)
+	return nil
+}
+
+func (c *Coordinator) dial(name rendezvous.Name) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(c.lifetime, dialTimeout)
+	defer cancel()
+	return c.folder.Dial(ctx, name)
 }
 
-// enter gives a connection its descriptor: one of the two that are counted on, or one that is lent. What it returns gives
-// that back. Without one it says why, to the log too.
-func (h *Coordinator) enter() (leave func(), err error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.links >= mostLinks {
-		h.refuse(ErrTooManyConnections)
+// reserveLink gives a connection its descriptor: one of unreservedLinks, or one of Options.Reserve. The caller must call release once.
+// An error is logged and counted.
+func (c *Coordinator) reserveLink() (release func(), err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.linkCount >= maxLinks {
+		c.reject(ErrTooManyConnections)
 		return nil, ErrTooManyConnections
 	}
-	h.links++
-	own, giveBack := h.own < ownLinks, func() {}
-	if own {
-		h.own++
-	} else if h.opt.Reserve != nil {
-		h.mu.Unlock()
-		ctx, cancel := context.WithTimeout(h.life, lendFor)
-		giveBack, err = h.opt.Reserve(ctx)
-		cancel()
-		h.mu.Lock()
-		if err != nil {
-			h.links--
-			h.refuse(err)
-			return nil, err
-		}
+	c.linkCount++
+	if c.unreservedCount < unreservedLinks {
+		c.unreservedCount++
+		return func() {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.linkCount--
+			c.unreservedCount--
+		}, nil
+	}
+	releaseDescriptor, err := c.reserveDescriptorLocked()
+	if err != nil {
+		c.linkCount--
+		c.reject(err)
+		return nil, err
 	}
 	return func() {
-		h.mu.Lock()
-		h.links--
-		if own {
-			h.own--
-		}
-		h.mu.Unlock()
-		giveBack()
+		c.mu.Lock()
+		c.linkCount--
+		c.mu.Unlock()
+		releaseDescriptor()
 	}, nil
 }
 
-// gone forgets a peer that is dead, and has the file read for what it wrote last.
-func (h *Coordinator) gone(p *peer) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.peers, p.name)
-	h.unwritten = true
-	h.opt.Counters.Add("handover_peers_gone", 1)
-	h.signal()
+// reserveDescriptorLocked calls Options.Reserve. c.mu is held, and released during the call.
+func (c *Coordinator) reserveDescriptorLocked() (release func(), err error) {
+	if c.opt.Reserve == nil {
+		return func() {}, nil
+	}
+	c.mu.Unlock()
+	defer c.mu.Lock()
+	ctx, cancel := context.WithTimeout(c.lifetime, reserveTimeout)
+	defer cancel()
+	return c.opt.Reserve(ctx)
+}
+
+// forget removes a peer that is dead, and has the file read for what it wrote last.
+func (c *Coordinator) forget(p *peer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.peers, p.name)
+	c.writePending = true
+	c.opt.Counters.Add("handover_peers_gone", 1)
+	c.broadcast()
 }
 
-// call speaks first on a connection to a peer, until it ends.
-func (h *Coordinator) call(p *peer, c net.Conn) {
-	l := newLink(h, p, c)
-	h.mu.Lock()
-	h.attach(l)
-	h.mu.Unlock()
+// serveOutgoing serves a connection to a peer until it ends.
+func (c *Coordinator) serveOutgoing(p *peer, conn net.Conn) {
+	l := newLink(c, p, conn)
+	c.mu.Lock()
+	c.addLink(l)
+	c.mu.Unlock()
 	l.serve()
 }
 
-// accept takes connections of others.
-func (h *Coordinator) accept() {
-	for h.life.Err() == nil {
-		c, err := h.listener.AcceptUnix()
+// accept accepts connections of other processes until Close.
+func (c *Coordinator) accept() {
+	for c.lifetime.Err() == nil {
+		conn, err := c.listener.AcceptUnix()
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) || !h.pause(againFirst) {
+			if errors.Is(err, net.ErrClosed) || !c.sleep(minRetryDelay) {
 				return
 			}
 			continue
 		}
-		leave, err := h.enter() // others wait in the socket's queue meanwhile
+		release, err := c.reserveLink() // others wait in the socket's queue meanwhile
 		if err != nil {
-			c.Close() // it tries again
+			conn.Close() // the other process tries again
 			continue
 		}
-		h.work.Go(func() {
-			defer leave()
-			h.answer(c)
+		c.goroutines.Go(func() {
+			defer release()
+			c.serveIncoming(conn)
 		})
 	}
 }
 
-// answer hears who connected, and then serves it.
-func (h *Coordinator) answer(c net.Conn) {
-	stop := context.AfterFunc(h.life, func() { c.Close() })
+// serveIncoming reads who has connected, and serves the link until it ends.
+func (c *Coordinator) serveIncoming(conn net.Conn) {
+	stop := context.AfterFunc(c.lifetime, func() { conn.Close() })
 	defer stop()
-	c.SetReadDeadline(time.Now().Add(helloFor))
-	m, err := frame.Read(c)
-	n, ok := rendezvous.Parse(m.Name)
-	if err != nil || m.Kind != frame.Hello || m.Version != frame.Version || !ok || n == h.name {
-		h.mu.Lock()
-		h.opt.Counters.Add("handover_strangers", 1)
-		h.mu.Unlock()
-		c.Close()
+	conn.SetReadDeadline(time.Now().Add(helloTimeout))
+	hello, err := frame.Read(conn)
+	name, ok := rendezvous.Parse(hello.Name)
+	if err != nil || hello.Kind != frame.Hello || hello.Version != frame.Version || !ok || name == c.name {
+		c.mu.Lock()
+		c.opt.Counters.Add("handover_strangers", 1)
+		c.mu.Unlock()
+		conn.Close()
 		return
 	}
-	c.SetReadDeadline(time.Time{})
-	h.mu.Lock()
-	p, err := h.meet(n)
+	conn.SetReadDeadline(time.Time{})
+	c.mu.Lock()
+	p, err := c.peerNamed(name)
 	if err != nil {
-		h.mu.Unlock()
-		c.Close()
+		c.mu.Unlock()
+		conn.Close()
 		return
 	}
-	l := newLink(h, p, c)
-	h.attach(l)
-	l.greeted(m)
-	h.mu.Unlock()
+	l := newLink(c, p, conn)
+	c.addLink(l)
+	l.handleHello(hello)
+	c.mu.Unlock()
 	l.serve()
 }
 
-// attach counts a connection as one of a peer's. h.mu is held.
-func (h *Coordinator) attach(l *link) {
+// addLink adds a connection to a peer's. c.mu is held.
+func (c *Coordinator) addLink(l *link) {
 	l.peer.links[l] = struct{}{}
-	if !h.opening && l.peer.name.Before(h.name) {
-		h.hadOlder = true // it opened first, and showed itself second
+	if !c.opening && l.peer.name.Before(c.name) {
+		c.hadOlder = true // it has the earlier name, but registered its socket after this process
+	}
+	l.queue(sendHello | sendUpdate)
+	c.broadcast()
+}
+
+// sleep waits, and returns false if Close came first.
+func (c *Coordinator) sleep(d time.Duration) bool {
+	select {
+	case <-time.After(d):
+		return true
+	case <-c.lifetime.Done():
+		return false
 	}
-	l.owe(oweHello | oweRegistry)
-	h.signal()
 }
--- a/internal/hotrestart/run.go
+++ b/internal/hotrestart/run.go
@@ -9,124 +9,137 @@
 	"cranegate/internal/hotrestart/state"
 )
 
-// Run applies what is learned, calls Superseded and Alone, and writes news to the file, until ctx or the process's
-// life ends. Call it once, and let it run as long as the process sends to hosts: without it nothing is applied, and
-// calls elsewhere are not acknowledged. It gives nil.
-func (h *Coordinator) Run(ctx context.Context) error {
+// Run has the program apply what is learned, calls the other On functions, and writes pending changes to the file, until ctx ends or
+// Close is called. Call it once, and let it run as long as the process sends to hosts: without it nothing is applied, and calls to other
+// processes are not acknowledged. It returns nil.
+func (c *Coordinator) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(h.life, cancel)()
-	h.mu.Lock()
-	h.running = true
-	h.holding = state.Registers{}
-	h.mu.Unlock()
+	defer context.AfterFunc(c.lifetime, cancel)()
+	c.mu.Lock()
+	c.running = true
+	c.applied = state.Registers{}
+	c.mu.Unlock()
 	var group errgroup.Group
-	group.Go(func() error { h.applying(ctx); return nil })
-	group.Go(func() error { h.notifying(ctx); return nil })
-	group.Go(func() error { h.writing(ctx); return nil })
+	group.Go(func() error { c.applyLoop(ctx); return nil })
+	group.Go(func() error { c.notifyLoop(ctx); return nil })
+	group.Go(func() error { c.persistLoop(ctx); return nil })
 	return group.Wait()
 }
 
-// applying has the module hold the newest registers, and then tells all peers.
-func (h *Coordinator) applying(ctx context.Context) {
+// applyLoop has the program apply the newest registers, and then acknowledges them to all peers.
+func (c *Coordinator) applyLoop(ctx context.Context) {
 	for first := true; ctx.Err() == nil; {
-		h.mu.Lock()
-		regs, changed, done := h.regs, h.changed, !first && h.holding.Covers(h.regs)
-		h.mu.Unlock()
+		c.mu.Lock()
+		registers, changed := c.registers, c.changed
+		done := !first && c.applied.Covers(c.registers)
+		c.mu.Unlock()
 		if done {
-			select {
-			case <-changed:
-			case <-ctx.Done():
-			}
+			wait(ctx, changed)
 			continue
 		}
-		err := h.opt.OnState(ctx, regs.State())
-		h.mu.Lock()
-		h.applyErr = err
+		err := c.opt.OnState(ctx, registers.State())
+		c.mu.Lock()
+		c.applyErr = err
 		if err == nil {
 			first = false
-			h.holding = regs
-			for _, p := range h.peers {
-				for l := range p.links {
-					l.owe(oweHolding)
-				}
-			}
+			c.applied = registers
+			c.queueAll(sendAck)
 		}
-		h.signal()
-		h.mu.Unlock()
+		c.broadcast()
+		c.mu.Unlock()
 		if err != nil {
-			h.opt.Counters.Add("handover_applies_failed", 1)
-			select {
-			case <-time.After(applyEvery):
-			case <-ctx.Done():
-			}
+			c.opt.Counters.Add("handover_applies_failed", 1)
+			sleep(ctx, applyRetryInterval)
 		}
 	}
 }
 
-// notifying calls Newer, Superseded and Restored at each change, and Alone at most once.
-func (h *Coordinator) notifying(ctx context.Context) {
-	for superseded, alone, newer := false, false, false; ctx.Err() == nil; {
-		h.mu.Lock()
-		changed := h.changed
-		nowNewer := h.newer()
-		ready := h.newerReady()
-		nowAlone := !alone && h.hadOlder && !h.older()
-		h.mu.Unlock()
-		alone = alone || nowAlone
-		if nowNewer != newer && h.opt.NewerExists != nil {
-			h.opt.NewerExists(nowNewer)
+// peerSummary is what notifyLoop reports of the other processes.
+type peerSummary struct {
+	newerAlive bool
+	newerReady bool
+	olderEnded bool
+}
+
+// summarize returns the summary that follows another one, and a channel that is closed when it may have changed.
+func (c *Coordinator) summarize(previous peerSummary) (peerSummary, <-chan struct{}) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return peerSummary{
+		newerAlive: c.hasNewer(),
+		newerReady: c.hasNewerReady(),
+		olderEnded: previous.olderEnded || c.hadOlder && !c.hasOlder(),
+	}, c.changed
+}
+
+// notifyLoop calls OnNewerExists, OnSuperseded and OnRestored at each change, and OnOlderEnded at most once.
+func (c *Coordinator) notifyLoop(ctx context.Context) {
+	for previous := (peerSummary{}); ctx.Err() == nil; {
+		current, changed := c.summarize(previous)
+		if current.newerAlive != previous.newerAlive && c.opt.OnNewerExists != nil {
+			c.opt.OnNewerExists(current.newerAlive)
 		}
-		newer = nowNewer
-		if ready && !superseded && h.opt.Superseded != nil {
-			h.opt.Superseded()
-		} else if !ready && superseded && h.opt.Restored != nil {
-			h.opt.Restored()
+		if current.newerReady && !previous.newerReady && c.opt.OnSuperseded != nil {
+			c.opt.OnSuperseded()
 		}
-		superseded = ready
-		if nowAlone && h.opt.Alone != nil {
-			h.opt.Alone()
+		if !current.newerReady && previous.newerReady && c.opt.OnRestored != nil {
+			c.opt.OnRestored()
 		}
-		select {
-		case <-changed:
-		case <-ctx.Done():
+		if current.olderEnded && !previous.olderEnded && c.opt.OnOlderEnded != nil {
+			c.opt.OnOlderEnded()
 		}
+		previous = current
+		wait(ctx, changed)
 	}
 }
 
-// writing writes what could not be written before, and takes what a dead process wrote last. What came from a peer that
-// lives is its own to write: beside it, on a slow disk, this process would hold the lock for as long as the peer's call waits
-// for it. It is written here once the peer is gone, or where no news has come for as long as a call may take.
-func (h *Coordinator) writing(ctx context.Context) {
-	var late <-chan time.Time // when what was overheard is written; nil: nothing was
-	for wait := againFirst; ctx.Err() == nil; {
-		h.mu.Lock()
-		due, overheard, changed := h.unwritten, h.overheard, h.changed
-		h.unwritten, h.overheard = false, false
-		h.mu.Unlock()
-		if overheard {
-			late = time.After(setFor)
+// persistLoop writes what could not be written before, and takes what a dead process wrote last. What came from a live peer is that
+// peer's to write: on a slow disk this process would hold the lock for as long as the peer's call waits for it. It is written here once
+// the peer has ended, or after applyTimeout without further changes, which is as long as a call may take.
+func (c *Coordinator) persistLoop(ctx context.Context) {
+	var peerWriteDeadline <-chan time.Time // nil: no peer has a change to write
+	for delay := minRetryDelay; ctx.Err() == nil; {
+		c.mu.Lock()
+		pending, byPeer, changed := c.writePending, c.writtenByPeer, c.changed
+		c.writePending, c.writtenByPeer = false, false
+		c.mu.Unlock()
+		if byPeer {
+			peerWriteDeadline = time.After(applyTimeout)
 		}
-		if due {
-			if h.persist(ctx, state.Registers{}) != nil { // which sets unwritten again
-				h.opt.Counters.Add("handover_writes_failed", 1)
-				select {
-				case <-time.After(wait):
-				case <-ctx.Done():
-				}
-				wait = min(2*wait, persistMost)
+		if pending {
+			if err := c.persist(ctx, state.Registers{}); err != nil { // persist has set writePending again
+				c.opt.Counters.Add("handover_writes_failed", 1)
+				sleep(ctx, delay)
+				delay = min(2*delay, maxPersistDelay)
 				continue
 			}
-			wait = againFirst
+			delay = minRetryDelay
 		}
 		select {
 		case <-changed:
-		case <-late:
-			late = nil
-			h.mu.Lock()
-			h.unwritten = true
-			h.mu.Unlock()
+		case <-peerWriteDeadline:
+			peerWriteDeadline = nil
+			c.mu.Lock()
+			c.writePending = true
+			c.mu.Unlock()
 		case <-ctx.Done():
 		}
 	}
 }
+
+// wait waits for a channel to be closed or for ctx to end.
+func wait(ctx context.Context, closed <-chan struct{}) {
+	select {
+	case <-closed:
+	case <-ctx.Done():
+	}
+}
+
+// sleep waits for a duration or for ctx to end.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-ctx.Done():
+	}
+}
--- a/internal/hotrestart/state/bounds.go
+++ b/internal/hotrestart/state/bounds.go
@@ -7,58 +7,69 @@
 )
 
 const (
-	MaxID    = 256           // bytes of a host's id
-	MaxHosts = 4096          // registers of hosts, out and back
-	MaxBack  = 1024          // of them that say "not out",
-	keptBack = 512           // of which so many stay also where bans want the room of the others
-	MaxBytes = 1<<20 - 16384 // of a snapshot as JSON or CBOR; less than a frame or a file may have
+	// MaxIDBytes bounds a host's id.
+	MaxIDBytes = 256
+	// MaxHosts bounds the registers of hosts, detached and attached.
+	MaxHosts = 4096
+	// MaxTombstones bounds the registers of attached hosts among them. They are kept so that an older copy does not detach the host again.
+	MaxTombstones = 1024
+	// MaxBytes bounds a snapshot as JSON or CBOR. It is less than a frame or a file may have.
+	MaxBytes = 1<<20 - 16384
 
-	spare      = 64  // registers that Reserve leaves free, for calls to two processes at once
-	entryBytes = 128 // the most that a register takes besides its id, which JSON may double
+	minTombstones     = 512 // are kept also where detached hosts need the capacity
+	reservedRegisters = 64  // are left free by Prepare, for concurrent calls to two processes
+	maxEntryBytes     = 128 // of a register besides its id, the bytes of which JSON may double
 )
 
+// Errors of changes and snapshots.
 var (
-	// ErrID says that a host's id can't be kept.
-	ErrID = errors.New("the host's id is empty, longer than 256 bytes or not printable UTF-8; nothing was changed; " +
+	// ErrInvalidID reports a host's id that can't be stored.
+	ErrInvalidID = errors.New("the host's id is empty, longer than 256 bytes or not printable UTF-8; nothing was changed; " +
 		"use the id that discovery tells")
-	// ErrFull says that there is no room for another ban.
+	// ErrFull reports that there is no capacity for another detached host.
 	ErrFull = errors.New("too many hosts are taken out by hand (4096, or 1 MiB of ids); nothing was changed; " +
 		"attach those that are gone for good, then call again")
-	// ErrClock says that the sequence numbers are used up, which only a foreign hand can do.
-	ErrClock = errors.New("sequence numbers are used up; nothing was changed; remove the state file and restart")
-	// ErrSnapshot says that a snapshot is not one that this package wrote.
-	ErrSnapshot = errors.New("not a valid snapshot")
+	// ErrClockExhausted reports that the sequence numbers are used up, which only a corrupt or foreign state file can cause.
+	ErrClockExhausted = errors.New("sequence numbers are used up; nothing was changed; remove the state file and restart")
+	// ErrInvalidSnapshot reports a snapshot that this package did not write.
+	ErrInvalidSnapshot = errors.New("not a valid snapshot")
 )
 
 func checkID(id string) error {
-	if id == "" || len(id) > MaxID || !utf8.ValidString(id) {
-		return ErrID
+	if id == "" || len(id) > MaxIDBytes || !utf8.ValidString(id) {
+		return ErrInvalidID
 	}
 	for _, c := range id {
 		if !unicode.IsPrint(c) {
-			return ErrID
+			return ErrInvalidID
 		}
 	}
 	return nil
 }
 
-func (r Registers) roomFor(id string) bool {
-	r = r.trim(keptBack)
-	out := 0
+// canDetach reports whether a further host can be detached with reservedRegisters left free.
+func (r Registers) canDetach(id string) bool {
+	r = r.trimTombstones(minTombstones)
+	detached := 0
 	for _, e := range r.hosts {
 		if e.On {
-			out++
+			detached++
 		}
 	}
-	return out < MaxHosts-keptBack-spare && r.bytes()+entryBytes+2*len(id) <= MaxBytes-spare*(entryBytes+2*MaxID)
+	return detached < MaxHosts-minTombstones-reservedRegisters &&
+		r.bytes()+maxEntryBytes+2*len(id) <= MaxBytes-reservedRegisters*(maxEntryBytes+2*MaxIDBytes)
 }
 
-func (r Registers) within(hosts, bytes int) bool { return len(r.hosts) <= hosts && r.bytes() <= bytes }
+// fits reports whether the registers are within bounds.
+func (r Registers) fits(maxHosts, maxBytes int) bool {
+	return len(r.hosts) <= maxHosts && r.bytes() <= maxBytes
+}
 
+// bytes is an upper bound of the size of a snapshot.
 func (r Registers) bytes() int {
-	n := 2 * entryBytes
+	n := 2 * maxEntryBytes
 	for id := range r.hosts {
-		n += entryBytes + 2*len(id)
+		n += maxEntryBytes + 2*len(id)
 	}
 	return n
 }
--- a/internal/hotrestart/state/entry.go
+++ b/internal/hotrestart/state/entry.go
@@ -1,10 +1,11 @@
-// Package state is what outlives one process of the gateway: database hosts taken out by hand, and lameduck.
+// Package state holds what outlives one process of the gateway: detached database hosts, and lameduck.
 //
-// It is a set of registers that processes copy to each other and merge. It knows no time, file, socket or goroutine;
-// Steps and Joining hold the orders of steps that make a ban safe, which the shell and the model test both follow.
+// It is a set of last-writer-wins registers that processes copy to each other and merge. The package has no clock, file, socket or
+// goroutine of its own. UpdateSteps and JoinSteps define the orders of steps that make a detach safe; package hotrestart and the
+// model test both follow them.
 package state
 
-// MaxSeq bounds sequence numbers, so that a number from a foreign hand can't use them up.
+// MaxSeq bounds sequence numbers, so that a corrupt one can't use them up.
 const MaxSeq = 1 << 53
 
 // Stamp orders the changes: Seq is one more than any that the process had seen, Node is the process's nonce.
@@ -13,15 +14,15 @@
 	Node uint64 `json:"node" cbor:"2,keyasint"`
 }
 
-// Entry is one register. The zero Entry stands for one that was never set.
+// Entry is the content of one register. The zero Entry stands for one that was never set.
 type Entry struct {
-	On    bool  `json:"on" cbor:"3,keyasint"`    // the host is out, or lameduck is on
+	On    bool  `json:"on" cbor:"3,keyasint"`    // the host is detached, or lameduck is on
 	Since int64 `json:"since" cbor:"4,keyasint"` // when it was set, Unix ns
 	Stamp
 }
 
-// After says whether e wins over f. Sequence numbers count first; of equal ones the one that is on wins, as both
-// calls ran at once and a host in doubt stays out. Nonce and time only make the order total.
+// After reports whether e takes precedence over f. Sequence numbers count first; of equal ones the one that is on wins, as both calls ran
+// concurrently and a host in doubt stays detached. Nonce and time only make the order total.
 func (e Entry) After(f Entry) bool {
 	switch {
 	case e.Seq != f.Seq:
@@ -34,19 +35,24 @@
 	return e.Since > f.Since
 }
 
-// Change is what a call asks for: a host out or back, or lameduck where Host is empty.
+// Change is what an admin call asks for: to detach or attach a host, or to set lameduck where Host is empty.
 type Change struct {
-	Host     string // at most MaxID bytes of printable UTF-8
-	Out      bool
-	Lameduck bool // counts where Host is empty
+	Host     string // at most MaxIDBytes of printable UTF-8
+	Detach   bool
+	Lameduck bool // only used where Host is empty
 }
 
-// Narrows says whether the change takes something out of service. Such a change is written to the file first.
-func (c Change) Narrows() bool { return c.Host != "" && c.Out || c.Host == "" && c.Lameduck }
+// Restricts reports whether the change takes something out of service. Such a change is written to the file first.
+func (c Change) Restricts() bool {
+	if c.Host == "" {
+		return c.Lameduck
+	}
+	return c.Detach
+}
 
-// State is what the registers say.
+// State is the meaning of the registers.
 type State struct {
-	Out      map[string]int64 // hosts taken out by hand, with the time of the call, Unix ns
+	Detached map[string]int64 // hosts, with the time of the call, Unix ns
 	Lameduck bool
-	Since    int64 // when lameduck was set to what it is, Unix ns; 0: never
+	Since    int64 // when lameduck was last set, Unix ns; 0: never
 }
--- a/internal/hotrestart/state/registers.go
+++ b/internal/hotrestart/state/registers.go
@@ -5,122 +5,122 @@
 	"slices"
 )
 
-// Registers is a value: its methods change nothing and give new ones. The zero value is empty.
+// Registers is an immutable value: its methods return new ones. The zero value is empty.
 type Registers struct {
-	clock uint64 // the highest Seq seen
-	lame  Entry
-	hosts map[string]Entry
+	clock    uint64 // the highest Seq seen
+	lameduck Entry
+	hosts    map[string]Entry // by id
 }
 
 // Get returns the register that a change is about; the zero Entry if it was never set.
 func (r Registers) Get(c Change) Entry {
 	if c.Host == "" {
-		return r.lame
+		return r.lameduck
 	}
 	return r.hosts[c.Host]
 }
 
-// State says what holds.
+// State returns the meaning of the registers.
 func (r Registers) State() State {
-	s := State{Out: map[string]int64{}, Lameduck: r.lame.On, Since: r.lame.Since}
+	s := State{Detached: map[string]int64{}, Lameduck: r.lameduck.On, Since: r.lameduck.Since}
 	for id, e := range r.hosts {
 		if e.On {
-			s.Out[id] = e.Since
+			s.Detached[id] = e.Since
 		}
 	}
 	return s
 }
 
-// Reserve gives a change its stamp. delta holds that one register alone; next is r with its clock moved on, so that
-// no second change gets this stamp. A host that is out already keeps its time. now is in Unix ns.
-// Errors: ErrID, ErrFull (bans only: what widens always has room), ErrClock.
-func (r Registers) Reserve(c Change, node uint64, now int64) (delta, next Registers, err error) {
-	if c.Host != "" || c.Out {
+// Prepare gives a change its stamp. delta holds the changed register alone; next is r with its clock advanced, so that no second change
+// gets this stamp. A host that is detached already keeps its time. now is in Unix ns.
+// Errors: ErrInvalidID, ErrFull (only of a detach: there is always capacity for what does not restrict), ErrClockExhausted.
+func (r Registers) Prepare(c Change, node uint64, now int64) (delta, next Registers, err error) {
+	if c.Host != "" || c.Detach {
 		if err := checkID(c.Host); err != nil {
 			return Registers{}, r, err
 		}
 	}
 	if r.clock >= MaxSeq {
-		return Registers{}, r, ErrClock
+		return Registers{}, r, ErrClockExhausted
 	}
-	e := Entry{On: c.Narrows(), Since: now, Stamp: Stamp{Seq: r.clock + 1, Node: node}}
-	if was := r.Get(c); was.On && e.On {
-		e.Since = was.Since
+	entry := Entry{On: c.Restricts(), Since: now, Stamp: Stamp{Seq: r.clock + 1, Node: node}}
+	previous := r.Get(c)
+	if previous.On && entry.On {
+		entry.Since = previous.Since
 	}
 	next = r
 	next.clock++
 	delta.clock = next.clock
 	if c.Host == "" {
-		delta.lame = e
+		delta.lameduck = entry
 		return delta, next, nil
 	}
-	delta.hosts = map[string]Entry{c.Host: e}
-	if !r.hosts[c.Host].On && e.On && !r.roomFor(c.Host) {
+	if entry.On && !previous.On && !r.canDetach(c.Host) {
 		return Registers{}, r, ErrFull
 	}
+	delta.hosts = map[string]Entry{c.Host: entry}
 	return delta, next, nil
 }
 
-// Merge takes the later of each register. It is commutative, associative and idempotent, and drops nothing.
-// It fails with ErrFull, and changes nothing, where the result would pass the bounds.
+// Merge takes the later entry of each register. It is commutative, associative and idempotent, and drops nothing.
+// It fails with ErrFull, and returns r, where the result would exceed the bounds.
 func (r Registers) Merge(o Registers) (Registers, error) {
-	m := Registers{clock: max(r.clock, o.clock), lame: r.lame, hosts: maps.Clone(r.hosts)}
-	if o.lame.After(m.lame) {
-		m.lame = o.lame
+	merged := Registers{clock: max(r.clock, o.clock), lameduck: r.lameduck, hosts: maps.Clone(r.hosts)}
+	if o.lameduck.After(merged.lameduck) {
+		merged.lameduck = o.lameduck
 	}
-	if m.hosts == nil {
-		m.hosts = map[string]Entry{}
+	if merged.hosts == nil {
+		merged.hosts = map[string]Entry{}
 	}
 	for id, e := range o.hosts {
-		if was, ok := m.hosts[id]; !ok || e.After(was) {
-			m.hosts[id] = e
+		if own, ok := merged.hosts[id]; !ok || e.After(own) {
+			merged.hosts[id] = e
 		}
 	}
-	if !m.within(MaxHosts, MaxBytes) {
+	if !merged.fits(MaxHosts, MaxBytes) {
 		return r, ErrFull
 	}
-	return m, nil
+	return merged, nil
 }
 
-// Trim forgets registers that say "not out", the oldest first, past MaxBack of them, or past keptBack where
-// the bans need the room: what a process writes must fit others of before, which hold no more than MaxHosts and MaxBytes
-// either. Only a process that has missed keptBack later calls could bring such a host's ban back: the host would be out,
-// never in by mistake.
+// Trim drops the oldest tombstones past MaxTombstones, or past minTombstones where detached hosts need the capacity: what a process writes
+// must fit processes of earlier versions, which hold no more than MaxHosts and MaxBytes either. Only a process that has missed
+// minTombstones later calls could detach such a host again: the host would be detached, never attached, by mistake.
 func (r Registers) Trim() Registers {
-	r = r.trim(MaxBack)
-	if !r.within(MaxHosts-spare, MaxBytes-spare*(entryBytes+2*MaxID)) {
-		r = r.trim(keptBack)
+	r = r.trimTombstones(MaxTombstones)
+	if !r.fits(MaxHosts-reservedRegisters, MaxBytes-reservedRegisters*(maxEntryBytes+2*MaxIDBytes)) {
+		r = r.trimTombstones(minTombstones)
 	}
 	return r
 }
 
-// trim forgets the oldest registers that say "not out" past so many.
-func (r Registers) trim(most int) Registers {
-	var back []string
+// trimTombstones drops the oldest tombstones past a number.
+func (r Registers) trimTombstones(maxTombstones int) Registers {
+	var tombstones []string
 	for id, e := range r.hosts {
 		if !e.On {
-			back = append(back, id)
+			tombstones = append(tombstones, id)
 		}
 	}
-	if len(back) <= most {
+	if len(tombstones) <= maxTombstones {
 		return r
 	}
-	slices.SortFunc(back, func(a, b string) int {
+	slices.SortFunc(tombstones, func(a, b string) int {
 		if r.hosts[a].After(r.hosts[b]) {
 			return 1
 		}
 		return -1
 	})
 	r.hosts = maps.Clone(r.hosts)
-	for _, id := range back[:len(back)-most] {
+	for _, id := range tombstones[:len(tombstones)-maxTombstones] {
 		delete(r.hosts, id)
 	}
 	return r
 }
 
-// Covers says whether r has seen what delta changes, or something later.
+// Covers reports whether r has seen what delta changes, or something later.
 func (r Registers) Covers(delta Registers) bool {
-	if delta.lame.After(r.lame) {
+	if delta.lameduck.After(r.lameduck) {
 		return false
 	}
 	for id, e := range delta.hosts {
@@ -131,7 +131,7 @@
 	return true
 }
 
-// Equal says whether both hold the same registers and clock.
+// Equal reports whether both hold the same registers and clock.
 func (r Registers) Equal(o Registers) bool {
-	return r.clock == o.clock && r.lame == o.lame && maps.Equal(r.hosts, o.hosts)
+	return r.clock == o.clock && r.lameduck == o.lameduck && maps.Equal(r.hosts, o.hosts)
 }
--- a/internal/hotrestart/state/steps.go
+++ b/internal/hotrestart/state/steps.go
@@ -1,53 +1,62 @@
 package state
 
-// Step is one step of a call.
-type Step int
+// UpdateStep is one step of an admin call's change.
+type UpdateStep int
 
+// Steps of a change.
 const (
-	Persist Step = iota // merge the change into the file
-	Adopt               // merge it into this process's registers; the module is given them from here on
-	Look                // look into the folder for processes that this one has not met
-	Tell                // wait until this process's module and every live process hold it
+	Persist       UpdateStep = iota // merges the change into the file
+	ApplyLocal                      // merges it into this process's registers, which the program then applies
+	DiscoverPeers                   // searches the folder for processes that this one has not met
+	AwaitAcks                       // waits until this process's program and every live process have applied it
 )
 
-func (s Step) String() string { return [...]string{"persist", "adopt", "look", "tell"}[s] }
+// String is the step's name in tests.
+func (s UpdateStep) String() string {
+	return [...]string{"persist", "apply_local", "discover_peers", "await_acks"}[s]
+}
 
-// Steps is the order of a call's steps. The yes comes after the last.
+// UpdateSteps is the order of a change's steps. The call succeeds after the last.
 //
-// Persist stands before Look in a change that narrows, and Show before Read in Joining: so a newcomer is either seen
-// by the call, which then waits for it, or it reads a file that holds the change. No third case is left.
-func Steps(narrows bool) []Step {
-	if narrows {
-		return []Step{Persist, Adopt, Look, Tell}
+// In a change that restricts, Persist comes before DiscoverPeers, and in JoinSteps RegisterSocket comes before ReadFile. So a
+// newcomer is either discovered by the call, which then waits for it, or it reads a file that holds the change. There is no third case.
+func UpdateSteps(restricts bool) []UpdateStep {
+	if restricts {
+		return []UpdateStep{Persist, ApplyLocal, DiscoverPeers, AwaitAcks}
 	}
-	return []Step{Adopt, Look, Tell, Persist}
+	return []UpdateStep{ApplyLocal, DiscoverPeers, AwaitAcks, Persist}
 }
 
-// Join is one step of a process that starts.
-type Join int
+// JoinStep is one step of a process that starts.
+type JoinStep int
 
+// Steps of a start.
 const (
-	Show Join = iota // its socket stands in the folder and takes connections
-	Read             // it takes what the file holds
-	Ask              // it asks all others that stand in the folder, and gives them what it holds; those that hang are passed over
-	Hold             // the module holds what was learned: from here on it may send
+	RegisterSocket JoinStep = iota // puts a socket that accepts connections into the folder
+	ReadFile                       // takes what the file holds
+	QueryPeers                     // exchanges registers with all others in the folder; those that hang are skipped
+	ApplyState                     // applies what was learned; from here on the program may send
 )
 
-func (j Join) String() string { return [...]string{"show", "read", "ask", "hold"}[j] }
+// String is the step's name in tests.
+func (j JoinStep) String() string {
+	return [...]string{"register_socket", "read_file", "query_peers", "apply_state"}[j]
+}
 
-// Joining is the order of a newcomer's steps.
-func Joining() []Join { return []Join{Show, Read, Ask, Hold} }
+// JoinSteps is the order of a starting process's steps.
+func JoinSteps() []JoinStep { return []JoinStep{RegisterSocket, ReadFile, QueryPeers, ApplyState} }
 
 // Role is which of the gateway's processes this one is.
 type Role int
 
+// Roles of a process.
 const (
-	Alone Role = iota // no other process matters to it: it takes connections
-	New               // an older process still lives: it takes connections
-	Old               // a newer one is ready: it takes no new connections
+	Alone Role = iota // no other process matters to it: it accepts connections
+	New               // an older process still lives: it accepts connections
+	Old               // a newer one is ready: it accepts no new connections
 )
 
-// RoleOf gives the role. A process between two others is Old once the newer one is ready.
+// RoleOf returns the role. A process between two others is Old once the newer one is ready.
 func RoleOf(older, newerReady bool) Role {
 	switch {
 	case newerReady:
@@ -58,7 +67,5 @@
 	return Alone
 }
 
-// Accepts says whether a process in this role takes new connections.
-func (r Role) Accepts() bool { return r != Old }
-
+// String is the role's name.
 func (r Role) String() string { return [...]string{"alone", "new", "old"}[r] }
--- a/internal/soak/build.go
+++ b/internal/soak/build.go
@@ -58,7 +58,7 @@
 		[]string{ruleBan}, []string{"ban", "kill", "resets"}},
 	{"log-waits", []Edit{{"cmd/cranegate/main.go", "logging.New(logs, ", "logging.New(os.Stderr, "}}, []string{ruleStuck, ruleExit, ruleDeaf, ruleDrain},
 		[]string{"log_stops", "discovery", "drain"}},
-	{"passes-to-itself", []Edit{{"internal/hotrestart/fdpass/fdpass.go", "if own.isAt(at(dir, socket)) {", "if false {"}}, []string{ruleLate, ruleLost, ruleStuck},
+	{"passes-to-itself", []Edit{{"internal/hotrestart/fdpass/sender.go", "if own.ownsSocketAt(path) {", "if false {"}}, []string{ruleLate, ruleLost, ruleStuck},
 		[]string{"upgrade", "descriptors", "rolling_restart"}},
 }
 
