--- a/cmd/cranegate/cli_test.go
+++ b/cmd/cranegate/cli_test.go
@@ -10,6 +10,8 @@
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"cranegate/internal/fake"
 )
 
 // runCommand runs the program with a PROXY_ADMIN and returns its exit code and output.
@@ -68,7 +70,7 @@
 	if err := os.WriteFile(path, fmt.Appendf(nil, "[admin]\nlisten = %q\n", admin), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	h := &harness{t: t, log: &logBuffer{}}
+	h := &harness{t: t, log: &fake.LogBuffer{}}
 	h.launch(exec.Command(program, "-operator", path))
 	h.until("a yes", func() bool { code, _ := runCommand(t, "", "ready", "--operator", path); return code == 0 })
 	if code, text := runCommand(t, "", "host", "detach", "--operator", path, "db-1"); code != 1 || !strings.Contains(text, "db-1") {
--- a/cmd/cranegate/harness_test.go
+++ b/cmd/cranegate/harness_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bytes"
 	"encoding/json"
 	"fmt"
 	"net"
@@ -11,7 +10,6 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -47,24 +45,6 @@
 	os.Exit(code)
 }
 
-// logBuffer collects what the program writes. It is safe for concurrent use.
-type logBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (l *logBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(p)
-}
-
-func (l *logBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
-}
-
 // harness is a running program with fake database hosts and a fake discovery service.
 type harness struct {
 	t         *testing.T
@@ -82,7 +62,7 @@
 	config     map[string]any // the content of the file at configPath, which PROXY_CONFIG names
 	configPath string
 	cmd        *exec.Cmd
-	log        *logBuffer
+	log        *fake.LogBuffer
 }
 
 // startGateway runs the program beside two hosts, which serve both protocols.
@@ -101,7 +81,7 @@
 		healthAddress:     freeAddress(t),
 		adminAddress:      freeAddress(t),
 		inheritedListener: inherited,
-		log:               &logBuffer{},
+		log:               &fake.LogBuffer{},
 	}
 	if inherited != nil {
 		h.postgresAddress = inherited.Addr().String()
@@ -192,7 +172,7 @@
 		}
 		if h.t.Failed() {
 			h.t.Log(h.log.String())
-			h.log = &logBuffer{}
+			h.log = &fake.LogBuffer{}
 		}
 	})
 }
@@ -218,7 +198,7 @@
 	kill(h.cmd)
 	change(h.config)
 	h.writeConfig()
-	h.log = &logBuffer{}
+	h.log = &fake.LogBuffer{}
 	h.cmd = exec.Command(program)
 	h.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+h.configPath, "TMPDIR="+h.t.TempDir())
 	h.launch(h.cmd)
--- a/cmd/cranegate/hotrestart.go
+++ b/cmd/cranegate/hotrestart.go
@@ -47,15 +47,15 @@
 	}
 	g.applied = make(chan struct{})
 	coordinator, err := hotrestart.Open(g.lifetime, hotrestart.Options{
-		Dir:         folder,
-		OnState:     g.applyState,
-		Export:      g.exportState,
-		Reserve:     g.limiter.Reserve,
+		Dir:           folder,
+		OnState:       g.applyState,
+		Export:        g.exportState,
+		Reserve:       g.limiter.Reserve,
 		OnNewerExists: g.onNewerProcess,
 		OnSuperseded:  g.onSuperseded,
 		OnRestored:    g.onRestored,
-		OnOlderEnded:       g.onOlderProcessGone,
-		Counters:    g.counters,
+		OnOlderEnded:  g.onOlderProcessGone,
+		Counters:      g.counters,
 	})
 	if err != nil {
 		slog.Warn("hotrestart_disabled", "error", err)
--- a/cmd/cranegate/readiness_test.go
+++ b/cmd/cranegate/readiness_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"cranegate/internal/discovery"
+	"cranegate/internal/fake"
 )
 
 // readyTimeout is the longest from the start of a process to the first empty query that is answered.
@@ -192,7 +193,7 @@
 	h.writeConfig()
 	operator := filepath.Join(filepath.Dir(h.configPath), "operator.toml")
 	env := append(h.cmd.Env, "PROXY_DISCOVERY="+down)
-	h.log = &logBuffer{}
+	h.log = &fake.LogBuffer{}
 	h.cmd = exec.Command(program, "-operator", operator)
 	h.cmd.Env = env
 	h.launch(h.cmd)
--- a/cmd/cranegate/reload_test.go
+++ b/cmd/cranegate/reload_test.go
@@ -31,7 +31,7 @@
 		if on {
 			writeZones("[zones]\n")
 			kill(h.cmd)
-			h.log = &logBuffer{}
+			h.log = &fake.LogBuffer{}
 			h.cmd = exec.Command(program, "-operator", path)
 			h.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+h.configPath)
 			h.launch(h.cmd)
--- a/internal/hotrestart/fakepeers_test.go
+++ b/internal/hotrestart/fakepeers_test.go
@@ -1,7 +1,6 @@
 package hotrestart
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -14,6 +13,7 @@
 	"testing"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/hotrestart/frame"
 	"cranegate/internal/hotrestart/rendezvous"
 	"cranegate/internal/hotrestart/state"
@@ -97,27 +97,9 @@
 	}
 }
 
-// logBuffer is a log that tests read while others write.
-type logBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (l *logBuffer) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(b)
-}
-
-func (l *logBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
-}
-
 // captureLog has the log written to the returned buffer until the test ends.
-func captureLog(t *testing.T) *logBuffer {
-	l := &logBuffer{}
+func captureLog(t *testing.T) *fake.LogBuffer {
+	l := &fake.LogBuffer{}
 	t.Cleanup(logging.Use(logging.New(l, slog.LevelInfo)))
 	return l
 }
--- a/internal/hotrestart/fdpass/fdpass_test.go
+++ b/internal/hotrestart/fdpass/fdpass_test.go
@@ -1,42 +1,23 @@
 package fdpass
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
 	"log/slog"
 	"net"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
+	"cranegate/internal/fake"
 	"cranegate/internal/logging"
 )
 
 // testTimeout bounds what must come; a busy machine may take its time.
 const testTimeout = time.Minute
 
-// logBuffer is a log that tests read while others write.
-type logBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (l *logBuffer) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(b)
-}
-
-func (l *logBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
-}
-
 // startReceiver runs a receiver until the test ends, and returns the number of connections that it has received.
 func startReceiver(t *testing.T, dir string, reserve func(context.Context) (func(), error)) *atomic.Int64 {
 	t.Helper()
@@ -103,7 +84,7 @@
 // TestThousandSenders has 1,024 processes send a connection, concurrently in that none ends before the last one has sent: every
 // connection is received and acknowledged. The next process learns at once that it keeps its own, and the log says why.
 func TestThousandSenders(t *testing.T) {
-	log := &logBuffer{}
+	log := &fake.LogBuffer{}
 	t.Cleanup(logging.Use(logging.New(log, slog.LevelInfo)))
 	dir, client := t.TempDir(), newConn(t)
 	var reserved atomic.Int64
