--- a/internal/hotrestart/fdpass/format_test.go
+++ b/internal/hotrestart/fdpass/format_test.go
@@ -50,7 +50,7 @@
 		if err != nil || string(b[:n]) != c.text {
 			t.Errorf("sent as %q, %v, want %q", b[:n], err, c.text)
 		}
-		got, err := open(rights[:m])
+		got, err := connFromRights(rights[:m])
 		if err != nil {
 			t.Fatal(err)
 		}
