--- a/examples/ask/main.go
+++ b/examples/query/main.go
@@ -1,4 +1,4 @@
-// Command ask sends a read and a write through the gateway, in each protocol, and prints the answers.
+// Command query sends a read and a write through the gateway in each protocol, and prints the answers.
 package main
 
 import (
@@ -13,8 +13,8 @@
 )
 
 func main() {
-	pg := flag.String("postgres", "127.0.0.1:6432", "the platform's front")
-	my := flag.String("mysql", "127.0.0.1:6306", "the MySQL front")
+	pg := flag.String("postgres", "127.0.0.1:6432", "address of the PostgreSQL frontend")
+	my := flag.String("mysql", "127.0.0.1:6306", "address of the MySQL frontend")
 	flag.Parse()
 	id := fmt.Sprintf("%x", time.Now().UnixNano())
 	read := "/* id=" + id + "r,c=platzsuche,d=600,cluster=0 */ SELECT v FROM records WHERE k = '7f3a'"
--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -1,5 +1,5 @@
-// Command toyserver plays a group of three database hosts, in both protocols, and discovery, on loopback. It is
-// there to try the gateway out with; see README.md beside it.
+// Command toyserver runs a group of three fake database hosts, in both protocols, and a fake discovery service on loopback,
+// to try the gateway with. See ../README.md.
 package main
 
 import (
@@ -35,10 +35,11 @@
 	log.Fatal(http.Serve(l, endpoints))
 }
 
-func serve(port int, f func(net.Conn)) {
+// serve accepts connections on a port of loopback.
+func serve(port int, handle func(net.Conn)) {
 	l, err := net.Listen("tcp", fmt.Sprint("127.0.0.1:", port))
 	if err != nil {
 		log.Fatal(err)
 	}
-	go fake.Accept(l, f)
+	go fake.Accept(l, handle)
 }
