--- a/internal/discovery/socket_test.go
+++ b/internal/discovery/socket_test.go
@@ -171,12 +171,15 @@
 	c.Close()
 	c, requestLine := acceptCall(t, l) // what the first answer has is applied before the next call
 	defer c.Close()
+	if applied := len(notified) > 0; applied != test.applied {
+		t.Errorf("applied: %t, want %t", applied, test.applied)
+	}
+	rev := "after=1&"
 	if test.applied {
-		if len(notified) == 0 || !strings.Contains(requestLine, "after=2&") {
-			t.Errorf("not applied: the next call is %q", requestLine)
-		}
-	} else if len(notified) > 0 || !strings.Contains(requestLine, "after=1&") {
-		t.Errorf("an answer without an end was applied, the next call is %q", requestLine)
+		rev = "after=2&"
+	}
+	if !strings.Contains(requestLine, rev) {
+		t.Errorf("the next call is %q, want %q in it", requestLine, rev)
 	}
 }
 
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -185,7 +185,10 @@
 	const firstDelay = 100 * time.Millisecond // of backoff, once a call was answered
 	first, later := backoff.MaxFailureDelay(1), backoff.MaxFailureDelay(1000)
 	second, firstCall, watch := backoff.MaxFailureDelay(2), firstWatchWait+firstAnswerGrace, watchWait+answerGrace
-	if first != firstDelay || answerGrace > waitTimeout || firstCall > addressChangeTimeout-firstDelay-dialTimeout-second {
+	if first != firstDelay {
+		t.Errorf("the first delay is %v", first)
+	}
+	if answerGrace > waitTimeout || firstCall > addressChangeTimeout-firstDelay-dialTimeout-second {
 		t.Error("a call may be silent for longer than its wait and 2 s, or an address change take longer than 4 s")
 	}
 	const margin = 100 * time.Millisecond // for a busy machine
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -21,8 +21,14 @@
 // checkPhase checks that a change has exactly one endpoint, and its phase.
 func checkPhase(t *testing.T, change []routing.Endpoint, err error, want routing.Phase) {
 	t.Helper()
-	if err != nil || len(change) != 1 || change[0].Phase != want {
-		t.Fatalf("%+v, %v; want one endpoint with phase %v", change, err, want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(change) != 1 {
+		t.Fatalf("%+v; want one endpoint", change)
+	}
+	if change[0].Phase != want {
+		t.Fatalf("%+v; want phase %v", change[0], want)
 	}
 }
 
@@ -57,8 +63,11 @@
 	}
 	later := o.Apply(60*second, patch(routing.Endpoint{Member: "a", StartedAt: 55 * second})).Endpoints[0]
 	older := o.Apply(61*second, patch(routing.Endpoint{Member: "a"})).Endpoints[0]
-	if later.StartedAt != 55*second || older.StartedAt != 40*second {
-		t.Errorf("started at %v and %v, want a later start as listed, and an older one not before the Attach", later.StartedAt, older.StartedAt)
+	if later.StartedAt != 55*second {
+		t.Errorf("started at %v, want a start after the Attach as listed", later.StartedAt)
+	}
+	if older.StartedAt != 40*second {
+		t.Errorf("started at %v, want no start before the Attach", older.StartedAt)
 	}
 }
 
