--- a/cmd/cranegate/cli.go
+++ b/cmd/cranegate/cli.go
@@ -30,7 +30,7 @@
 
 // gatewayFlags name the running gateway that a command calls.
 type gatewayFlags struct {
-	Admin    string `placeholder:"ADDRESS" help:"Address and port of the running gateway's second address, or of its [admin]; without it and --operator PROXY_ADMIN."`
+	Admin    string `placeholder:"ADDRESS" help:"Address and port of the running gateway's admin address, or of its [admin]; without it and --operator PROXY_ADMIN."`
 	Operator string `placeholder:"FILE" env:"CRANEGATE_OPERATOR" help:"Its operator's file, whose [admin] names that address."`
 }
 
@@ -54,7 +54,7 @@
 
 // Error says what to check.
 func (e UnreachableError) Error() string {
-	return fmt.Sprintf("no gateway answers at %s (%v); see that it runs and that this is its second address, then ask again", e.Address, e.Cause)
+	return fmt.Sprintf("no gateway answers at %s (%v); see that it runs and that this is its admin address, then ask again", e.Address, e.Cause)
 }
 
 // Unwrap returns the cause.
@@ -72,7 +72,7 @@
 // Error is the gateway's own text, if it sent any.
 func (e RejectedError) Error() string {
 	if e.Reason == "" {
-		return fmt.Sprintf("no: status %d and no words; see that this is a gateway's second address", e.Status)
+		return fmt.Sprintf("no: status %d and no words; see that this is a gateway's admin address", e.Status)
 	}
 	return e.Reason
 }
