--- a/cmd/cranelab/soak.go
+++ b/cmd/cranelab/soak.go
@@ -57,9 +57,9 @@
 		o.Gateways = c.Gateways
 	}
 	if c.For > 0 {
-		o.For = c.For
+		o.Duration = c.For
 	}
-	o.Keep, o.Only = c.Keep, c.Only
+	o.LogDir, o.Only = c.Keep, c.Only
 	return o
 }
 
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -11,7 +11,7 @@
 	"cranegate/internal/discovery"
 )
 
-// directory is discovery's own state: the list and its version.
+// directory is the state of the discovery service: the endpoint list and its revision.
 type directory struct {
 	mu      sync.Mutex
 	rev     int64
@@ -19,7 +19,7 @@
 	changed chan struct{}
 }
 
-// set changes the list, and returns its version.
+// set replaces the endpoint list and returns its revision.
 func (d *directory) set(targets []discovery.Target) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -32,74 +32,74 @@
 	return d.rev
 }
 
-// now is the list, its version, and what is closed at the next change.
-func (d *directory) now() (int64, []discovery.Target, <-chan struct{}) {
+// current returns the revision, the endpoint list and a channel that is closed at the next change.
+func (d *directory) current() (int64, []discovery.Target, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rev, d.targets, d.changed
 }
 
-// agentFault is what is wrong with an agent.
+// agentFault is how an agent misbehaves.
 type agentFault int32
 
 const (
-	agentGood   agentFault = iota
-	agentSilent            // calls are taken and never answered
-	agentBusy              // calls are turned away with 503
-	agentCut               // connections are reset under calls
+	agentHealthy      agentFault = iota
+	agentUnresponsive            // calls are accepted and never answered
+	agentUnavailable             // calls are rejected with 503
+	agentResetting               // connections are reset during calls
 )
 
-// agent is discovery's agent beside one gateway.
+// agent is a discovery agent beside one gateway.
 type agent struct {
 	gateway *gateway
 	address string
 	fault   atomic.Int32 // an agentFault
 }
 
-// newAgent starts an agent. A gateway has two, so that its watch can be moved.
-func (s *site) newAgent(g *gateway) (*agent, error) {
+// newAgent starts an agent. A gateway has two, so that its watch can be pointed at the other one.
+func (s *scenario) newAgent(g *gateway) (*agent, error) {
 	l, err := listen()
 	if err != nil {
 		return nil, err
 	}
 	a := &agent{gateway: g, address: l.Addr().String()}
 	server := &http.Server{Handler: a}
-	s.closeWith(server)
+	s.closeAtEnd(server)
 	go server.Serve(l)
 	return a, nil
 }
 
-// ServeHTTP answers one call; a watch waits for something newer than its version.
+// ServeHTTP answers one call. A watch waits for a revision newer than the one it names.
 func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.FormValue("after"), 10, 64)
 	wait, _ := strconv.Atoi(r.FormValue("wait_ms"))
-	rev, targets, changed := a.gateway.site.directory.now()
-	if err == nil && after >= rev && agentFault(a.fault.Load()) == agentGood {
+	rev, targets, changed := a.gateway.scenario.directory.current()
+	if err == nil && after >= rev && agentFault(a.fault.Load()) == agentHealthy {
 		select {
 		case <-changed:
 		case <-time.After(time.Duration(wait) * time.Millisecond):
 		case <-r.Context().Done():
 			return
 		}
-		rev, targets, _ = a.gateway.site.directory.now()
+		rev, targets, _ = a.gateway.scenario.directory.current()
 	}
 	switch agentFault(a.fault.Load()) {
-	case agentSilent:
+	case agentUnresponsive:
 		<-r.Context().Done()
 		return
-	case agentBusy:
+	case agentUnavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case agentCut:
+	case agentResetting:
 		panic(http.ErrAbortHandler)
 	}
 	s := discovery.Snapshot{Rev: rev, All: err != nil || after < rev, Targets: []discovery.Target{}}
 	if s.All {
-		s.Targets = a.gateway.behindProxies(targets)
+		s.Targets = a.gateway.proxiedTargets(targets)
 	}
 	text, _ := json.Marshal(s)
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	if _, err := w.Write(text); err == nil {
-		a.gateway.site.judge.told(a.gateway, rev, time.Now())
+		a.gateway.scenario.checker.recordNotification(a.gateway, rev, time.Now())
 	}
 }
--- a/internal/soak/build.go
+++ b/internal/soak/build.go
@@ -10,7 +10,8 @@
 	"strings"
 )
 
-// Build builds the gateway from the module's source into a folder, with a defect in it where one is given, and returns the program.
+// Build compiles the gateway from the module's source into dir, with the defect applied if it is not nil, and returns
+// the path of the binary.
 func Build(ctx context.Context, dir string, defect *Defect) (string, error) {
 	program := filepath.Join(dir, "cranegate")
 	args := []string{"build", "-o", program}
@@ -27,23 +28,23 @@
 	return program, nil
 }
 
-// Defect is a fault that is put into the gateway on purpose, to see that a run finds it. The source is not touched: the build lays
-// the changed files over it.
+// Defect is a deliberate error in the gateway that shows that a run detects errors of its kind. The source is not
+// modified: the build replaces the edited files by an overlay.
 type Defect struct {
 	Name    string
 	Edits   []Edit
-	FoundBy []string // any of these rules
-	Only    []string // the kinds of troubles under which it shows; none: any
+	FoundBy []string // any of these rules detects it
+	Only    []string // the kinds of faults under which it shows; empty means any
 }
 
-// Edit takes something out of a file, or changes it.
+// Edit replaces a piece of text in a source file.
 type Edit struct {
-	File string // below the module's root
-	Old  string // a text that stands there once,
-	New  string // and what takes its place
+	File string // path below the module's root
+	Old  string // text that occurs there exactly once
+	New  string // its replacement
 }
 
-// Defects are guards that are taken out, one at a time, and the two incidents of December 2026.
+// Defects each remove one guard of the gateway or reintroduce one of the two incidents of December 2026.
 var Defects = []Defect{
 	{"sends-to-draining", []Edit{{"routing/attempts.go", "case !member.usable, member.group != req.group:", "case member.group != req.group:"}},
 		[]string{ruleDrain, ruleDeaf, ruleViolation}, nil},
@@ -62,7 +63,7 @@
 		[]string{"upgrade", "descriptors", "rolling_restart"}},
 }
 
-// FindDefect finds a defect by its name.
+// FindDefect returns the defect of that name, or an error that lists the known names.
 func FindDefect(name string) (*Defect, error) {
 	var names []string
 	for i := range Defects {
@@ -74,7 +75,7 @@
 	return nil, fmt.Errorf("no defect is called %q; there are %s", name, strings.Join(names, ", "))
 }
 
-// overlay writes the changed files and the description that the build takes.
+// overlay writes the edited files and the overlay description into dir and returns the description's path.
 func (d *Defect) overlay(ctx context.Context, dir string) (string, error) {
 	out, err := exec.CommandContext(ctx, "go", "list", "-m", "-f", "{{.Dir}}").Output()
 	if err != nil {
@@ -97,7 +98,7 @@
 	return overlay, os.WriteFile(overlay, description, 0o600)
 }
 
-// write writes the changed file.
+// write writes the edited copy of the file at path to changed. The old text must occur exactly once.
 func (e Edit) write(path, changed string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -109,7 +110,7 @@
 	return os.WriteFile(changed, []byte(strings.Replace(string(text), e.Old, e.New, 1)), 0o600)
 }
 
-// Found says whether a run's findings show the defect.
+// Found reports whether any of the findings detects the defect.
 func (d *Defect) Found(found []Finding) bool {
 	for _, f := range found {
 		for _, rule := range d.FoundBy {
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -2,78 +2,41 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"cranegate/internal/fake"
 	"cranegate/internal/pgwire"
 )
 
-// The classes of the site's settings.
 const (
-	classRead    = "platzsuche"
-	classSession = "eigener-antrag"
-	classOnce    = "zusage"
-	classKeyed   = "vormerken"
-)
-
-const (
-	patientPause = 10 * time.Millisecond // the mean between an answer and the next request
-	connectFor   = 25 * time.Second      // whoever comes to a process that starts waits
-	hungFor      = 5 * time.Second       // past the time for its answer a request is given up
-	againAfter   = 20 * time.Millisecond // after a connection that failed
+	meanRequestInterval = 10 * time.Millisecond // mean time between an answer and the next request
+	connectTimeout      = 25 * time.Second      // covers the start of a process
+	answerTimeoutMargin = 5 * time.Second       // how long past its timeout a request is awaited
+	retryDelay          = 20 * time.Millisecond // after a failed connection
 )
 
 // client is one client of a gateway.
 type client struct {
-	site    *site
-	gateway *gateway
-	rng     *rand.Rand
-	conn    *fake.PostgresClient
+	scenario *scenario
+	gateway  *gateway
+	rng      *rand.Rand
+	conn     *fake.PostgresClient
 }
 
-var lastID atomic.Int64
-
-// newRequest draws a request.
-func (c *client) newRequest() (*request, string) {
-	return c.requestOf(c.rng.IntN(c.site.opt.Groups))
-}
-
-// requestOf draws a request of a group.
-func (c *client) requestOf(group int) (*request, string) {
-	class := []string{classRead, classRead, classSession, classOnce, classOnce, classKeyed}[c.rng.IntN(6)]
-	wait := []time.Duration{2 * time.Second, 2 * time.Second, 600 * time.Millisecond, 120 * time.Millisecond}[c.rng.IntN(4)]
-	return c.request(class, group, wait)
-}
-
-// request makes a request, and its statement.
-func (c *client) request(class string, group int, wait time.Duration) (*request, string) {
-	r := &request{gateway: c.gateway, id: fmt.Sprintf("%06x", lastID.Add(1)), class: class, wait: wait}
-	head := fmt.Sprintf("/* id=%s,c=%s,d=%d", r.id, class, wait.Milliseconds())
-	switch class {
-	case classOnce, classKeyed:
-		return r, fmt.Sprintf("%s,k=%s,cluster=%d */ INSERT INTO records (k, v) VALUES ('%s', '') RETURNING v", head, r.id, group, r.id)
-	case classSession:
-		head += fmt.Sprintf(",after=%d", time.Now().Add(-time.Second).UnixMilli())
-	}
-	return r, fmt.Sprintf("%s,cluster=%d */ SELECT v FROM records WHERE k = '%s'", head, group, r.id)
-}
-
-// connect connects where the client has no connection. False: it can't.
+// connect makes sure that the client is connected and reports whether it is.
 func (c *client) connect() bool {
 	if c.conn != nil && c.conn.Alive() {
 		return true
 	}
-	c.drop()
-	raw, err := net.DialTimeout("tcp", c.gateway.socket.Addr().String(), connectFor)
+	c.disconnect()
+	raw, err := net.DialTimeout("tcp", c.gateway.listener.Addr().String(), connectTimeout)
 	if err != nil {
 		return false
 	}
-	raw.SetDeadline(time.Now().Add(connectFor))
+	raw.SetDeadline(time.Now().Add(connectTimeout))
 	if c.conn, err = fake.DialPostgres(raw, ""); err != nil {
 		raw.Close()
 		c.conn = nil
@@ -82,131 +45,135 @@
 	return true
 }
 
-func (c *client) drop() {
+// disconnect closes the client's connection, if it has one.
+func (c *client) disconnect() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// ask sends a request and judges its answer.
-func (c *client) ask(r *request, text string) {
-	j := c.site.judge
-	r.sent = time.Now()
-	j.ask(r)
-	c.conn.Conn.Conn.SetDeadline(r.sent.Add(r.wait + hungFor))
+// execute sends a request and checks its answer.
+func (c *client) execute(r *request, text string) {
+	checker := c.scenario.checker
+	r.sentAt = time.Now()
+	checker.recordRequest(r)
+	c.conn.Conn.Conn.SetDeadline(r.sentAt.Add(r.clientTimeout + answerTimeoutMargin))
 	reply, err := c.conn.Ask(text)
-	c.note(r, reply, err)
+	c.recordReply(r, reply, err)
 }
 
-// note takes what came back for a request. A connection that failed is dropped.
-func (c *client) note(r *request, reply fake.Reply, err error) {
-	j, now := c.site.judge, time.Now()
-	var netErr net.Error
-	late := err != nil && asTimeout(err, &netErr)
-	j.change(r, func(r *request) {
+// recordReply records and checks the result of a request. It closes a connection that failed.
+func (c *client) recordReply(r *request, reply fake.Reply, err error) {
+	checker, now := c.scenario.checker, time.Now()
+	timedOut := err != nil && isTimeout(err)
+	checker.updateRequest(r, func(r *request) {
 		switch {
-		case err == nil || reply.Outcome != "": // a fatal error needs no Ready
-			r.outcome, r.answered = reply.Outcome, now
+		case err == nil || reply.Outcome != "": // a fatal error is not followed by ReadyForQuery
+			r.outcome, r.answeredAt = reply.Outcome, now
 		default:
-			r.ended = now
+			r.connectionLostAt = now
 		}
 	})
-	slack, timed := j.slack()
-	allowed := r.ahead + r.wait + time.Duration(r.behind+1)*answerGrace + slack
-	if (late || now.Sub(r.sent) > allowed) && timed && !c.gateway.excusedIn(r.sent, now) {
-		j.find(Finding{Rule: ruleLate, Where: r.where(), Detail: fmt.Sprintf("%q after %v of %v", reply.Outcome, now.Sub(r.sent), r.wait)})
+	slack, timed := checker.slack()
+	allowed := r.precedingTimeouts + r.clientTimeout + time.Duration(r.precedingRequests+1)*answerGrace + slack
+	if (timedOut || now.Sub(r.sentAt) > allowed) && timed && !c.gateway.disruptedDuring(r.sentAt, now) {
+		checker.report(ruleLate, r.where(), "%q after %v of %v", reply.Outcome, now.Sub(r.sentAt), r.clientTimeout)
 	}
 	if err == nil && reply.Outcome == "served" && reply.Value != "value of "+r.id {
-		j.find(Finding{Rule: ruleWrong, Where: r.where(), Detail: fmt.Sprintf("the answer is %q", reply.Value)})
+		checker.report(ruleWrong, r.where(), "the answer is %q", reply.Value)
 	}
 	if err != nil {
-		c.drop()
+		c.disconnect()
 	}
 }
 
-// patient asks one request after the other until the context ends.
-func (c *client) patient(ctx context.Context) {
-	defer c.drop()
+// requestLoop sends one request after the other until ctx ends.
+func (c *client) requestLoop(ctx context.Context) {
+	defer c.disconnect()
 	for ctx.Err() == nil {
-		time.Sleep(time.Duration(c.rng.ExpFloat64() * float64(patientPause)))
+		time.Sleep(time.Duration(c.rng.ExpFloat64() * float64(meanRequestInterval)))
 		if !c.connect() {
-			time.Sleep(againAfter)
+			time.Sleep(retryDelay)
 			continue
 		}
 		if ctx.Err() == nil {
-			c.ask(c.newRequest())
+			c.execute(c.newRequest())
 		}
 	}
 }
 
-// startClients starts the patient clients; the call ends them once each has its last answer.
-func (s *site) startClients() (stop func()) {
+// startClients starts the regular clients. The returned function stops them, each after its last answer.
+func (s *scenario) startClients() (stop func()) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	var group sync.WaitGroup
 	for i, g := range s.gateways {
-		for n := range s.opt.Clients {
-			c := &client{site: s, gateway: g, rng: rand.New(rand.NewPCG(s.opt.Seed, uint64(1000*i+n)))}
-			group.Go(func() { c.patient(ctx) })
+		for n := range s.options.Clients {
+			c := &client{scenario: s, gateway: g, rng: rand.New(rand.NewPCG(s.options.Seed, uint64(1000*i+n)))}
+			group.Go(func() { c.requestLoop(ctx) })
 		}
 	}
-	return func() { cancel(); group.Wait() }
+	return func() {
+		cancel()
+		group.Wait()
+	}
 }
 
-// leaves asks a group and closes some time later, whatever has come back.
-func (c *client) leaves(group int, after time.Duration) {
-	defer c.drop()
+// disconnectAfter sends a request and closes the connection some time later, whatever has come back.
+func (c *client) disconnectAfter(group int, after time.Duration) {
+	defer c.disconnect()
 	if !c.connect() {
 		return
 	}
-	r, text := c.requestOf(group)
-	r.sent = time.Now()
-	c.site.judge.ask(r)
+	r, text := c.newGroupRequest(group)
+	r.sentAt = time.Now()
+	c.scenario.checker.recordRequest(r)
 	c.conn.Write(pgwire.Append(nil, 'Q', text, "\x00"))
 	time.Sleep(after)
-	c.drop()
-	c.site.judge.change(r, func(r *request) { r.left = time.Now() })
+	c.disconnect()
+	c.scenario.checker.updateRequest(r, func(r *request) { r.clientClosedAt = time.Now() })
 }
 
-// pipelines sends several requests at once and takes their answers in order.
-func (c *client) pipelines(n int) {
-	defer c.drop()
+// pipeline sends several requests at once and reads their answers in order.
+func (c *client) pipeline(count int) {
+	defer c.disconnect()
 	if !c.connect() {
 		return
 	}
-	var all []*request
-	var out []byte
-	var ahead time.Duration
-	for i := range n {
+	var requests []*request
+	var encoded []byte
+	var precedingTimeouts time.Duration
+	for i := range count {
 		r, text := c.newRequest()
-		r.behind, r.ahead, r.sent = i, ahead, time.Now()
-		ahead += r.wait
-		c.site.judge.ask(r)
-		all = append(all, r)
-		out = pgwire.Append(out, 'Q', text, "\x00")
-	}
-	c.conn.Conn.Conn.SetDeadline(time.Now().Add(time.Duration(n) * 2 * hungFor))
-	if _, err := c.conn.Write(out); err != nil {
+		r.precedingRequests, r.precedingTimeouts, r.sentAt = i, precedingTimeouts, time.Now()
+		precedingTimeouts += r.clientTimeout
+		c.scenario.checker.recordRequest(r)
+		requests = append(requests, r)
+		encoded = pgwire.Append(encoded, 'Q', text, "\x00")
+	}
+	c.conn.Conn.Conn.SetDeadline(time.Now().Add(time.Duration(count) * 2 * answerTimeoutMargin))
+	if _, err := c.conn.Write(encoded); err != nil {
 		return
 	}
-	for _, r := range all {
+	for _, r := range requests {
 		if c.conn == nil {
-			c.site.judge.change(r, func(r *request) { r.ended = time.Now() })
+			c.scenario.checker.updateRequest(r, func(r *request) { r.connectionLostAt = time.Now() })
 			continue
 		}
 		reply, err := c.conn.Read()
-		c.note(r, reply, err)
+		c.recordReply(r, reply, err)
 	}
 }
 
-// stopsHalfway writes a part of a message, maybe behind a good request, and stays. It is to be told or closed in time.
-func (c *client) stopsHalfway(asksBefore bool) {
-	defer c.drop()
+// sendPartial writes a part of a message, on request after a complete request, and keeps the connection open. The
+// gateway has to answer or close it within partialMessageTimeout.
+func (c *client) sendPartial(requestBefore bool) {
+	defer c.disconnect()
 	if !c.connect() {
 		return
 	}
-	if asksBefore {
-		if c.ask(c.newRequest()); c.conn == nil {
+	if requestBefore {
+		if c.execute(c.newRequest()); c.conn == nil {
 			return
 		}
 	}
@@ -215,57 +182,59 @@
 	if _, err := c.conn.Write(message[:1+c.rng.IntN(len(message)-2)]); err != nil {
 		return
 	}
-	began := time.Now()
-	c.conn.Conn.Conn.SetReadDeadline(began.Add(halfWithin + hungFor))
+	sentAt := time.Now()
+	c.conn.Conn.Conn.SetReadDeadline(sentAt.Add(partialMessageTimeout + answerTimeoutMargin))
 	c.conn.Need(1)
-	slack, timed := c.site.judge.slack()
-	if took := time.Since(began); timed && took > halfWithin+slack && !c.gateway.excusedIn(began, time.Now()) {
-		c.site.judge.find(Finding{Rule: ruleHalf, Where: c.gateway.name, Detail: fmt.Sprintf("held for %v, asked before: %t", took, asksBefore)})
+	slack, timed := c.scenario.checker.slack()
+	if took := time.Since(sentAt); timed && took > partialMessageTimeout+slack && !c.gateway.disruptedDuring(sentAt, time.Now()) {
+		c.scenario.checker.report(ruleHalf, c.gateway.name, "held for %v, request before: %t", took, requestBefore)
 	}
 }
 
-// babbles sends bytes of which nothing can be made.
-func (c *client) babbles() {
-	raw, err := net.DialTimeout("tcp", c.gateway.socket.Addr().String(), connectFor)
+// sendGarbage sends random bytes and waits for the gateway to react.
+func (c *client) sendGarbage() {
+	raw, err := net.DialTimeout("tcp", c.gateway.listener.Addr().String(), connectTimeout)
 	if err != nil {
 		return
 	}
 	defer raw.Close()
-	b := make([]byte, 1+c.rng.IntN(4000))
-	for i := range b {
-		b[i] = byte(c.rng.IntN(256))
+	garbage := make([]byte, 1+c.rng.IntN(4000))
+	for i := range garbage {
+		garbage[i] = byte(c.rng.IntN(256))
 	}
-	raw.Write(b)
-	raw.SetReadDeadline(time.Now().Add(halfWithin))
-	raw.Read(b)
+	raw.Write(garbage)
+	raw.SetReadDeadline(time.Now().Add(partialMessageTimeout))
+	raw.Read(garbage)
 }
 
-// checkServes asks each gateway for each group, reads and writes, until it is served.
-func (s *site) checkServes() {
+// checkServing has each gateway serve each group, reads and writes, at the end of a run.
+func (s *scenario) checkServing() {
 	var group sync.WaitGroup
 	for _, g := range s.gateways {
-		for n := range s.opt.Groups {
-			for _, class := range []string{classRead, classOnce} {
-				group.Go(func() { s.checkServed(g, n, class) })
+		for n := range s.options.Groups {
+			for _, class := range []string{classRead, classNonIdempotent} {
+				group.Go(func() { s.checkGroupServed(g, n, class) })
 			}
 		}
 	}
 	group.Wait()
 }
 
-func (s *site) checkServed(g *gateway, group int, class string) {
-	c := &client{site: s, gateway: g, rng: rand.New(rand.NewPCG(s.opt.Seed, uint64(group)))}
-	defer c.drop()
+// checkGroupServed retries one class of request at a gateway until it is served. It is a finding if that takes longer
+// than serveTimeout.
+func (s *scenario) checkGroupServed(g *gateway, group int, class string) {
+	c := &client{scenario: s, gateway: g, rng: rand.New(rand.NewPCG(s.options.Seed, uint64(group)))}
+	defer c.disconnect()
 	last := "no connection"
-	for end := time.Now().Add(serveFor); time.Now().Before(end); time.Sleep(againAfter) {
+	for end := time.Now().Add(serveTimeout); time.Now().Before(end); time.Sleep(retryDelay) {
 		if !c.connect() {
 			continue
 		}
 		r, text := c.request(class, group, 2*time.Second)
-		c.ask(r, text)
+		c.execute(r, text)
 		if last = r.outcome; last == "served" {
 			return
 		}
 	}
-	s.judge.find(Finding{Rule: ruleStuck, Where: g.name, Detail: fmt.Sprintf("group %d, %s: %q after %v; %s", group, class, last, serveFor, g.current().tail())})
+	s.checker.report(ruleStuck, g.name, "group %d, %s: %q after %v; %s", group, class, last, serveTimeout, g.currentProcess().tail())
 }
--- a/internal/soak/host.go
+++ b/internal/soak/host.go
@@ -12,63 +12,64 @@
 	"cranegate/internal/fake"
 )
 
-// host is one fake database host. What it runs it counts by the requests' ids.
+// host is one fake database host. It records what it executes by the requests' ids.
 type host struct {
 	*fake.Host
-	judge   *judge
+	checker *checker
 	uid     string
 	group   int
 	address string
 
-	down atomic.Bool  // its process is gone: connections are reset
-	hang atomic.Bool  // it accepts and does nothing
-	act  atomic.Int32 // what it makes of statements: a standin.Act
+	down    atomic.Bool  // its process has ended: connections are reset
+	hanging atomic.Bool  // it accepts connections and does not answer
+	action  atomic.Int32 // a fake.Act: the result of statements
 
-	mu     sync.Mutex
-	state  string // as discovery lists it; empty: it is off the list
-	bootMS int64
-	busy   bool // a trouble has it
+	mu          sync.Mutex
+	listedState string // state in the endpoint list; empty if not listed
+	bootMS      int64
+	reserved    bool // by a fault
 }
 
 const (
-	workFor  = 10 * time.Millisecond // a statement takes it so long
-	hangLook = 5 * time.Millisecond
-	hangMost = 6 * time.Second
+	statementDuration = 10 * time.Millisecond
+	hangPollInterval  = 5 * time.Millisecond
+	maxHang           = 6 * time.Second
 )
 
 // newHost starts a host; the first of a group is its primary.
-func (s *site) newHost(group, n int) (*host, error) {
-	h := &host{Host: &fake.Host{Primary: n == 0}, judge: s.judge, uid: fmt.Sprintf("db-%d-%d", group, n), group: group, state: "SERVING"}
-	h.Act = h.decide
+func (s *scenario) newHost(group, n int) (*host, error) {
+	h := &host{Host: &fake.Host{Primary: n == 0}, checker: s.checker, uid: fmt.Sprintf("db-%d-%d", group, n), group: group, listedState: "SERVING"}
+	h.Act = h.handleStatement
 	l, err := listen()
 	if err != nil {
 		return nil, err
 	}
 	h.address = l.Addr().String()
-	s.closeWith(l)
+	s.closeAtEnd(l)
 	go fake.Accept(l, h.ServePostgres)
 	return h, nil
 }
 
-// decide works on a statement and says what becomes of it. What runs is noted as of when it came.
-func (h *host) decide(id, text string, _ bool) fake.Act {
-	came := time.Now()
-	act := h.work(text)
+// handleStatement executes a statement and returns how to answer it. An execution is recorded with the time at which
+// the statement arrived.
+func (h *host) handleStatement(id, text string, _ bool) fake.Act {
+	receivedAt := time.Now()
+	act := h.execute(text)
 	switch act {
 	case fake.Miss, fake.Reject, fake.NoCapacity, fake.InvalidStatement:
 	default:
-		h.judge.ran(h, id, came)
+		h.checker.recordExecution(h, id, receivedAt)
 	}
 	return act
 }
 
-// work takes its time, and says what becomes of a statement.
-func (h *host) work(text string) fake.Act {
-	time.Sleep(workFor)
-	for end := time.Now().Add(hangMost); h.hang.Load() && time.Now().Before(end); {
-		time.Sleep(hangLook)
+// execute spends the time of a statement and returns its result.
+func (h *host) execute(text string) fake.Act {
+	time.Sleep(statementDuration)
+	for end := time.Now().Add(maxHang); h.hanging.Load() && time.Now().Before(end); {
+		time.Sleep(hangPollInterval)
 	}
-	if act := fake.Act(h.act.Load()); act != fake.Serve {
+	if act := fake.Act(h.action.Load()); act != fake.Serve {
 		return act
 	}
 	if !h.Primary && strings.Contains(text, "INSERT") {
@@ -77,7 +78,7 @@
 	return fake.Serve
 }
 
-// target is the host's entry in the list.
+// target returns the host's entry in the endpoint list.
 func (h *host) target() (t discovery.Target, listed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,32 +86,41 @@
 	if h.Primary {
 		role = "primary"
 	}
-	return discovery.Target{UID: h.uid, Endpoint: h.address, Zone: "nuernberg", Group: h.group, State: h.state, Capacity: 1, BootMS: h.bootMS,
-		Replication: role}, h.state != ""
+	return discovery.Target{UID: h.uid, Endpoint: h.address, Zone: "nuernberg", Group: h.group, State: h.listedState, Capacity: 1, BootMS: h.bootMS,
+		Replication: role}, h.listedState != ""
 }
 
-// list changes how discovery lists the host.
-func (h *host) list(state string, bootMS int64) {
+// setListing changes the host's entry in the endpoint list.
+func (h *host) setListing(state string, bootMS int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.state, h.bootMS = state, bootMS
+	h.listedState, h.bootMS = state, bootMS
 }
 
-// boot is when the host's process started, in Unix milliseconds; 0: long ago.
-func (h *host) boot() int64 { h.mu.Lock(); defer h.mu.Unlock(); return h.bootMS }
+// bootTimeMS returns when the host's process started, in Unix milliseconds; 0 means long ago.
+func (h *host) bootTimeMS() int64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.bootMS
+}
 
-// take reserves the host for one trouble, if none has it.
-func (h *host) take() bool {
+// tryReserve reserves the host for one fault. It returns false if it is reserved already.
+func (h *host) tryReserve() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.busy {
+	if h.reserved {
 		return false
 	}
-	h.busy = true
+	h.reserved = true
 	return true
 }
 
-func (h *host) release() { h.mu.Lock(); defer h.mu.Unlock(); h.busy = false }
+// release ends the reservation of the host.
+func (h *host) release() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.reserved = false
+}
 
 // listen opens a listener on a loopback address of its own.
 func listen() (*net.TCPListener, error) {
--- a/internal/soak/lag.go
+++ b/internal/soak/lag.go
@@ -6,22 +6,24 @@
 	"time"
 )
 
-// lagMeter measures how long the machine holds this process up: as long as it does, it may hold up what is judged.
+// lagMeter measures by how much the machine delays this process. The processes under test may be delayed as much, so
+// the checks in time allow for it.
 type lagMeter struct{ longest atomic.Int64 }
 
-const lagEvery = 5 * time.Millisecond
+// lagSampleInterval is the intended sleep between two samples.
+const lagSampleInterval = 5 * time.Millisecond
 
-// run measures until the context ends.
+// run samples until ctx ends.
 func (l *lagMeter) run(ctx context.Context) {
 	for last := time.Now(); ctx.Err() == nil; {
-		time.Sleep(lagEvery)
+		time.Sleep(lagSampleInterval)
 		now := time.Now()
-		if late := int64(now.Sub(last) - lagEvery); late > l.longest.Load() {
+		if late := int64(now.Sub(last) - lagSampleInterval); late > l.longest.Load() {
 			l.longest.Store(late)
 		}
 		last = now
 	}
 }
 
-// most is the longest hold-up so far.
-func (l *lagMeter) most() time.Duration { return time.Duration(l.longest.Load()) }
+// max returns the longest delay so far.
+func (l *lagMeter) max() time.Duration { return time.Duration(l.longest.Load()) }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -10,47 +10,47 @@
 	"time"
 )
 
-// proxy is the way from one gateway to one host. It hears which requests pass.
+// proxy forwards the connections of one gateway to one host and records the requests that pass.
 type proxy struct {
-	site    *site
-	gateway *gateway
-	host    *host
-	address string
+	scenario *scenario
+	gateway  *gateway
+	host     *host
+	address  string
 
-	mu      sync.Mutex
-	conns   map[net.Conn]bool
-	late    time.Duration // connections come up so late
-	stalled chan struct{} // closed at the end of a stall; nil: bytes pass
+	mu           sync.Mutex
+	conns        map[net.Conn]bool
+	connectDelay time.Duration // delay of new connections
+	stalled      chan struct{} // closed at the end of a stall; nil while bytes pass
 }
 
-// statementHead is how a statement on its way to a host opens.
+// statementHead matches the comment at the start of a statement to a host.
 var statementHead = regexp.MustCompile(`/\* id=([^,]+),c=([^,]+),d=(\d+)`)
 
-// newProxy starts the way from a gateway to a host.
-func (s *site) newProxy(g *gateway, h *host) (*proxy, error) {
+// newProxy starts a proxy from a gateway to a host.
+func (s *scenario) newProxy(g *gateway, h *host) (*proxy, error) {
 	l, err := listen()
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{site: s, gateway: g, host: h, address: l.Addr().String(), conns: map[net.Conn]bool{}}
-	s.closeWith(l)
+	p := &proxy{scenario: s, gateway: g, host: h, address: l.Addr().String(), conns: map[net.Conn]bool{}}
+	s.closeAtEnd(l)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go p.pass(c)
+			go p.serve(c)
 		}
 	}()
 	return p, nil
 }
 
-// pass serves one connection.
-func (p *proxy) pass(from net.Conn) {
+// serve forwards one connection.
+func (p *proxy) serve(from net.Conn) {
 	defer from.Close()
 	p.mu.Lock()
-	late := p.late
+	delay := p.connectDelay
 	p.conns[from] = true
 	p.mu.Unlock()
 	defer func() {
@@ -58,7 +58,7 @@
 		defer p.mu.Unlock()
 		delete(p.conns, from)
 	}()
-	time.Sleep(late)
+	time.Sleep(delay)
 	if p.host.down.Load() {
 		reset(from)
 		return
@@ -69,27 +69,28 @@
 		return
 	}
 	defer to.Close()
-	defer context.AfterFunc(p.site.ctx, func() { from.Close() })()
+	defer context.AfterFunc(p.scenario.ctx, func() { from.Close() })()
 	go func() {
-		p.copy(from, to, nil)
+		p.forward(from, to, nil)
 		from.Close()
 	}()
-	p.copy(to, from, p.hear)
+	p.forward(to, from, p.recordRequests)
 }
 
-// copy passes bytes on, but while the way is stalled, and has them heard before.
-func (p *proxy) copy(to, from net.Conn, hear func([]byte)) {
-	b := make([]byte, 32<<10)
+// forward copies bytes in one direction until an error, waiting while the proxy is stalled. It shows them to inspect
+// first.
+func (p *proxy) forward(to, from net.Conn, inspect func([]byte)) {
+	buffer := make([]byte, 32<<10)
 	for {
-		n, err := from.Read(b)
-		if n > 0 && hear != nil {
-			hear(b[:n])
+		count, err := from.Read(buffer)
+		if count > 0 && inspect != nil {
+			inspect(buffer[:count])
 		}
-		if stalled := p.stall(); n > 0 && stalled != nil {
+		if stalled := p.stallChannel(); count > 0 && stalled != nil {
 			<-stalled
 		}
-		if n > 0 {
-			if _, werr := to.Write(b[:n]); werr != nil {
+		if count > 0 {
+			if _, werr := to.Write(buffer[:count]); werr != nil {
 				return
 			}
 		}
@@ -103,17 +104,21 @@
 	}
 }
 
-// hear has the judge take the requests that pass.
-func (p *proxy) hear(b []byte) {
+// recordRequests records the requests that start in data.
+func (p *proxy) recordRequests(data []byte) {
 	now := time.Now()
-	for _, m := range statementHead.FindAllSubmatch(b, -1) {
-		left, _ := strconv.Atoi(string(m[3]))
-		p.site.judge.arrived(arrival{gateway: p.gateway, host: p.host, id: string(m[1]), class: string(m[2]), at: now,
-			left: time.Duration(left) * time.Millisecond})
+	for _, match := range statementHead.FindAllSubmatch(data, -1) {
+		remainingMS, _ := strconv.Atoi(string(match[3]))
+		p.scenario.checker.recordArrival(arrival{gateway: p.gateway, host: p.host, id: string(match[1]), class: string(match[2]), at: now,
+			remaining: time.Duration(remainingMS) * time.Millisecond})
 	}
 }
 
-func (p *proxy) stall() chan struct{} { p.mu.Lock(); defer p.mu.Unlock(); return p.stalled }
+func (p *proxy) stallChannel() chan struct{} {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.stalled
+}
 
 // setStalled begins or ends a stall.
 func (p *proxy) setStalled(on bool) {
@@ -127,9 +132,13 @@
 	}
 }
 
-func (p *proxy) setLate(late time.Duration) { p.mu.Lock(); defer p.mu.Unlock(); p.late = late }
+func (p *proxy) setConnectDelay(delay time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.connectDelay = delay
+}
 
-// resetAll resets all connections, whatever is under way on them.
+// resetAll resets all connections of the proxy.
 func (p *proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,7 +147,7 @@
 	}
 }
 
-// reset ends a connection as a process that dies does.
+// reset closes a connection with a TCP reset, as when a process dies.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,106 +1,118 @@
-// Package soak plays real processes of the gateway on loopback under drawn troubles, and judges from outside what they do.
+// Package soak runs real gateway processes on loopback under randomised faults and checks their behaviour from outside.
 //
-// A run has a fleet of gateway processes, fake database hosts, a proxy for each way from a gateway to a host, an agent of
-// discovery for each gateway, and clients of several kinds. From its seed it draws knots: two or three troubles on related
-// targets that begin within a moment of each other. What happened is judged by what the proxies heard, what clients were
-// answered, how processes ended, and the violations that the gateways counted themselves. The draw is repeatable; the machine's
-// timing is not, so that a finding names its seed as a place to look, not as a proof that it comes again.
+// A run has a fleet of gateway processes, fake database hosts, a proxy for each pair of gateway and host, discovery agents for each
+// gateway, and clients of several kinds. From its seed it draws fault groups: two or three faults on related targets that begin
+// within a moment of each other. The checks use what the proxies saw, what clients were answered, how processes ended, and the
+// violations that the gateways counted themselves. The draw is repeatable; the machine's timing is not, so that the seed of a
+// finding is a place to look, not a proof that it occurs again.
 package soak
 
 import (
 	"context"
+	"cranegate/internal/discovery"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"os"
 	"sync"
 	"time"
-
-	"cranegate/internal/discovery"
 )
 
-// Options of a run.
+// Options are the parameters of a run.
 type Options struct {
 	Program  string // the gateway's binary
 	Seed     uint64
 	Gateways int
 	Groups   int
 	Replicas int // hosts of a group beside its primary
-	Clients  int // patient clients of each gateway
-	For      time.Duration
-	Only     []string // the kinds of troubles that are drawn; none: all
-	Keep     string   // a folder for the gateways' logs; empty: they are dropped
+	Clients  int // regular clients of each gateway
+	Duration time.Duration
+	Only     []string // the kinds of faults to draw from; empty means all
+	LogDir   string   // folder for the gateways' logs; empty means that they are discarded
 }
 
-// Short is the form for CI, and Long the one for a command: a few dozen processes.
+// Short is the size for CI; Long, with a few dozen processes, the one for the command line.
 var (
-	Short = Options{Gateways: 6, Groups: 2, Replicas: 2, Clients: 3, For: 8 * time.Second}
-	Long  = Options{Gateways: 24, Groups: 3, Replicas: 2, Clients: 2, For: 30 * time.Second}
+	Short = Options{Gateways: 6, Groups: 2, Replicas: 2, Clients: 3, Duration: 8 * time.Second}
+	Long  = Options{Gateways: 24, Groups: 3, Replicas: 2, Clients: 2, Duration: 30 * time.Second}
 )
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed      uint64
-	Processes int            // that were started
-	Troubles  map[string]int // begun, by kind
-	Outcomes  map[string]int // of requests, by answer
+	Processes int            // number of processes started
+	Faults    map[string]int // number of faults begun, by kind
+	Outcomes  map[string]int // number of requests, by outcome
 	Findings  []Finding
-	Lag       time.Duration // the longest that this process was held up; bounds in time are widened by it
+	MaxLag    time.Duration // longest delay of this process by the machine; bounds in time are widened by it
 }
 
-// site is everything of one run.
-type site struct {
-	opt       Options
+// scenario holds everything that belongs to one run.
+type scenario struct {
+	options   Options
 	dir       string
-	began     time.Time
-	ctx       context.Context // of hosts, proxies, agents and clients
+	startedAt time.Time
+	ctx       context.Context // ends hosts, proxies, agents and clients
 	directory *directory
 	hosts     []*host
 	gateways  []*gateway
-	judge     *judge
+	checker   *checker
 	lag       lagMeter
 
-	mu       sync.Mutex
-	troubles map[string]int
-	started  int // processes
+	mu           sync.Mutex
+	faultCounts  map[string]int
+	processCount int
 }
 
 const (
-	settleFor = 2 * time.Second  // from the end of the last trouble till the fleet is asked to serve
-	serveFor  = 15 * time.Second // in which each gateway then serves each group
+	settleDelay  = 2 * time.Second  // between the end of the last fault and the final check
+	serveTimeout = 15 * time.Second // for each gateway to serve each group in the final check
 )
 
-// Run plays one run. An error says that it could not be played; what the gateways did wrong stands in the report.
-func Run(ctx context.Context, opt Options) (*Report, error) {
+// Run performs one run. An error means that the run could not be set up; what the gateways did wrong is in the report.
+func Run(ctx context.Context, options Options) (*Report, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
-		return nil, fmt.Errorf("making a folder for the run: %w", err)
+		return nil, fmt.Errorf("creating a directory for the run: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s := &site{opt: opt, dir: dir, began: time.Now(), ctx: ctx, troubles: map[string]int{}, directory: &directory{}}
-	s.judge = newJudge(s)
+	s := &scenario{
+		options:     options,
+		dir:         dir,
+		startedAt:   time.Now(),
+		ctx:         ctx,
+		directory:   &directory{},
+		faultCounts: map[string]int{},
+	}
+	s.checker = newChecker(s)
 	go s.lag.run(ctx)
 	defer s.killAll()
-	if err := s.build(); err != nil {
+	if err := s.startAll(); err != nil {
 		return nil, err
 	}
 	stopClients := s.startClients()
-	s.play(rand.New(rand.NewPCG(opt.Seed, 40)))
-	time.Sleep(settleFor)
-	s.checkServes()
+	s.injectFaults(rand.New(rand.NewPCG(options.Seed, 40)))
+	time.Sleep(settleDelay)
+	s.checkServing()
 	stopClients()
 	s.stopAll()
-	s.judge.conclude()
-	return &Report{Seed: opt.Seed, Processes: s.started, Troubles: s.troubles, Outcomes: s.judge.outcomes(), Findings: s.judge.findings(),
-		Lag: s.lag.most()}, nil
+	s.checker.checkAll()
+	return &Report{
+		Seed:      options.Seed,
+		Processes: s.processCount,
+		Faults:    s.faultCounts,
+		Outcomes:  s.checker.outcomes(),
+		Findings:  s.checker.findings(),
+		MaxLag:    s.lag.max(),
+	}, nil
 }
 
-// build makes the hosts, then the gateways with their surroundings, and waits until all of them serve.
-func (s *site) build() error {
-	for group := range s.opt.Groups {
-		for n := range s.opt.Replicas + 1 {
+// startAll starts the hosts, then the gateways with their surroundings, and waits until every gateway is ready.
+func (s *scenario) startAll() error {
+	for group := range s.options.Groups {
+		for n := range s.options.Replicas + 1 {
 			h, err := s.newHost(group, n)
 			if err != nil {
 				return err
@@ -109,7 +121,7 @@
 		}
 	}
 	s.directory.set(s.targets())
-	for i := range s.opt.Gateways {
+	for i := range s.options.Gateways {
 		g, err := s.newGateway(i)
 		if err != nil {
 			return err
@@ -120,35 +132,35 @@
 		}
 	}
 	for _, g := range s.gateways {
-		if !g.current().ready(s.ctx) {
-			return fmt.Errorf("gateway %s does not get ready: %s", g.name, g.current().tail())
+		if !g.currentProcess().waitReady(s.ctx) {
+			return fmt.Errorf("gateway %s does not get ready: %s", g.name, g.currentProcess().tail())
 		}
 	}
 	return nil
 }
 
-// targets is the list as the hosts stand.
-func (s *site) targets() []discovery.Target {
-	var all []discovery.Target
+// targets returns the current endpoint list.
+func (s *scenario) targets() []discovery.Target {
+	var listed []discovery.Target
 	for _, h := range s.hosts {
-		if t, listed := h.target(); listed {
-			all = append(all, t)
+		if target, ok := h.target(); ok {
+			listed = append(listed, target)
 		}
 	}
-	return all
+	return listed
 }
 
-// count notes that a trouble has begun.
-func (s *site) count(kind string) {
+// countFault counts a fault that has begun.
+func (s *scenario) countFault(kind string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.troubles[kind]++
+	s.faultCounts[kind]++
 }
 
-// Print writes a report for people.
+// Print writes the report as text.
 func (r *Report) Print(w io.Writer) {
-	fmt.Fprintf(w, "seed %d: %d processes, requests %v, troubles %v, held up %v at most\n", r.Seed, r.Processes, r.Outcomes, r.Troubles,
-		r.Lag.Round(time.Millisecond))
+	fmt.Fprintf(w, "seed %d: %d processes, requests %v, faults %v, maximum lag %v\n", r.Seed, r.Processes, r.Outcomes, r.Faults,
+		r.MaxLag.Round(time.Millisecond))
 	for _, f := range r.Findings {
 		fmt.Fprintf(w, "  FOUND %s\n", f)
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -8,48 +8,49 @@
 	"time"
 )
 
-// play plays the short form once, and returns what was found.
-func play(t *testing.T, seed uint64, lasts time.Duration, defect *Defect) []Finding {
+// runShort performs one run of the short form and returns its findings.
+func runShort(t *testing.T, seed uint64, duration time.Duration, defect *Defect) []Finding {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer cancel()
-	o := Short
-	o.Seed, o.For = seed, lasts
+	options := Short
+	options.Seed, options.Duration = seed, duration
 	if defect != nil {
-		o.Only = defect.Only
+		options.Only = defect.Only
 	}
 	var err error
-	if o.Program, err = Build(ctx, t.TempDir(), defect); err != nil {
+	if options.Program, err = Build(ctx, t.TempDir(), defect); err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(ctx, o)
+	report, err := Run(ctx, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Print(os.Stdout)
-	return r.Findings
+	report.Print(os.Stdout)
+	return report.Findings
 }
 
-// TestSoak plays the short form with one seed; cranelab soak plays more, and the long form.
+// TestSoak runs the short form with one seed; cranelab soak runs more seeds, and the long form.
 func TestSoak(t *testing.T) {
-	for _, f := range play(t, 14, Short.For, nil) {
+	for _, f := range runShort(t, 14, Short.Duration, nil) {
 		t.Error(f)
 	}
 }
 
-// TestSoakFindsDefect puts a defect into the gateway, which the run has to find, from outside and by the gateway's own count.
+// TestSoakFindsDefect runs a gateway with a deliberate defect: the checks from outside and the gateway's own invariants must both
+// detect it.
 func TestSoakFindsDefect(t *testing.T) {
 	defect, err := FindDefect("sends-to-draining")
 	if err != nil {
 		t.Fatal(err)
 	}
-	rules := Rules(play(t, 21, Short.For/2, defect))
+	rules := Rules(runShort(t, 21, Short.Duration/2, defect))
 	if !slices.Contains(rules, ruleViolation) || !slices.Contains(rules, ruleDrain) && !slices.Contains(rules, ruleDeaf) {
-		t.Errorf("the defect was not found from outside and by the gateways: %v", rules)
+		t.Errorf("the defect was not found by the checks from outside and by the gateways: %v", rules)
 	}
 }
 
-// TestDefectsApply holds that each defect still changes what it means to change.
+// TestDefectsApply checks that the edits of each defect still match the source.
 func TestDefectsApply(t *testing.T) {
 	for i := range Defects {
 		if _, err := Defects[i].overlay(context.Background(), t.TempDir()); err != nil {
