--- a/internal/processtest/harness_test.go
+++ b/internal/processtest/harness_test.go
@@ -1,6 +1,6 @@
-// Package processtest plays day-to-day service with real processes of the program on loopback, and with faults: upgrades,
-// kills and stops at each step, calls of staff, and faulty files. What may never happen is judged strictly; what has to
-// happen has a wide bound in time, so that a busy machine changes no verdict.
+// Package processtest tests the operation of real gateway processes on loopback, with and without faults: upgrades, kills and stops
+// at each step, administrative calls, and invalid files. What must never happen is checked strictly; what must happen eventually
+// has a generous timeout, so that a busy machine does not change a result.
 package processtest
 
 import (
@@ -22,17 +22,16 @@
 )
 
 const (
-	patience = 90 * time.Second // for what has to happen in the end; a busy machine has kept a start waiting for 25 s
-	groups   = 2
-	each     = 3 // hosts of a group; the first is the primary
+	eventualTimeout = 90 * time.Second // a start has taken 25 s on a busy machine
+	groupCount      = 2
+	hostsPerGroup   = 3 // the first is the primary
 )
 
-var (
-	program string
-)
+// program is the path of the gateway's binary.
+var program string
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "optest")
+	dir, err := os.MkdirTemp("", "processtest")
 	if err != nil {
 		panic(err)
 	}
@@ -48,8 +47,8 @@
 	os.Exit(code)
 }
 
-// free gives an address on which nothing listens.
-func free(t *testing.T) string {
+// freeAddress returns an address on which nothing listens.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := fake.FreeAddress()
 	if err != nil {
@@ -58,9 +57,10 @@
 	return address
 }
 
+// listen opens a listener that is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
-	l, err := net.Listen("tcp", free(t))
+	l, err := net.Listen("tcp", freeAddress(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,132 +68,156 @@
 	return l
 }
 
-// arrival is a request that a host got.
+// arrival is the arrival of a request at a host.
 type arrival struct {
 	id string
 	at time.Time
 }
 
-// host is a stand-in database host that keeps what it got, and when.
+// host is a fake database host that records the requests it receives.
 type host struct {
 	*fake.Host
 	uid string
 
-	mu  sync.Mutex
-	got []arrival
+	mu       sync.Mutex
+	received []arrival
 }
 
+// arrivals returns the requests received so far.
 func (h *host) arrivals() []arrival {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.got[:len(h.got):len(h.got)]
+	return h.received[:len(h.received):len(h.received)]
 }
 
-// rig is one gateway with its surroundings: hosts, discovery, the listening socket, the folder.
-type rig struct {
-	t         *testing.T
-	hosts     []*host
-	targets   []discovery.Target
-	discovery *fake.Discovery
-	mute      atomic.Bool // discovery answers nothing
-	passed    *net.TCPListener
-	path, dir string
-	procs     []*process
-	attempts  int      // of a request that may be repeated, at most
-	logs      *os.File // where the next processes write; nil: they are kept
+// harness is one gateway with its surroundings: hosts, discovery, the listening socket and the state directory.
+type harness struct {
+	t             *testing.T
+	hosts         []*host
+	targets       []discovery.Target
+	discovery     *fake.Discovery
+	discoveryHung atomic.Bool // discovery answers nothing
+	listener      *net.TCPListener
+	configPath    string
+	stateDir      string
+	processes     []*process
+	maxAttempts   int      // of an idempotent request
+	logOutput     *os.File // log of the next processes; nil: logBuffer
 }
 
-// ran is how often a request has run, at all hosts.
-func (r *rig) ran(id string) (n int) {
-	for _, h := range r.hosts {
-		n += h.Ran(id)
+// executions returns how often a request was executed, on all hosts.
+func (h *harness) executions(id string) (n int) {
+	for _, host := range h.hosts {
+		n += host.Ran(id)
 	}
 	return n
 }
 
-// newRig makes the surroundings; sockets are what a process may use, and change may alter the settings.
-func newRig(t *testing.T, sockets int, change ...func(settings map[string]any)) *rig {
-	r := &rig{t: t, discovery: &fake.Discovery{}, dir: t.TempDir(), passed: listen(t).(*net.TCPListener)}
-	for i := range groups * each {
-		h := &host{Host: &fake.Host{Primary: i%each == 0}, uid: fmt.Sprintf("db-%d-%d", i/each, i%each)}
-		h.Act = func(id, text string, prepare bool) fake.Act {
-			h.mu.Lock()
-			h.got = append(h.got, arrival{id, time.Now()})
-			h.mu.Unlock()
-			if !h.Primary && strings.Contains(text, "INSERT") {
-				return fake.Miss
-			}
-			return fake.Serve
-		}
-		l := listen(t)
-		go fake.Accept(l, h.ServePostgres)
-		role := "standby"
-		if h.Primary {
-			role = "primary"
-		}
-		r.hosts = append(r.hosts, h)
-		r.targets = append(r.targets, discovery.Target{UID: h.uid, Endpoint: l.Addr().String(), Zone: "nuernberg", Group: i / each,
-			State: "SERVING", Capacity: 1, Replication: role})
+// newHarness creates the surroundings of a gateway whose processes may use maxSockets descriptors. The options alter its settings.
+func newHarness(t *testing.T, maxSockets int, options ...func(settings map[string]any)) *harness {
+	h := &harness{t: t, discovery: &fake.Discovery{}, stateDir: t.TempDir(), listener: listen(t).(*net.TCPListener)}
+	for i := range groupCount * hostsPerGroup {
+		h.addHost(i/hostsPerGroup, i%hostsPerGroup)
 	}
-	r.discovery.Set(r.targets)
+	h.discovery.Set(h.targets)
 	agent := listen(t)
-	go http.Serve(agent, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		for r.mute.Load() {
-			select {
-			case <-q.Context().Done():
-				return
-			case <-time.After(5 * time.Millisecond):
-			}
+	go http.Serve(agent, http.HandlerFunc(h.serveDiscovery))
+	h.writeConfig(agent.Addr().String(), maxSockets, options)
+	startedAt := time.Now()
+	t.Cleanup(func() { h.cleanUp(startedAt) })
+	return h
+}
+
+// addHost starts the nth host of a group and adds it to the endpoint list. It rejects writes unless it is the primary, the first
+// of its group.
+func (h *harness) addHost(group, n int) {
+	server := &host{Host: &fake.Host{Primary: n == 0}, uid: fmt.Sprintf("db-%d-%d", group, n)}
+	server.Act = func(id, text string, prepare bool) fake.Act {
+		server.mu.Lock()
+		server.received = append(server.received, arrival{id, time.Now()})
+		server.mu.Unlock()
+		if !server.Primary && strings.Contains(text, "INSERT") {
+			return fake.Miss
+		}
+		return fake.Serve
+	}
+	l := listen(h.t)
+	go fake.Accept(l, server.ServePostgres)
+	role := "standby"
+	if server.Primary {
+		role = "primary"
+	}
+	h.hosts = append(h.hosts, server)
+	h.targets = append(h.targets, discovery.Target{UID: server.uid, Endpoint: l.Addr().String(), Zone: "nuernberg", Group: group,
+		State: "SERVING", Capacity: 1, Replication: role})
+}
+
+// serveDiscovery answers a call to discovery, once it is not hung.
+func (h *harness) serveDiscovery(w http.ResponseWriter, r *http.Request) {
+	for h.discoveryHung.Load() {
+		select {
+		case <-r.Context().Done():
+			return
+		case <-time.After(5 * time.Millisecond):
 		}
-		r.discovery.ServeHTTP(w, q)
-	}))
-	text, err := os.ReadFile("../../examples/config.json")
+	}
+	h.discovery.ServeHTTP(w, r)
+}
+
+// writeConfig writes the example configuration with the harness's addresses, limits and settings.
+func (h *harness) writeConfig(discoveryAddress string, maxSockets int, options []func(settings map[string]any)) {
+	example, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
-		t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	var config map[string]any
-	if err := json.Unmarshal(text, &config); err != nil {
-		t.Fatal(err)
+	if err := json.Unmarshal(example, &config); err != nil {
+		h.t.Fatal(err)
 	}
 	settings := config["settings"].(map[string]any)
-	r.attempts = int(settings["policyLimits"].(map[string]any)["maxAttempts"].(float64))
-	for _, f := range change {
-		f(settings)
-	}
-	config["listen"], config["discovery"] = r.passed.Addr().String(), agent.Addr().String()
-	config["known"] = discovery.Snapshot{Rev: 0, All: true, Targets: r.targets}
-	config["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": sockets}
-	text, _ = json.Marshal(config)
-	r.path = filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(r.path, text, 0o600); err != nil {
-		t.Fatal(err)
+	h.maxAttempts = int(settings["policyLimits"].(map[string]any)["maxAttempts"].(float64))
+	for _, option := range options {
+		option(settings)
 	}
-	born := time.Now()
-	t.Cleanup(func() {
-		for _, p := range r.procs {
-			p.cmd.Process.Kill() // also one that is stopped
-			<-p.ended
-		}
-		for i, p := range r.procs {
-			if n := p.said("violation"); n > 0 {
-				t.Errorf("process %d: %d violations of the rules in its log", i, n)
-			}
-		}
-		if t.Failed() || time.Since(born) > patience/2 {
-			for i, p := range r.procs {
-				t.Logf("process %d:\n%s", i, p.log())
-			}
+	config["listen"] = h.listener.Addr().String()
+	config["discovery"] = discoveryAddress
+	config["known"] = discovery.Snapshot{Rev: 0, All: true, Targets: h.targets}
+	config["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": maxSockets}
+	text, err := json.Marshal(config)
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	h.configPath = filepath.Join(h.t.TempDir(), "config.json")
+	if err := os.WriteFile(h.configPath, text, 0o600); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+// cleanUp kills all processes and checks that none has logged a violation. It prints the logs of a failed or slow test.
+func (h *harness) cleanUp(startedAt time.Time) {
+	for _, p := range h.processes {
+		p.cmd.Process.Kill() // also ends a stopped process
+		<-p.exited
+	}
+	for i, p := range h.processes {
+		if n := p.eventCount("violation"); n > 0 {
+			h.t.Errorf("process %d: %d violations in its log", i, n)
 		}
-	})
-	return r
+	}
+	if !h.t.Failed() && time.Since(startedAt) <= eventualTimeout/2 {
+		return
+	}
+	for i, p := range h.processes {
+		h.t.Logf("process %d:\n%s", i, p.logText())
+	}
 }
 
-// until waits for what has to happen in the end.
-func (r *rig) until(what string, ok func() bool) {
-	r.t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+// eventually waits until ok returns true and fails the test after eventualTimeout.
+func (h *harness) eventually(what string, ok func() bool) {
+	h.t.Helper()
+	for end := time.Now().Add(eventualTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("it does not come to pass: %s", what)
+			h.t.Fatalf("not within %v: %s", eventualTimeout, what)
 		}
 	}
 }
--- a/internal/processtest/load_test.go
+++ b/internal/processtest/load_test.go
@@ -5,60 +5,55 @@
 	"net"
 	"strings"
 	"sync"
-	"testing"
 	"time"
 
 	"cranegate/internal/fake"
 )
 
-// asked is one request of a client with what came of it.
-type asked struct {
-	began   time.Time
-	dialled time.Time // when its connection was begun
-	write   bool
-	unheard bool // its connection ended with no byte of an answer
-	outcome string
-	took    time.Duration // till its answer
+// loadRequest is one request of a load client and its result.
+type loadRequest struct {
+	sentAt      time.Time
+	connectedAt time.Time // when its connection was begun
+	write       bool
+	unanswered  bool // its connection ended before the first byte of an answer
+	outcome     string
+	latency     time.Duration // until its answer
 }
 
-// load is clients that ask again and again.
+// outcomeTruncated is the outcome of a request whose answer was not complete.
+const outcomeTruncated = "truncated"
+
+// load is a set of clients that send one request after the other.
 type load struct {
-	r       *rig
+	harness *harness
 	clients int
 	stop    chan struct{}
 	group   sync.WaitGroup
 	once    sync.Once
 
-	mu     sync.Mutex
-	asked  map[string]*asked
-	served []int // by client
-	out    []out
-	faults []string
-}
-
-// out is a host that may get nothing for a time.
-type out struct {
-	h           *host
-	since, till time.Time // zero till: to the end
+	mu         sync.Mutex
+	requests   map[string]*loadRequest
+	served     []int // number of requests, by client
+	exclusions []exclusion
+	errors     []string // of single requests
 }
 
-const leastWait = 350 * time.Millisecond // what a request has at least before its time is over, also as a process ends
-
-const inFlight = time.Second // a host may read so late what was sent before; on loopback it takes far less
-
-// unhurried gives all classes time that no busy machine uses up, where each request has to be served: one whose time is over
-// is refused with right. The statements have to be unhurried too.
-func unhurried(settings map[string]any) {
+// withLongTimeouts gives all classes deadlines that do not pass on a busy machine, for tests in which each request must be served. It
+// goes with longTimeoutStatement.
+func withLongTimeouts(settings map[string]any) {
 	for _, c := range settings["classes"].([]any) {
-		c := c.(map[string]any)
-		c["aimS"], c["deadlineS"] = patience.Seconds()/4, patience.Seconds()/4
+		class := c.(map[string]any)
+		class["aimS"] = eventualTimeout.Seconds() / 4
+		class["deadlineS"] = eventualTimeout.Seconds() / 4
 	}
 }
 
-func unhurriedStatement(id string, group int, write bool) string {
-	return strings.Replace(statement(id, group, write), "d=2000", fmt.Sprint("d=", (patience/4).Milliseconds()), 1)
+// longTimeoutStatement returns a statement with the timeout of withLongTimeouts.
+func longTimeoutStatement(id string, group int, write bool) string {
+	return strings.Replace(statement(id, group, write), "d=2000", fmt.Sprint("d=", (eventualTimeout/4).Milliseconds()), 1)
 }
 
+// statement returns a statement with a timeout of 2 s.
 func statement(id string, group int, write bool) string {
 	if write {
 		return fmt.Sprintf("/* id=%s,c=zusage,d=2000,cluster=%d */ INSERT INTO records (k) VALUES ('%s')", id, group, id)
@@ -66,33 +61,39 @@
 	return fmt.Sprintf("/* id=%s,c=platzsuche,d=2000,cluster=%d */ SELECT v FROM records WHERE k = '%s'", id, group, id)
 }
 
-// newLoad starts clients; the pause follows each answer.
-func (r *rig) newLoad(clients int, pause time.Duration) *load {
-	l := &load{r: r, clients: clients, stop: make(chan struct{}), asked: map[string]*asked{}, served: make([]int, clients)}
+// startLoad starts clients that pause after each answer.
+func (h *harness) startLoad(clients int, pause time.Duration) *load {
+	l := &load{harness: h, clients: clients, stop: make(chan struct{}), requests: map[string]*loadRequest{}, served: make([]int, clients)}
 	for i := range clients {
-		l.group.Go(func() { l.client(i, pause+time.Duration(i)*pause/time.Duration(clients)) })
+		client := &loadClient{load: l, index: i, pause: pause + time.Duration(i)*pause/time.Duration(clients)}
+		l.group.Go(client.run)
 	}
-	r.t.Cleanup(l.end)
+	h.t.Cleanup(l.end)
 	return l
 }
 
-func (l *load) end() { l.once.Do(func() { close(l.stop) }); l.group.Wait() }
+// end stops the clients and waits for them.
+func (l *load) end() {
+	l.once.Do(func() { close(l.stop) })
+	l.group.Wait()
+}
 
-func (l *load) fault(format string, args ...any) {
+// reportError keeps the first 20 errors for check.
+func (l *load) reportError(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.faults) < 20 {
-		l.faults = append(l.faults, fmt.Sprintf(format, args...))
+	if len(l.errors) < 20 {
+		l.errors = append(l.errors, fmt.Sprintf(format, args...))
 	}
 }
 
-// dial starts up a connection with the gateway.
-func (r *rig) dial() (*fake.PostgresClient, error) {
-	raw, err := net.Dial("tcp", r.passed.Addr().String())
+// dial opens a connection to the gateway.
+func (h *harness) dial() (*fake.PostgresClient, error) {
+	raw, err := net.Dial("tcp", h.listener.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	raw.SetDeadline(time.Now().Add(patience))
+	raw.SetDeadline(time.Now().Add(eventualTimeout))
 	c, err := fake.DialPostgres(raw, "")
 	if err != nil {
 		raw.Close()
@@ -101,88 +102,119 @@
 	return c, nil
 }
 
-// client asks until the end. What was turned back is asked again under a new id, as it may have run.
-func (l *load) client(i int, pause time.Duration) {
-	var c *fake.PostgresClient
-	var dialled time.Time
-	drop := func() {
-		if c != nil {
-			c.Close()
-		}
-		c = nil
-	}
-	defer drop()
-	for n := 0; ; n++ {
+// loadClient is one client of a load.
+type loadClient struct {
+	load        *load
+	index       int
+	pause       time.Duration
+	conn        *fake.PostgresClient
+	connectedAt time.Time // when conn was begun
+}
+
+// run sends requests until the load ends. A request that was not answered is not repeated, as it may have run.
+func (c *loadClient) run() {
+	defer c.disconnect()
+	for attempt := 0; ; attempt++ {
 		select {
-		case <-l.stop:
+		case <-c.load.stop:
 			return
-		case <-time.After(pause):
-		}
-		if c != nil && !c.Alive() { // closed between requests: none was turned back
-			drop()
-		}
-		id := fmt.Sprintf("c%d-%d", i, n)
-		a := &asked{write: n%3 == 0, dialled: dialled}
-		var err error
-		if c == nil {
-			dialled = time.Now()
-			a.dialled, a.began = dialled, dialled
-			c, err = l.r.dial()
-			if took := time.Since(dialled); took > patience/2 {
-				l.fault("%s: connecting took %v", id, took)
-			}
-			if err != nil {
-				a.unheard = true
-				l.keep(id, a)
-				continue
-			}
-		}
-		c.Conn.Conn.SetDeadline(time.Now().Add(patience))
-		a.began = time.Now()
-		l.keep(id, a)
-		reply, err := c.Ask(statement(id, (i+n)%groups, a.write))
-		if err == nil && c.Buffered() > 0 {
-			l.fault("%s: something follows its answer", id)
-		}
-		if err == nil && reply.Outcome == "served" && reply.Value != "value of "+id {
-			l.fault("%s: it has the answer %q", id, reply.Value)
-		}
-		if took := time.Since(a.began); took > patience/2 {
-			l.fault("%s: it took %v", id, took)
+		case <-time.After(c.pause):
 		}
-		l.mu.Lock()
-		a.took = time.Since(a.began)
-		switch {
-		case err == nil:
-			a.outcome = reply.Outcome
-		case reply == (fake.Reply{}):
-			a.unheard = true
-		default:
-			a.outcome = "cut"
-		}
-		if a.outcome == "served" {
-			l.served[i]++
+		if c.conn != nil && !c.conn.Alive() { // closed between requests: none was in flight
+			c.disconnect()
 		}
-		l.mu.Unlock()
-		if err != nil {
-			drop()
+		id := fmt.Sprintf("c%d-%d", c.index, attempt)
+		request := &loadRequest{write: attempt%3 == 0}
+		if c.conn == nil && !c.connect(id, request) {
+			continue
 		}
+		c.send(id, (c.index+attempt)%groupCount, request)
+	}
+}
+
+func (c *loadClient) disconnect() {
+	if c.conn != nil {
+		c.conn.Close()
+	}
+	c.conn = nil
+}
+
+// connect connects for a request. If that fails it records the request as unanswered and returns false.
+func (c *loadClient) connect(id string, request *loadRequest) bool {
+	c.connectedAt = time.Now()
+	conn, err := c.load.harness.dial()
+	if took := time.Since(c.connectedAt); took > eventualTimeout/2 {
+		c.load.reportError("%s: connecting took %v", id, took)
+	}
+	if err != nil {
+		request.connectedAt = c.connectedAt
+		request.sentAt = c.connectedAt
+		request.unanswered = true
+		c.load.record(id, request)
+		return false
+	}
+	c.conn = conn
+	return true
+}
+
+// send sends a request and records and checks its answer. It closes a connection that failed.
+func (c *loadClient) send(id string, group int, request *loadRequest) {
+	c.conn.Conn.Conn.SetDeadline(time.Now().Add(eventualTimeout))
+	request.connectedAt = c.connectedAt
+	request.sentAt = time.Now()
+	c.load.record(id, request)
+	reply, err := c.conn.Ask(statement(id, group, request.write))
+	if err == nil && c.conn.Buffered() > 0 {
+		c.load.reportError("%s: something follows its answer", id)
+	}
+	if err == nil && reply.Outcome == "served" && reply.Value != "value of "+id {
+		c.load.reportError("%s: it has the answer %q", id, reply.Value)
+	}
+	if took := time.Since(request.sentAt); took > eventualTimeout/2 {
+		c.load.reportError("%s: it took %v", id, took)
+	}
+	c.load.recordReply(c.index, request, reply, err)
+	if err != nil {
+		c.disconnect()
 	}
 }
 
-func (l *load) keep(id string, a *asked) { l.mu.Lock(); defer l.mu.Unlock(); l.asked[id] = a }
+// recordReply records the result of a client's request.
+func (l *load) recordReply(client int, request *loadRequest, reply fake.Reply, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	request.latency = time.Since(request.sentAt)
+	switch {
+	case err == nil:
+		request.outcome = reply.Outcome
+	case reply == (fake.Reply{}):
+		request.unanswered = true
+	default:
+		request.outcome = outcomeTruncated
+	}
+	if request.outcome == "served" {
+		l.served[client]++
+	}
+}
 
-// goesOn waits until each client has been served some requests more.
-func (l *load) goesOn() {
-	l.r.t.Helper()
+// record records a request before its answer is known.
+func (l *load) record(id string, request *loadRequest) {
 	l.mu.Lock()
-	from := append([]int(nil), l.served...)
+	defer l.mu.Unlock()
+	l.requests[id] = request
+}
+
+// waitProgress waits until each client has been served three more requests.
+func (l *load) waitProgress() {
+	l.harness.t.Helper()
+	l.mu.Lock()
+	before := append([]int(nil), l.served...)
 	l.mu.Unlock()
-	l.r.until("all clients are served", func() bool {
+	l.harness.eventually("all clients are served", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for i, n := range l.served {
-			if n < from[i]+3 {
+			if n < before[i]+3 {
 				return false
 			}
 		}
@@ -190,87 +222,14 @@
 	})
 }
 
-// unheard counts requests that were turned back, on connections begun from a time on.
-func (l *load) unheard(from time.Time) (n int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, a := range l.asked {
-		if a.unheard && !a.dialled.Before(from) {
-			n++
-		}
-	}
-	return n
-}
-
-// isOut has a host judged as out from now on, and the call ends that.
-func (l *load) isOut(h *host) (back func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.out = append(l.out, out{h: h, since: time.Now()})
-	n := len(l.out) - 1
-	return func() { l.mu.Lock(); defer l.mu.Unlock(); l.out[n].till = time.Now() }
-}
-
-// sentTo counts the requests that a host got while it was out: those that came to the gateway after the yes, and all that
-// the host got so much later that they can't have been on their way.
-func (l *load) sentTo(o out) (n int) {
+// unansweredSince counts the unanswered requests on connections that were begun at or after from.
+func (l *load) unansweredSince(from time.Time) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, x := range o.h.arrivals() {
-		if !o.till.IsZero() && x.at.After(o.till) {
-			continue
-		}
-		if a := l.asked[x.id]; a != nil && a.began.After(o.since) || x.at.After(o.since.Add(inFlight)) {
+	for _, request := range l.requests {
+		if request.unanswered && !request.connectedAt.Before(from) {
 			n++
 		}
 	}
 	return n
 }
-
-// judge ends the load and says what may never have happened; turned back is what may be at most. It returns how many were.
-func (l *load) judge(t *testing.T, most int) int {
-	t.Helper()
-	l.end()
-	runs := map[string]int{}
-	for _, h := range l.r.hosts {
-		for id := range l.asked {
-			runs[id] += h.Ran(id)
-		}
-	}
-	sums := map[string]int{}
-	unheard := 0
-	for id, a := range l.asked {
-		sums[a.outcome]++
-		if a.unheard {
-			unheard++
-		}
-		switch n := runs[id]; {
-		case a.write && n > 1:
-			t.Errorf("write %s ran %d times", id, n)
-		case a.write && a.outcome == "served" && n != 1:
-			t.Errorf("write %s was answered with yes, and ran %d times", id, n)
-		case a.outcome == "refused" && n > 0 && (a.write || a.took < leastWait): // a read whose time is over may be tried again
-			t.Errorf("%s was refused, and ran %d times", id, n)
-		case a.outcome == "cut":
-			t.Errorf("%s: its answer was cut off", id)
-		case a.outcome == "" && !a.unheard:
-			t.Errorf("%s: lost", id)
-		}
-	}
-	for _, o := range l.out {
-		if n := l.sentTo(o); n > 0 {
-			t.Errorf("%d requests went to %s while it was out", n, o.h.uid)
-		}
-	}
-	for _, f := range l.faults {
-		t.Error(f)
-	}
-	if unheard > most {
-		t.Errorf("%d requests were turned back, %d may be", unheard, most)
-	}
-	if all := len(l.asked); sums["served"] < all*9/10 {
-		t.Errorf("served: %d of %d", sums["served"], all)
-	}
-	t.Logf("%d requests: %v, %d turned back", len(l.asked), sums, unheard)
-	return unheard
-}
--- a/internal/processtest/logpipe_test.go
+++ b/internal/processtest/logpipe_test.go
@@ -9,84 +9,87 @@
 	"golang.org/x/sys/unix"
 )
 
-// pageSize is the least that a pipe holds.
-const pageSize = 4096
+// minPipeBytes is the smallest capacity of a pipe: one page.
+const minPipeBytes = 4096
 
-// toldWithin is when a change counts as told at the latest, from when discovery had it and could be reached.
-const toldWithin = 6 * time.Second
+// notificationTimeout is within what time a change of the endpoint list reaches a gateway that can reach discovery.
+const notificationTimeout = 6 * time.Second
 
-// logPipe gives the next process a pipe of one page in place of its log, and returns the end that a collector reads.
-func (r *rig) logPipe() *os.File {
-	r.t.Helper()
+// pipeLogs redirects the log of the next processes to a pipe of one page and returns its reading end.
+func (h *harness) pipeLogs() *os.File {
+	h.t.Helper()
 	read, write, err := os.Pipe()
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	if _, err := unix.FcntlInt(write.Fd(), unix.F_SETPIPE_SZ, pageSize); err != nil {
-		r.t.Fatal(err)
+	if _, err := unix.FcntlInt(write.Fd(), unix.F_SETPIPE_SZ, minPipeBytes); err != nil {
+		h.t.Fatal(err)
 	}
-	r.logs = write
-	r.t.Cleanup(func() { read.Close(); write.Close() })
+	h.logOutput = write
+	h.t.Cleanup(func() {
+		read.Close()
+		write.Close()
+	})
 	return read
 }
 
-// asked asks one request, which has to be served in time.
-func (r *rig) asked(id string) {
-	r.t.Helper()
-	c, err := r.dial()
+// mustServe sends one request on a new connection, which must be served in time.
+func (h *harness) mustServe(id string) {
+	h.t.Helper()
+	c, err := h.dial()
 	if err != nil {
-		r.t.Fatalf("connecting: %v", err)
+		h.t.Fatalf("connecting: %v", err)
 	}
 	defer c.Close()
-	c.Conn.Conn.SetDeadline(time.Now().Add(patience / 3))
-	if reply, err := c.Ask(unhurriedStatement(id, 0, false)); err != nil || reply.Outcome != "served" {
-		r.t.Fatalf("%s: %+v, %v", id, reply, err)
+	c.Conn.Conn.SetDeadline(time.Now().Add(eventualTimeout / 3))
+	if reply, err := c.Ask(longTimeoutStatement(id, 0, false)); err != nil || reply.Outcome != "served" {
+		h.t.Fatalf("%s: %+v, %v", id, reply, err)
 	}
 }
 
-// TestLogCollectorStops fills the pipe that the log goes to: a collector that has stopped reading must not stop the gateway. It
-// serves on, also new clients; a drain that discovery tells behind an outage, which is worth a line, is kept in time; and the
-// process ends in order.
+// TestLogCollectorStops fills the pipe to which the gateway logs: a collector that has stopped reading must not block the gateway. It
+// goes on serving, new clients too; it follows in time a drain that is listed after an outage of discovery, which is logged; and
+// the process exits cleanly.
 func TestLogCollectorStops(t *testing.T) {
-	r := newRig(t, 256)
-	r.logPipe()
-	p := r.start().ready()
-	r.logs = nil
-	l := r.newLoad(6, 4*time.Millisecond)
-	l.goesOn()
-	for range 40 { // a line of counters each
+	h := newHarness(t, 256)
+	h.pipeLogs()
+	p := h.start().waitReady()
+	h.logOutput = nil
+	l := h.startLoad(6, 4*time.Millisecond)
+	l.waitProgress()
+	for range 40 { // each logs a line of counters
 		p.signal(syscall.SIGUSR1)
 		time.Sleep(5 * time.Millisecond)
 	}
-	r.mute.Store(true)
-	time.Sleep(5 * time.Second) // longer than a watch is waited for
-	drained := r.hosts[1]
-	r.targets[1].State = "DRAINING"
-	r.discovery.Set(r.targets)
-	r.mute.Store(false)
-	time.Sleep(toldWithin)
-	l.isOut(drained)
-	l.goesOn()
-	time.Sleep(inFlight)
-	l.judge(t, 0)
-	p.term()
+	h.discoveryHung.Store(true)
+	time.Sleep(5 * time.Second) // longer than the timeout of a watch
+	drained := h.hosts[1]
+	h.targets[1].State = "DRAINING"
+	h.discovery.Set(h.targets)
+	h.discoveryHung.Store(false)
+	time.Sleep(notificationTimeout)
+	l.excludeHost(drained)
+	l.waitProgress()
+	time.Sleep(maxForwardDelay)
+	l.check(t, 0)
+	p.terminate()
 }
 
-// TestLogCollectorEnds closes the reading end of the pipe that the log goes to: the next line must not end the gateway.
+// TestLogCollectorEnds closes the reading end of the pipe to which the gateway logs: the next log line must not end the gateway.
 func TestLogCollectorEnds(t *testing.T) {
-	r := newRig(t, 256, unhurried)
-	read := r.logPipe()
-	p := r.start().ready()
-	r.logs.Close()
-	r.logs = nil
-	r.asked("before")
+	h := newHarness(t, 256, withLongTimeouts)
+	read := h.pipeLogs()
+	p := h.start().waitReady()
+	h.logOutput.Close()
+	h.logOutput = nil
+	h.mustServe("before")
 	read.Close()
 	p.signal(syscall.SIGUSR1)
 	select {
-	case <-p.ended:
-		t.Fatalf("it ended with its log's collector: %v", p.err)
+	case <-p.exited:
+		t.Fatalf("it ended with its log's collector: %v", p.exitErr)
 	case <-time.After(time.Second):
 	}
-	r.asked("after")
-	p.term()
+	h.mustServe("after")
+	p.terminate()
 }
--- a/internal/processtest/process_test.go
+++ b/internal/processtest/process_test.go
@@ -15,169 +15,198 @@
 	"cranegate/internal/admin"
 )
 
-// output is what a process writes.
-type output struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+// logBuffer collects what a process writes.
+type logBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (o *output) Write(p []byte) (int, error) { o.mu.Lock(); defer o.mu.Unlock(); return o.b.Write(p) }
+// Write implements io.Writer.
+func (b *logBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.Write(p)
+}
+
+// String returns what was written so far.
+func (b *logBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.String()
+}
 
 // process is one of the gateway's processes.
 type process struct {
-	r     *rig
-	cmd   *exec.Cmd
-	admin string
-	out   output
-	ended chan struct{}
-	err   error // once it has ended
-}
-
-func (p *process) log() string { p.out.mu.Lock(); defer p.out.mu.Unlock(); return p.out.b.String() }
-
-// start starts a process of the program. tmp replaces the shared folder where it is given: "" leaves it out.
-func (r *rig) start(tmp ...string) *process {
-	r.t.Helper()
-	p := &process{r: r, admin: free(r.t), ended: make(chan struct{}), cmd: exec.Command(program)}
-	for _, v := range os.Environ() {
-		if !strings.HasPrefix(v, "TMPDIR=") {
-			p.cmd.Env = append(p.cmd.Env, v)
+	harness      *harness
+	cmd          *exec.Cmd
+	adminAddress string
+	output       logBuffer
+	exited       chan struct{}
+	exitErr      error // valid once exited is closed
+}
+
+// logText returns the log so far.
+func (p *process) logText() string { return p.output.String() }
+
+// start starts a process of the gateway. An argument replaces the state directory; "" leaves TMPDIR unset.
+func (h *harness) start(stateDir ...string) *process {
+	h.t.Helper()
+	p := &process{harness: h, adminAddress: freeAddress(h.t), exited: make(chan struct{}), cmd: exec.Command(program)}
+	for _, variable := range os.Environ() {
+		if !strings.HasPrefix(variable, "TMPDIR=") {
+			p.cmd.Env = append(p.cmd.Env, variable)
 		}
 	}
-	dir := r.dir
-	if len(tmp) > 0 {
-		dir = tmp[0]
+	dir := h.stateDir
+	if len(stateDir) > 0 {
+		dir = stateDir[0]
 	}
 	if dir != "" {
 		p.cmd.Env = append(p.cmd.Env, "TMPDIR="+dir)
 	}
-	f, err := r.passed.File()
+	socket, err := h.listener.File()
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	defer f.Close()
-	p.cmd.ExtraFiles = []*os.File{nil, nil, f}
-	p.cmd.Env = append(p.cmd.Env, "PROXY_CONFIG="+r.path, "PROXY_ADMIN="+p.admin, "PROXY_PASSED_SOCKET=5")
-	p.cmd.Stdout, p.cmd.Stderr = &p.out, &p.out
-	if r.logs != nil {
-		p.cmd.Stdout, p.cmd.Stderr = r.logs, r.logs
+	defer socket.Close()
+	p.cmd.ExtraFiles = []*os.File{nil, nil, socket}
+	p.cmd.Env = append(p.cmd.Env, "PROXY_CONFIG="+h.configPath, "PROXY_ADMIN="+p.adminAddress, "PROXY_PASSED_SOCKET=5")
+	p.cmd.Stdout, p.cmd.Stderr = &p.output, &p.output
+	if h.logOutput != nil {
+		p.cmd.Stdout, p.cmd.Stderr = h.logOutput, h.logOutput
 	}
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	go func() { p.err = p.cmd.Wait(); close(p.ended) }()
-	r.procs = append(r.procs, p)
+	go func() {
+		p.exitErr = p.cmd.Wait()
+		close(p.exited)
+	}()
+	h.processes = append(h.processes, p)
 	return p
 }
 
-// said counts the lines of an event in the log.
-func (p *process) said(event string) int { return strings.Count(p.log(), "event="+event) }
+// eventCount counts the log lines of an event.
+func (p *process) eventCount(event string) int { return strings.Count(p.logText(), "event="+event) }
 
-// says waits for a line of the log.
-func (p *process) says(event string) { p.r.t.Helper(); p.saysAgain(event, 0) }
+// waitEvent waits until an event is logged.
+func (p *process) waitEvent(event string) {
+	p.harness.t.Helper()
+	p.waitEventAfter(event, 0)
+}
 
-// saysAgain waits for a line of the log that was not there when its event was counted.
-func (p *process) saysAgain(event string, before int) {
-	p.r.t.Helper()
-	p.r.until(event, func() bool { return p.said(event) > before })
+// waitEventAfter waits until an event is logged more than before times.
+func (p *process) waitEventAfter(event string, before int) {
+	p.harness.t.Helper()
+	p.harness.eventually(event, func() bool { return p.eventCount(event) > before })
 }
 
-// ready waits for the yes.
-func (p *process) ready() *process {
-	p.r.t.Helper()
-	p.r.until("the yes", func() bool { s, _ := p.call("GET", "/_ready"); return s == 200 })
+// waitReady waits until the process reports ready.
+func (p *process) waitReady() *process {
+	p.harness.t.Helper()
+	p.harness.eventually("the process is ready", func() bool {
+		status, _ := p.callAdmin("GET", "/_ready")
+		return status == http.StatusOK
+	})
 	return p
 }
 
-// call makes a call at the second address; 0: nobody answers there.
-func (p *process) call(method, path string) (status int, body string) {
-	q, err := http.NewRequest(method, "http://"+p.admin+path, nil)
+// callAdmin calls the admin listener. The status is 0 if it does not answer.
+func (p *process) callAdmin(method, path string) (status int, body string) {
+	request, err := http.NewRequest(method, "http://"+p.adminAddress+path, nil)
 	if err != nil {
 		return 0, err.Error()
 	}
-	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
-	a, err := c.Do(q)
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: eventualTimeout}
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer a.Body.Close()
-	b, _ := io.ReadAll(a.Body)
-	return a.StatusCode, string(b)
-}
-
-// must makes a call that has to be answered with yes. One whose own write takes the disk longer than a call may take is told
-// so, and to ask again, which it does until patience ends; any other answer is a fault.
-func (p *process) must(path string) {
-	p.r.t.Helper()
-	for end := time.Now().Add(patience); ; {
-		s, body := p.call("POST", path)
-		if s == 200 {
+	defer response.Body.Close()
+	content, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(content)
+}
+
+// mustPost makes an administrative call that must succeed. It retries a call that timed out because the disk was slow, until
+// eventualTimeout; any other answer fails the test.
+func (p *process) mustPost(path string) {
+	p.harness.t.Helper()
+	for end := time.Now().Add(eventualTimeout); ; {
+		status, body := p.callAdmin("POST", path)
+		if status == http.StatusOK {
 			return
 		}
-		if s != 503 || body != admin.ErrTimeout.Error()+"\n" || time.Now().After(end) {
-			p.r.t.Fatalf("%s: %d %s", path, s, body)
+		timedOut := status == http.StatusServiceUnavailable && body == admin.ErrTimeout.Error()+"\n"
+		if !timedOut || time.Now().After(end) {
+			p.harness.t.Fatalf("%s: %d %s", path, status, body)
 		}
-		p.r.t.Logf("%s: not in time on this machine, asked again", path)
+		p.harness.t.Logf("%s: timed out, retrying", path)
 	}
 }
 
 func (p *process) signal(s syscall.Signal) { p.cmd.Process.Signal(s) }
 
-// kill ends a process at once and returns when it is dead.
+// kill kills the process and returns the time at which it had ended.
 func (p *process) kill() time.Time {
 	p.cmd.Process.Kill()
-	<-p.ended
+	<-p.exited
 	return time.Now()
 }
 
-// term ends a process in order, which has to take it no longer than the platform waits, on an idle machine.
-func (p *process) term() {
-	p.r.t.Helper()
+// terminate sends SIGTERM and waits for a clean exit.
+func (p *process) terminate() {
+	p.harness.t.Helper()
 	p.signal(syscall.SIGTERM)
+	p.waitExit()
+}
+
+// waitExit waits for a clean exit after SIGTERM.
+func (p *process) waitExit() {
+	p.harness.t.Helper()
 	select {
-	case <-p.ended:
-		if p.err != nil {
-			p.r.t.Errorf("exit after SIGTERM: %v", p.err)
+	case <-p.exited:
+		if p.exitErr != nil {
+			p.harness.t.Errorf("exit after SIGTERM: %v", p.exitErr)
 		}
-	case <-time.After(patience):
-		p.r.t.Fatal("it does not end after SIGTERM")
+	case <-time.After(eventualTimeout):
+		p.harness.t.Fatal("it does not end after SIGTERM")
 	}
 }
 
-// upgrade puts a new process in place of an old one, which is ended 50 ms after the yes.
-func (r *rig) upgrade(old *process) *process {
-	r.t.Helper()
-	next := r.start().ready()
+// upgrade replaces a process by a new one and terminates it 50 ms after the new one is ready.
+func (h *harness) upgrade(old *process) *process {
+	h.t.Helper()
+	next := h.start().waitReady()
 	time.Sleep(50 * time.Millisecond)
-	old.term()
+	old.terminate()
 	return next
 }
 
-// startStopped starts a process and stops it after it has met the others, before it serves. Discovery is silent meanwhile,
-// which holds a start up for half a second.
-func (r *rig) startStopped() *process {
-	r.t.Helper()
-	r.mute.Store(true)
-	defer r.mute.Store(false)
+// startStopped starts a process and stops it with SIGSTOP after it has found the other processes, before it serves. Discovery hangs
+// meanwhile, which delays a start by half a second.
+func (h *harness) startStopped() *process {
+	h.t.Helper()
+	h.discoveryHung.Store(true)
+	defer h.discoveryHung.Store(false)
 	for range 5 {
-		p := r.start()
-		p.says("hotrestart_opened ")
+		p := h.start()
+		p.waitEvent("hotrestart_opened ")
 		p.stop()
-		if !strings.Contains(p.log(), "event=listening front=postgres") {
+		if !strings.Contains(p.logText(), "event=listening front=postgres") {
 			return p
 		}
-		p.kill() // this machine is too busy
+		p.kill() // stopped too late on a busy machine
 	}
-	r.t.Fatal("no process could be stopped before it serves")
+	h.t.Fatal("no process could be stopped before it serves")
 	return nil
 }
 
-// stop stops a process and returns once it runs no more.
+// stop stops the process with SIGSTOP and returns once it is stopped.
 func (p *process) stop() {
-	p.r.t.Helper()
+	p.harness.t.Helper()
 	p.signal(syscall.SIGSTOP)
-	p.r.until("it stops", func() bool {
+	p.harness.eventually("the process is stopped", func() bool {
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 		_, rest, _ := strings.Cut(string(text), ") ")
 		return strings.HasPrefix(rest, "T")
