--- /dev/null
+++ b/internal/consensus/raftlog/limits_test.go
@@ -0,0 +1,92 @@
+package raftlog
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"cranegate/internal/consensus/statemachine"
+)
+
+// TestPendingRequestLimits sends 1,024 commands and as many reads before anything is committed: all wait and get their
+// response; one more of each is rejected with ErrOverloaded.
+func TestPendingRequestLimits(t *testing.T) {
+	h := newHarness(t)
+	command := func(client uint64) error {
+		data, err := statemachine.Command{Key: statemachine.Key{Client: client, Seq: 1}, Op: statemachine.Set, Name: "x", Any: true}.Encode()
+		if err != nil {
+			t.Fatal(err)
+		}
+		return h.request(100+client, &Request{Command: data})
+	}
+	read := func(client uint64) error {
+		return h.request(100+client, &Request{ReadID: client, Register: "x"})
+	}
+	for name, request := range map[string]func(uint64) error{"command": command, "read": read} {
+		for client := uint64(1); client <= 1024; client++ {
+			if err := request(client); err != nil {
+				t.Fatalf("%s %d: %v", name, client, err)
+			}
+		}
+		if err := request(1025); !errors.Is(err, ErrOverloaded) {
+			t.Errorf("%s 1025: %v", name, err)
+		}
+	}
+	responded := map[uint64]bool{}
+	for range 10 {
+		h.voter.Tick()
+		for _, message := range h.advance() {
+			if message.Kind == ResponseKind && message.Response.Result.Code == statemachine.OK {
+				responded[message.To] = true
+			}
+		}
+	}
+	if len(responded) != 1024 {
+		t.Errorf("%d got a response", len(responded))
+	}
+}
+
+// TestLogIsCompacted applies far more commands than the log holds. The log stays within its limits; a replica that lags and
+// a new one catch up.
+func TestLogIsCompacted(t *testing.T) {
+	h := newHarness(t)
+	v := h.voter
+	lagging := NewReplica(v.options.ClusterID, 7, 1, []uint64{1})
+	var responses int
+	for seq := uint64(1); seq <= 5000; seq++ {
+		if err := h.set(seq, int(seq)%statemachine.MaxValue); err != nil {
+			t.Fatal(err)
+		}
+		responses += len(h.advance())
+		first, _ := v.storage.FirstIndex()
+		last, _ := v.storage.LastIndex()
+		if last+1-first > defaultCompactionEntries+defaultCompactionEntries/4 || v.bytesSinceSnapshot > compactionBytes+statemachine.MaxEntry {
+			t.Fatalf("the log holds %d to %d, %d bytes", first, last, v.bytesSinceSnapshot)
+		}
+		if seq == 10 {
+			h.catchUp(lagging, time.Second)
+		}
+	}
+	if responses != 5000 {
+		t.Errorf("%d responses", responses)
+	}
+	newcomer := NewReplica(v.options.ClusterID, 8, 1, []uint64{1})
+	for _, replica := range []*Replica{lagging, newcomer} {
+		h.catchUp(replica, 10*time.Second)
+		if state := replica.State(); state.Index != v.state.Index || state.Chain != v.state.Chain {
+			t.Errorf("replica %d at %d of %d", replica.ID(), state.Index, v.state.Index)
+		}
+	}
+}
+
+// TestUncommittedLimit proposes without committing until the voter is overloaded.
+func TestUncommittedLimit(t *testing.T) {
+	h := newHarness(t)
+	var err error
+	for seq := uint64(6000); err == nil && seq < 7000; seq++ {
+		err = h.set(seq, 8000) // without advance nothing is committed
+	}
+	if !errors.Is(err, ErrOverloaded) {
+		t.Error(err)
+	}
+}
--- a/internal/consensus/raftlog/message.go
+++ b/internal/consensus/raftlog/message.go
@@ -1,11 +1,11 @@
-// Package raftlog is the council's order of commands: etcd's raft as a state machine driven from outside, for those who vote
-// (Voter), and the feed of what is committed for all others (Follower). There are no goroutines, clocks or sockets here:
-// time comes in as ticks (Voter) or as a monotonic reading (Follower), messages go in and out as values, what is to be
-// kept goes out as a Save, and all chance follows from a seed.
+// Package raftlog replicates the cluster's command log. A Voter wraps etcd's raft for the voting members; a Replica gets
+// the committed entries from a voter on every gateway, whether it votes or not. Both are driven by the caller: there are
+// no goroutines, clocks or sockets here. Time is passed in as ticks (Voter) or as a monotonic reading (Replica), messages
+// are passed in and returned as values, a voter returns what must be persisted as an Update, and all randomness follows
+// from a seed.
 package raftlog
 
 import (
-	"errors"
 	"fmt"
 	"time"
 
@@ -13,145 +13,133 @@
 	"cranegate/internal/consensus/statemachine"
 )
 
-// TickEvery is what one Tick of a Voter stands for. Ticks must never outrun the process's clock; late or lost ones are safe.
-const TickEvery = 100 * time.Millisecond
-
-// Bounds.
-const (
-	MaxMessage  = statemachine.MaxState + 128<<10 // bytes of one that carries a snapshot
-	maxSmall    = 160 << 10                       // bytes of any other
-	maxFeed     = 64 << 10                        // bytes of entries in a feed or in one of raft's messages
-	maxAsks     = 1024                            // requests that wait at a voter: one of every gateway of the largest fleet
-	maxReads    = 1024                            // reads that wait at a voter, likewise
-	maxOut      = 4096                            // messages that wait for Ready
-	maxPending  = 1 << 20                         // bytes proposed and not committed
-	keepEntries = 1024                            // entries before the log is compacted; a quarter stays for those who lag a little
-	keepBytes   = 2 << 20                         // and bytes
-)
-
-// The errors that end a voter. It answers nothing from then on.
-var (
-	// ErrBroken says that the log and the council contradict each other: most likely a voter came back under its identity
-	// without the file that it had voted with. Remove its file and let it come in under a new identity.
-	ErrBroken = errors.New("council: this voter's log contradicts the council's")
-	// ErrSave says that Saved was called without Ready, or the other way about: a mistake of the program.
-	ErrSave = errors.New("council: Ready and Saved out of turn")
-)
-
-// The errors of one call.
-var (
-	// ErrForeign says that a message belongs to another council or is meant for somebody else: look at the founding of both.
-	ErrForeign = errors.New("council: message of another council or for another")
-	// ErrCrowded says that as much waits as may. Ask again later.
-	ErrCrowded = errors.New("council: too much waits")
-)
-
-// Kind is what a message carries.
+// Kind is the type of a message; it names the field that carries the payload.
 type Kind uint8
 
-// The kinds.
+// The kinds of messages.
 const (
-	Raft     Kind = iota + 1 // between voters
-	Acks                     // of a voter to the one that leads: acknowledgements it collected
-	PullKind                 // of a follower to a voter
-	FeedKind                 // the answer
-	AskKind                  // of anybody to a voter
-	AnswerKind
+	RaftKind            Kind = iota + 1 // raft's own message between voters
+	AcksKind                            // from a voter to the leader: collected acknowledgements of lease holders
+	CatchUpRequestKind                  // from a replica to a voter
+	CatchUpResponseKind                 // from a voter to a replica
+	RequestKind                         // from any gateway to a voter
+	ResponseKind                        // from a voter to the requesting gateway
 )
 
-// Message is what goes from one gateway to another. The shell finds out the address of To, seals and sends; it may lose,
-// repeat and reorder messages.
+// Message is sent from one gateway to another. The caller resolves the address of To, encrypts and sends. Messages may
+// be lost, repeated and reordered.
 type Message struct {
-	Council uint64             `cbor:"1,keyasint"` // the founding
-	From    uint64             `cbor:"2,keyasint"`
-	To      uint64             `cbor:"3,keyasint"`
-	Kind    Kind               `cbor:"4,keyasint"`
-	Raft    []byte             `cbor:"5,keyasint,omitempty"`
-	Acks    []statemachine.Ack `cbor:"6,keyasint,omitempty"`
-	Pull    *Pull              `cbor:"7,keyasint,omitempty"`
-	Feed    *Feed              `cbor:"8,keyasint,omitempty"`
-	Ask     *Ask               `cbor:"9,keyasint,omitempty"`
-	Answer  *Answer            `cbor:"10,keyasint,omitempty"`
+	ClusterID       uint64             `cbor:"1,keyasint"` // as returned by Bootstrap
+	From            uint64             `cbor:"2,keyasint"`
+	To              uint64             `cbor:"3,keyasint"`
+	Kind            Kind               `cbor:"4,keyasint"`
+	Raft            []byte             `cbor:"5,keyasint,omitempty"`
+	Acks            []statemachine.Ack `cbor:"6,keyasint,omitempty"`
+	CatchUpRequest  *CatchUpRequest    `cbor:"7,keyasint,omitempty"`
+	CatchUpResponse *CatchUpResponse   `cbor:"8,keyasint,omitempty"`
+	Request         *Request           `cbor:"9,keyasint,omitempty"`
+	Response        *Response          `cbor:"10,keyasint,omitempty"`
 }
 
-// Transport is the door for whoever carries messages. Send never blocks; it drops what does not fit.
+// Transport sends messages. Send never blocks; it drops a message that does not fit its queue.
 type Transport interface {
 	Send(m Message)
 }
 
-// Pull asks for what was committed after Applied, and asks for a lease by Ack.
-type Pull struct {
+// CatchUpRequest asks a voter for the entries committed after Applied. Its Ack asks for a renewal of the replica's
+// lease.
+type CatchUpRequest struct {
 	Applied uint64           `cbor:"1,keyasint,omitempty"`
 	Nonce   uint64           `cbor:"2,keyasint"`
 	Ack     statemachine.Ack `cbor:"3,keyasint"`
 }
 
-// Feed is what was committed, in order and without a gap, or a snapshot of the facts.
-type Feed struct {
-	Nonce    uint64        `cbor:"1,keyasint"`
-	Entries  []Entry       `cbor:"2,keyasint,omitempty"`
-	Snapshot []byte        `cbor:"3,keyasint,omitempty"`
-	Voters   []uint64      `cbor:"4,keyasint"`
-	Index    uint64        `cbor:"5,keyasint,omitempty"` // everything that was settled Age ago stands at or before it
-	Age      time.Duration `cbor:"6,keyasint,omitempty"`
-	More     bool          `cbor:"7,keyasint,omitempty"`
+// CatchUpResponse carries committed entries in order and without a gap, or a snapshot of the state machine.
+type CatchUpResponse struct {
+	Nonce          uint64        `cbor:"1,keyasint"`
+	Entries        []Entry       `cbor:"2,keyasint,omitempty"`
+	Snapshot       []byte        `cbor:"3,keyasint,omitempty"`
+	Voters         []uint64      `cbor:"4,keyasint"`
+	ConfirmedIndex uint64        `cbor:"5,keyasint,omitempty"` // everything committed Age ago is at or before it
+	Age            time.Duration `cbor:"6,keyasint,omitempty"` // UnknownAge if no quorum confirmed an index
+	More           bool          `cbor:"7,keyasint,omitempty"` // further entries can be requested at once
 }
 
-// Entry is one place in the order. Text is empty where the order keeps the place for itself.
+// Entry is one committed log entry. Data is empty for raft's own entries (an empty entry of a new leader, a conf
+// change).
 type Entry struct {
 	Index uint64 `cbor:"1,keyasint"`
-	Text  []byte `cbor:"2,keyasint,omitempty"`
+	Data  []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// Ask is a command (Text, see facts.Command) or a read of a register.
-type Ask struct {
-	Text []byte `cbor:"1,keyasint,omitempty"`
-	Read uint64 `cbor:"2,keyasint,omitempty"` // the asker's own count
-	Name string `cbor:"3,keyasint,omitempty"`
+// Request is a command (Command, an encoded statemachine.Command) or a linearizable read of a register (ReadID and
+// Register).
+type Request struct {
+	Command  []byte `cbor:"1,keyasint,omitempty"`
+	ReadID   uint64 `cbor:"2,keyasint,omitempty"` // chosen by the requesting gateway, never 0
+	Register string `cbor:"3,keyasint,omitempty"`
 }
 
-// Answer answers an Ask.
-type Answer struct {
+// Response is the result of a Request: Key and Result for a command, ReadID and Reading for a read.
+type Response struct {
 	Key     statemachine.Key    `cbor:"1,keyasint,omitzero"`
 	Result  statemachine.Result `cbor:"2,keyasint,omitzero"`
-	Read    uint64              `cbor:"3,keyasint,omitempty"`
+	ReadID  uint64              `cbor:"3,keyasint,omitempty"`
 	Reading Reading             `cbor:"4,keyasint,omitzero"`
 }
 
-// Reading is a register with what is known of how fresh it is.
+// Reading is the value of a register and how fresh it is.
 type Reading struct {
 	Register statemachine.Register `cbor:"1,keyasint"`
 	Found    bool                  `cbor:"2,keyasint,omitempty"`
-	Settled  bool                  `cbor:"3,keyasint,omitempty"` // in force with every holder: no narrowing under way, no widening waiting
-	Index    uint64                `cbor:"4,keyasint"`           // as of this place in the order
-	// Age is how long ago a quorum last confirmed that nothing settled was missing, on the clocks of who read and who was
-	// asked; Unknown if that never was.
+	Settled  bool                  `cbor:"3,keyasint,omitempty"` // in force at every lease holder; see statemachine.State.Get
+	Index    uint64                `cbor:"4,keyasint"`           // the log index as of which it was read
+	// Age is how long ago a quorum last confirmed that no committed entry was missing, on the clocks of the reader and the
+	// voter; UnknownAge if a quorum never did.
 	Age time.Duration `cbor:"5,keyasint"`
 }
 
-// Unknown is the age of what no quorum has confirmed.
-const Unknown = time.Duration(1<<63 - 1)
+// UnknownAge is the age of a state that no quorum has confirmed.
+const UnknownAge = time.Duration(1<<63 - 1)
 
-func (m Message) most() int {
-	if m.Kind == Raft || m.Kind == FeedKind {
-		return MaxMessage
+// maxBytes is the largest encoded size of a message of this kind.
+func (m Message) maxBytes() int {
+	if m.Kind == RaftKind || m.Kind == CatchUpResponseKind {
+		return MaxMessageBytes
 	}
-	return maxSmall
+	return maxSmallMessageBytes
 }
 
-// Encode writes a message in at most MaxMessage bytes.
-func (m Message) Encode() ([]byte, error) { return codec.Encode(m, m.most()) }
+// Encode encodes a message in at most MaxMessageBytes, or returns codec.ErrTooLarge.
+func (m Message) Encode() ([]byte, error) { return codec.Encode(m, m.maxBytes()) }
 
-// Decode reads a message: one whose kind does not fit what it carries is malformed.
+// Decode decodes a message. It returns codec.ErrMalformed for an unknown kind and for a kind whose payload is missing
+// or over its limits.
 func Decode(b []byte) (m Message, err error) {
-	if err := codec.Decode(b, &m, MaxMessage); err != nil {
+	if err := codec.Decode(b, &m, MaxMessageBytes); err != nil {
 		return Message{}, err
 	}
-	want := map[Kind]bool{Raft: len(m.Raft) > 0, Acks: len(m.Acks) > 0 && len(m.Acks) <= statemachine.MaxHolders, PullKind: m.Pull != nil,
-		FeedKind: m.Feed != nil, AskKind: m.Ask != nil && len(m.Ask.Name) <= statemachine.MaxName && len(m.Ask.Text) <= statemachine.MaxEntry,
-		AnswerKind: m.Answer != nil}
-	if !want[m.Kind] || m.From == 0 || m.To == 0 || len(b) > m.most() {
+	if !m.hasValidPayload() || m.From == 0 || m.To == 0 || len(b) > m.maxBytes() {
 		return Message{}, fmt.Errorf("%w: kind %d", codec.ErrMalformed, m.Kind)
 	}
 	return m, nil
 }
+
+// hasValidPayload reports whether the payload of the message's kind is there and within its limits.
+func (m Message) hasValidPayload() bool {
+	switch m.Kind {
+	case RaftKind:
+		return len(m.Raft) > 0
+	case AcksKind:
+		return len(m.Acks) > 0 && len(m.Acks) <= statemachine.MaxHolders
+	case CatchUpRequestKind:
+		return m.CatchUpRequest != nil
+	case CatchUpResponseKind:
+		return m.CatchUpResponse != nil
+	case RequestKind:
+		return m.Request != nil && len(m.Request.Register) <= statemachine.MaxName && len(m.Request.Command) <= statemachine.MaxEntry
+	case ResponseKind:
+		return m.Response != nil
+	}
+	return false
+}
--- /dev/null
+++ b/internal/consensus/raftlog/renewals.go
@@ -0,0 +1,99 @@
+package raftlog
+
+import (
+	"maps"
+	"slices"
+
+	"cranegate/internal/consensus/lease"
+	"cranegate/internal/consensus/statemachine"
+)
+
+const (
+	renewalTicks     = uint64(lease.Period / TickInterval)
+	leaseExpiryTicks = uint64(lease.Ended / TickInterval)
+	ackForwardTicks  = 2 // between two messages that forward acknowledgements to the leader
+)
+
+// renewal is when this voter first saw the current round of a lease.
+type renewal struct{ round, seenAt uint64 }
+
+// trackRenewals records leases that were renewed. A renewal is seen after it was requested, so expiry is counted from
+// too late a time at worst, never too early.
+func (v *Voter) trackRenewals() {
+	leases := v.state.Holders()
+	for _, ack := range leases {
+		last, ok := v.renewals[ack.Holder]
+		if !ok || last.round != ack.Round {
+			v.renewals[ack.Holder] = renewal{round: ack.Round, seenAt: v.tick}
+		}
+	}
+	if len(v.renewals) > len(leases) {
+		maps.DeleteFunc(v.renewals, func(id uint64, _ renewal) bool {
+			_, ok := v.state.Holder(id)
+			return !ok
+		})
+	}
+}
+
+// collectAck keeps the newest acknowledgement of each lease holder until it is forwarded.
+func (v *Voter) collectAck(ack statemachine.Ack) {
+	if ack.Holder == 0 {
+		return
+	}
+	previous, known := v.acks[ack.Holder]
+	isNewer := known && previous.Round < ack.Round
+	hasRoom := !known && len(v.acks) < statemachine.MaxHolders
+	if isNewer || hasRoom {
+		v.acks[ack.Holder] = ack
+	}
+}
+
+// forwardAcks sends the collected acknowledgements to the leader; the leader proposes them once per lease.Period.
+func (v *Voter) forwardAcks() {
+	leader := v.rawNode.BasicStatus().Lead
+	isLeader := leader == v.options.ID
+	switch {
+	case isLeader && v.tick%renewalTicks == 0:
+		v.proposeRenewals()
+	case !isLeader && leader != 0 && len(v.acks) > 0 && v.tick%ackForwardTicks == 0:
+		v.send(Message{To: leader, Kind: AcksKind, Acks: v.takeAcks()})
+	}
+}
+
+// proposeRenewals proposes the collected acknowledgements and the expired leases, in one command for up to
+// statemachine.MaxAcks of them. A holder whose lease was not renewed acknowledges again in the next period.
+func (v *Voter) proposeRenewals() {
+	expired := v.expiredLeases()
+	acks := v.takeAcks()
+	for len(acks)+len(expired) > 0 {
+		command := statemachine.Command{Op: statemachine.Renew}
+		count := min(len(expired), statemachine.MaxAcks)
+		command.Ended, expired = expired[:count], expired[count:]
+		count = min(len(acks), statemachine.MaxAcks-count)
+		command.Acks, acks = acks[:count], acks[count:]
+		data, err := command.Encode()
+		if err != nil || v.rawNode.Propose(data) != nil {
+			return
+		}
+	}
+}
+
+// expiredLeases are the leases whose current round this voter has seen for leaseExpiryTicks, ordered by holder.
+func (v *Voter) expiredLeases() (expired []statemachine.Ack) {
+	for _, ack := range v.state.Holders() {
+		last := v.renewals[ack.Holder]
+		if last.round == ack.Round && v.tick-last.seenAt >= leaseExpiryTicks {
+			expired = append(expired, statemachine.Ack{Holder: ack.Holder, Round: ack.Round})
+		}
+	}
+	return expired
+}
+
+// takeAcks removes and returns the collected acknowledgements, ordered by holder.
+func (v *Voter) takeAcks() (all []statemachine.Ack) {
+	for _, id := range slices.Sorted(maps.Keys(v.acks)) {
+		all = append(all, v.acks[id])
+	}
+	clear(v.acks)
+	return all
+}
--- a/internal/consensus/raftlog/voter.go
+++ b/internal/consensus/raftlog/voter.go
@@ -1,9 +1,8 @@
 package raftlog
 
 import (
-	"encoding/binary"
 	"fmt"
-	"hash/fnv"
+	"maps"
 	"math/rand/v2"
 	"slices"
 
@@ -14,205 +13,218 @@
 )
 
 const (
-	electionTicks  = 10 // an election after 1 to 2 s without a word of a leader
-	heartbeatTicks = 2
-	confirmEvery   = 5   // ticks between two questions to a quorum whether anything is missing
-	askTicks       = 100 // a request waits so long
-	snapTicks      = 30  // a snapshot that was not answered is sent again
+	electionTicks       = 10  // a voter starts an election after 1 to 2 times as many without a message of a leader
+	heartbeatTicks      = 2   // between two heartbeats of the leader
+	readIndexTicks      = 5   // between two ReadIndex requests when no read waits
+	requestTimeoutTicks = 100 // after which a pending request is dropped
+	snapshotRetryTicks  = 30  // after which a snapshot without a response is sent again
 )
 
-// Options are a voter's settings.
-type Options struct {
-	Council uint64 // the founding, see Found
-	ID      uint64 // see voters.Gateway.ID: new for a start without its disk
-	Seed    uint64 // for elections; drawn anew with each start of the process
-	Keep    int    // places in the log before it is compacted; 1024
-	Flaws   statemachine.Flaws
-	// Watch is told of every place in the order as it is applied here, if not nil; text is empty where the order keeps the place
-	// for itself. Places that a snapshot brings are not told.
-	Watch func(index uint64, text []byte)
-}
-
-// Image is what a voter has kept: nothing, what Found made, or what a store gives back.
-type Image struct {
-	Hard     *pb.HardState
-	Snapshot *pb.Snapshot
-	Entries  []*pb.Entry // after the snapshot, without a gap
-}
-
-// Save is what must be kept before Saved is called. Compacted says that Snapshot was made here: the entries up to it may
-// go and those after it stay. Without it a snapshot came from the leader, and replaces all entries.
-type Save struct {
-	Hard      *pb.HardState
-	Snapshot  *pb.Snapshot
-	Entries   []*pb.Entry // replace all from the first one's index on
-	Compacted bool
-	Sync      bool // must be on the disk; otherwise it may come later
-}
-
-// Found makes the image that every member of the first council starts from, and the council's number. It is for the first
-// start of a fleet alone, with the same identities everywhere; whoever comes later starts from an empty Image.
-func Found(ids []uint64) (council uint64, img Image, err error) {
-	ids = slices.Sorted(slices.Values(ids))
-	h := fnv.New64a()
-	for _, id := range ids {
-		h.Write(binary.BigEndian.AppendUint64(nil, id))
-	}
-	s := statemachine.New()
-	s.Apply(1, nil)
-	data, err := s.Encode()
-	if err != nil {
-		return 0, Image{}, err
-	}
-	conf := pb.EnsureConfState(&pb.ConfState{Voters: ids})
-	snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: new(uint64(1)), Term: new(uint64(1))}}
-	return max(h.Sum64(), 1), Image{Snapshot: snap, Hard: &pb.HardState{Term: new(uint64(1)), Vote: new(uint64), Commit: new(uint64(1))}}, nil
-}
-
-// Voter is one vote in the council. One goroutine uses it.
+// Voter is one voting member of the cluster, or a learner that is about to become one. It is not safe for concurrent
+// use.
 //
-// The caller calls Tick, Step and Ask, and then, while Ready says so, keeps the Save and calls Saved, whose messages it sends.
-// After a standstill of the process one Tick is enough: a voter trusts no ticks to prove that it leads.
+// The caller calls Tick and Step and then, while Ready returns ok, persists the Update, calls Advance and sends the
+// messages that it returns. After the process was suspended one Tick is enough: a voter does not rely on ticks to prove
+// that it leads.
 type Voter struct {
-	opt    Options
-	rn     *raft.RawNode
-	mem    *raft.MemoryStorage
-	state  *statemachine.State
-	conf   *pb.ConfState
-	rng    *rand.Rand
-	now    uint64 // ticks
-	quiet  int    // ticks without a leader's word
-	patent int    // ticks of that before an election
-	staged *raft.Ready
-	snapAt uint64       // the place of the last snapshot
-	local  *pb.Snapshot // made here, to be kept with the next Save
-	bytes  int          // of entries since the last snapshot
-	out    []Message
-	acks   map[uint64]statemachine.Ack
-	seen   map[uint64]seen
-	asks   map[statemachine.Key]ask
-	reads  []read
-	count  uint64 // questions to a quorum
-	asked  map[uint64]uint64
-	sure   confirmed
-	snaps  map[uint64]uint64
-	err    error
+	options              Options
+	rawNode              *raft.RawNode
+	storage              *raft.MemoryStorage
+	state                *statemachine.State
+	confState            *pb.ConfState
+	rng                  *rand.Rand
+	tick                 uint64       // ticks since the start
+	electionElapsed      int          // ticks without a message of a leader
+	electionTimeout      int          // ticks after which an election starts
+	pendingReady         *raft.Ready  // between Ready and Advance
+	snapshotIndex        uint64       // index of the latest snapshot
+	localSnapshot        *pb.Snapshot // made here, to be persisted with the next Update
+	bytesSinceSnapshot   int          // of the entries after the latest snapshot
+	outgoing             []Message
+	acks                 map[uint64]statemachine.Ack // by holder, until they are forwarded or proposed
+	renewals             map[uint64]renewal          // by holder
+	pendingRequests      map[statemachine.Key]pendingRequest
+	pendingReads         []pendingRead
+	readIndexSequence    uint64            // of the latest ReadIndex request
+	readIndexRequestedAt map[uint64]uint64 // ticks by sequence
+	confirmation         confirmation
+	snapshotSentAt       map[uint64]uint64 // ticks by voter
+	err                  error             // why the voter stopped
 }
 
-// NewVoter starts a voter from what it kept.
-func NewVoter(opt Options, img Image) (v *Voter, err error) {
-	if opt.Keep <= 0 {
-		opt.Keep = keepEntries
+// NewVoter starts a voter from its persisted state. It returns ErrInconsistentLog if the state contradicts itself.
+func NewVoter(options Options, persisted PersistedState) (v *Voter, err error) {
+	if options.CompactionEntries <= 0 {
+		options.CompactionEntries = defaultCompactionEntries
 	}
-	v = &Voter{opt: opt, mem: raft.NewMemoryStorage(), state: statemachine.New(), conf: pb.EnsureConfState(nil), rng: rand.New(rand.NewPCG(opt.Seed, opt.ID)),
-		acks: map[uint64]statemachine.Ack{}, seen: map[uint64]seen{}, asks: map[statemachine.Key]ask{}, asked: map[uint64]uint64{}, snaps: map[uint64]uint64{}}
-	defer v.guard(&err)
-	if !raft.IsEmptySnap(img.Snapshot) {
-		if err := v.install(img.Snapshot); err != nil {
+	v = &Voter{
+		options:              options,
+		storage:              raft.NewMemoryStorage(),
+		state:                statemachine.New(),
+		confState:            pb.EnsureConfState(nil),
+		rng:                  rand.New(rand.NewPCG(options.Seed, options.ID)),
+		acks:                 map[uint64]statemachine.Ack{},
+		renewals:             map[uint64]renewal{},
+		pendingRequests:      map[statemachine.Key]pendingRequest{},
+		readIndexRequestedAt: map[uint64]uint64{},
+		snapshotSentAt:       map[uint64]uint64{},
+	}
+	defer v.recoverPanic(&err)
+	if !raft.IsEmptySnap(persisted.Snapshot) {
+		if err := v.installSnapshot(persisted.Snapshot); err != nil {
 			return nil, err
 		}
 	}
-	v.state.Flaws = opt.Flaws
-	if img.Hard != nil {
-		v.mem.SetHardState(img.Hard)
+	v.state.Flaws = options.Flaws
+	if persisted.HardState != nil {
+		v.storage.SetHardState(persisted.HardState)
 	}
-	if err := v.mem.Append(img.Entries); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+	if err := v.storage.Append(persisted.Entries); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrInconsistentLog, err)
 	}
-	v.rn, err = raft.NewRawNode(&raft.Config{ID: opt.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: storage{v.mem, v},
-		Applied: v.state.Index, MaxSizePerMsg: maxFeed, MaxCommittedSizePerReady: 4 * maxFeed, MaxUncommittedEntriesSize: maxPending,
-		MaxInflightMsgs: 32, CheckQuorum: true, PreVote: true, StepDownOnRemoval: true, Logger: quietLog{}})
+	v.rawNode, err = raft.NewRawNode(v.raftConfig())
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+		return nil, fmt.Errorf("%w: %w", ErrInconsistentLog, err)
 	}
-	v.rest()
+	v.resetElectionTimer()
 	return v, err
 }
 
-// guard turns a panic of raft, which it uses where the log contradicts what it is told, into ErrBroken.
-func (v *Voter) guard(err *error) {
+// raftConfig is raft's configuration for this voter.
+func (v *Voter) raftConfig() *raft.Config {
+	return &raft.Config{
+		ID:                        v.options.ID,
+		ElectionTick:              electionTicks,
+		HeartbeatTick:             heartbeatTicks,
+		Storage:                   snapshotStorage{v.storage, v},
+		Applied:                   v.state.Index,
+		MaxSizePerMsg:             maxEntriesBytes,
+		MaxCommittedSizePerReady:  4 * maxEntriesBytes,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		MaxInflightMsgs:           maxInflightMessages,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		StepDownOnRemoval:         true,
+		Logger:                    raftLogger{},
+	}
+}
+
+// recoverPanic turns a panic of raft, which panics where the log contradicts a message, into ErrInconsistentLog.
+func (v *Voter) recoverPanic(err *error) {
 	if p := recover(); p != nil {
-		v.err = fmt.Errorf("%w: %v", ErrBroken, p)
+		v.err = fmt.Errorf("%w: %v", ErrInconsistentLog, p)
 		*err = v.err
 	}
 }
 
-// rest starts the wait for an election anew.
-func (v *Voter) rest() { v.quiet, v.patent = 0, electionTicks+v.rng.IntN(electionTicks) }
+// resetElectionTimer restarts the wait for an election with a new random timeout.
+func (v *Voter) resetElectionTimer() {
+	v.electionElapsed, v.electionTimeout = 0, electionTicks+v.rng.IntN(electionTicks)
+}
 
-// Tick lets TickEvery pass. Raft draws its own waits from the system's entropy; here they follow from the seed, so raft is told
-// when to stand for election and its own wait is never reached.
+// Tick advances time by TickInterval. Raft draws its own election timeouts from the system's entropy. Here they follow
+// from the seed: the voter starts elections itself, and raft's own timeout is never reached.
 func (v *Voter) Tick() (err error) {
 	if v.err != nil {
 		return v.err
 	}
-	defer v.guard(&err)
-	v.now++
-	if v.Leads() {
-		v.rn.Tick()
+	defer v.recoverPanic(&err)
+	v.tick++
+	if v.IsLeader() {
+		v.rawNode.Tick()
 	} else {
-		v.rn.TickQuiesced()
-		if v.quiet++; v.quiet >= v.patent {
-			v.rest()
-			v.rn.Campaign() // without a vote of its own nothing happens
-		}
+		v.tickElection()
+	}
+	v.retrySnapshots()
+	v.forwardAcks()
+	v.requestReadIndex()
+	v.expireRequests()
+	return nil
+}
+
+// tickElection advances the election timer of a voter that does not lead, and starts an election when it runs out.
+func (v *Voter) tickElection() {
+	v.rawNode.TickQuiesced()
+	v.electionElapsed++
+	if v.electionElapsed < v.electionTimeout {
+		return
 	}
-	for _, id := range slices.Sorted(keys(v.snaps)) {
-		if v.now-v.snaps[id] >= snapTicks {
-			delete(v.snaps, id)
-			v.rn.ReportSnapshot(id, raft.SnapshotFailure)
+	v.resetElectionTimer()
+	v.rawNode.Campaign() // does nothing at a learner
+}
+
+// retrySnapshots reports snapshots that got no response for snapshotRetryTicks as failed, so that raft sends them again.
+func (v *Voter) retrySnapshots() {
+	for _, id := range slices.Sorted(maps.Keys(v.snapshotSentAt)) {
+		if v.tick-v.snapshotSentAt[id] >= snapshotRetryTicks {
+			delete(v.snapshotSentAt, id)
+			v.rawNode.ReportSnapshot(id, raft.SnapshotFailure)
 		}
 	}
-	v.renew()
-	v.confirm()
-	v.expire()
-	return nil
 }
 
-// Leads says whether this voter takes itself for the leader. Another may have taken over unseen.
-func (v *Voter) Leads() bool { return v.rn.BasicStatus().RaftState == raft.StateLeader }
+// IsLeader reports whether this voter considers itself the leader. Another may have been elected meanwhile.
+func (v *Voter) IsLeader() bool { return v.rawNode.BasicStatus().RaftState == raft.StateLeader }
 
-// Status is what a voter knows of itself.
+// Status is a voter's view of itself and of the cluster.
 type Status struct {
-	ID, Term, Leader, Applied, Chain uint64
-	Voters, Learners                 []uint64
-	Joint                            bool // a change of the council is under way
-	Err                              error
+	ID               uint64
+	Term             uint64
+	Leader           uint64 // 0 if unknown
+	Applied          uint64 // index of the latest applied entry
+	Chain            uint64 // see statemachine.State
+	Voters, Learners []uint64
+	Joint            bool  // a joint-consensus change of the voters is in progress
+	Err              error // why the voter stopped
 }
 
-// Status is for those who look at it, and for whoever plans changes of the council.
+// Status returns the voter's view, for monitoring and for planning replacements of voters.
 func (v *Voter) Status() Status {
-	b := v.rn.BasicStatus()
-	return Status{ID: v.opt.ID, Term: b.GetTerm(), Leader: b.Lead, Applied: v.state.Index, Chain: v.state.Chain, Err: v.err,
-		Voters: slices.Clone(v.conf.GetVoters()), Learners: slices.Clone(v.conf.GetLearners()), Joint: len(v.conf.GetVotersOutgoing()) > 0}
+	basic := v.rawNode.BasicStatus()
+	return Status{
+		ID:       v.options.ID,
+		Term:     basic.GetTerm(),
+		Leader:   basic.Lead,
+		Applied:  v.state.Index,
+		Chain:    v.state.Chain,
+		Voters:   slices.Clone(v.confState.GetVoters()),
+		Learners: slices.Clone(v.confState.GetLearners()),
+		Joint:    len(v.confState.GetVotersOutgoing()) > 0,
+		Err:      v.err,
+	}
 }
 
-// Step takes a message.
-func (v *Voter) Step(m Message) (err error) {
+// Step handles a message. It returns ErrMisdirected, codec.ErrMalformed, ErrOverloaded, the error that stopped the
+// voter, or raft's error for a message that it dropped.
+func (v *Voter) Step(message Message) (err error) {
 	switch {
 	case v.err != nil:
 		return v.err
-	case m.Council != v.opt.Council || m.To != v.opt.ID:
-		return ErrForeign
-	}
-	defer v.guard(&err)
-	switch m.Kind {
-	case Raft:
-		return v.stepRaft(m)
-	case Acks:
-		for _, a := range m.Acks {
-			v.collect(a)
+	case message.ClusterID != v.options.ClusterID || message.To != v.options.ID:
+		return ErrMisdirected
+	}
+	defer v.recoverPanic(&err)
+	switch message.Kind {
+	case RaftKind:
+		return v.stepRaft(message)
+	case AcksKind:
+		for _, ack := range message.Acks {
+			v.collectAck(ack)
 		}
-	case PullKind:
-		return v.feed(m)
-	case AskKind:
-		return v.ask(m)
+	case CatchUpRequestKind:
+		return v.handleCatchUpRequest(message)
+	case RequestKind:
+		return v.handleRequest(message)
 	}
 	return nil
 }
 
-func (v *Voter) send(m Message) {
-	if m.Council, m.From = v.opt.Council, v.opt.ID; len(v.out) < maxOut {
-		v.out = append(v.out, m)
+// send queues a message for the next Advance. It drops the message if maxOutgoing are queued.
+func (v *Voter) send(message Message) {
+	if len(v.outgoing) >= maxOutgoing {
+		return
 	}
+	message.ClusterID = v.options.ClusterID
+	message.From = v.options.ID
+	v.outgoing = append(v.outgoing, message)
 }
--- a/internal/consensus/simulation/client_test.go
+++ b/internal/consensus/simulation/client_test.go
@@ -76,20 +76,20 @@
 
 func (c *client) send() {
 	c.asked = c.f.now
-	ask := &raftlog.Ask{}
+	ask := &raftlog.Request{}
 	if c.read {
 		c.reads++
-		ask.Read, ask.Name = c.reads, c.name
+		ask.ReadID, ask.Register = c.reads, c.name
 	} else {
-		ask.Text, _ = c.cmd.Encode()
+		ask.Command, _ = c.cmd.Encode()
 	}
 	council := c.f.councilNow()
-	c.f.send(raftlog.Message{Council: c.f.council, From: c.id, To: council[c.f.rng.IntN(len(council))], Kind: raftlog.AskKind, Ask: ask})
+	c.f.send(raftlog.Message{ClusterID: c.f.council, From: c.id, To: council[c.f.rng.IntN(len(council))], Kind: raftlog.RequestKind, Request: ask})
 }
 
 func (c *client) answered(m raftlog.Message) {
-	a := m.Answer
-	if !c.open || a == nil || c.read && (a.Read == 0 || a.Read != c.reads) || !c.read && a.Key != c.cmd.Key || a.Result.Code == statemachine.Open {
+	a := m.Response
+	if !c.open || a == nil || c.read && (a.ReadID == 0 || a.ReadID != c.reads) || !c.read && a.Key != c.cmd.Key || a.Result.Code == statemachine.Open {
 		return
 	}
 	out := output{known: true, code: a.Result.Code, version: a.Result.Version}
--- a/internal/consensus/simulation/faults_test.go
+++ b/internal/consensus/simulation/faults_test.go
@@ -30,11 +30,11 @@
 	if g.disk {
 		if f.files != "" {
 			g.kept.Close()
-			g.kept = f.keep(g, raftlog.Image{})
+			g.kept = f.keep(g, raftlog.PersistedState{})
 		}
 		return
 	}
-	g.kept = store.NewMemory(raftlog.Image{})
+	g.kept = store.NewMemory(raftlog.PersistedState{})
 	if !f.reuse {
 		f.dead[g.id] = true
 		f.name(g)
@@ -99,7 +99,7 @@
 		}
 	}
 	for _, g := range f.all {
-		if !g.up || f.now < g.pausedTo || !g.voter.Leads() {
+		if !g.up || f.now < g.pausedTo || !g.voter.IsLeader() {
 			continue
 		}
 		var council, there []quorum.Gateway
@@ -116,7 +116,7 @@
 			if i := slices.Index(s.Learners, c.Add.ID()); i >= 0 {
 				f.replaced++
 			}
-			g.voter.Change(c.Add.ID(), c.Remove)
+			g.voter.ReplaceVoter(c.Add.ID(), c.Remove)
 		}
 	}
 }
--- a/internal/consensus/simulation/judge_test.go
+++ b/internal/consensus/simulation/judge_test.go
@@ -87,7 +87,7 @@
 
 // sent looks for two votes of one identity in one term.
 func (j *judge) sent(m raftlog.Message) {
-	if m.Kind != raftlog.Raft || m.Raft[1] != byte(raftpb.MsgVote) && m.Raft[1] != byte(raftpb.MsgVoteResp) { // the type comes first
+	if m.Kind != raftlog.RaftKind || m.Raft[1] != byte(raftpb.MsgVote) && m.Raft[1] != byte(raftpb.MsgVoteResp) { // the type comes first
 		return
 	}
 	x := &raftpb.Message{}
@@ -113,7 +113,7 @@
 
 // reads looks at a gateway's copy: the same chain as the order, and never as fresh as it can't be.
 func (j *judge) reads(g *gateway) {
-	s := g.follower.Facts()
+	s := g.follower.State()
 	if want, ok := j.chains[s.Index]; ok && want != s.Chain {
 		j.fail("%s has other facts at %d", g.Name, s.Index)
 	}
@@ -145,7 +145,7 @@
 func (j *judge) end() {
 	for _, g := range j.f.all {
 		if _, ok := g.follower.Lease().Valid(g.clock); !ok {
-			j.fail("%s has no lease at the end; at %d of %d, %+v", g.Name, g.follower.Facts().Index, len(j.texts), g.voter.Status())
+			j.fail("%s has no lease at the end; at %d of %d, %+v", g.Name, g.follower.State().Index, len(j.texts), g.voter.Status())
 		}
 		if r := g.follower.Read(g.clock, "r"); r.Age > 10*time.Second {
 			j.fail("%s reads what is %v old at the end", g.Name, r.Age)
--- a/internal/consensus/simulation/simulation_test.go
+++ b/internal/consensus/simulation/simulation_test.go
@@ -37,7 +37,7 @@
 	disk     bool
 	kept     store.Store
 	voter    *raftlog.Voter
-	follower *raftlog.Follower
+	follower *raftlog.Replica
 	clock    time.Duration
 	rate     float64
 	ticked   time.Duration
@@ -67,7 +67,7 @@
 	now      time.Duration
 	all      []*gateway
 	council  uint64
-	founded  raftlog.Image
+	founded  raftlog.PersistedState
 	flying   []flight
 	cuts     map[[2]int]time.Duration // directed, until when
 	dead     map[uint64]bool          // identities that never come back
@@ -94,11 +94,11 @@
 		ids = append(ids, g.ID())
 	}
 	var err error
-	if f.council, f.founded, err = raftlog.Found(ids); err != nil {
+	if f.council, f.founded, err = raftlog.Bootstrap(ids); err != nil {
 		panic(err)
 	}
 	for _, g := range f.all {
-		img := raftlog.Image{}
+		img := raftlog.PersistedState{}
 		if slices.Contains(ids, g.id) {
 			img = f.founded
 		}
@@ -112,7 +112,7 @@
 }
 
 // keep opens what a gateway keeps its votes in.
-func (f *fleet) keep(g *gateway, img raftlog.Image) store.Store {
+func (f *fleet) keep(g *gateway, img raftlog.PersistedState) store.Store {
 	if f.files == "" || !g.disk {
 		return store.NewMemory(img)
 	}
@@ -120,7 +120,7 @@
 	os.MkdirAll(dir, 0o700)
 	file, err := store.Open(dir, store.Owner{Name: g.Name, Council: f.council, Start: g.Start})
 	if err == nil && img.Snapshot != nil {
-		err = file.Save(raftlog.Save{Hard: img.Hard, Snapshot: img.Snapshot, Sync: true})
+		err = file.Save(raftlog.Update{HardState: img.HardState, Snapshot: img.Snapshot, MustSync: true})
 	}
 	if err != nil {
 		panic(err)
@@ -143,7 +143,7 @@
 		f.judge.fail("%s loads: %v", g.Name, err)
 	}
 	id := g.id
-	v, err := raftlog.NewVoter(raftlog.Options{Council: f.council, ID: id, Seed: f.rng.Uint64(), Keep: 40, Flaws: f.flaws, Watch: func(i uint64, text []byte) { f.judge.applied(id, i, text) }}, img)
+	v, err := raftlog.NewVoter(raftlog.Options{ClusterID: f.council, ID: id, Seed: f.rng.Uint64(), CompactionEntries: 40, Flaws: f.flaws, OnApply: func(i uint64, text []byte) { f.judge.applied(id, i, text) }}, img)
 	if err != nil {
 		f.judge.fail("%s starts: %v", g.Name, err)
 		return
@@ -154,8 +154,8 @@
 	g.ticked = g.clock
 	f.starts++ // the holder's identity is always new
 	h := quorum.Gateway{Name: g.Name + " holds", Start: f.starts}
-	g.follower = raftlog.NewFollower(f.council, h.ID(), f.rng.Uint64(), f.councilNow())
-	g.follower.Facts().Flaws = f.flaws
+	g.follower = raftlog.NewReplica(f.council, h.ID(), f.rng.Uint64(), f.councilNow())
+	g.follower.State().Flaws = f.flaws
 }
 
 // rate is of a clock: as far off as it may be, or anything between.
@@ -195,7 +195,7 @@
 	g.mail = nil
 	for _, m := range mail {
 		if m.To == g.id {
-			if err := g.voter.Step(m); errors.Is(err, raftlog.ErrBroken) {
+			if err := g.voter.Step(m); errors.Is(err, raftlog.ErrInconsistentLog) {
 				f.judge.fail("%s: %v", g.Name, err)
 			}
 		} else {
@@ -203,10 +203,10 @@
 		}
 	}
 	if g.clock-g.ticked > time.Second {
-		g.ticked = g.clock - raftlog.TickEvery // it stood still: lost ticks stay lost
+		g.ticked = g.clock - raftlog.TickInterval // it stood still: lost ticks stay lost
 	}
-	for g.clock-g.ticked >= raftlog.TickEvery {
-		g.ticked += raftlog.TickEvery
+	for g.clock-g.ticked >= raftlog.TickInterval {
+		g.ticked += raftlog.TickInterval
 		g.voter.Tick()
 	}
 	for range 50 {
@@ -221,7 +221,7 @@
 			f.crash(g) // between keeping and sending
 			return
 		}
-		out, err := g.voter.Saved()
+		out, err := g.voter.Advance()
 		if err != nil {
 			f.judge.fail("%s: %v", g.Name, err)
 		}
@@ -245,7 +245,7 @@
 		f.judge.act(g, g.act, g.follower.Lease().End(g.clock, g.act.Act))
 		g.act = nil
 	}
-	r, _, ok := g.follower.Facts().Get("r")
+	r, _, ok := g.follower.State().Get("r")
 	if !ok || string(r.Value) != g.Name {
 		return
 	}
--- a/internal/consensus/simulation/votes_test.go
+++ b/internal/consensus/simulation/votes_test.go
@@ -17,14 +17,14 @@
 // and the judge finds that.
 func TestVotes(t *testing.T) {
 	g := quorum.Gateway{Name: "g1", Start: 1}
-	council, founded, err := raftlog.Found([]uint64{g.ID(), 2, 3})
+	council, founded, err := raftlog.Bootstrap([]uint64{g.ID(), 2, 3})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j := newJudge(&fleet{})
 	ask := func(g quorum.Gateway, to, candidate uint64, kept store.Store) error {
 		img, _ := kept.Load()
-		v, err := raftlog.NewVoter(raftlog.Options{Council: council, ID: g.ID(), Seed: 1}, img)
+		v, err := raftlog.NewVoter(raftlog.Options{ClusterID: council, ID: g.ID(), Seed: 1}, img)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := v.Step(raftlog.Message{Council: council, From: candidate, To: to, Kind: raftlog.Raft, Raft: b}); err != nil {
+		if err := v.Step(raftlog.Message{ClusterID: council, From: candidate, To: to, Kind: raftlog.RaftKind, Raft: b}); err != nil {
 			return err
 		}
 		for {
@@ -42,7 +42,7 @@
 				return nil
 			}
 			kept.Save(s)
-			out, err := v.Saved()
+			out, err := v.Advance()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -57,7 +57,7 @@
 	}
 	anew := g
 	anew.Start = 2
-	if err := ask(anew, g.ID(), 3, store.NewMemory(raftlog.Image{})); !errors.Is(err, raftlog.ErrForeign) {
+	if err := ask(anew, g.ID(), 3, store.NewMemory(raftlog.PersistedState{})); !errors.Is(err, raftlog.ErrMisdirected) {
 		t.Errorf("without: %v", err)
 	}
 	if ask(g, g.ID(), 3, store.NewMemory(founded)); len(j.failures) != 1 {
--- a/internal/consensus/store/file.go
+++ b/internal/consensus/store/file.go
@@ -36,7 +36,7 @@
 	// ErrFull says that there is no room on the disk, or that the file has come to MaxFile. Make room, or move a file of that size
 	// away (the gateway is a new voter then), and start again; nothing that was promised is lost.
 	ErrFull = errors.New("council: no room on the disk or in the file; make room and start again")
-	// ErrForeign says that the file is none of the council's, or another gateway's or another founding's. Name another folder.
+	// ErrMisdirected says that the file is none of the council's, or another gateway's or another founding's. Name another folder.
 	ErrForeign = errors.New("council: the file belongs to something else; name another folder")
 	// ErrInUse says that another process has the file open. End it, or name another folder.
 	ErrInUse = errors.New("council: another process has the file open; end it or name another folder")
@@ -149,11 +149,11 @@
 func (f *File) Close() error { return typed(f.db.Close()) }
 
 // Save writes a change and waits for the disk. After an error nothing more is written: what the disk holds is unknown then.
-func (f *File) Save(s raftlog.Save) (err error) {
+func (f *File) Save(s raftlog.Update) (err error) {
 	if f.err != nil {
 		return f.err
 	}
-	if !s.Sync && s.Snapshot == nil && len(s.Entries) == 0 {
+	if !s.MustSync && s.Snapshot == nil && len(s.Entries) == 0 {
 		return nil // how far the council has got, which the leader tells again
 	}
 	defer func() { f.err = err }()
@@ -161,8 +161,8 @@
 	defer guard(&err)
 	return typed(f.db.Update(func(tx *bbolt.Tx) error {
 		meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
-		if s.Hard != nil {
-			if err := putProto(meta, "hard", s.Hard); err != nil {
+		if s.HardState != nil {
+			if err := putProto(meta, "hard", s.HardState); err != nil {
 				return err
 			}
 		}
@@ -195,15 +195,15 @@
 }
 
 // Load reads all, and checks that every text is whole and that no entry is missing.
-func (f *File) Load() (img raftlog.Image, err error) {
+func (f *File) Load() (img raftlog.PersistedState, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer guard(&err)
 	err = f.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
 		next := uint64(1)
 		if meta.Get([]byte("hard")) != nil {
-			img.Hard = &pb.HardState{}
-			if err := getProto(meta, "hard", img.Hard); err != nil {
+			img.HardState = &pb.HardState{}
+			if err := getProto(meta, "hard", img.HardState); err != nil {
 				return err
 			}
 		}
@@ -226,13 +226,13 @@
 			img.Entries = append(img.Entries, e)
 			return nil
 		})
-		if err == nil && img.Hard.GetCommit() >= next {
-			return fmt.Errorf("%w: committed up to %d, kept up to %d", ErrTorn, img.Hard.GetCommit(), next-1)
+		if err == nil && img.HardState.GetCommit() >= next {
+			return fmt.Errorf("%w: committed up to %d, kept up to %d", ErrTorn, img.HardState.GetCommit(), next-1)
 		}
 		return err
 	})
 	if err != nil {
-		return raftlog.Image{}, typed(err)
+		return raftlog.PersistedState{}, typed(err)
 	}
 	return img, nil
 }
--- a/internal/consensus/store/memory.go
+++ b/internal/consensus/store/memory.go
@@ -13,27 +13,27 @@
 // Store is what a voter's shell keeps a Save in, before it says Saved. An error is final for the voter: it must not say
 // Saved, send nothing, and be started anew from Load, or under a new identity.
 type Store interface {
-	Load() (raftlog.Image, error)
-	Save(raftlog.Save) error
+	Load() (raftlog.PersistedState, error)
+	Save(raftlog.Update) error
 	Close() error
 }
 
 // Memory keeps a voter's image as long as the process runs. The zero value is empty.
-type Memory struct{ img raftlog.Image }
+type Memory struct{ img raftlog.PersistedState }
 
 // NewMemory holds an image, as order.Found makes it.
-func NewMemory(img raftlog.Image) *Memory { return &Memory{img: img} }
+func NewMemory(img raftlog.PersistedState) *Memory { return &Memory{img: img} }
 
 // Load returns what was kept.
-func (m *Memory) Load() (raftlog.Image, error) { return m.img, nil }
+func (m *Memory) Load() (raftlog.PersistedState, error) { return m.img, nil }
 
 // Close does nothing.
 func (m *Memory) Close() error { return nil }
 
 // Save keeps a change.
-func (m *Memory) Save(s raftlog.Save) error {
-	if s.Hard != nil {
-		m.img.Hard = proto.Clone(s.Hard).(*pb.HardState)
+func (m *Memory) Save(s raftlog.Update) error {
+	if s.HardState != nil {
+		m.img.HardState = proto.Clone(s.HardState).(*pb.HardState)
 	}
 	if s.Snapshot != nil && !s.Compacted {
 		m.img.Snapshot, m.img.Entries = s.Snapshot, nil
--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -30,11 +30,11 @@
 // fill makes a file with a founding and some entries.
 func fill(t *testing.T, dir string) {
 	f := opened(t, dir)
-	_, img, err := raftlog.Found([]uint64{1, 2, 3})
+	_, img, err := raftlog.Bootstrap([]uint64{1, 2, 3})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := raftlog.Save{Hard: img.Hard, Snapshot: img.Snapshot, Sync: true}
+	s := raftlog.Update{HardState: img.HardState, Snapshot: img.Snapshot, MustSync: true}
 	for i := uint64(2); i < 60; i++ {
 		s.Entries = append(s.Entries, entry(i, 1))
 	}
@@ -45,16 +45,16 @@
 
 func TestKeepsAsMemoryDoes(t *testing.T) {
 	dir := t.TempDir()
-	f, m := opened(t, dir), NewMemory(raftlog.Image{})
+	f, m := opened(t, dir), NewMemory(raftlog.PersistedState{})
 	start := f.Owner().Start
-	_, img, _ := raftlog.Found([]uint64{1})
+	_, img, _ := raftlog.Bootstrap([]uint64{1})
 	snap := func(i uint64) *pb.Snapshot {
 		return &pb.Snapshot{Data: []byte{1}, Metadata: pb.EnsureSnapshotMetadata(&pb.SnapshotMetadata{Index: new(i), Term: new(uint64(2))})}
 	}
-	for _, s := range []raftlog.Save{{Hard: img.Hard, Snapshot: img.Snapshot, Sync: true},
-		{Entries: []*pb.Entry{entry(2, 1), entry(3, 1), entry(4, 1)}, Sync: true},
-		{Entries: []*pb.Entry{entry(3, 2), entry(4, 2), entry(5, 2)}, Hard: &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(1)), Commit: new(uint64(4))}, Sync: true},
-		{Snapshot: snap(4), Compacted: true}, {Snapshot: snap(9), Sync: true}, {Entries: []*pb.Entry{entry(10, 3)}, Sync: true}} {
+	for _, s := range []raftlog.Update{{HardState: img.HardState, Snapshot: img.Snapshot, MustSync: true},
+		{Entries: []*pb.Entry{entry(2, 1), entry(3, 1), entry(4, 1)}, MustSync: true},
+		{Entries: []*pb.Entry{entry(3, 2), entry(4, 2), entry(5, 2)}, HardState: &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(1)), Commit: new(uint64(4))}, MustSync: true},
+		{Snapshot: snap(4), Compacted: true}, {Snapshot: snap(9), MustSync: true}, {Entries: []*pb.Entry{entry(10, 3)}, MustSync: true}} {
 		if err := errors.Join(f.Save(s), m.Save(s), f.Close()); err != nil {
 			t.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 		}
 		a, err := f.Load()
 		b, _ := m.Load()
-		if err != nil || a.Hard.String() != b.Hard.String() || a.Snapshot.String() != b.Snapshot.String() || len(a.Entries) != len(b.Entries) {
+		if err != nil || a.HardState.String() != b.HardState.String() || a.Snapshot.String() != b.Snapshot.String() || len(a.Entries) != len(b.Entries) {
 			t.Fatalf("%v: %v, %v", err, a, b)
 		}
 		for i := range a.Entries {
@@ -115,9 +115,9 @@
 		os.WriteFile(path, b, 0o600)
 		f, err := Open(dir, Owner{Name: "g1", Council: 7})
 		if err == nil {
-			var img raftlog.Image
+			var img raftlog.PersistedState
 			img, err = f.Load()
-			if err == nil && img.Hard != nil && len(img.Entries) != 58 {
+			if err == nil && img.HardState != nil && len(img.Entries) != 58 {
 				t.Errorf("%s at %d: %d entries", what, at, len(img.Entries))
 			}
 			f.Close()
@@ -153,11 +153,11 @@
 	}
 	kept := uint64(0)
 	for err == nil {
-		if err = f.Save(raftlog.Save{Entries: []*pb.Entry{entry(kept+1, 1)}, Sync: true}); err == nil {
+		if err = f.Save(raftlog.Update{Entries: []*pb.Entry{entry(kept+1, 1)}, MustSync: true}); err == nil {
 			kept++
 		}
 	}
-	if again := f.Save(raftlog.Save{Sync: true}); !errors.Is(err, ErrFull) || !errors.Is(again, ErrFull) {
+	if again := f.Save(raftlog.Update{MustSync: true}); !errors.Is(err, ErrFull) || !errors.Is(again, ErrFull) {
 		t.Error(err, again)
 	}
 	f.Close()
