--- a/internal/consensus/simulation/simulation_test.go
+++ b/internal/consensus/simulation/simulation_test.go
@@ -118,7 +118,7 @@
 	}
 	dir := filepath.Join(f.files, g.Name)
 	os.MkdirAll(dir, 0o700)
-	file, err := store.Open(dir, store.Owner{Name: g.Name, Council: f.council, Start: g.Start})
+	file, err := store.Open(dir, store.Owner{Name: g.Name, ClusterID: f.council, Start: g.Start})
 	if err == nil && img.Snapshot != nil {
 		err = file.Save(raftlog.Update{HardState: img.HardState, Snapshot: img.Snapshot, MustSync: true})
 	}
--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -5,7 +5,6 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
-	"reflect"
 	"syscall"
 	"testing"
 
@@ -14,159 +13,191 @@
 	"cranegate/internal/consensus/raftlog"
 )
 
-func entry(i, term uint64) *pb.Entry {
-	return &pb.Entry{Index: new(i), Term: new(term), Data: make([]byte, 300)}
+// lastSampleIndex is the index of the last entry in the file of writeSampleFile.
+const lastSampleIndex = 59
+
+func newEntry(index, term uint64) *pb.Entry {
+	return &pb.Entry{Index: new(index), Term: new(term), Data: make([]byte, 300)}
+}
+
+func newSnapshot(index uint64) *pb.Snapshot {
+	metadata := &pb.SnapshotMetadata{Index: new(index), Term: new(uint64(2))}
+	return &pb.Snapshot{Data: []byte{1}, Metadata: pb.EnsureSnapshotMetadata(metadata)}
 }
 
-func opened(t *testing.T, dir string) *File {
+func openFile(t *testing.T, folder string) *File {
 	t.Helper()
-	f, err := Open(dir, Owner{Name: "g1", Council: 7, Start: rand.Uint64()})
+	file, err := Open(folder, Owner{Name: "g1", ClusterID: 7, Start: rand.Uint64()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return file
 }
 
-// fill makes a file with a founding and some entries.
-func fill(t *testing.T, dir string) {
-	f := opened(t, dir)
-	_, img, err := raftlog.Bootstrap([]uint64{1, 2, 3})
+// writeSampleFile makes a file with the snapshot of a new cluster and some entries.
+func writeSampleFile(t *testing.T, folder string) {
+	t.Helper()
+	file := openFile(t, folder)
+	_, bootstrap, err := raftlog.Bootstrap([]uint64{1, 2, 3})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := raftlog.Update{HardState: img.HardState, Snapshot: img.Snapshot, MustSync: true}
-	for i := uint64(2); i < 60; i++ {
-		s.Entries = append(s.Entries, entry(i, 1))
+	update := raftlog.Update{HardState: bootstrap.HardState, Snapshot: bootstrap.Snapshot, MustSync: true}
+	for index := uint64(2); index <= lastSampleIndex; index++ {
+		update.Entries = append(update.Entries, newEntry(index, 1))
 	}
-	if err := errors.Join(f.Save(s), f.Close()); err != nil {
+	if err := errors.Join(file.Save(update), file.Close()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestKeepsAsMemoryDoes(t *testing.T) {
-	dir := t.TempDir()
-	f, m := opened(t, dir), NewMemory(raftlog.PersistedState{})
-	start := f.Owner().Start
-	_, img, _ := raftlog.Bootstrap([]uint64{1})
-	snap := func(i uint64) *pb.Snapshot {
-		return &pb.Snapshot{Data: []byte{1}, Metadata: pb.EnsureSnapshotMetadata(&pb.SnapshotMetadata{Index: new(i), Term: new(uint64(2))})}
-	}
-	for _, s := range []raftlog.Update{{HardState: img.HardState, Snapshot: img.Snapshot, MustSync: true},
-		{Entries: []*pb.Entry{entry(2, 1), entry(3, 1), entry(4, 1)}, MustSync: true},
-		{Entries: []*pb.Entry{entry(3, 2), entry(4, 2), entry(5, 2)}, HardState: &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(1)), Commit: new(uint64(4))}, MustSync: true},
-		{Snapshot: snap(4), Compacted: true}, {Snapshot: snap(9), MustSync: true}, {Entries: []*pb.Entry{entry(10, 3)}, MustSync: true}} {
-		if err := errors.Join(f.Save(s), m.Save(s), f.Close()); err != nil {
+// TestFileMatchesMemory saves the same updates in a file, which is opened anew after each, and in memory.
+func TestFileMatchesMemory(t *testing.T) {
+	folder := t.TempDir()
+	file, memory := openFile(t, folder), NewMemory(raftlog.PersistedState{})
+	start := file.Owner().Start
+	_, bootstrap, _ := raftlog.Bootstrap([]uint64{1})
+	hardState := &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(1)), Commit: new(uint64(4))}
+	updates := []raftlog.Update{
+		{HardState: bootstrap.HardState, Snapshot: bootstrap.Snapshot, MustSync: true},
+		{Entries: []*pb.Entry{newEntry(2, 1), newEntry(3, 1), newEntry(4, 1)}, MustSync: true},
+		{Entries: []*pb.Entry{newEntry(3, 2), newEntry(4, 2), newEntry(5, 2)}, HardState: hardState, MustSync: true},
+		{Snapshot: newSnapshot(4), Compacted: true},
+		{Snapshot: newSnapshot(9), MustSync: true},
+		{Entries: []*pb.Entry{newEntry(10, 3)}, MustSync: true},
+	}
+	for _, update := range updates {
+		if err := errors.Join(file.Save(update), memory.Save(update), file.Close()); err != nil {
 			t.Fatal(err)
 		}
-		f = opened(t, dir)
-		if f.Owner().Start != start {
+		file = openFile(t, folder)
+		if file.Owner().Start != start {
 			t.Fatal("another start from the same file")
 		}
-		a, err := f.Load()
-		b, _ := m.Load()
-		if err != nil || a.HardState.String() != b.HardState.String() || a.Snapshot.String() != b.Snapshot.String() || len(a.Entries) != len(b.Entries) {
-			t.Fatalf("%v: %v, %v", err, a, b)
-		}
-		for i := range a.Entries {
-			if !reflect.DeepEqual(a.Entries[i].String(), b.Entries[i].String()) {
-				t.Fatalf("entry %d: %v, %v", i, a.Entries[i], b.Entries[i])
-			}
+		requireSameState(t, file, memory)
+	}
+	file.Close()
+}
+
+func requireSameState(t *testing.T, file *File, memory *Memory) {
+	t.Helper()
+	fromFile, err := file.Load()
+	fromMemory, _ := memory.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if fromFile.HardState.String() != fromMemory.HardState.String() || fromFile.Snapshot.String() != fromMemory.Snapshot.String() {
+		t.Fatalf("%v, %v", fromFile, fromMemory)
+	}
+	if len(fromFile.Entries) != len(fromMemory.Entries) {
+		t.Fatalf("%v, %v", fromFile, fromMemory)
+	}
+	for i := range fromFile.Entries {
+		if fromFile.Entries[i].String() != fromMemory.Entries[i].String() {
+			t.Fatalf("entry %d: %v, %v", i, fromFile.Entries[i], fromMemory.Entries[i])
 		}
 	}
-	f.Close()
 }
 
-func TestForeignAndUsed(t *testing.T) {
-	dir := t.TempDir()
-	fill(t, dir)
-	if _, err := Open(dir, Owner{Name: "g2", Council: 7}); !errors.Is(err, ErrForeign) {
+func TestWrongOwnerAndInUse(t *testing.T) {
+	folder := t.TempDir()
+	writeSampleFile(t, folder)
+	if _, err := Open(folder, Owner{Name: "g2", ClusterID: 7}); !errors.Is(err, ErrWrongOwner) {
 		t.Error(err)
 	}
-	if _, err := Open(dir, Owner{Name: "g1", Council: 8}); !errors.Is(err, ErrForeign) {
+	if _, err := Open(folder, Owner{Name: "g1", ClusterID: 8}); !errors.Is(err, ErrWrongOwner) {
 		t.Error(err)
 	}
-	f := opened(t, dir)
-	if _, err := Open(dir, Owner{Name: "g1", Council: 7}); !errors.Is(err, ErrInUse) {
+	file := openFile(t, folder)
+	if _, err := Open(folder, Owner{Name: "g1", ClusterID: 7}); !errors.Is(err, ErrInUse) {
 		t.Error(err)
 	}
-	f.Close()
-	os.WriteFile(filepath.Join(dir, FileName), []byte("[fleet]\nname = \"x\"\n"), 0o600)
-	if _, err := Open(dir, Owner{Name: "g1", Council: 7}); !errors.Is(err, ErrForeign) {
+	file.Close()
+	os.WriteFile(filepath.Join(folder, FileName), []byte("[fleet]\nname = \"x\"\n"), 0o600)
+	if _, err := Open(folder, Owner{Name: "g1", ClusterID: 7}); !errors.Is(err, ErrWrongOwner) {
 		t.Error(err)
 	}
-	if _, err := Open(filepath.Join(dir, "none"), Owner{Name: "g1"}); !errors.Is(err, ErrDisk) {
+	if _, err := Open(filepath.Join(folder, "none"), Owner{Name: "g1"}); !errors.Is(err, ErrUnusable) {
 		t.Error(err)
 	}
 }
 
-// TestTorn cuts the file at every page and spoils it at many bytes: all reads whole, or is a typed error, or is what was kept
-// (the byte was of no page in use); never a panic, never other entries.
-func TestTorn(t *testing.T) {
-	dir := t.TempDir()
-	fill(t, dir)
-	path := filepath.Join(dir, FileName)
-	whole, err := os.ReadFile(path)
+// TestDamagedFile truncates the file at every page and corrupts bytes of it. It must load completely, fail with a typed error,
+// or load as it was saved (the byte was in no used page); it must never panic or load other entries.
+func TestDamagedFile(t *testing.T) {
+	folder := t.TempDir()
+	writeSampleFile(t, folder)
+	path := filepath.Join(folder, FileName)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	found := 0
-	try := func(b []byte, what string, at int) {
-		os.Remove(path) // as an operator moves it away: what a damaged file's lock is on goes with it
-		os.WriteFile(path, b, 0o600)
-		f, err := Open(dir, Owner{Name: "g1", Council: 7})
-		if err == nil {
-			var img raftlog.PersistedState
-			img, err = f.Load()
-			if err == nil && img.HardState != nil && len(img.Entries) != 58 {
-				t.Errorf("%s at %d: %d entries", what, at, len(img.Entries))
-			}
-			f.Close()
-		}
-		if err != nil {
-			if found++; !errors.Is(err, ErrTorn) && !errors.Is(err, ErrForeign) {
-				t.Errorf("%s at %d: %v", what, at, err)
+	detected := 0
+	check := func(content []byte, damage string, offset int) {
+		os.Remove(path) // as an operator does: the lock on a damaged file goes with it
+		os.WriteFile(path, content, 0o600)
+		if err := loadSampleFile(t, folder, damage, offset); err != nil {
+			detected++
+			if !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrWrongOwner) {
+				t.Errorf("%s at %d: %v", damage, offset, err)
 			}
 		}
 	}
-	for at := 1; at < len(whole); at += 4096 {
-		try(whole[:at], "cut", at)
+	for offset := 1; offset < len(complete); offset += 4096 {
+		check(complete[:offset], "truncated", offset)
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 150 {
-		b := append([]byte(nil), whole...)
-		at := rng.IntN(len(b))
-		b[at] ^= byte(1 + rng.IntN(255))
-		try(b, "spoilt", at)
+		content := append([]byte(nil), complete...)
+		offset := rng.IntN(len(content))
+		content[offset] ^= byte(1 + rng.IntN(255))
+		check(content, "corrupted", offset)
+	}
+	if detected < 10 {
+		t.Errorf("%d damages detected", detected)
+	}
+	t.Log(len(complete), "bytes,", detected, "damages detected")
+}
+
+// loadSampleFile loads a file that may be damaged, and checks the number of entries if it loads.
+func loadSampleFile(t *testing.T, folder, damage string, offset int) error {
+	t.Helper()
+	file, err := Open(folder, Owner{Name: "g1", ClusterID: 7})
+	if err != nil {
+		return err
 	}
-	if found < 10 {
-		t.Errorf("%d found", found)
+	defer file.Close()
+	state, err := file.Load()
+	if err == nil && state.HardState != nil && len(state.Entries) != lastSampleIndex-1 {
+		t.Errorf("%s at %d: %d entries", damage, offset, len(state.Entries))
 	}
-	t.Log(len(whole), "bytes,", found, "damages found")
+	return err
 }
 
-// TestFull fills a file to its bound: a typed error, nothing more is written, and what was kept before is there.
-func TestFull(t *testing.T) {
-	dir := t.TempDir()
-	f, err := open(dir, Owner{Name: "g1", Council: 7}, 256<<10)
+// TestFileLimit fills a file to its limit: Save returns ErrFull and writes nothing more, and earlier entries can be loaded.
+func TestFileLimit(t *testing.T) {
+	folder := t.TempDir()
+	file, err := openLimited(folder, Owner{Name: "g1", ClusterID: 7}, 256<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := uint64(0)
+	saved := uint64(0)
 	for err == nil {
-		if err = f.Save(raftlog.Update{Entries: []*pb.Entry{entry(kept+1, 1)}, MustSync: true}); err == nil {
-			kept++
+		update := raftlog.Update{Entries: []*pb.Entry{newEntry(saved+1, 1)}, MustSync: true}
+		if err = file.Save(update); err == nil {
+			saved++
 		}
 	}
-	if again := f.Save(raftlog.Update{MustSync: true}); !errors.Is(err, ErrFull) || !errors.Is(again, ErrFull) {
+	if again := file.Save(raftlog.Update{MustSync: true}); !errors.Is(err, ErrFull) || !errors.Is(again, ErrFull) {
 		t.Error(err, again)
 	}
-	f.Close()
-	f = opened(t, dir)
-	defer f.Close()
-	if img, err := f.Load(); err != nil || uint64(len(img.Entries)) != kept || kept < 100 {
-		t.Error(err, len(img.Entries), kept)
+	file.Close()
+	file = openFile(t, folder)
+	defer file.Close()
+	if state, err := file.Load(); err != nil || uint64(len(state.Entries)) != saved || saved < 100 {
+		t.Error(err, len(state.Entries), saved)
 	}
-	if err := typed(syscall.ENOSPC); !errors.Is(err, ErrFull) {
+	if err := classify(syscall.ENOSPC); !errors.Is(err, ErrFull) {
 		t.Error(err)
 	}
 }
