--- a/internal/consensus/lease/lease.go
+++ b/internal/consensus/lease/lease.go
@@ -71,13 +71,13 @@
 	for index := range h.acts {
 		applied = min(applied, index)
 	}
-	return statemachine.Ack{Holder: h.id, Round: h.round, Acked: applied}
+	return statemachine.Ack{Holder: h.id, Round: h.round, Index: applied}
 }
 
 // Applied looks at what the order says of this lease, after it has been applied here. A lease counts from when it was asked
 // for, never from when the answer came.
 func (h *Holder) Applied(s *statemachine.State) {
-	row, ok := s.Holder(h.id)
+	row, ok := s.Lease(h.id)
 	if !ok {
 		h.until, h.granted = 0, 0
 	} else if at, known := h.asked[row.Round]; known && row.Round > h.granted {
--- a/internal/consensus/lease/lease_test.go
+++ b/internal/consensus/lease/lease_test.go
@@ -51,13 +51,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a := h.Ask(time.Second, 5); a.Acked != 1 {
-		t.Errorf("acknowledged %d during an act that stands on 1", a.Acked)
+	if a := h.Ask(time.Second, 5); a.Index != 1 {
+		t.Errorf("acknowledged %d during an act that stands on 1", a.Index)
 	}
 	if err := h.End(time.Second, act); err != nil {
 		t.Error(err)
 	}
-	if a := h.Ask(2*time.Second, 5); a.Acked != 5 || a.Round != 3 {
+	if a := h.Ask(2*time.Second, 5); a.Index != 5 || a.Round != 3 {
 		t.Error(a)
 	}
 }
--- a/internal/consensus/raftlog/harness_test.go
+++ b/internal/consensus/raftlog/harness_test.go
@@ -60,12 +60,12 @@
 	h.t.Helper()
 	command := statemachine.Command{
 		Key:   statemachine.Key{Client: 5, Seq: seq},
-		Born:  h.voter.state.Index,
-		Done:  seq - 1,
+		BornIndex:  h.voter.state.Index,
+		ReceivedSeq:  seq - 1,
 		Op:    statemachine.Set,
 		Name:  "x",
 		Value: make([]byte, size),
-		Any:   true,
+		AnyVersion:   true,
 	}
 	data, err := command.Encode()
 	if err != nil {
--- a/internal/consensus/raftlog/limits.go
+++ b/internal/consensus/raftlog/limits.go
@@ -12,7 +12,7 @@
 
 // Limits of messages, queues and the log.
 const (
-	MaxMessageBytes          = statemachine.MaxState + 128<<10 // of a message that may carry a snapshot
+	MaxMessageBytes          = statemachine.MaxSnapshotBytes + 128<<10 // of a message that may carry a snapshot
 	maxSmallMessageBytes     = 160 << 10                       // of any other message
 	maxEntriesBytes          = 64 << 10                        // of the entries in one response or raft message
 	maxProposalsPerMessage   = 64                              // entries that another voter may forward in one raft message
--- a/internal/consensus/raftlog/limits_test.go
+++ b/internal/consensus/raftlog/limits_test.go
@@ -13,7 +13,7 @@
 func TestPendingRequestLimits(t *testing.T) {
 	h := newHarness(t)
 	command := func(client uint64) error {
-		data, err := statemachine.Command{Key: statemachine.Key{Client: client, Seq: 1}, Op: statemachine.Set, Name: "x", Any: true}.Encode()
+		data, err := statemachine.Command{Key: statemachine.Key{Client: client, Seq: 1}, Op: statemachine.Set, Name: "x", AnyVersion: true}.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,13 +54,13 @@
 	lagging := NewReplica(v.options.ClusterID, 7, 1, []uint64{1})
 	var responses int
 	for seq := uint64(1); seq <= 5000; seq++ {
-		if err := h.set(seq, int(seq)%statemachine.MaxValue); err != nil {
+		if err := h.set(seq, int(seq)%statemachine.MaxValueBytes); err != nil {
 			t.Fatal(err)
 		}
 		responses += len(h.advance())
 		first, _ := v.storage.FirstIndex()
 		last, _ := v.storage.LastIndex()
-		if last+1-first > defaultCompactionEntries+defaultCompactionEntries/4 || v.bytesSinceSnapshot > compactionBytes+statemachine.MaxEntry {
+		if last+1-first > defaultCompactionEntries+defaultCompactionEntries/4 || v.bytesSinceSnapshot > compactionBytes+statemachine.MaxCommandBytes {
 			t.Fatalf("the log holds %d to %d, %d bytes", first, last, v.bytesSinceSnapshot)
 		}
 		if seq == 10 {
@@ -73,7 +73,7 @@
 	newcomer := NewReplica(v.options.ClusterID, 8, 1, []uint64{1})
 	for _, replica := range []*Replica{lagging, newcomer} {
 		h.catchUp(replica, 10*time.Second)
-		if state := replica.State(); state.Index != v.state.Index || state.Chain != v.state.Chain {
+		if state := replica.State(); state.Index != v.state.Index || state.Checksum != v.state.Checksum {
 			t.Errorf("replica %d at %d of %d", replica.ID(), state.Index, v.state.Index)
 		}
 	}
--- a/internal/consensus/raftlog/message.go
+++ b/internal/consensus/raftlog/message.go
@@ -131,13 +131,13 @@
 	case RaftKind:
 		return len(m.Raft) > 0
 	case AcksKind:
-		return len(m.Acks) > 0 && len(m.Acks) <= statemachine.MaxHolders
+		return len(m.Acks) > 0 && len(m.Acks) <= statemachine.MaxLeases
 	case CatchUpRequestKind:
 		return m.CatchUpRequest != nil
 	case CatchUpResponseKind:
 		return m.CatchUpResponse != nil
 	case RequestKind:
-		return m.Request != nil && len(m.Request.Register) <= statemachine.MaxName && len(m.Request.Command) <= statemachine.MaxEntry
+		return m.Request != nil && len(m.Request.Register) <= statemachine.MaxNameBytes && len(m.Request.Command) <= statemachine.MaxCommandBytes
 	case ResponseKind:
 		return m.Response != nil
 	}
--- a/internal/consensus/raftlog/ready.go
+++ b/internal/consensus/raftlog/ready.go
@@ -40,7 +40,7 @@
 
 // isInvalidProposal reports whether another voter must not forward a proposal of this entry.
 func isInvalidProposal(entry *pb.Entry) bool {
-	return entry.GetType() != pb.EntryNormal || len(entry.Data) > statemachine.MaxEntry
+	return entry.GetType() != pb.EntryNormal || len(entry.Data) > statemachine.MaxCommandBytes
 }
 
 // Ready returns the next Update to persist; ok is false if there is nothing to persist or send. Each Ready is followed
--- a/internal/consensus/raftlog/renewals.go
+++ b/internal/consensus/raftlog/renewals.go
@@ -20,7 +20,7 @@
 // trackRenewals records leases that were renewed. A renewal is seen after it was requested, so expiry is counted from
 // too late a time at worst, never too early.
 func (v *Voter) trackRenewals() {
-	leases := v.state.Holders()
+	leases := v.state.Leases()
 	for _, ack := range leases {
 		last, ok := v.renewals[ack.Holder]
 		if !ok || last.round != ack.Round {
@@ -29,7 +29,7 @@
 	}
 	if len(v.renewals) > len(leases) {
 		maps.DeleteFunc(v.renewals, func(id uint64, _ renewal) bool {
-			_, ok := v.state.Holder(id)
+			_, ok := v.state.Lease(id)
 			return !ok
 		})
 	}
@@ -42,7 +42,7 @@
 	}
 	previous, known := v.acks[ack.Holder]
 	isNewer := known && previous.Round < ack.Round
-	hasRoom := !known && len(v.acks) < statemachine.MaxHolders
+	hasRoom := !known && len(v.acks) < statemachine.MaxLeases
 	if isNewer || hasRoom {
 		v.acks[ack.Holder] = ack
 	}
@@ -61,15 +61,15 @@
 }
 
 // proposeRenewals proposes the collected acknowledgements and the expired leases, in one command for up to
-// statemachine.MaxAcks of them. A holder whose lease was not renewed acknowledges again in the next period.
+// statemachine.MaxAcksPerCommand of them. A holder whose lease was not renewed acknowledges again in the next period.
 func (v *Voter) proposeRenewals() {
 	expired := v.expiredLeases()
 	acks := v.takeAcks()
 	for len(acks)+len(expired) > 0 {
 		command := statemachine.Command{Op: statemachine.Renew}
-		count := min(len(expired), statemachine.MaxAcks)
-		command.Ended, expired = expired[:count], expired[count:]
-		count = min(len(acks), statemachine.MaxAcks-count)
+		count := min(len(expired), statemachine.MaxAcksPerCommand)
+		command.ExpiredLeases, expired = expired[:count], expired[count:]
+		count = min(len(acks), statemachine.MaxAcksPerCommand-count)
 		command.Acks, acks = acks[:count], acks[count:]
 		data, err := command.Encode()
 		if err != nil || v.rawNode.Propose(data) != nil {
@@ -80,7 +80,7 @@
 
 // expiredLeases are the leases whose current round this voter has seen for leaseExpiryTicks, ordered by holder.
 func (v *Voter) expiredLeases() (expired []statemachine.Ack) {
-	for _, ack := range v.state.Holders() {
+	for _, ack := range v.state.Leases() {
 		last := v.renewals[ack.Holder]
 		if last.round == ack.Round && v.tick-last.seenAt >= leaseExpiryTicks {
 			expired = append(expired, statemachine.Ack{Holder: ack.Holder, Round: ack.Round})
--- a/internal/consensus/raftlog/replica.go
+++ b/internal/consensus/raftlog/replica.go
@@ -121,7 +121,7 @@
 			return err
 		}
 		if snapshot.Index > r.state.Index {
-			snapshot.Flaws = r.state.Flaws
+			snapshot.InjectedFaults = r.state.InjectedFaults
 			r.state = snapshot
 		}
 	}
--- a/internal/consensus/raftlog/requests.go
+++ b/internal/consensus/raftlog/requests.go
@@ -23,9 +23,9 @@
 	}
 	command, err := statemachine.Decode(request.Command)
 	if err != nil || command.Op == statemachine.Renew {
-		return fmt.Errorf("%w: requested by %d: %w", statemachine.ErrCommand, message.From, err)
+		return fmt.Errorf("%w: requested by %d: %w", statemachine.ErrInvalidCommand, message.From, err)
 	}
-	if result, ok := v.state.Answer(command.Key); ok && !v.options.Flaws.NoDedup {
+	if result, ok := v.state.StoredResult(command.Key); ok && !v.options.InjectedFaults.SkipDeduplication {
 		v.send(Message{To: message.From, Kind: ResponseKind, Response: &Response{Key: command.Key, Result: result}})
 		return nil
 	}
--- a/internal/consensus/raftlog/snapshot.go
+++ b/internal/consensus/raftlog/snapshot.go
@@ -15,7 +15,7 @@
 	if err != nil || state.Index != snapshot.GetMetadata().GetIndex() {
 		return fmt.Errorf("%w: a snapshot at %d: %w", ErrInconsistentLog, snapshot.GetMetadata().GetIndex(), err)
 	}
-	state.Flaws = v.options.Flaws
+	state.InjectedFaults = v.options.InjectedFaults
 	if err := v.storage.ApplySnapshot(snapshot); err != nil {
 		return fmt.Errorf("%w: %w", ErrInconsistentLog, err)
 	}
--- a/internal/consensus/simulation/client_test.go
+++ b/internal/consensus/simulation/client_test.go
@@ -62,12 +62,12 @@
 	c.name = fmt.Sprint("k", c.f.rng.IntN(2))
 	if c.read = !c.moves && c.f.rng.IntN(3) == 0; !c.read {
 		c.seq++
-		c.cmd = statemachine.Command{Key: statemachine.Key{Client: c.id, Seq: c.seq}, Born: c.index, Done: c.seq - 1, Op: statemachine.Set, Name: c.name,
-			Value: fmt.Append(nil, c.id, "-", c.seq), Any: c.f.rng.IntN(2) == 0, Expect: uint64(c.f.rng.IntN(4)) + uint64(len(c.ops))/2}
+		c.cmd = statemachine.Command{Key: statemachine.Key{Client: c.id, Seq: c.seq}, BornIndex: c.index, ReceivedSeq: c.seq - 1, Op: statemachine.Set, Name: c.name,
+			Value: fmt.Append(nil, c.id, "-", c.seq), AnyVersion: c.f.rng.IntN(2) == 0, ExpectedVersion: uint64(c.f.rng.IntN(4)) + uint64(len(c.ops))/2}
 		if c.moves {
-			c.cmd.Name, c.cmd.Any = "r", true
-			if c.cmd.Op, c.cmd.Value = statemachine.Narrow, []byte("nobody"); c.phase%2 == 1 {
-				c.cmd.Op, c.cmd.Value = statemachine.Widen, []byte(c.f.all[c.f.rng.IntN(len(c.f.all))].Name)
+			c.cmd.Name, c.cmd.AnyVersion = "r", true
+			if c.cmd.Op, c.cmd.Value = statemachine.Restrict, []byte("nobody"); c.phase%2 == 1 {
+				c.cmd.Op, c.cmd.Value = statemachine.Relax, []byte(c.f.all[c.f.rng.IntN(len(c.f.all))].Name)
 			}
 		}
 	}
@@ -89,7 +89,7 @@
 
 func (c *client) answered(m raftlog.Message) {
 	a := m.Response
-	if !c.open || a == nil || c.read && (a.ReadID == 0 || a.ReadID != c.reads) || !c.read && a.Key != c.cmd.Key || a.Result.Code == statemachine.Open {
+	if !c.open || a == nil || c.read && (a.ReadID == 0 || a.ReadID != c.reads) || !c.read && a.Key != c.cmd.Key || a.Result.Code == statemachine.Undecided {
 		return
 	}
 	out := output{known: true, code: a.Result.Code, version: a.Result.Version}
@@ -112,7 +112,7 @@
 	}
 	in := input{name: c.name, read: c.read}
 	if !c.read {
-		in.expect, in.any, in.value = c.cmd.Expect, c.cmd.Any, string(c.cmd.Value)
+		in.expect, in.any, in.value = c.cmd.ExpectedVersion, c.cmd.AnyVersion, string(c.cmd.Value)
 	}
 	c.ops = append(c.ops, porcupine.Operation{ClientId: int(c.id) - 1000, Input: in, Call: int64(c.began), Output: out, Return: int64(at)})
 }
--- a/internal/consensus/simulation/judge_test.go
+++ b/internal/consensus/simulation/judge_test.go
@@ -34,7 +34,7 @@
 
 func newJudge(f *fleet) *judge {
 	j := &judge{f: f, state: statemachine.New(), chains: map[uint64]uint64{}, applies: map[statemachine.Key]uint64{}, votes: map[[2]uint64]uint64{}}
-	j.state.Flaws = f.flaws
+	j.state.InjectedFaults = f.flaws
 	j.state.Apply(1, nil)
 	j.texts = [][]byte{nil, nil}
 	return j
@@ -61,7 +61,7 @@
 	c, err := statemachine.Decode(text)
 	before, _, _ := j.state.Get(c.Name)
 	j.state.Apply(index, text)
-	j.chains[index] = j.state.Chain
+	j.chains[index] = j.state.Checksum
 	if err != nil {
 		return
 	}
@@ -72,12 +72,12 @@
 			j.fail("%v was applied at %d and at %d", c.Key, old, index)
 		}
 		j.applies[c.Key] = index
-		if c.Op == statemachine.Narrow {
+		if c.Op == statemachine.Restrict {
 			j.narrows = append(j.narrows, narrow{index: index, at: j.f.now})
 		}
 	}
 	for i := range j.narrows {
-		if n := &j.narrows[i]; n.done == 0 && !j.state.Waits(n.index) {
+		if n := &j.narrows[i]; n.done == 0 && !j.state.HasPendingRestriction(n.index) {
 			n.done = j.f.now
 			j.done++
 			j.longest = max(j.longest, n.done-n.at)
@@ -114,11 +114,11 @@
 // reads looks at a gateway's copy: the same chain as the order, and never as fresh as it can't be.
 func (j *judge) reads(g *gateway) {
 	s := g.follower.State()
-	if want, ok := j.chains[s.Index]; ok && want != s.Chain {
+	if want, ok := j.chains[s.Index]; ok && want != s.Checksum {
 		j.fail("%s has other facts at %d", g.Name, s.Index)
 	}
 	if j.f.now%time.Second == 0 {
-		if v := g.voter.Status(); v.Applied > 1 && j.chains[v.Applied] != v.Chain {
+		if v := g.voter.Status(); v.Applied > 1 && j.chains[v.Applied] != v.Checksum {
 			j.fail("%s, as a voter, has other facts at %d", g.Name, v.Applied)
 		}
 	}
--- a/internal/consensus/simulation/runs_test.go
+++ b/internal/consensus/simulation/runs_test.go
@@ -62,7 +62,7 @@
 	a, b := newFleet(planOf(3)), newFleet(planOf(3))
 	a.play()
 	b.play()
-	if a.judge.state.Chain != b.judge.state.Chain || a.judge.acts != b.judge.acts || a.judge.state.Index == 1 {
+	if a.judge.state.Checksum != b.judge.state.Checksum || a.judge.acts != b.judge.acts || a.judge.state.Index == 1 {
 		t.Errorf("%d, %d", a.judge.state.Index, b.judge.state.Index)
 	}
 }
@@ -84,8 +84,8 @@
 // TestBroken breaks the core on purpose: the judge must find each.
 func TestBroken(t *testing.T) {
 	for name, change := range map[string]func(*plan){
-		"a narrowing waits for nobody":            func(p *plan) { p.flaws = statemachine.Flaws{NoWait: true} },
-		"who asks again is served again":          func(p *plan) { p.flaws = statemachine.Flaws{NoDedup: true} },
+		"a narrowing waits for nobody":            func(p *plan) { p.flaws = statemachine.InjectedFaults{SkipRestrictionWait: true} },
+		"who asks again is served again":          func(p *plan) { p.flaws = statemachine.InjectedFaults{SkipDeduplication: true} },
 		"a voter without disk keeps its identity": func(p *plan) { p.reuse = true },
 	} {
 		found := ""
--- a/internal/consensus/simulation/simulation_test.go
+++ b/internal/consensus/simulation/simulation_test.go
@@ -25,7 +25,7 @@
 	voters, followers int
 	seed              uint64
 	calm, trouble     time.Duration // trouble comes first, and all is healed for calm
-	flaws             statemachine.Flaws
+	flaws             statemachine.InjectedFaults
 	files             string // a folder for the files of those with a disk; else memory stands for the disk
 	reuse             bool   // a voter without disk comes back under its old identity
 }
@@ -143,7 +143,7 @@
 		f.judge.fail("%s loads: %v", g.Name, err)
 	}
 	id := g.id
-	v, err := raftlog.NewVoter(raftlog.Options{ClusterID: f.council, ID: id, Seed: f.rng.Uint64(), CompactionEntries: 40, Flaws: f.flaws, OnApply: func(i uint64, text []byte) { f.judge.applied(id, i, text) }}, img)
+	v, err := raftlog.NewVoter(raftlog.Options{ClusterID: f.council, ID: id, Seed: f.rng.Uint64(), CompactionEntries: 40, InjectedFaults: f.flaws, OnApply: func(i uint64, text []byte) { f.judge.applied(id, i, text) }}, img)
 	if err != nil {
 		f.judge.fail("%s starts: %v", g.Name, err)
 		return
@@ -155,7 +155,7 @@
 	f.starts++ // the holder's identity is always new
 	h := quorum.Gateway{Name: g.Name + " holds", Start: f.starts}
 	g.follower = raftlog.NewReplica(f.council, h.ID(), f.rng.Uint64(), f.councilNow())
-	g.follower.State().Flaws = f.flaws
+	g.follower.State().InjectedFaults = f.flaws
 }
 
 // rate is of a clock: as far off as it may be, or anything between.
--- a/internal/consensus/statemachine/statemachine_test.go
+++ b/internal/consensus/statemachine/statemachine_test.go
@@ -7,153 +7,199 @@
 	"pgregory.net/rapid"
 )
 
-// drawn is a command that keeps the bounds, from small sets of clients, names and holders so that they meet.
-func drawn(t *rapid.T, index uint64) Command {
+// drawCommand draws a valid command, from small sets of clients, names and holders so that they interact.
+func drawCommand(t *rapid.T, index uint64) Command {
 	if rapid.IntRange(0, 3).Draw(t, "renew") == 0 {
-		c := Command{Op: Renew}
-		for range rapid.IntRange(0, 3).Draw(t, "acks") {
-			a := Ack{Holder: rapid.Uint64Range(1, 3).Draw(t, "h"), Round: rapid.Uint64Range(1, 40).Draw(t, "round"), Acked: rapid.Uint64Range(0, index).Draw(t, "acked")}
-			if rapid.IntRange(0, 4).Draw(t, "ended") == 0 {
-				c.Ended = append(c.Ended, a)
-			} else {
-				c.Acks = append(c.Acks, a)
-			}
+		return drawRenew(t, index)
+	}
+	command := Command{
+		Key:             Key{rapid.Uint64Range(1, 4).Draw(t, "client"), rapid.Uint64Range(1, 12).Draw(t, "seq")},
+		BornIndex:       rapid.Uint64Range(0, index).Draw(t, "born"),
+		Op:              Op(rapid.IntRange(int(Set), int(Remove)).Draw(t, "op")),
+		Name:            rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
+		Value:           rapid.SliceOfN(rapid.Byte(), 0, 4).Draw(t, "value"),
+		ExpectedVersion: rapid.Uint64Range(0, 6).Draw(t, "expected"),
+		AnyVersion:      rapid.Bool().Draw(t, "any"),
+	}
+	command.ReceivedSeq = rapid.Uint64Range(0, command.Key.Seq-1).Draw(t, "received")
+	return command
+}
+
+func drawRenew(t *rapid.T, index uint64) Command {
+	command := Command{Op: Renew}
+	for range rapid.IntRange(0, 3).Draw(t, "acks") {
+		ack := Ack{
+			Holder: rapid.Uint64Range(1, 3).Draw(t, "holder"),
+			Round:  rapid.Uint64Range(1, 40).Draw(t, "round"),
+			Index:  rapid.Uint64Range(0, index).Draw(t, "acked"),
+		}
+		if rapid.IntRange(0, 4).Draw(t, "expired") == 0 {
+			command.ExpiredLeases = append(command.ExpiredLeases, ack)
+		} else {
+			command.Acks = append(command.Acks, ack)
 		}
-		return c
 	}
-	c := Command{Key: Key{rapid.Uint64Range(1, 4).Draw(t, "client"), rapid.Uint64Range(1, 12).Draw(t, "seq")}, Born: rapid.Uint64Range(0, index).Draw(t, "born"),
-		Op: Op(rapid.IntRange(int(Set), int(Remove)).Draw(t, "op")), Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
-		Value: rapid.SliceOfN(rapid.Byte(), 0, 4).Draw(t, "value"), Expect: rapid.Uint64Range(0, 6).Draw(t, "expect"), Any: rapid.Bool().Draw(t, "any")}
-	c.Done = rapid.Uint64Range(0, c.Key.Seq-1).Draw(t, "done")
-	return c
+	return command
 }
 
-// TestState holds in every state: a snapshot is the state; a key is applied once and answered alike; what is in force follows the
-// rule of narrowings; the size is the sum.
-func TestState(t *testing.T) {
+// TestStateInvariants applies arbitrary commands and checks after each: a state restored from a snapshot behaves alike; a key is
+// applied once and gets the same result again; a pending value or an incomplete restriction waits for something; and the
+// size is the sum of the registers'.
+func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, served := New(), map[Key]Result{}
-		for i := uint64(1); i < 60; i++ {
-			c := drawn(t, i)
-			text, err := c.Encode()
-			if err != nil {
-				t.Fatal(err)
-			}
-			snap, err := s.Encode()
-			if err != nil {
-				t.Fatal(err)
-			}
-			other, err := Restore(snap)
+		s, results := New(), map[Key]Result{}
+		for index := uint64(1); index < 60; index++ {
+			command := drawCommand(t, index)
+			data, err := command.Encode()
 			if err != nil {
 				t.Fatal(err)
 			}
-			before, _, _ := s.Get(c.Name)
-			k, r, ok := s.Apply(i, text)
-			other.Apply(i, text)
-			a, _ := s.Encode()
-			if b, _ := other.Encode(); !bytes.Equal(a, b) {
-				t.Fatal("a snapshot is another state")
-			}
-			if ok && r.Code != Open && r.Code != Released && r.Code != Expired {
-				if old, ok := served[k]; ok && old != r {
-					t.Fatalf("%v: %v, then %v", k, old, r)
-				} else if after, _, _ := s.Get(c.Name); ok && after.Version != before.Version {
-					t.Fatalf("%v was applied twice", k)
-				}
-				served[k] = r
-			}
-			size := 0
-			for _, p := range s.regs {
-				size += p.bytes()
-				if p.Next != nil && !s.Waits(p.Next.Index) {
-					t.Fatal("a widening waits for nothing")
-				}
-			}
-			for _, n := range s.narrows {
-				done := true
-				for _, h := range s.holders {
-					done = done && h.Acked >= n.Index
-				}
-				if done {
-					t.Fatal("a narrowing that everybody knows is under way")
-				}
-			}
-			if size != s.size {
-				t.Fatalf("size %d, summed %d", s.size, size)
+			restored := restoreCopy(t, s)
+			before, _, _ := s.Get(command.Name)
+			key, result, ok := s.Apply(index, data)
+			restored.Apply(index, data)
+			requireEqualStates(t, s, restored)
+			if ok {
+				after, _, _ := s.Get(command.Name)
+				checkAppliedOnce(t, results, key, result, after.Version != before.Version)
 			}
+			checkRegisters(t, s)
+			checkRestrictions(t, s)
 		}
 	})
 }
 
-// TestBounds fills everything to its bound: a snapshot and an aggregate stay within theirs.
-func TestBounds(t *testing.T) {
+func restoreCopy(t *rapid.T, s *State) *State {
+	encoded, err := s.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	restored, err := Restore(encoded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return restored
+}
+
+func requireEqualStates(t *rapid.T, a, b *State) {
+	encodedA, _ := a.Encode()
+	if encodedB, _ := b.Encode(); !bytes.Equal(encodedA, encodedB) {
+		t.Fatal("the restored state differs")
+	}
+}
+
+// checkAppliedOnce compares a result with the earlier one of the same key, and stores it.
+func checkAppliedOnce(t *rapid.T, results map[Key]Result, key Key, result Result, changed bool) {
+	if result.Code == Undecided || result.Code == Released || result.Code == Expired {
+		return
+	}
+	earlier, isRetry := results[key]
+	if isRetry && earlier != result {
+		t.Fatalf("%v: %v, then %v", key, earlier, result)
+	}
+	if isRetry && changed {
+		t.Fatalf("%v was applied twice", key)
+	}
+	results[key] = result
+}
+
+func checkRegisters(t *rapid.T, s *State) {
+	size := 0
+	for _, register := range s.registers {
+		size += register.bytes()
+		if register.Pending != nil && !s.HasPendingRestriction(register.Pending.Index) {
+			t.Fatal("a pending value waits for nothing")
+		}
+	}
+	if size != s.registerBytes {
+		t.Fatalf("size %d, summed %d", s.registerBytes, size)
+	}
+}
+
+func checkRestrictions(t *rapid.T, s *State) {
+	for _, restriction := range s.restrictions {
+		complete := true
+		for _, lease := range s.leases {
+			complete = complete && lease.Index >= restriction.Index
+		}
+		if complete {
+			t.Fatal("a restriction is incomplete though every holder has acknowledged it")
+		}
+	}
+}
+
+// TestSnapshotLimit fills the state to its limits: a snapshot and a Renew command stay within theirs.
+func TestSnapshotLimit(t *testing.T) {
 	s := New()
-	var i uint64
-	apply := func(c Command) Result {
-		i++
-		text, err := c.Encode()
+	var index uint64
+	apply := func(command Command) Result {
+		index++
+		data, err := command.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, r, _ := s.Apply(i, text)
-		return r
+		_, result, _ := s.Apply(index, data)
+		return result
 	}
-	last := ^uint64(0)
-	name := func(n int) string {
+	maxID := ^uint64(0)
+	longName := func(n int) string {
 		return string(bytes.Repeat([]byte{'x'}, 110)) + string(rune('0'+n/64)) + string(rune('0'+n%64))
 	}
-	full := 0
-	for n := range MaxClients * Window {
-		r := apply(Command{Key: Key{last - uint64(n/Window), last - uint64(n%Window)}, Op: Set, Name: name(n), Value: make([]byte, 60), Any: true})
-		if r.Code == Full {
-			full++
+	rejectedAsFull := 0
+	for n := range MaxClients * MaxResultsPerClient {
+		key := Key{maxID - uint64(n/MaxResultsPerClient), maxID - uint64(n%MaxResultsPerClient)}
+		result := apply(Command{Key: key, Op: Set, Name: longName(n), Value: make([]byte, 60), AnyVersion: true})
+		if result.Code == Full {
+			rejectedAsFull++
 		}
 	}
-	if r := apply(Command{Key: Key{1, 1}, Op: Set, Name: "one more", Any: true}); r.Code != Open {
-		t.Error(r)
+	if result := apply(Command{Key: Key{1, 1}, Op: Set, Name: "one more", AnyVersion: true}); result.Code != Undecided {
+		t.Error(result)
 	}
-	for h := 0; h < MaxHolders; h += MaxAcks {
-		c := Command{Op: Renew}
-		for k := range MaxAcks {
-			c.Acks = append(c.Acks, Ack{last - uint64(h+k), last, 0})
-		}
-		apply(c)
-	}
-	b, err := s.Encode()
-	if err != nil || full == 0 || len(s.holders) != MaxHolders {
-		t.Error(err, full, len(s.holders))
+	for first := 0; first < MaxLeases; first += MaxAcksPerCommand {
+		apply(renewCommand(maxID-uint64(first), 0))
 	}
-	t.Logf("%d bytes with %d registers, %d clients, %d holders", len(b), len(s.regs), len(s.clients), len(s.holders))
-	c := Command{Op: Renew}
-	for k := range MaxAcks {
-		c.Acks = append(c.Acks, Ack{last - uint64(k), last, last})
+	snapshot, err := s.Encode()
+	if err != nil || rejectedAsFull == 0 || len(s.leases) != MaxLeases {
+		t.Error(err, rejectedAsFull, len(s.leases))
 	}
-	if b, err := c.Encode(); err != nil {
+	t.Logf("%d bytes with %d registers, %d clients, %d leases", len(snapshot), len(s.registers), len(s.clients), len(s.leases))
+	renew, err := renewCommand(maxID, maxID).Encode()
+	if err != nil {
 		t.Error(err)
-	} else {
-		t.Logf("an aggregate of %d acknowledgements has %d bytes", MaxAcks, len(b))
 	}
+	t.Logf("a Renew command of %d acknowledgements has %d bytes", MaxAcksPerCommand, len(renew))
+}
+
+// renewCommand makes a Renew command of MaxAcksPerCommand holders, from one identity downwards.
+func renewCommand(firstHolder, index uint64) Command {
+	command := Command{Op: Renew}
+	for i := range MaxAcksPerCommand {
+		command.Acks = append(command.Acks, Ack{Holder: firstHolder - uint64(i), Round: ^uint64(0), Index: index})
+	}
+	return command
 }
 
-// TestExpiry: who asks again after its results were dropped is refused, however late.
-func TestExpiry(t *testing.T) {
+// TestExpiredRequest retries a request after its result was dropped: it is rejected, however late.
+func TestExpiredRequest(t *testing.T) {
 	s := New()
-	c := Command{Key: Key{1, 1}, Op: Set, Name: "a", Any: true}
-	text, _ := c.Encode()
-	s.Apply(1, text)
-	for i := uint64(2); i < 3*Expiry; i++ {
-		if i%512 == 0 {
-			s.expire()
+	request, _ := Command{Key: Key{1, 1}, Op: Set, Name: "a", AnyVersion: true}.Encode()
+	s.Apply(1, request)
+	for index := uint64(2); index < 3*MaxRequestAge; index++ {
+		if index%512 == 0 {
+			s.dropExpiredClients()
 		}
-		var next []byte
-		if i%1001 == 0 {
-			next = text
+		var data []byte
+		if index%1001 == 0 {
+			data = request
 		}
-		if _, r, ok := s.Apply(i, next); ok && r.Code != Expired && (r.Code != OK || r.Index != 1) {
-			t.Fatalf("at %d: %v", i, r)
+		_, result, ok := s.Apply(index, data)
+		isStored := result.Code == OK && result.Index == 1
+		if ok && result.Code != Expired && !isStored {
+			t.Fatalf("at %d: %v", index, result)
 		}
 	}
-	if r, _, _ := s.Get("a"); r.Version != 1 {
-		t.Error(r)
+	if register, _, _ := s.Get("a"); register.Version != 1 {
+		t.Error(register)
 	}
 }
