--- a/internal/consensus/codec/codec.go
+++ b/internal/consensus/codec/codec.go
@@ -1,7 +1,8 @@
-// Package codec writes and reads what the council says and keeps: CBOR after one byte of version, bounded on both ways.
+// Package codec encodes the messages and the stored state of the consensus packages: CBOR after a version byte, with a
+// size limit on encoding and decoding.
 //
-// Every text is at most as long as the caller allows, and nothing is made of one before its length is checked; arrays and
-// maps in it are bounded too. Fields that this version does not know are passed over.
+// The caller sets the size limit. Decode checks the size before it allocates; the elements of arrays and maps are limited
+// too. Decode ignores fields that this version does not know.
 package codec
 
 import (
@@ -11,48 +12,63 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is the first byte of every text.
+// Version is the first byte of every encoded value.
 const Version = 1
 
+// Limits of decoded values.
+const (
+	maxArrayElements = 1 << 15
+	maxMapPairs      = 64
+	maxNestedLevels  = 8
+)
+
 var (
-	// ErrMalformed is what Decode returns for whatever no gateway of this version writes. If it comes again and again from
-	// one gateway, that one runs another version: bring both to the same.
-	ErrMalformed = errors.New("council: malformed text")
-	// ErrTooLarge says that a text would be longer than its bound. Ask for less at a time.
-	ErrTooLarge = errors.New("council: text over its bound")
+	// ErrMalformed is returned by Decode for an input that no gateway of this version encodes. If one gateway sends such
+	// inputs repeatedly, it runs another version: run the same version on both.
+	ErrMalformed = errors.New("consensus: malformed encoding")
+	// ErrTooLarge means that an encoded value would exceed its limit. Send less at a time.
+	ErrTooLarge = errors.New("consensus: encoding over its limit")
 )
 
 var (
-	encoder = must(cbor.CoreDetEncOptions().EncMode())
-	decoder = must(cbor.DecOptions{MaxArrayElements: 1 << 15, MaxMapPairs: 64, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode())
+	encoder = mustBuild(cbor.CoreDetEncOptions().EncMode())
+	decoder = mustBuild(cbor.DecOptions{
+		MaxArrayElements: maxArrayElements,
+		MaxMapPairs:      maxMapPairs,
+		MaxNestedLevels:  maxNestedLevels,
+		IndefLength:      cbor.IndefLengthForbidden,
+		TagsMd:           cbor.TagsForbidden,
+		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
+	}.DecMode())
 )
 
-func must[T any](x T, err error) T {
+// mustBuild panics on an error of the fixed options above.
+func mustBuild[T any](mode T, err error) T {
 	if err != nil {
-		panic(err) // the options above are this package's own
+		panic(err)
 	}
-	return x
+	return mode
 }
 
-// Encode writes v in at most so many bytes.
-func Encode(v any, most int) ([]byte, error) {
-	b, err := encoder.Marshal(v)
+// Encode encodes a value in at most maxBytes, or returns ErrTooLarge.
+func Encode(v any, maxBytes int) ([]byte, error) {
+	body, err := encoder.Marshal(v)
 	if err != nil {
-		return nil, fmt.Errorf("council: encoding: %w", err)
+		return nil, fmt.Errorf("consensus: encoding: %w", err)
 	}
-	if len(b)+1 > most {
-		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, len(b)+1, most)
+	if len(body)+1 > maxBytes {
+		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, len(body)+1, maxBytes)
 	}
-	return append([]byte{Version}, b...), nil
+	return append([]byte{Version}, body...), nil
 }
 
-// Decode reads what Encode wrote, into v.
-func Decode(b []byte, v any, most int) error {
-	if len(b) < 2 || len(b) > most || b[0] != Version {
-		return fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
+// Decode decodes what Encode returned into v, a pointer. It returns ErrMalformed for any other input and for one of more
+// than maxBytes.
+func Decode(encoded []byte, v any, maxBytes int) error {
+	if len(encoded) < 2 || len(encoded) > maxBytes || encoded[0] != Version {
+		return fmt.Errorf("%w: %d bytes", ErrMalformed, len(encoded))
 	}
-	if err := decoder.Unmarshal(b[1:], v); err != nil {
+	if err := decoder.Unmarshal(encoded[1:], v); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return nil
--- a/internal/consensus/codec/codec_test.go
+++ b/internal/consensus/codec/codec_test.go
@@ -8,35 +8,41 @@
 	"pgregory.net/rapid"
 )
 
-type row struct {
-	A uint64   `cbor:"1,keyasint"`
-	B string   `cbor:"2,keyasint,omitempty"`
-	C [][]byte `cbor:"3,keyasint,omitempty"`
+const testMaxBytes = 1 << 20
+
+type record struct {
+	Number uint64   `cbor:"1,keyasint"`
+	Text   string   `cbor:"2,keyasint,omitempty"`
+	Parts  [][]byte `cbor:"3,keyasint,omitempty"`
 }
 
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := row{rapid.Uint64().Draw(t, "a"), rapid.String().Draw(t, "b"), rapid.SliceOfN(rapid.SliceOf(rapid.Byte()), 0, 5).Draw(t, "c")}
-		b, err := Encode(r, 1<<20)
+		original := record{
+			Number: rapid.Uint64().Draw(t, "number"),
+			Text:   rapid.String().Draw(t, "text"),
+			Parts:  rapid.SliceOfN(rapid.SliceOf(rapid.Byte()), 0, 5).Draw(t, "parts"),
+		}
+		encoded, err := Encode(original, testMaxBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var got row
-		if err := Decode(b, &got, 1<<20); err != nil {
+		var decoded record
+		if err := Decode(encoded, &decoded, testMaxBytes); err != nil {
 			t.Fatal(err)
 		}
-		if again, _ := Encode(got, 1<<20); !bytes.Equal(b, again) {
-			t.Fatalf("%v, %v", r, got)
+		if again, _ := Encode(decoded, testMaxBytes); !bytes.Equal(encoded, again) {
+			t.Fatalf("%v, %v", original, decoded)
 		}
-		if _, err := Encode(r, len(b)-1); !errors.Is(err, ErrTooLarge) {
+		if _, err := Encode(original, len(encoded)-1); !errors.Is(err, ErrTooLarge) {
 			t.Fatal(err)
 		}
-		if err := Decode(b, &got, len(b)-1); !errors.Is(err, ErrMalformed) {
+		if err := Decode(encoded, &decoded, len(encoded)-1); !errors.Is(err, ErrMalformed) {
 			t.Fatal(err)
 		}
-		n := rapid.IntRange(0, len(b)-1).Draw(t, "n")
-		if err := Decode(b[:n], &got, 1<<20); !errors.Is(err, ErrMalformed) {
-			t.Fatalf("cut at %d of %d: %v", n, len(b), err)
+		length := rapid.IntRange(0, len(encoded)-1).Draw(t, "length")
+		if err := Decode(encoded[:length], &decoded, testMaxBytes); !errors.Is(err, ErrMalformed) {
+			t.Fatalf("truncated to %d of %d: %v", length, len(encoded), err)
 		}
 	})
 }
--- a/internal/consensus/lease/lease.go
+++ b/internal/consensus/lease/lease.go
@@ -1,8 +1,8 @@
-// Package lease is the holder's side of a lease on the facts: whether this process may act on what it knows, by its own
-// monotonic clock. It reads no clock itself; every call is handed the present.
+// Package lease is the lease holder's side of a lease on the replicated state: whether this process may act on the state
+// it knows, by its own monotonic clock. It reads no clock; the caller passes the current time.
 //
-// The clock must go on while the process and the machine stand still (CLOCK_BOOTTIME on Linux; time.Now's monotonic reading
-// stops while a machine is suspended), and may run too fast or too slow by a third.
+// The clock must continue while the process and the machine are suspended (CLOCK_BOOTTIME on Linux; the monotonic reading
+// of time.Now stops while a machine is suspended), and may run too fast or too slow by a third.
 package lease
 
 import (
@@ -13,114 +13,124 @@
 	"cranegate/internal/consensus/statemachine"
 )
 
-// Lengths. All are measured on the clock of whoever waits.
+// Durations, each measured on the clock of the process that waits.
 const (
-	Length = 6 * time.Second // of a lease, from when its holder asked for it
-	Period = time.Second     // between two askings
-	// Stop bounds the time between a check and the last byte that it allows. Past it a holder calls its act late (ErrLate),
-	// and whoever takes it must refuse by its place in the order.
-	Stop = 1500 * time.Millisecond
-	// Ended is how long the council waits after it saw a renewal until that lease, and what a check in it allowed, has
-	// certainly ended: a holder's clock that is slow by a third takes 3/2 s for each of its seconds, and a waiter's that is fast by a
-	// third counts 4/3 s for one, which makes 2.
-	Ended = 2 * (Length + Stop)
+	// Duration is how long a lease is valid, from when its holder requested it.
+	Duration = 6 * time.Second
+	// RenewInterval is the time between two requests for a renewal.
+	RenewInterval = time.Second
+	// MaxStall limits the time between the check of an operation and its last byte. Beyond it End returns ErrStalled, and
+	// the receiver must reject the operation by its log index.
+	MaxStall = 1500 * time.Millisecond
+	// ExpiryWait is how long the leader waits after it saw a renewal until that lease, and the operations that it
+	// permitted, have certainly ended. The factor 2 covers a holder's clock that is slow by a third, which takes 3/2 s for
+	// each second, and a leader's that is fast by a third, which counts 4/3 s for one.
+	ExpiryWait = 2 * (Duration + MaxStall)
 )
 
 const (
-	maxRounds  = 16   // askings whose answer may still come
-	maxPermits = 4096 // acts under way
+	maxOutstandingRounds = 16 // requests whose renewal may still arrive
+	maxOperations        = 4096
 )
 
 var (
-	// ErrNoLease says that this gateway may not act on the facts now: it has not heard of the council for long enough. It
-	// ends by itself when a voter is reached; if it stays, look at the links to the voters.
-	ErrNoLease = errors.New("council: no lease on the facts")
-	// ErrBusy says that so many acts are under way that no more are counted. End some first.
-	ErrBusy = errors.New("council: too many acts under way")
-	// ErrLate says that the process stood between a check and its last byte for longer than Stop, so that the act may have
-	// come after a narrowing was done. Who took it must have refused it by its place in the order; if the one who took it can't,
-	// treat the act as of unknown outcome.
-	ErrLate = errors.New("council: stood still between a check and its last byte")
+	// ErrNoLease means that this gateway may not act on the state now, because it has not reached a voter for too long. It
+	// recovers by itself when a voter is reached; if it persists, check the network to the voters.
+	ErrNoLease = errors.New("consensus: no lease on the replicated state")
+	// ErrTooManyOperations means that maxOperations are in progress. End some first.
+	ErrTooManyOperations = errors.New("consensus: too many operations in progress")
+	// ErrStalled means that the process stalled between the check and the last byte of an operation for longer than
+	// MaxStall and beyond the end of its lease: the operation may have happened after a restriction was complete. Its
+	// receiver must have rejected it by its log index; if the receiver can't, treat the outcome as unknown.
+	ErrStalled = errors.New("consensus: stalled between the check and the last byte of an operation")
 )
 
-// Holder is one gateway's lease. One goroutine uses it, or a lock guards it.
+// Holder is one gateway's lease. It is not safe for concurrent use.
 type Holder struct {
-	id      uint64
-	round   uint64
-	asked   map[uint64]time.Duration // when the last rounds were asked
-	until   time.Duration
-	granted uint64
-	now     time.Duration
-	acts    map[uint64]int // under way, by the place in the order that they stand on
-	acting  int
+	id             uint64
+	round          uint64                   // of the latest request
+	requestedAt    map[uint64]time.Duration // by round, for the latest maxOutstandingRounds
+	validUntil     time.Duration
+	renewedRound   uint64 // the latest round that was renewed
+	now            time.Duration
+	operations     map[uint64]int // in progress, by the log index that they depend on
+	operationCount int
 }
 
-// New is a holder without a lease. The identity is new with every start of the process.
+// New makes a holder without a lease. The identity must be new with every start of the process.
 func New(id uint64) *Holder {
-	return &Holder{id: id, asked: map[uint64]time.Duration{}, acts: map[uint64]int{}}
+	return &Holder{id: id, requestedAt: map[uint64]time.Duration{}, operations: map[uint64]int{}}
 }
 
+// advance sets the current time. Time never goes back.
 func (h *Holder) advance(now time.Duration) { h.now = max(h.now, now) }
 
-// Ask makes the next acknowledgement: of all that has been applied, as far as no act stands on less.
-func (h *Holder) Ask(now time.Duration, applied uint64) statemachine.Ack {
+// Acknowledge makes the next request for a renewal. It acknowledges appliedIndex, or the lowest log index that an
+// operation in progress depends on.
+func (h *Holder) Acknowledge(now time.Duration, appliedIndex uint64) statemachine.Ack {
 	h.advance(now)
 	h.round++
-	h.asked[h.round] = h.now
-	delete(h.asked, h.round-maxRounds)
-	for index := range h.acts {
-		applied = min(applied, index)
+	h.requestedAt[h.round] = h.now
+	delete(h.requestedAt, h.round-maxOutstandingRounds)
+	for index := range h.operations {
+		appliedIndex = min(appliedIndex, index)
 	}
-	return statemachine.Ack{Holder: h.id, Round: h.round, Index: applied}
+	return statemachine.Ack{Holder: h.id, Round: h.round, Index: appliedIndex}
 }
 
-// Applied looks at what the order says of this lease, after it has been applied here. A lease counts from when it was asked
-// for, never from when the answer came.
-func (h *Holder) Applied(s *statemachine.State) {
-	row, ok := s.Lease(h.id)
+// ObserveState updates the lease from the local state after entries were applied. A lease counts from when it was
+// requested, never from when the renewal arrived.
+func (h *Holder) ObserveState(state *statemachine.State) {
+	latest, ok := state.Lease(h.id)
 	if !ok {
-		h.until, h.granted = 0, 0
-	} else if at, known := h.asked[row.Round]; known && row.Round > h.granted {
-		h.granted, h.until = row.Round, at+Length
+		h.validUntil, h.renewedRound = 0, 0
+		return
+	}
+	requestedAt, known := h.requestedAt[latest.Round]
+	if known && latest.Round > h.renewedRound {
+		h.renewedRound, h.validUntil = latest.Round, requestedAt+Duration
 	}
 }
 
-// Valid says whether the lease runs, and for how long yet on this clock.
-func (h *Holder) Valid(now time.Duration) (time.Duration, bool) {
+// Valid reports whether the lease is valid, and for how long on this clock.
+func (h *Holder) Valid(now time.Duration) (remaining time.Duration, ok bool) {
 	h.advance(now)
-	return h.until - h.now, h.now < h.until
+	return h.validUntil - h.now, h.now < h.validUntil
 }
 
-// Act is one act that a check allowed.
-type Act struct {
-	Index uint64 // the place in the order that it stands on: goes with the act, for who takes it to refuse by
-	Until time.Duration
-	began time.Duration
+// Operation is an operation that a check permitted.
+type Operation struct {
+	Index      uint64 // the log index that it depends on; it goes with the operation so that the receiver can reject it
+	LeaseUntil time.Duration
+	startedAt  time.Duration
 }
 
-// Begin is called right before the first byte of an act, with the place in the order whose facts allow it. It is an error
-// if the lease does not run: then no byte may go out.
-func (h *Holder) Begin(now time.Duration, index uint64) (Act, error) {
-	if left, ok := h.Valid(now); !ok {
-		return Act{}, fmt.Errorf("%w: ended %v ago", ErrNoLease, -left)
+// Begin is called immediately before the first byte of an operation, with the log index of the state that permits it. If
+// it returns ErrNoLease or ErrTooManyOperations, no byte may be sent.
+func (h *Holder) Begin(now time.Duration, index uint64) (Operation, error) {
+	if remaining, ok := h.Valid(now); !ok {
+		return Operation{}, fmt.Errorf("%w: ended %v ago", ErrNoLease, -remaining)
 	}
-	if h.acting >= maxPermits {
-		return Act{}, ErrBusy
+	if h.operationCount >= maxOperations {
+		return Operation{}, ErrTooManyOperations
 	}
-	h.acts[index]++
-	h.acting++
-	return Act{Index: index, Until: h.until, began: h.now}, nil
+	h.operations[index]++
+	h.operationCount++
+	return Operation{Index: index, LeaseUntil: h.validUntil, startedAt: h.now}, nil
 }
 
-// End is called after the last byte, or when the act was given up. Until then no acknowledgement passes the act's place.
-func (h *Holder) End(now time.Duration, a Act) error {
+// End is called after the last byte of an operation, or when it was abandoned. Until then Acknowledge acknowledges no
+// index beyond the operation's. It returns ErrStalled if the operation may have come too late.
+func (h *Holder) End(now time.Duration, operation Operation) error {
 	h.advance(now)
-	if h.acts[a.Index]--; h.acts[a.Index] <= 0 {
-		delete(h.acts, a.Index)
+	h.operations[operation.Index]--
+	if h.operations[operation.Index] <= 0 {
+		delete(h.operations, operation.Index)
 	}
-	h.acting--
-	if stood := h.now - a.began; stood > Stop && h.now > a.Until {
-		return fmt.Errorf("%w: %v, at most %v", ErrLate, stood, Stop)
+	h.operationCount--
+	elapsed := h.now - operation.startedAt
+	if elapsed > MaxStall && h.now > operation.LeaseUntil {
+		return fmt.Errorf("%w: %v, at most %v", ErrStalled, elapsed, MaxStall)
 	}
 	return nil
 }
--- a/internal/consensus/lease/lease_test.go
+++ b/internal/consensus/lease/lease_test.go
@@ -8,56 +8,57 @@
 	"cranegate/internal/consensus/statemachine"
 )
 
-func renewed(t *testing.T, s *statemachine.State, a statemachine.Ack) {
+// applyRenewal applies a Renew command with one acknowledgement.
+func applyRenewal(t *testing.T, state *statemachine.State, ack statemachine.Ack) {
 	t.Helper()
-	text, err := statemachine.Command{Op: statemachine.Renew, Acks: []statemachine.Ack{a}}.Encode()
+	data, err := statemachine.Command{Op: statemachine.Renew, Acks: []statemachine.Ack{ack}}.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Apply(s.Index+1, text)
+	state.Apply(state.Index+1, data)
 }
 
-func TestLeaseCountsFromTheAsking(t *testing.T) {
-	h, s := New(9), statemachine.New()
+func TestLeaseStartsAtRequest(t *testing.T) {
+	h, state := New(9), statemachine.New()
 	if _, err := h.Begin(0, 0); !errors.Is(err, ErrNoLease) {
 		t.Fatal(err)
 	}
-	renewed(t, s, h.Ask(time.Second, 0))
-	h.Ask(4*time.Second, 0) // not answered
-	h.Applied(s)
-	if left, ok := h.Valid(5 * time.Second); !ok || left != Length-4*time.Second {
-		t.Fatal(left, ok)
+	applyRenewal(t, state, h.Acknowledge(time.Second, 0))
+	h.Acknowledge(4*time.Second, 0) // gets no response
+	h.ObserveState(state)
+	if remaining, ok := h.Valid(5 * time.Second); !ok || remaining != Duration-4*time.Second {
+		t.Fatal(remaining, ok)
 	}
-	act, err := h.Begin(time.Second+Length-1, 1)
+	operation, err := h.Begin(time.Second+Duration-1, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := h.End(time.Second+Length+Stop, act); !errors.Is(err, ErrLate) {
+	if err := h.End(time.Second+Duration+MaxStall, operation); !errors.Is(err, ErrStalled) {
 		t.Fatal(err)
 	}
-	if _, err := h.Begin(time.Second+Length, 1); !errors.Is(err, ErrNoLease) {
+	if _, err := h.Begin(time.Second+Duration, 1); !errors.Is(err, ErrNoLease) {
 		t.Fatal(err)
 	}
 	if _, ok := h.Valid(0); ok {
-		t.Fatal("a clock that was stepped back brought a lease back")
+		t.Fatal("a clock that was set back made the lease valid again")
 	}
 }
 
-func TestAckWaitsForActs(t *testing.T) {
-	h, s := New(9), statemachine.New()
-	renewed(t, s, h.Ask(0, 0))
-	h.Applied(s)
-	act, err := h.Begin(time.Millisecond, 1)
+func TestAckWaitsForOperations(t *testing.T) {
+	h, state := New(9), statemachine.New()
+	applyRenewal(t, state, h.Acknowledge(0, 0))
+	h.ObserveState(state)
+	operation, err := h.Begin(time.Millisecond, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a := h.Ask(time.Second, 5); a.Index != 1 {
-		t.Errorf("acknowledged %d during an act that stands on 1", a.Index)
+	if ack := h.Acknowledge(time.Second, 5); ack.Index != 1 {
+		t.Errorf("acknowledged %d during an operation that depends on 1", ack.Index)
 	}
-	if err := h.End(time.Second, act); err != nil {
+	if err := h.End(time.Second, operation); err != nil {
 		t.Error(err)
 	}
-	if a := h.Ask(2*time.Second, 5); a.Index != 5 || a.Round != 3 {
-		t.Error(a)
+	if ack := h.Acknowledge(2*time.Second, 5); ack.Index != 5 || ack.Round != 3 {
+		t.Error(ack)
 	}
 }
--- a/internal/consensus/quorum/quorum.go
+++ b/internal/consensus/quorum/quorum.go
@@ -1,5 +1,5 @@
-// Package quorum chooses who votes in the council: a pure function of the gateways that are there, so that everybody who
-// sees the same gateways chooses the same.
+// Package quorum chooses the voters of the cluster: a pure function of the available gateways, so that everybody who sees
+// the same gateways chooses the same voters.
 package quorum
 
 import (
@@ -9,24 +9,27 @@
 	"slices"
 )
 
+// identityContext precedes the hashed identity of a gateway.
+const identityContext = "cranegate council\x00"
+
 // Gateway is one start of one process that may vote.
 type Gateway struct {
 	Name string
 	Zone string
-	// Start tells one start from another. A gateway with a disk keeps the one its file holds; one without draws a new one at
-	// random each time, so that it never votes under an identity whose votes it has forgotten.
+	// Start distinguishes the starts of a gateway. A gateway with a disk keeps the one in its file; one without draws a new
+	// one at random each time, so that it never votes under an identity whose votes it has forgotten.
 	Start uint64
 }
 
-// ID is the identity of this start of this gateway in the order, never 0.
+// ID is the identity of this start of this gateway in the cluster, never 0.
 func (g Gateway) ID() uint64 {
-	b := binary.BigEndian.AppendUint64([]byte("cranegate council\x00"), g.Start)
-	sum := sha256.Sum256(append(b, g.Name...))
-	return max(binary.BigEndian.Uint64(sum[:8]), 1)
+	identity := binary.BigEndian.AppendUint64([]byte(identityContext), g.Start)
+	hash := sha256.Sum256(append(identity, g.Name...))
+	return max(binary.BigEndian.Uint64(hash[:8]), 1)
 }
 
-// Size is how many vote among so many gateways: 5 from five on, else 3 or, with fewer than three, one. An even council bears
-// no more losses than the odd one below it.
+// Size is the number of voters among some gateways: 5 from five on, else 3 or, with fewer than three, one. An even number
+// of voters tolerates no more failures than the odd number below it.
 func Size(gateways int) int {
 	switch {
 	case gateways >= 5:
@@ -37,57 +40,63 @@
 	return min(gateways, 1)
 }
 
-// Choose picks a council of n: one of each zone in turn, larger zones first, names in order. Of two starts of one name the
-// higher counts. It returns fewer when there are fewer.
-func Choose(there []Gateway, n int) []Gateway {
-	var council []Gateway
-	for len(council) < n {
-		g, ok := next(there, council)
+// Choose chooses voters: one of each zone in turn, larger zones first, names in order. Of two starts of one name it
+// chooses the higher. It returns fewer than size if there are fewer candidates.
+func Choose(candidates []Gateway, size int) []Gateway {
+	var voters []Gateway
+	for len(voters) < size {
+		gateway, ok := nextVoter(candidates, voters)
 		if !ok {
 			break
 		}
-		council = append(council, g)
+		voters = append(voters, gateway)
 	}
-	return council
+	return voters
 }
 
-// Change is one replacement: Add comes in for Remove. An empty Add means that nobody is there to come in.
-type Change struct {
+// Replacement is the replacement of one voter. An empty Add means that no candidate is available.
+type Replacement struct {
 	Add    Gateway
 	Remove uint64
 }
 
-// Replace says which replacement comes next in a council of which some are gone for good: one at a time, the lowest identity
-// first, and no identity ever again. ok is false when nobody is gone or nobody can come in.
-func Replace(council []Gateway, gone map[uint64]bool, there []Gateway) (c Change, ok bool) {
-	council = slices.SortedFunc(slices.Values(council), func(a, b Gateway) int { return cmp.Compare(a.ID(), b.ID()) })
-	i := slices.IndexFunc(council, func(g Gateway) bool { return gone[g.ID()] })
+// NextReplacement returns the next replacement if some voters have failed for good: one at a time, the lowest identity
+// first; a failed identity is never added again. ok is false if no voter has failed or no candidate is available.
+func NextReplacement(voters []Gateway, failed map[uint64]bool, candidates []Gateway) (replacement Replacement, ok bool) {
+	hasFailed := func(g Gateway) bool { return failed[g.ID()] }
+	voters = slices.SortedFunc(slices.Values(voters), func(a, b Gateway) int { return cmp.Compare(a.ID(), b.ID()) })
+	i := slices.IndexFunc(voters, hasFailed)
 	if i < 0 {
-		return Change{}, false
+		return Replacement{}, false
 	}
-	left := slices.DeleteFunc(slices.Clone(council), func(g Gateway) bool { return gone[g.ID()] })
-	there = slices.DeleteFunc(slices.Clone(there), func(g Gateway) bool { return gone[g.ID()] })
-	add, ok := next(there, left)
-	return Change{Add: add, Remove: council[i].ID()}, ok
+	remaining := slices.DeleteFunc(slices.Clone(voters), hasFailed)
+	candidates = slices.DeleteFunc(slices.Clone(candidates), hasFailed)
+	add, ok := nextVoter(candidates, remaining)
+	return Replacement{Add: add, Remove: voters[i].ID()}, ok
 }
 
-// next is who comes in to those who are in.
-func next(there, in []Gateway) (Gateway, bool) {
-	votes, size := map[string]int{}, map[string]int{}
-	names := map[string]bool{}
-	for _, g := range in {
-		votes[g.Zone]++
-		names[g.Name] = true
+// nextVoter returns the candidate to add to some voters.
+func nextVoter(candidates, voters []Gateway) (Gateway, bool) {
+	votersIn, gatewaysIn := map[string]int{}, map[string]int{} // by zone
+	isVoter := map[string]bool{}                               // by name
+	for _, g := range voters {
+		votersIn[g.Zone]++
+		isVoter[g.Name] = true
 	}
-	for _, g := range there {
-		size[g.Zone]++
+	for _, g := range candidates {
+		gatewaysIn[g.Zone]++
 	}
-	there = slices.DeleteFunc(slices.Clone(there), func(g Gateway) bool { return names[g.Name] })
-	if len(there) == 0 {
+	candidates = slices.DeleteFunc(slices.Clone(candidates), func(g Gateway) bool { return isVoter[g.Name] })
+	if len(candidates) == 0 {
 		return Gateway{}, false
 	}
-	return slices.MinFunc(there, func(a, b Gateway) int {
-		return cmp.Or(cmp.Compare(votes[a.Zone], votes[b.Zone]), cmp.Compare(size[b.Zone], size[a.Zone]),
-			cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name), cmp.Compare(b.Start, a.Start))
+	return slices.MinFunc(candidates, func(a, b Gateway) int {
+		return cmp.Or(
+			cmp.Compare(votersIn[a.Zone], votersIn[b.Zone]),
+			cmp.Compare(gatewaysIn[b.Zone], gatewaysIn[a.Zone]),
+			cmp.Compare(a.Zone, b.Zone),
+			cmp.Compare(a.Name, b.Name),
+			cmp.Compare(b.Start, a.Start),
+		)
 	}), true
 }
--- a/internal/consensus/quorum/quorum_test.go
+++ b/internal/consensus/quorum/quorum_test.go
@@ -7,10 +7,11 @@
 	"testing"
 )
 
-func fleet(zones ...int) (all []Gateway) {
-	for z, n := range zones {
-		for i := range n {
-			all = append(all, Gateway{Name: fmt.Sprintf("g%d-%d", z, i), Zone: fmt.Sprint("z", z), Start: uint64(10*z + i + 1)})
+// newFleet makes gateways in zones of some sizes.
+func newFleet(zoneSizes ...int) (all []Gateway) {
+	for zone, size := range zoneSizes {
+		for i := range size {
+			all = append(all, Gateway{Name: fmt.Sprintf("g%d-%d", zone, i), Zone: fmt.Sprint("z", zone), Start: uint64(10*zone + i + 1)})
 		}
 	}
 	return all
@@ -18,48 +19,53 @@
 
 func TestChooseSpreadsOverZones(t *testing.T) {
 	for _, c := range []struct {
-		zones []int
-		n     int
-		most  int // voters of one zone
-	}{{[]int{9, 1, 1}, 3, 1}, {[]int{4, 4, 4}, 5, 2}, {[]int{20}, 5, 5}, {[]int{1, 1, 1, 1, 16}, 5, 1}, {[]int{2}, 3, 2}} {
-		all := fleet(c.zones...)
-		want := Choose(all, c.n)
-		count := map[string]int{}
-		for _, g := range want {
-			count[g.Zone]++
+		zoneSizes  []int
+		size       int
+		maxPerZone int
+	}{
+		{[]int{9, 1, 1}, 3, 1},
+		{[]int{4, 4, 4}, 5, 2},
+		{[]int{20}, 5, 5},
+		{[]int{1, 1, 1, 1, 16}, 5, 1},
+		{[]int{2}, 3, 2},
+	} {
+		gateways := newFleet(c.zoneSizes...)
+		voters := Choose(gateways, c.size)
+		votersIn := map[string]int{}
+		for _, voter := range voters {
+			votersIn[voter.Zone]++
 		}
-		for z, n := range count {
-			if n > c.most {
-				t.Errorf("%v: %d voters of %s", c.zones, n, z)
+		for zone, count := range votersIn {
+			if count > c.maxPerZone {
+				t.Errorf("%v: %d voters of %s", c.zoneSizes, count, zone)
 			}
 		}
-		if len(want) != min(c.n, len(all)) {
-			t.Errorf("%v: %d voters", c.zones, len(want))
+		if len(voters) != min(c.size, len(gateways)) {
+			t.Errorf("%v: %d voters", c.zoneSizes, len(voters))
 		}
 		for range 20 {
-			rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-			if !reflect.DeepEqual(Choose(all, c.n), want) {
-				t.Fatalf("%v: the choice hangs on the order", c.zones)
+			rand.Shuffle(len(gateways), func(i, j int) { gateways[i], gateways[j] = gateways[j], gateways[i] })
+			if !reflect.DeepEqual(Choose(gateways, c.size), voters) {
+				t.Fatalf("%v: the choice depends on the order", c.zoneSizes)
 			}
 		}
 	}
 }
 
-func TestReplaceOneAtATime(t *testing.T) {
-	all := fleet(3, 3, 3)
-	council := Choose(all, 3)
-	if _, ok := Replace(council, nil, all); ok {
-		t.Error("a replacement though nobody is gone")
+func TestNextReplacement(t *testing.T) {
+	gateways := newFleet(3, 3, 3)
+	voters := Choose(gateways, 3)
+	if _, ok := NextReplacement(voters, nil, gateways); ok {
+		t.Error("a replacement though no voter has failed")
 	}
-	gone := map[uint64]bool{council[0].ID(): true}
-	again := council[0]
-	again.Start = 99 // the same gateway, started anew without its disk
-	there := append(all, again)
-	c, ok := Replace(council, gone, there)
-	if !ok || c.Remove != council[0].ID() || c.Add.Zone != council[0].Zone || gone[c.Add.ID()] {
-		t.Errorf("%+v %v", c, ok)
+	failed := map[uint64]bool{voters[0].ID(): true}
+	restarted := voters[0]
+	restarted.Start = 99 // the same gateway, restarted without its disk
+	replacement, ok := NextReplacement(voters, failed, append(gateways, restarted))
+	if !ok || replacement.Remove != voters[0].ID() || replacement.Add.Zone != voters[0].Zone || failed[replacement.Add.ID()] {
+		t.Errorf("%+v %v", replacement, ok)
 	}
-	if c.Add != again || again.ID() == council[0].ID() {
-		t.Errorf("%+v came in, a start of its own", c.Add)
+	if replacement.Add != restarted || restarted.ID() == voters[0].ID() {
+		t.Errorf("%+v was added in place of the restarted gateway", replacement.Add)
 	}
 }
--- a/internal/consensus/raftlog/limits.go
+++ b/internal/consensus/raftlog/limits.go
@@ -13,18 +13,18 @@
 // Limits of messages, queues and the log.
 const (
 	MaxMessageBytes          = statemachine.MaxSnapshotBytes + 128<<10 // of a message that may carry a snapshot
-	maxSmallMessageBytes     = 160 << 10                       // of any other message
-	maxEntriesBytes          = 64 << 10                        // of the entries in one response or raft message
-	maxProposalsPerMessage   = 64                              // entries that another voter may forward in one raft message
-	maxPendingRequests       = 1024                            // at one voter: one of every gateway of the largest fleet
-	maxPendingReads          = 1024                            // at one voter, likewise
-	maxReadIndexRequests     = 64                              // whose results may still arrive
-	maxOutgoing              = 4096                            // messages queued for the next Advance
-	maxInflightMessages      = 32                              // raft messages to one voter without a response
-	maxUncommittedBytes      = 1 << 20                         // proposed and not committed
-	maxVoters                = 16                              // that a replica accepts in a response
-	defaultCompactionEntries = 1024                            // in the log before it is compacted
-	compactionBytes          = 2 << 20                         // in the log before it is compacted
-	entryOverheadBytes       = 32                              // counted for each entry beside its data
-	retainedFraction         = 4                               // a compaction retains CompactionEntries/retainedFraction entries for lagging replicas
+	maxSmallMessageBytes     = 160 << 10                               // of any other message
+	maxEntriesBytes          = 64 << 10                                // of the entries in one response or raft message
+	maxProposalsPerMessage   = 64                                      // entries that another voter may forward in one raft message
+	maxPendingRequests       = 1024                                    // at one voter: one of every gateway of the largest fleet
+	maxPendingReads          = 1024                                    // at one voter, likewise
+	maxReadIndexRequests     = 64                                      // whose results may still arrive
+	maxOutgoing              = 4096                                    // messages queued for the next Advance
+	maxInflightMessages      = 32                                      // raft messages to one voter without a response
+	maxUncommittedBytes      = 1 << 20                                 // proposed and not committed
+	maxVoters                = 16                                      // that a replica accepts in a response
+	defaultCompactionEntries = 1024                                    // in the log before it is compacted
+	compactionBytes          = 2 << 20                                 // in the log before it is compacted
+	entryOverheadBytes       = 32                                      // counted for each entry beside its data
+	retainedFraction         = 4                                       // a compaction retains CompactionEntries/retainedFraction entries for lagging replicas
 )
--- a/internal/consensus/raftlog/options.go
+++ b/internal/consensus/raftlog/options.go
@@ -16,7 +16,7 @@
 	ID                uint64 // see quorum.Gateway.ID: new for a start without the voter's disk
 	Seed              uint64 // for election timeouts; drawn anew with each start of the process
 	CompactionEntries int    // entries in the log before it is compacted; 0 means 1024
-	InjectedFaults             statemachine.InjectedFaults
+	InjectedFaults    statemachine.InjectedFaults
 	// OnApply, if not nil, is called with every log entry when it is applied here; data is empty for raft's own entries.
 	// It is not called for entries that a snapshot replaces.
 	OnApply func(index uint64, data []byte)
--- a/internal/consensus/raftlog/renewals.go
+++ b/internal/consensus/raftlog/renewals.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	renewalTicks     = uint64(lease.Period / TickInterval)
-	leaseExpiryTicks = uint64(lease.Ended / TickInterval)
+	renewalTicks     = uint64(lease.RenewInterval / TickInterval)
+	leaseExpiryTicks = uint64(lease.ExpiryWait / TickInterval)
 	ackForwardTicks  = 2 // between two messages that forward acknowledgements to the leader
 )
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// forwardAcks sends the collected acknowledgements to the leader; the leader proposes them once per lease.Period.
+// forwardAcks sends the collected acknowledgements to the leader; the leader proposes them once per lease.RenewInterval.
 func (v *Voter) forwardAcks() {
 	leader := v.rawNode.BasicStatus().Lead
 	isLeader := leader == v.options.ID
--- a/internal/consensus/raftlog/replica.go
+++ b/internal/consensus/raftlog/replica.go
@@ -11,10 +11,10 @@
 )
 
 // maxVoterStaleness is the age of a voter's state from which on the replica switches to another voter.
-const maxVoterStaleness = 3 * lease.Period
+const maxVoterStaleness = 3 * lease.RenewInterval
 
 // Replica is a gateway's copy of the replicated state machine with its lease on it, whether the gateway votes or not.
-// It requests committed entries from one voter once per lease.Period. It is not safe for concurrent use.
+// It requests committed entries from one voter once per lease.RenewInterval. It is not safe for concurrent use.
 type Replica struct {
 	clusterID, id uint64
 	rng           *rand.Rand
@@ -79,17 +79,17 @@
 	if r.now < r.nextRequestAt {
 		return nil
 	}
-	if r.now-r.lastFreshAt > 2*lease.Period {
+	if r.now-r.lastFreshAt > 2*lease.RenewInterval {
 		r.lastFreshAt = r.now
 		r.switchSource()
 	}
 	if r.source == 0 {
 		return nil
 	}
-	r.nextRequestAt = r.now + lease.Period
+	r.nextRequestAt = r.now + lease.RenewInterval
 	r.nonce++
 	r.requestSentAt = r.now
-	request := &CatchUpRequest{Applied: r.state.Index, Nonce: r.nonce, Ack: r.lease.Ask(r.now, r.state.Index)}
+	request := &CatchUpRequest{Applied: r.state.Index, Nonce: r.nonce, Ack: r.lease.Acknowledge(r.now, r.state.Index)}
 	return []Message{{ClusterID: r.clusterID, From: r.id, To: r.source, Kind: CatchUpRequestKind, CatchUpRequest: request}}
 }
 
@@ -130,7 +130,7 @@
 			r.state.Apply(entry.Index, entry.Data)
 		}
 	}
-	r.lease.Applied(r.state)
+	r.lease.ObserveState(r.state)
 	return nil
 }
 
@@ -166,6 +166,6 @@
 // Begin checks the lease immediately before the first byte of an operation that the local state permits; see
 // lease.Holder.Begin. The caller must not call Step between reading the state and Begin: the operation would carry a
 // later log index than the one that it depends on.
-func (r *Replica) Begin(now time.Duration) (lease.Act, error) {
+func (r *Replica) Begin(now time.Duration) (lease.Operation, error) {
 	return r.lease.Begin(now, r.state.Index)
 }
--- a/internal/consensus/raftlog/voter.go
+++ b/internal/consensus/raftlog/voter.go
@@ -172,7 +172,7 @@
 	Term             uint64
 	Leader           uint64 // 0 if unknown
 	Applied          uint64 // index of the latest applied entry
-	Checksum            uint64 // see statemachine.State
+	Checksum         uint64 // see statemachine.State
 	Voters, Learners []uint64
 	Joint            bool  // a joint-consensus change of the voters is in progress
 	Err              error // why the voter stopped
@@ -186,7 +186,7 @@
 		Term:     basic.GetTerm(),
 		Leader:   basic.Lead,
 		Applied:  v.state.Index,
-		Checksum:    v.state.Checksum,
+		Checksum: v.state.Checksum,
 		Voters:   slices.Clone(v.confState.GetVoters()),
 		Learners: slices.Clone(v.confState.GetLearners()),
 		Joint:    len(v.confState.GetVotersOutgoing()) > 0,
--- a/internal/consensus/simulation/faults_test.go
+++ b/internal/consensus/simulation/faults_test.go
@@ -112,7 +112,7 @@
 				there = append(there, x.Gateway)
 			}
 		}
-		if c, ok := quorum.Replace(council, f.dead, there); ok {
+		if c, ok := quorum.NextReplacement(council, f.dead, there); ok {
 			if i := slices.Index(s.Learners, c.Add.ID()); i >= 0 {
 				f.replaced++
 			}
--- a/internal/consensus/simulation/simulation_test.go
+++ b/internal/consensus/simulation/simulation_test.go
@@ -50,7 +50,7 @@
 
 // act is a write of a gateway: allowed by a check, sent later.
 type act struct {
-	lease.Act
+	lease.Operation
 	index uint64 // where the fact was decided
 	value string
 	at    time.Duration // on its own clock
@@ -242,7 +242,7 @@
 		if g.clock < g.act.at {
 			return
 		}
-		f.judge.act(g, g.act, g.follower.Lease().End(g.clock, g.act.Act))
+		f.judge.act(g, g.act, g.follower.Lease().End(g.clock, g.act.Operation))
 		g.act = nil
 	}
 	r, _, ok := g.follower.State().Get("r")
@@ -256,7 +256,7 @@
 	}
 	stop := time.Duration(0)
 	if f.rng.IntN(3) == 0 {
-		stop = time.Duration(f.rng.Int64N(int64(lease.Stop - step*2)))
+		stop = time.Duration(f.rng.Int64N(int64(lease.MaxStall - step*2)))
 	}
 	g.act = &act{a, r.Index, g.Name, g.clock + stop}
 }
