--- a/internal/consensus/simulation/faults_test.go
+++ b/internal/consensus/simulation/faults_test.go
@@ -4,139 +4,123 @@
 	"slices"
 	"time"
 
-	"cranegate/internal/consensus/quorum"
 	"cranegate/internal/consensus/raftlog"
 	"cranegate/internal/consensus/store"
 )
 
-// mayCrash says whether the council bears the end of a gateway: one without a disk is a vote that never comes back, so all others must
-// be there. It is the same a fleet asks of its operator: no majority without disks at once.
-func (f *fleet) mayCrash(g *gateway) bool {
-	council := f.councilNow()
-	if !slices.Contains(council, g.id) {
+// faultKind is a kind of fault that hits one gateway.
+type faultKind int
+
+// The kinds, in the order of their random numbers.
+const (
+	partitionOneDirection faultKind = iota // from the gateway to another
+	isolate                                // from and to all others
+	pause                                  // of the whole process
+	crashProcess
+	changeClockRate
+	faultKinds // the number of kinds
+)
+
+// stepsPerFault is the average number of steps between two faults.
+const stepsPerFault = 20
+
+// toleratesCrash reports whether the cluster tolerates the crash of a gateway. A voter without a disk is a vote that never
+// comes back, so all other voters must be running. A fleet requires the same of its operator: no majority without disks fails
+// at once.
+func (f *fleet) toleratesCrash(g *gateway) bool {
+	voters := f.currentVoters()
+	if !slices.Contains(voters, g.id) {
 		return true
 	}
-	lost := 0
-	for _, id := range council {
-		if i := f.at(id); i < 0 || !f.all[i].up || f.all[i].voter.Status().Joint {
-			lost++
+	for _, id := range voters {
+		i := f.indexOf(id)
+		if i < 0 || !f.gateways[i].running || f.gateways[i].voter.Status().Joint {
+			return false
 		}
 	}
-	return lost == 0
+	return true
 }
 
+// crash ends a gateway's process. Without a disk it forgets its state and gets a new identity.
 func (f *fleet) crash(g *gateway) {
-	g.up, g.backAt = false, f.now+time.Duration(500+f.rng.IntN(9000))*time.Millisecond
-	if g.disk {
-		if f.files != "" {
-			g.kept.Close()
-			g.kept = f.keep(g, raftlog.PersistedState{})
+	g.running = false
+	g.restartAt = f.now + time.Duration(500+f.rng.IntN(9000))*time.Millisecond
+	if g.hasDisk {
+		if f.folder != "" {
+			g.store.Close()
+			g.store = f.openStore(g, raftlog.PersistedState{})
 		}
 		return
 	}
-	g.kept = store.NewMemory(raftlog.PersistedState{})
-	if !f.reuse {
-		f.dead[g.id] = true
-		f.name(g)
+	g.store = store.NewMemory(raftlog.PersistedState{})
+	if !f.reuseIdentity {
+		f.retired[g.id] = true
+		f.assignIdentity(g)
 	}
 }
 
-func (f *fleet) faults() {
-	if f.now >= f.trouble {
-		if f.now < f.trouble+step {
-			clear(f.cuts)
-			for _, g := range f.all {
-				g.pausedTo, g.backAt = 0, min(g.backAt, f.now)
-			}
+// injectFaults injects a fault from time to time while faults are due, and ends all of them after that.
+func (f *fleet) injectFaults() {
+	if !f.hasFaults() {
+		if f.now < f.faultTime+stepInterval {
+			f.endFaults()
 		}
 		return
 	}
-	if f.rng.IntN(20) != 0 {
+	if f.rng.IntN(stepsPerFault) != 0 {
 		return
 	}
-	// Half of the faults hit voters.
-	i := f.rng.IntN(len(f.all))
-	if council := f.councilNow(); f.rng.IntN(2) == 0 {
-		i = max(f.at(council[f.rng.IntN(len(council))]), 0)
-	}
-	g := f.all[i]
-	long := time.Duration(200+f.rng.IntN(3000)) * time.Millisecond
+	target := f.drawTarget()
+	duration := time.Duration(200+f.rng.IntN(3000)) * time.Millisecond
 	if f.rng.IntN(4) == 0 {
-		long = time.Duration(5000+f.rng.IntN(20000)) * time.Millisecond
-	}
-	kind := f.rng.IntN(5)
-	if j := slices.IndexFunc(f.all, func(g *gateway) bool { return g.act != nil }); j >= 0 && (kind == 1 || kind == 2) && f.rng.IntN(2) == 0 {
-		i, g = j, f.all[j] // who acts: between check and send
+		duration = time.Duration(5000+f.rng.IntN(20000)) * time.Millisecond
 	}
-	switch kind {
-	case 0: // one direction
-		f.cuts[[2]int{i, f.rng.IntN(len(f.all))}] = f.now + long
-	case 1: // from everybody
-		for j := range f.all {
-			if j != i {
-				f.cuts[[2]int{i, j}], f.cuts[[2]int{j, i}] = f.now+long, f.now+long
-			}
-		}
-	case 2:
-		if g.up {
-			g.pausedTo = f.now + long
-		}
-	case 3:
-		if g.up && f.mayCrash(g) {
-			f.crash(g)
-		}
-	case 4:
-		g.rate = f.rate()
+	kind := faultKind(f.rng.IntN(int(faultKinds)))
+	operating := slices.IndexFunc(f.gateways, func(g *gateway) bool { return g.operation != nil })
+	if operating >= 0 && (kind == isolate || kind == pause) && f.rng.IntN(2) == 0 {
+		target = operating // between its check and its send
 	}
+	f.injectFault(kind, target, f.now+duration)
 }
 
-// manage does what the shell will: it tells followers that know no living voter of the council, as the membership will, and
-// hands the leader the next replacement of a voter that is gone for good.
-func (f *fleet) manage() {
-	for _, g := range f.all {
-		if g.up && g.follower.Read(g.clock, "r").Age > 10*time.Second {
-			g.follower.SetVoters(f.councilNow())
-		}
+func (f *fleet) endFaults() {
+	clear(f.partitions)
+	for _, g := range f.gateways {
+		g.pausedUntil, g.restartAt = 0, min(g.restartAt, f.now)
 	}
-	for _, g := range f.all {
-		if !g.up || f.now < g.pausedTo || !g.voter.IsLeader() {
-			continue
-		}
-		var council, there []quorum.Gateway
-		s := g.voter.Status()
-		for _, id := range s.Voters {
-			council = append(council, f.who[id])
-		}
-		for _, x := range f.all {
-			if x.up {
-				there = append(there, x.Gateway)
-			}
-		}
-		if c, ok := quorum.NextReplacement(council, f.dead, there); ok {
-			if i := slices.Index(s.Learners, c.Add.ID()); i >= 0 {
-				f.replaced++
-			}
-			g.voter.ReplaceVoter(c.Add.ID(), c.Remove)
-		}
+}
+
+// drawTarget draws the gateway for a fault: a voter for half of the faults, else any gateway.
+func (f *fleet) drawTarget() int {
+	target := f.rng.IntN(len(f.gateways))
+	voters := f.currentVoters()
+	if f.rng.IntN(2) == 0 {
+		target = max(f.indexOf(voters[f.rng.IntN(len(voters))]), 0)
 	}
+	return target
 }
 
-func (f *fleet) play() {
-	for n := 0; f.now < f.trouble+f.calm && len(f.judge.failures) == 0; n++ {
-		f.now += step
-		f.faults()
-		f.deliver()
-		for _, g := range f.all {
-			f.run(g)
+func (f *fleet) injectFault(kind faultKind, target int, until time.Duration) {
+	g := f.gateways[target]
+	switch kind {
+	case partitionOneDirection:
+		f.partitions[[2]int{target, f.rng.IntN(len(f.gateways))}] = until
+	case isolate:
+		for other := range f.gateways {
+			if other != target {
+				f.partitions[[2]int{target, other}] = until
+				f.partitions[[2]int{other, target}] = until
+			}
 		}
-		for _, c := range f.clients {
-			c.step()
+	case pause:
+		if g.running {
+			g.pausedUntil = until
 		}
-		if n%10 == 0 {
-			f.manage()
+	case crashProcess:
+		if g.running && f.toleratesCrash(g) {
+			f.crash(g)
 		}
-	}
-	if len(f.judge.failures) == 0 {
-		f.judge.end()
+	case changeClockRate:
+		g.clockRate = f.drawClockRate()
 	}
 }
--- /dev/null
+++ b/internal/consensus/simulation/gateway_test.go
@@ -0,0 +1,200 @@
+package simulation
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"time"
+
+	"cranegate/internal/consensus/lease"
+	"cranegate/internal/consensus/quorum"
+	"cranegate/internal/consensus/raftlog"
+	"cranegate/internal/consensus/store"
+)
+
+const (
+	compactionEntries = 40   // small, so that snapshots are sent
+	maxUpdatesPerStep = 50   // that a gateway persists
+	maxInbox          = 256  // messages that wait at a gateway
+	updatesPerCrash   = 4000 // on average, between persisting and sending
+)
+
+// gateway is one process, with its own clock and the truth about it. Every gateway runs a voter, which does nothing until it
+// becomes a learner, and a replica.
+type gateway struct {
+	quorum.Gateway
+	id          uint64
+	hasDisk     bool
+	store       store.Store
+	voter       *raftlog.Voter
+	replica     *raftlog.Replica
+	clock       time.Duration
+	clockRate   float64       // to true time
+	tickedAt    time.Duration // by its clock
+	running     bool
+	restartAt   time.Duration // if it is not running
+	pausedUntil time.Duration
+	inbox       []raftlog.Message
+	operation   *operation
+}
+
+// operation is a write of a gateway: permitted by a check, sent later.
+type operation struct {
+	lease.Operation
+	registerIndex uint64        // the log index of the value that permitted it
+	sendAt        time.Duration // by the gateway's clock
+}
+
+// openStore opens the store of a gateway, which holds an initial state if it is new.
+func (f *fleet) openStore(g *gateway, initial raftlog.PersistedState) store.Store {
+	if f.folder == "" || !g.hasDisk {
+		return store.NewMemory(initial)
+	}
+	folder := filepath.Join(f.folder, g.Name)
+	os.MkdirAll(folder, 0o700)
+	file, err := store.Open(folder, store.Owner{Name: g.Name, ClusterID: f.clusterID, Start: g.Start})
+	if err == nil && initial.Snapshot != nil {
+		err = file.Save(raftlog.Update{HardState: initial.HardState, Snapshot: initial.Snapshot, MustSync: true})
+	}
+	if err != nil {
+		panic(err)
+	}
+	return file
+}
+
+// startGateway starts the process of a gateway.
+func (f *fleet) startGateway(g *gateway) {
+	persisted, err := g.store.Load()
+	if err != nil {
+		f.checker.fail("%s loads: %v", g.Name, err)
+	}
+	id := g.id
+	voter, err := raftlog.NewVoter(raftlog.Options{
+		ClusterID:         f.clusterID,
+		ID:                id,
+		Seed:              f.rng.Uint64(),
+		CompactionEntries: compactionEntries,
+		InjectedFaults:    f.injectedFaults,
+		OnApply:           func(index uint64, data []byte) { f.checker.checkApplied(id, index, data) },
+	}, persisted)
+	if err != nil {
+		f.checker.fail("%s starts: %v", g.Name, err)
+		return
+	}
+	g.voter, g.running, g.inbox, g.operation = voter, true, nil, nil
+	g.clockRate = f.drawClockRate()
+	g.clock = time.Duration(f.rng.Int64N(int64(time.Hour)))
+	g.tickedAt = g.clock
+	f.starts++ // the lease holder's identity is always new
+	holder := quorum.Gateway{Name: g.Name + " holds", Start: f.starts}
+	g.replica = raftlog.NewReplica(f.clusterID, holder.ID(), f.rng.Uint64(), f.currentVoters())
+	g.replica.State().InjectedFaults = f.injectedFaults
+}
+
+// drawClockRate draws the rate of a clock: either limit, or anything between.
+func (f *fleet) drawClockRate() float64 {
+	const minRate, maxRate = 2.0 / 3, 4.0 / 3
+	between := minRate + f.rng.Float64()*2/3
+	return []float64{minRate, maxRate, between}[f.rng.IntN(3)]
+}
+
+// stepGateway runs a gateway for one step.
+func (f *fleet) stepGateway(g *gateway) {
+	if !g.running {
+		if f.now >= g.restartAt {
+			f.startGateway(g)
+		}
+		return
+	}
+	g.clock += time.Duration(float64(stepInterval) * g.clockRate)
+	if f.now < g.pausedUntil {
+		return
+	}
+	f.handleInbox(g)
+	g.tickVoter()
+	if !f.persistAndSend(g) {
+		return
+	}
+	for _, message := range g.replica.Tick(g.clock) {
+		f.sendMessage(message)
+	}
+	f.checker.checkReplica(g)
+	f.operate(g)
+}
+
+func (f *fleet) handleInbox(g *gateway) {
+	inbox := g.inbox
+	g.inbox = nil
+	for _, message := range inbox {
+		if message.To != g.id {
+			g.replica.Step(g.clock, message)
+			continue
+		}
+		if err := g.voter.Step(message); errors.Is(err, raftlog.ErrInconsistentLog) {
+			f.checker.fail("%s: %v", g.Name, err)
+		}
+	}
+}
+
+// tickVoter ticks the voter for the time since its latest tick. After a pause the missed ticks are lost.
+func (g *gateway) tickVoter() {
+	if g.clock-g.tickedAt > time.Second {
+		g.tickedAt = g.clock - raftlog.TickInterval
+	}
+	for g.clock-g.tickedAt >= raftlog.TickInterval {
+		g.tickedAt += raftlog.TickInterval
+		g.voter.Tick()
+	}
+}
+
+// persistAndSend persists the voter's updates and sends its messages. It returns false if the gateway crashed between the
+// two.
+func (f *fleet) persistAndSend(g *gateway) bool {
+	for range maxUpdatesPerStep {
+		update, ok := g.voter.Ready()
+		if !ok {
+			break
+		}
+		if err := g.store.Save(update); err != nil {
+			f.checker.fail("%s saves: %v", g.Name, err)
+		}
+		if f.hasFaults() && f.rng.IntN(updatesPerCrash) == 0 && f.toleratesCrash(g) {
+			f.crash(g)
+			return false
+		}
+		messages, err := g.voter.Advance()
+		if err != nil {
+			f.checker.fail("%s: %v", g.Name, err)
+		}
+		for _, message := range messages {
+			f.sendMessage(message)
+		}
+	}
+	return true
+}
+
+// operate lets a gateway operate while the state that it knows names it as the owner: check the lease, wait, send.
+func (f *fleet) operate(g *gateway) {
+	if g.operation != nil {
+		if g.clock < g.operation.sendAt {
+			return
+		}
+		err := g.replica.Lease().End(g.clock, g.operation.Operation)
+		f.checker.checkOperation(g, g.operation, err)
+		g.operation = nil
+	}
+	register, _, ok := g.replica.State().Get(ownerRegister)
+	if !ok || string(register.Value) != g.Name {
+		return
+	}
+	permitted, err := g.replica.Begin(g.clock)
+	if err != nil {
+		f.checker.rejected++
+		return
+	}
+	wait := time.Duration(0)
+	if f.rng.IntN(3) == 0 {
+		wait = time.Duration(f.rng.Int64N(int64(lease.MaxStall - stepInterval*2)))
+	}
+	g.operation = &operation{Operation: permitted, registerIndex: register.Index, sendAt: g.clock + wait}
+}
--- a/internal/consensus/simulation/norace_test.go
+++ b/internal/consensus/simulation/norace_test.go
@@ -2,4 +2,4 @@
 
 package simulation
 
-const slow = false
+const raceDetector = false
--- a/internal/consensus/simulation/race_test.go
+++ b/internal/consensus/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// slow says that the race detector is on, which makes a play ten times as long: fleets then live for less time.
-const slow = true
+// raceDetector reports whether the race detector is on, which makes a run ten times as long: scenarios are shorter then.
+const raceDetector = true
--- a/internal/consensus/simulation/runs_test.go
+++ b/internal/consensus/simulation/runs_test.go
@@ -2,104 +2,137 @@
 
 import (
 	"flag"
+	"sync"
 	"testing"
 	"time"
 
 	"cranegate/internal/consensus/statemachine"
 )
 
-var seeds = flag.Int("seeds", 50, "fleets to play in TestSeeds")
+var seeds = flag.Int("seeds", 50, "fleets to run in TestSeeds")
 
-func planOf(seed int) plan {
-	p := plan{voters: 3, followers: 5 + seed*7%16, seed: uint64(seed), trouble: 50 * time.Second, calm: 32 * time.Second}
+// parallelRuns is the number of fleets that TestSeeds runs at a time.
+const parallelRuns = 2
+
+func scenarioOf(seed int) scenario {
+	s := scenario{
+		voters:       3,
+		replicas:     5 + seed*7%16,
+		seed:         uint64(seed),
+		faultTime:    50 * time.Second,
+		recoveryTime: 32 * time.Second,
+	}
 	if seed%2 == 1 {
-		p.voters = 5
+		s.voters = 5
 	}
-	if slow {
-		p.trouble, p.calm = 14*time.Second, 11*time.Second
+	if raceDetector {
+		s.faultTime, s.recoveryTime = 14*time.Second, 11*time.Second
 	}
-	return p
+	return s
+}
+
+// totals sums the figures of several runs.
+type totals struct {
+	operations, rejected, stalled, restrictions, replacements, commands, renewals int
+
+	longestRestriction time.Duration
+}
+
+func (t *totals) add(f *fleet) {
+	t.operations += f.checker.operations
+	t.rejected += f.checker.rejected
+	t.stalled += f.checker.stalled
+	t.restrictions += f.checker.completed
+	t.replacements += f.replacements
+	t.commands += f.checker.commands
+	t.renewals += f.checker.renewals
+	t.longestRestriction = max(t.longestRestriction, f.checker.longestRestriction)
 }
 
-// TestSeeds plays fleets of 3 and 5 voters with 5 to 20 followers through losses, delays, repetitions, cuts, crashes with and
-// without disk, pauses and clocks that are off by a third.
+// TestSeeds runs fleets of 3 and 5 voters with 5 to 20 replicas through lost, delayed and duplicated messages, partitions,
+// crashes with and without a disk, pauses, and clocks that are wrong by a third.
 func TestSeeds(t *testing.T) {
-	type sum struct{ acts, refused, late, narrows, replaced, commands, renews int }
-	sums := make(chan sum, *seeds)
-	longest := make(chan time.Duration, *seeds)
+	var mutex sync.Mutex
+	var sum totals
 	t.Run("seeds", func(t *testing.T) {
-		for w := range 2 {
+		for first := range parallelRuns {
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
-				for i := w; i < *seeds; i += 2 {
-					f := newFleet(planOf(i))
-					f.play()
-					for _, x := range f.judge.failures {
-						t.Errorf("seed %d: %s", i, x)
+				for seed := first; seed < *seeds; seed += parallelRuns {
+					f := newFleet(scenarioOf(seed))
+					f.run()
+					for _, failure := range f.checker.failures {
+						t.Errorf("seed %d: %s", seed, failure)
 					}
-					j := f.judge
-					sums <- sum{j.acts, j.refused, j.late, j.done, f.replaced, j.commands, j.renews}
-					longest <- j.longest
+					mutex.Lock()
+					sum.add(f)
+					mutex.Unlock()
 				}
 			})
 		}
 	})
-	var all sum
-	var most time.Duration
-	for range *seeds {
-		s := <-sums
-		all = sum{all.acts + s.acts, all.refused + s.refused, all.late + s.late, all.narrows + s.narrows, all.replaced + s.replaced, all.commands + s.commands, all.renews + s.renews}
-		most = max(most, <-longest)
-	}
-	t.Logf("%d fleets: %+v, the longest narrowing took %v", *seeds, all, most)
-	if all.acts == 0 || all.refused == 0 || all.late == 0 && !slow || all.replaced == 0 {
-		t.Error("something was not played")
+	t.Logf("%d fleets: %+v, the longest restriction took %v", *seeds, sum, sum.longestRestriction)
+	if sum.operations == 0 || sum.rejected == 0 || sum.stalled == 0 && !raceDetector || sum.replacements == 0 {
+		t.Error("the runs did not cover every case")
 	}
 }
 
-// TestSame plays one seed twice.
-func TestSame(t *testing.T) {
-	a, b := newFleet(planOf(3)), newFleet(planOf(3))
-	a.play()
-	b.play()
-	if a.judge.state.Checksum != b.judge.state.Checksum || a.judge.acts != b.judge.acts || a.judge.state.Index == 1 {
-		t.Errorf("%d, %d", a.judge.state.Index, b.judge.state.Index)
+// TestRunsAreReproducible runs one seed twice.
+func TestRunsAreReproducible(t *testing.T) {
+	a, b := newFleet(scenarioOf(3)), newFleet(scenarioOf(3))
+	a.run()
+	b.run()
+	stateA, stateB := a.checker.state, b.checker.state
+	if stateA.Checksum != stateB.Checksum || a.checker.operations != b.checker.operations || stateA.Index == 1 {
+		t.Errorf("%d, %d", stateA.Index, stateB.Index)
 	}
 }
 
-// TestFiles plays with files, opened anew at each crash.
-func TestFiles(t *testing.T) {
-	p := planOf(6)
-	p.files, p.trouble, p.calm = t.TempDir(), 20*time.Second, 20*time.Second
-	f := newFleet(p)
-	f.play()
-	for _, x := range f.judge.failures {
-		t.Error(x)
+// TestFileStores runs with files, which are opened anew at each crash.
+func TestFileStores(t *testing.T) {
+	s := scenarioOf(6)
+	s.folder, s.faultTime, s.recoveryTime = t.TempDir(), 20*time.Second, 20*time.Second
+	f := newFleet(s)
+	f.run()
+	for _, failure := range f.checker.failures {
+		t.Error(failure)
 	}
-	for _, g := range f.all {
-		g.kept.Close()
+	for _, g := range f.gateways {
+		g.store.Close()
 	}
 }
 
-// TestBroken breaks the core on purpose: the judge must find each.
-func TestBroken(t *testing.T) {
-	for name, change := range map[string]func(*plan){
-		"a narrowing waits for nobody":            func(p *plan) { p.flaws = statemachine.InjectedFaults{SkipRestrictionWait: true} },
-		"who asks again is served again":          func(p *plan) { p.flaws = statemachine.InjectedFaults{SkipDeduplication: true} },
-		"a voter without disk keeps its identity": func(p *plan) { p.reuse = true },
+// TestInjectedFaultsAreFound breaks the packages deliberately: the checker must detect each fault within 20 fleets.
+func TestInjectedFaultsAreFound(t *testing.T) {
+	for name, inject := range map[string]func(*scenario){
+		"restrictions do not wait": func(s *scenario) {
+			s.injectedFaults = statemachine.InjectedFaults{SkipRestrictionWait: true}
+		},
+		"retried requests are applied again": func(s *scenario) {
+			s.injectedFaults = statemachine.InjectedFaults{SkipDeduplication: true}
+		},
+		"a voter without a disk keeps its identity": func(s *scenario) {
+			s.reuseIdentity = true
+		},
 	} {
-		found := ""
-		for seed := 0; seed < 20 && found == ""; seed++ {
-			p := planOf(seed)
-			change(&p)
-			f := newFleet(p)
-			f.play()
-			if len(f.judge.failures) > 0 {
-				found = f.judge.failures[0]
-			}
-		}
-		if t.Logf("%s: %s", name, found); found == "" {
+		failure := firstFailure(inject)
+		t.Logf("%s: %s", name, failure)
+		if failure == "" {
 			t.Errorf("%s: not found in 20 fleets", name)
 		}
 	}
 }
+
+// firstFailure returns the first failure of 20 fleets with an injected fault, "" if there is none.
+func firstFailure(inject func(*scenario)) string {
+	for seed := range 20 {
+		s := scenarioOf(seed)
+		inject(&s)
+		f := newFleet(s)
+		f.run()
+		if len(f.checker.failures) > 0 {
+			return f.checker.failures[0]
+		}
+	}
+	return ""
+}
--- a/internal/consensus/simulation/votes_test.go
+++ b/internal/consensus/simulation/votes_test.go
@@ -12,55 +12,87 @@
 	"cranegate/internal/consensus/store"
 )
 
-// TestVotes asks a voter for its vote in one term twice, for two candidates, with a restart between: with its disk it gives
-// one; without it, it is another voter, whom the question does not reach; under its old identity without the disk it would give two,
-// and the judge finds that.
-func TestVotes(t *testing.T) {
-	g := quorum.Gateway{Name: "g1", Start: 1}
-	council, founded, err := raftlog.Bootstrap([]uint64{g.ID(), 2, 3})
+// voteHarness starts a voter anew for each vote request.
+type voteHarness struct {
+	t         *testing.T
+	clusterID uint64
+	checker   *checker
+}
+
+// requestVote starts a voter from a store, and requests its vote in term 5 for a candidate.
+func (h *voteHarness) requestVote(g quorum.Gateway, to, candidate uint64, s store.Store) error {
+	h.t.Helper()
+	persisted, _ := s.Load()
+	voter, err := raftlog.NewVoter(raftlog.Options{ClusterID: h.clusterID, ID: g.ID(), Seed: 1}, persisted)
 	if err != nil {
-		t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	j := newJudge(&fleet{})
-	ask := func(g quorum.Gateway, to, candidate uint64, kept store.Store) error {
-		img, _ := kept.Load()
-		v, err := raftlog.NewVoter(raftlog.Options{ClusterID: council, ID: g.ID(), Seed: 1}, img)
-		if err != nil {
-			t.Fatal(err)
+	request := &raftpb.Message{
+		Type:    raftpb.MsgVote.Enum(),
+		From:    new(candidate),
+		To:      new(to),
+		Term:    new(uint64(5)),
+		LogTerm: new(uint64(1)),
+		Index:   new(uint64(1)),
+	}
+	encoded, err := proto.Marshal(request)
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	message := raftlog.Message{ClusterID: h.clusterID, From: candidate, To: to, Kind: raftlog.RaftKind, Raft: encoded}
+	if err := voter.Step(message); err != nil {
+		return err
+	}
+	h.advance(voter, s)
+	return nil
+}
+
+// advance persists the voter's updates and gives its messages to the checker.
+func (h *voteHarness) advance(voter *raftlog.Voter, s store.Store) {
+	h.t.Helper()
+	for {
+		update, ok := voter.Ready()
+		if !ok {
+			return
 		}
-		x := &raftpb.Message{Type: raftpb.MsgVote.Enum(), From: new(candidate), To: new(to), Term: new(uint64(5)), LogTerm: new(uint64(1)), Index: new(uint64(1))}
-		b, err := proto.Marshal(x)
+		s.Save(update)
+		messages, err := voter.Advance()
 		if err != nil {
-			t.Fatal(err)
+			h.t.Fatal(err)
 		}
-		if err := v.Step(raftlog.Message{ClusterID: council, From: candidate, To: to, Kind: raftlog.RaftKind, Raft: b}); err != nil {
-			return err
-		}
-		for {
-			s, ok := v.Ready()
-			if !ok {
-				return nil
-			}
-			kept.Save(s)
-			out, err := v.Advance()
-			if err != nil {
-				t.Fatal(err)
-			}
-			for _, m := range out {
-				j.sent(m)
-			}
+		for _, message := range messages {
+			h.checker.checkVotes(message)
 		}
 	}
-	disk := store.NewMemory(founded)
-	if err := errors.Join(ask(g, g.ID(), 2, disk), ask(g, g.ID(), 3, disk)); err != nil || len(j.votes) != 1 || len(j.failures) > 0 {
-		t.Errorf("with its disk: %v, votes %v, %v", err, j.votes, j.failures)
+}
+
+// TestVoteOncePerTerm requests a vote in one term twice, for two candidates, with a restart between. With its disk the voter
+// votes once. Without it, it is another voter, which the request does not reach. Under its old identity without the disk it
+// votes twice, which the checker detects.
+func TestVoteOncePerTerm(t *testing.T) {
+	g := quorum.Gateway{Name: "g1", Start: 1}
+	clusterID, bootstrap, err := raftlog.Bootstrap([]uint64{g.ID(), 2, 3})
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := newChecker(&fleet{})
+	h := &voteHarness{t: t, clusterID: clusterID, checker: c}
+
+	disk := store.NewMemory(bootstrap)
+	err = errors.Join(h.requestVote(g, g.ID(), 2, disk), h.requestVote(g, g.ID(), 3, disk))
+	if err != nil || len(c.votes) != 1 || len(c.failures) > 0 {
+		t.Errorf("with its disk: %v, votes %v, %v", err, c.votes, c.failures)
 	}
-	anew := g
-	anew.Start = 2
-	if err := ask(anew, g.ID(), 3, store.NewMemory(raftlog.PersistedState{})); !errors.Is(err, raftlog.ErrMisdirected) {
-		t.Errorf("without: %v", err)
+
+	restarted := g
+	restarted.Start = 2
+	err = h.requestVote(restarted, g.ID(), 3, store.NewMemory(raftlog.PersistedState{}))
+	if !errors.Is(err, raftlog.ErrMisdirected) {
+		t.Errorf("without its disk: %v", err)
 	}
-	if ask(g, g.ID(), 3, store.NewMemory(founded)); len(j.failures) != 1 {
-		t.Errorf("under its old identity without its disk: %v", j.failures)
+
+	h.requestVote(g, g.ID(), 3, store.NewMemory(bootstrap))
+	if len(c.failures) != 1 {
+		t.Errorf("under its old identity without its disk: %v", c.failures)
 	}
 }
