--- a/internal/consensus/raftlog/limits.go
+++ b/internal/consensus/raftlog/limits.go
@@ -26,5 +26,7 @@
 	defaultCompactionEntries = 1024                                    // in the log before it is compacted
 	compactionBytes          = 2 << 20                                 // in the log before it is compacted
 	entryOverheadBytes       = 32                                      // counted for each entry beside its data
-	retainedFraction         = 4                                       // a compaction retains CompactionEntries/retainedFraction entries for lagging replicas
 )
+
+// A compaction retains CompactionEntries/retainedFraction entries for replicas that lag a little.
+const retainedFraction = 4
--- a/internal/consensus/raftlog/replica.go
+++ b/internal/consensus/raftlog/replica.go
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// apply brings the local state forward and tells the lease of renewals among the entries.
+// apply brings the local state forward and updates the lease by the renewals among the entries.
 func (r *Replica) apply(response *CatchUpResponse) error {
 	if len(response.Snapshot) > 0 {
 		snapshot, err := statemachine.Restore(response.Snapshot)
--- a/internal/consensus/statemachine/command.go
+++ b/internal/consensus/statemachine/command.go
@@ -77,7 +77,8 @@
 		return fmt.Errorf("%w: key %v, received %d", ErrInvalidCommand, c.Key, c.ReceivedSeq)
 	}
 	if c.Name == "" || len(c.Name) > MaxNameBytes || len(c.Value) > MaxValueBytes {
-		return fmt.Errorf("%w: a name of %d bytes (1 to %d), a value of %d (at most %d)", ErrInvalidCommand, len(c.Name), MaxNameBytes, len(c.Value), MaxValueBytes)
+		return fmt.Errorf("%w: a name of %d bytes (1 to %d), a value of %d (at most %d)",
+			ErrInvalidCommand, len(c.Name), MaxNameBytes, len(c.Value), MaxValueBytes)
 	}
 	return nil
 }
--- a/internal/consensus/store/errors.go
+++ b/internal/consensus/store/errors.go
@@ -8,7 +8,7 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Errors of a file. Each says what the operator can do.
+// Errors of a file. Each names what the operator can do.
 var (
 	// ErrDamaged means that the file is damaged. Move it away: the gateway then joins as a new voter, and the cluster
 	// replaces the old one. Never restore an older copy: the votes cast since it was made would be forgotten.
@@ -21,11 +21,11 @@
 	ErrWrongOwner = errors.New("consensus: the file belongs to something else; name another folder")
 	// ErrInUse means that another process has the file open. Stop that process, or configure another folder.
 	ErrInUse = errors.New("consensus: another process has the file open; end it or name another folder")
-	// ErrUnusable means that the disk failed otherwise, or that the folder can't be written. The wrapped error tells more.
+	// ErrUnusable means that the disk failed otherwise, or that the folder can't be written. The wrapped error has the details.
 	ErrUnusable = errors.New("consensus: the folder can't be read or written; look at its rights and at the disk")
 )
 
-// classify wraps an error in the error of this package that tells the operator what to do. An error that has one
+// classify wraps an error in the error of this package that names the operator's remedy. An error that has one
 // already, and nil, are returned as they are.
 func classify(err error) error {
 	if err == nil {
