--- a/internal/consensus/raftlog/limits_test.go
+++ b/internal/consensus/raftlog/limits_test.go
@@ -50,18 +50,18 @@
 // a new one catch up.
 func TestLogIsCompacted(t *testing.T) {
 	h := newHarness(t)
-	v := h.voter
-	lagging := NewReplica(v.options.ClusterID, 7, 1, []uint64{1})
+	voter := h.voter
+	lagging := NewReplica(voter.options.ClusterID, 7, 1, []uint64{1})
 	var responses int
 	for seq := uint64(1); seq <= 5000; seq++ {
 		if err := h.set(seq, int(seq)%statemachine.MaxValueBytes); err != nil {
 			t.Fatal(err)
 		}
 		responses += len(h.advance())
-		first, _ := v.storage.FirstIndex()
-		last, _ := v.storage.LastIndex()
-		if last+1-first > defaultCompactionEntries+defaultCompactionEntries/4 || v.bytesSinceSnapshot > compactionBytes+statemachine.MaxCommandBytes {
-			t.Fatalf("the log holds %d to %d, %d bytes", first, last, v.bytesSinceSnapshot)
+		first, _ := voter.storage.FirstIndex()
+		last, _ := voter.storage.LastIndex()
+		if last+1-first > defaultCompactionEntries+defaultCompactionEntries/4 || voter.bytesSinceSnapshot > compactionBytes+statemachine.MaxCommandBytes {
+			t.Fatalf("the log holds %d to %d, %d bytes", first, last, voter.bytesSinceSnapshot)
 		}
 		if seq == 10 {
 			h.catchUp(lagging, time.Second)
@@ -70,11 +70,11 @@
 	if responses != 5000 {
 		t.Errorf("%d responses", responses)
 	}
-	newcomer := NewReplica(v.options.ClusterID, 8, 1, []uint64{1})
+	newcomer := NewReplica(voter.options.ClusterID, 8, 1, []uint64{1})
 	for _, replica := range []*Replica{lagging, newcomer} {
 		h.catchUp(replica, 10*time.Second)
-		if state := replica.State(); state.Index != v.state.Index || state.Checksum != v.state.Checksum {
-			t.Errorf("replica %d at %d of %d", replica.ID(), state.Index, v.state.Index)
+		if state := replica.State(); state.Index != voter.state.Index || state.Checksum != voter.state.Checksum {
+			t.Errorf("replica %d at %d of %d", replica.ID(), state.Index, voter.state.Index)
 		}
 	}
 }
--- a/internal/consensus/simulation/checker_test.go
+++ b/internal/consensus/simulation/checker_test.go
@@ -152,24 +152,24 @@
 }
 
 // checkReplica compares the state of a gateway with the log's: its replica's always, its voter's once a second.
-func (c *checker) checkReplica(g *gateway) {
-	state := g.replica.State()
+func (c *checker) checkReplica(gateway *gateway) {
+	state := gateway.replica.State()
 	if want, ok := c.checksums[state.Index]; ok && want != state.Checksum {
-		c.fail("the replica of %s has diverged at %d", g.Name, state.Index)
+		c.fail("the replica of %s has diverged at %d", gateway.Name, state.Index)
 	}
 	if c.fleet.now%time.Second == 0 {
-		if status := g.voter.Status(); status.Applied > 1 && c.checksums[status.Applied] != status.Checksum {
-			c.fail("the voter of %s has diverged at %d", g.Name, status.Applied)
+		if status := gateway.voter.Status(); status.Applied > 1 && c.checksums[status.Applied] != status.Checksum {
+			c.fail("the voter of %s has diverged at %d", gateway.Name, status.Applied)
 		}
 	}
-	if reading := g.replica.Read(g.clock, ownerRegister); reading.Settled && reading.Found {
+	if reading := gateway.replica.Read(gateway.clock, ownerRegister); reading.Settled && reading.Found {
 		c.settledReads++
 	}
 }
 
 // checkOperation checks an operation that was sent: no later restriction may have been complete. err is End's: the receiver
 // rejects a stalled operation by its log index.
-func (c *checker) checkOperation(g *gateway, o *operation, err error) {
+func (c *checker) checkOperation(gateway *gateway, sent *operation, err error) {
 	if err != nil {
 		c.stalled++
 		return
@@ -177,8 +177,8 @@
 	c.operations++
 	for _, r := range c.restrictions {
 		isComplete := r.completedAt != 0 && r.completedAt < c.fleet.now
-		if r.index > o.registerIndex && isComplete {
-			c.fail("%s acts on %d, restricted at %d, complete at %v", g.Name, o.registerIndex, r.index, r.completedAt)
+		if r.index > sent.registerIndex && isComplete {
+			c.fail("%s acts on %d, restricted at %d, complete at %v", gateway.Name, sent.registerIndex, r.index, r.completedAt)
 		}
 	}
 }
--- a/internal/consensus/simulation/faults_test.go
+++ b/internal/consensus/simulation/faults_test.go
@@ -27,9 +27,9 @@
 // toleratesCrash reports whether the cluster tolerates the crash of a gateway. A voter without a disk is a vote that never
 // comes back, so all other voters must be running. A fleet requires the same of its operator: no majority without disks fails
 // at once.
-func (f *fleet) toleratesCrash(g *gateway) bool {
+func (f *fleet) toleratesCrash(gateway *gateway) bool {
 	voters := f.currentVoters()
-	if !slices.Contains(voters, g.id) {
+	if !slices.Contains(voters, gateway.id) {
 		return true
 	}
 	for _, id := range voters {
@@ -42,20 +42,20 @@
 }
 
 // crash ends a gateway's process. Without a disk it forgets its state and gets a new identity.
-func (f *fleet) crash(g *gateway) {
-	g.running = false
-	g.restartAt = f.now + time.Duration(500+f.rng.IntN(9000))*time.Millisecond
-	if g.hasDisk {
+func (f *fleet) crash(gateway *gateway) {
+	gateway.running = false
+	gateway.restartAt = f.now + time.Duration(500+f.rng.IntN(9000))*time.Millisecond
+	if gateway.hasDisk {
 		if f.folder != "" {
-			g.store.Close()
-			g.store = f.openStore(g, raftlog.PersistedState{})
+			gateway.store.Close()
+			gateway.store = f.openStore(gateway, raftlog.PersistedState{})
 		}
 		return
 	}
-	g.store = store.NewMemory(raftlog.PersistedState{})
+	gateway.store = store.NewMemory(raftlog.PersistedState{})
 	if !f.reuseIdentity {
-		f.retired[g.id] = true
-		f.assignIdentity(g)
+		f.retired[gateway.id] = true
+		f.assignIdentity(gateway)
 	}
 }
 
@@ -101,7 +101,7 @@
 }
 
 func (f *fleet) injectFault(kind faultKind, target int, until time.Duration) {
-	g := f.gateways[target]
+	gateway := f.gateways[target]
 	switch kind {
 	case partitionOneDirection:
 		f.partitions[[2]int{target, f.rng.IntN(len(f.gateways))}] = until
@@ -113,14 +113,14 @@
 			}
 		}
 	case pause:
-		if g.running {
-			g.pausedUntil = until
+		if gateway.running {
+			gateway.pausedUntil = until
 		}
 	case crashProcess:
-		if g.running && f.toleratesCrash(g) {
-			f.crash(g)
+		if gateway.running && f.toleratesCrash(gateway) {
+			f.crash(gateway)
 		}
 	case changeClockRate:
-		g.clockRate = f.drawClockRate()
+		gateway.clockRate = f.drawClockRate()
 	}
 }
--- a/internal/consensus/simulation/fleet_test.go
+++ b/internal/consensus/simulation/fleet_test.go
@@ -55,16 +55,16 @@
 	sentCount    int
 }
 
-func newFleet(s scenario) *fleet {
+func newFleet(scenario scenario) *fleet {
 	f := &fleet{
-		scenario:   s,
-		rng:        rand.New(rand.NewPCG(s.seed, 77)),
+		scenario:   scenario,
+		rng:        rand.New(rand.NewPCG(scenario.seed, 77)),
 		partitions: map[[2]int]time.Duration{},
 		retired:    map[uint64]bool{},
 		identities: map[uint64]quorum.Gateway{},
 	}
 	f.checker = newChecker(f)
-	for i := range s.voters + s.replicas {
+	for i := range scenario.voters + scenario.replicas {
 		g := &gateway{Gateway: quorum.Gateway{Name: fmt.Sprint("g", i), Zone: fmt.Sprint("z", i%3)}, hasDisk: i%2 == 0}
 		f.gateways = append(f.gateways, g)
 		f.assignIdentity(g)
@@ -129,7 +129,7 @@
 // run runs the scenario until its end or the first violation.
 func (f *fleet) run() {
 	end := f.faultTime + f.recoveryTime
-	for n := 0; f.now < end && len(f.checker.failures) == 0; n++ {
+	for stepCount := 0; f.now < end && len(f.checker.failures) == 0; stepCount++ {
 		f.now += stepInterval
 		f.injectFaults()
 		f.deliver()
@@ -139,7 +139,7 @@
 		for _, c := range f.clients {
 			c.step()
 		}
-		if n%reconfigureSteps == 0 {
+		if stepCount%reconfigureSteps == 0 {
 			f.reconfigure()
 		}
 	}
--- a/internal/consensus/simulation/gateway_test.go
+++ b/internal/consensus/simulation/gateway_test.go
@@ -46,13 +46,13 @@
 }
 
 // openStore opens the store of a gateway, which holds an initial state if it is new.
-func (f *fleet) openStore(g *gateway, initial raftlog.PersistedState) store.Store {
-	if f.folder == "" || !g.hasDisk {
+func (f *fleet) openStore(gateway *gateway, initial raftlog.PersistedState) store.Store {
+	if f.folder == "" || !gateway.hasDisk {
 		return store.NewMemory(initial)
 	}
-	folder := filepath.Join(f.folder, g.Name)
+	folder := filepath.Join(f.folder, gateway.Name)
 	os.MkdirAll(folder, 0o700)
-	file, err := store.Open(folder, store.Owner{Name: g.Name, ClusterID: f.clusterID, Start: g.Start})
+	file, err := store.Open(folder, store.Owner{Name: gateway.Name, ClusterID: f.clusterID, Start: gateway.Start})
 	if err == nil && initial.Snapshot != nil {
 		err = file.Save(raftlog.Update{HardState: initial.HardState, Snapshot: initial.Snapshot, MustSync: true})
 	}
@@ -63,12 +63,12 @@
 }
 
 // startGateway starts the process of a gateway.
-func (f *fleet) startGateway(g *gateway) {
-	persisted, err := g.store.Load()
+func (f *fleet) startGateway(gateway *gateway) {
+	persisted, err := gateway.store.Load()
 	if err != nil {
-		f.checker.fail("%s loads: %v", g.Name, err)
+		f.checker.fail("%s loads: %v", gateway.Name, err)
 	}
-	id := g.id
+	id := gateway.id
 	voter, err := raftlog.NewVoter(raftlog.Options{
 		ClusterID:         f.clusterID,
 		ID:                id,
@@ -78,17 +78,17 @@
 		OnApply:           func(index uint64, data []byte) { f.checker.checkApplied(id, index, data) },
 	}, persisted)
 	if err != nil {
-		f.checker.fail("%s starts: %v", g.Name, err)
+		f.checker.fail("%s starts: %v", gateway.Name, err)
 		return
 	}
-	g.voter, g.running, g.inbox, g.operation = voter, true, nil, nil
-	g.clockRate = f.drawClockRate()
-	g.clock = time.Duration(f.rng.Int64N(int64(time.Hour)))
-	g.tickedAt = g.clock
+	gateway.voter, gateway.running, gateway.inbox, gateway.operation = voter, true, nil, nil
+	gateway.clockRate = f.drawClockRate()
+	gateway.clock = time.Duration(f.rng.Int64N(int64(time.Hour)))
+	gateway.tickedAt = gateway.clock
 	f.starts++ // the lease holder's identity is always new
-	holder := quorum.Gateway{Name: g.Name + " holds", Start: f.starts}
-	g.replica = raftlog.NewReplica(f.clusterID, holder.ID(), f.rng.Uint64(), f.currentVoters())
-	g.replica.State().InjectedFaults = f.injectedFaults
+	holder := quorum.Gateway{Name: gateway.Name + " holds", Start: f.starts}
+	gateway.replica = raftlog.NewReplica(f.clusterID, holder.ID(), f.rng.Uint64(), f.currentVoters())
+	gateway.replica.State().InjectedFaults = f.injectedFaults
 }
 
 // drawClockRate draws the rate of a clock: either limit, or anything between.
@@ -99,39 +99,39 @@
 }
 
 // stepGateway runs a gateway for one step.
-func (f *fleet) stepGateway(g *gateway) {
-	if !g.running {
-		if f.now >= g.restartAt {
-			f.startGateway(g)
+func (f *fleet) stepGateway(gateway *gateway) {
+	if !gateway.running {
+		if f.now >= gateway.restartAt {
+			f.startGateway(gateway)
 		}
 		return
 	}
-	g.clock += time.Duration(float64(stepInterval) * g.clockRate)
-	if f.now < g.pausedUntil {
+	gateway.clock += time.Duration(float64(stepInterval) * gateway.clockRate)
+	if f.now < gateway.pausedUntil {
 		return
 	}
-	f.handleInbox(g)
-	g.tickVoter()
-	if !f.persistAndSend(g) {
+	f.handleInbox(gateway)
+	gateway.tickVoter()
+	if !f.persistAndSend(gateway) {
 		return
 	}
-	for _, message := range g.replica.Tick(g.clock) {
+	for _, message := range gateway.replica.Tick(gateway.clock) {
 		f.sendMessage(message)
 	}
-	f.checker.checkReplica(g)
-	f.operate(g)
+	f.checker.checkReplica(gateway)
+	f.operate(gateway)
 }
 
-func (f *fleet) handleInbox(g *gateway) {
-	inbox := g.inbox
-	g.inbox = nil
+func (f *fleet) handleInbox(gateway *gateway) {
+	inbox := gateway.inbox
+	gateway.inbox = nil
 	for _, message := range inbox {
-		if message.To != g.id {
-			g.replica.Step(g.clock, message)
+		if message.To != gateway.id {
+			gateway.replica.Step(gateway.clock, message)
 			continue
 		}
-		if err := g.voter.Step(message); errors.Is(err, raftlog.ErrInconsistentLog) {
-			f.checker.fail("%s: %v", g.Name, err)
+		if err := gateway.voter.Step(message); errors.Is(err, raftlog.ErrInconsistentLog) {
+			f.checker.fail("%s: %v", gateway.Name, err)
 		}
 	}
 }
@@ -149,22 +149,22 @@
 
 // persistAndSend persists the voter's updates and sends its messages. It returns false if the gateway crashed between the
 // two.
-func (f *fleet) persistAndSend(g *gateway) bool {
+func (f *fleet) persistAndSend(gateway *gateway) bool {
 	for range maxUpdatesPerStep {
-		update, ok := g.voter.Ready()
+		update, ok := gateway.voter.Ready()
 		if !ok {
 			break
 		}
-		if err := g.store.Save(update); err != nil {
-			f.checker.fail("%s saves: %v", g.Name, err)
+		if err := gateway.store.Save(update); err != nil {
+			f.checker.fail("%s saves: %v", gateway.Name, err)
 		}
-		if f.hasFaults() && f.rng.IntN(updatesPerCrash) == 0 && f.toleratesCrash(g) {
-			f.crash(g)
+		if f.hasFaults() && f.rng.IntN(updatesPerCrash) == 0 && f.toleratesCrash(gateway) {
+			f.crash(gateway)
 			return false
 		}
-		messages, err := g.voter.Advance()
+		messages, err := gateway.voter.Advance()
 		if err != nil {
-			f.checker.fail("%s: %v", g.Name, err)
+			f.checker.fail("%s: %v", gateway.Name, err)
 		}
 		for _, message := range messages {
 			f.sendMessage(message)
@@ -174,20 +174,20 @@
 }
 
 // operate lets a gateway operate while the state that it knows names it as the owner: check the lease, wait, send.
-func (f *fleet) operate(g *gateway) {
-	if g.operation != nil {
-		if g.clock < g.operation.sendAt {
+func (f *fleet) operate(gateway *gateway) {
+	if gateway.operation != nil {
+		if gateway.clock < gateway.operation.sendAt {
 			return
 		}
-		err := g.replica.Lease().End(g.clock, g.operation.Operation)
-		f.checker.checkOperation(g, g.operation, err)
-		g.operation = nil
+		err := gateway.replica.Lease().End(gateway.clock, gateway.operation.Operation)
+		f.checker.checkOperation(gateway, gateway.operation, err)
+		gateway.operation = nil
 	}
-	register, _, ok := g.replica.State().Get(ownerRegister)
-	if !ok || string(register.Value) != g.Name {
+	register, _, ok := gateway.replica.State().Get(ownerRegister)
+	if !ok || string(register.Value) != gateway.Name {
 		return
 	}
-	permitted, err := g.replica.Begin(g.clock)
+	permitted, err := gateway.replica.Begin(gateway.clock)
 	if err != nil {
 		f.checker.rejected++
 		return
@@ -196,5 +196,5 @@
 	if f.rng.IntN(3) == 0 {
 		wait = time.Duration(f.rng.Int64N(int64(lease.MaxStall - stepInterval*2)))
 	}
-	g.operation = &operation{Operation: permitted, registerIndex: register.Index, sendAt: g.clock + wait}
+	gateway.operation = &operation{Operation: permitted, registerIndex: register.Index, sendAt: gateway.clock + wait}
 }
--- a/internal/consensus/simulation/runs_test.go
+++ b/internal/consensus/simulation/runs_test.go
@@ -15,7 +15,7 @@
 const parallelRuns = 2
 
 func scenarioOf(seed int) scenario {
-	s := scenario{
+	result := scenario{
 		voters:       3,
 		replicas:     5 + seed*7%16,
 		seed:         uint64(seed),
@@ -23,12 +23,12 @@
 		recoveryTime: 32 * time.Second,
 	}
 	if seed%2 == 1 {
-		s.voters = 5
+		result.voters = 5
 	}
 	if raceDetector {
-		s.faultTime, s.recoveryTime = 14*time.Second, 11*time.Second
+		result.faultTime, result.recoveryTime = 14*time.Second, 11*time.Second
 	}
-	return s
+	return result
 }
 
 // totals sums the figures of several runs.
@@ -59,13 +59,13 @@
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
 				for seed := first; seed < *seeds; seed += parallelRuns {
-					f := newFleet(scenarioOf(seed))
-					f.run()
-					for _, failure := range f.checker.failures {
+					fleet := newFleet(scenarioOf(seed))
+					fleet.run()
+					for _, failure := range fleet.checker.failures {
 						t.Errorf("seed %d: %s", seed, failure)
 					}
 					mutex.Lock()
-					sum.add(f)
+					sum.add(fleet)
 					mutex.Unlock()
 				}
 			})
--- a/internal/consensus/simulation/votes_test.go
+++ b/internal/consensus/simulation/votes_test.go
@@ -20,10 +20,10 @@
 }
 
 // requestVote starts a voter from a store, and requests its vote in term 5 for a candidate.
-func (h *voteHarness) requestVote(g quorum.Gateway, to, candidate uint64, s store.Store) error {
+func (h *voteHarness) requestVote(gateway quorum.Gateway, to, candidate uint64, voterStore store.Store) error {
 	h.t.Helper()
-	persisted, _ := s.Load()
-	voter, err := raftlog.NewVoter(raftlog.Options{ClusterID: h.clusterID, ID: g.ID(), Seed: 1}, persisted)
+	persisted, _ := voterStore.Load()
+	voter, err := raftlog.NewVoter(raftlog.Options{ClusterID: h.clusterID, ID: gateway.ID(), Seed: 1}, persisted)
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -43,19 +43,19 @@
 	if err := voter.Step(message); err != nil {
 		return err
 	}
-	h.advance(voter, s)
+	h.advance(voter, voterStore)
 	return nil
 }
 
 // advance persists the voter's updates and gives its messages to the checker.
-func (h *voteHarness) advance(voter *raftlog.Voter, s store.Store) {
+func (h *voteHarness) advance(voter *raftlog.Voter, voterStore store.Store) {
 	h.t.Helper()
 	for {
 		update, ok := voter.Ready()
 		if !ok {
 			return
 		}
-		s.Save(update)
+		voterStore.Save(update)
 		messages, err := voter.Advance()
 		if err != nil {
 			h.t.Fatal(err)
@@ -70,29 +70,29 @@
 // votes once. Without it, it is another voter, which the request does not reach. Under its old identity without the disk it
 // votes twice, which the checker detects.
 func TestVoteOncePerTerm(t *testing.T) {
-	g := quorum.Gateway{Name: "g1", Start: 1}
-	clusterID, bootstrap, err := raftlog.Bootstrap([]uint64{g.ID(), 2, 3})
+	gateway := quorum.Gateway{Name: "g1", Start: 1}
+	clusterID, bootstrap, err := raftlog.Bootstrap([]uint64{gateway.ID(), 2, 3})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newChecker(&fleet{})
-	h := &voteHarness{t: t, clusterID: clusterID, checker: c}
+	checker := newChecker(&fleet{})
+	harness := &voteHarness{t: t, clusterID: clusterID, checker: checker}
 
 	disk := store.NewMemory(bootstrap)
-	err = errors.Join(h.requestVote(g, g.ID(), 2, disk), h.requestVote(g, g.ID(), 3, disk))
-	if err != nil || len(c.votes) != 1 || len(c.failures) > 0 {
-		t.Errorf("with its disk: %v, votes %v, %v", err, c.votes, c.failures)
+	err = errors.Join(harness.requestVote(gateway, gateway.ID(), 2, disk), harness.requestVote(gateway, gateway.ID(), 3, disk))
+	if err != nil || len(checker.votes) != 1 || len(checker.failures) > 0 {
+		t.Errorf("with its disk: %v, votes %v, %v", err, checker.votes, checker.failures)
 	}
 
-	restarted := g
+	restarted := gateway
 	restarted.Start = 2
-	err = h.requestVote(restarted, g.ID(), 3, store.NewMemory(raftlog.PersistedState{}))
+	err = harness.requestVote(restarted, gateway.ID(), 3, store.NewMemory(raftlog.PersistedState{}))
 	if !errors.Is(err, raftlog.ErrMisdirected) {
 		t.Errorf("without its disk: %v", err)
 	}
 
-	h.requestVote(g, g.ID(), 3, store.NewMemory(bootstrap))
-	if len(c.failures) != 1 {
-		t.Errorf("under its old identity without its disk: %v", c.failures)
+	harness.requestVote(gateway, gateway.ID(), 3, store.NewMemory(bootstrap))
+	if len(checker.failures) != 1 {
+		t.Errorf("under its old identity without its disk: %v", checker.failures)
 	}
 }
--- a/internal/consensus/statemachine/apply.go
+++ b/internal/consensus/statemachine/apply.go
@@ -34,27 +34,27 @@
 	if command.BornIndex > s.Index || s.Index-command.BornIndex > MaxRequestAge {
 		return Result{Code: Expired, Index: s.Index}
 	}
-	c := s.findOrAddClient(command.Key.Client)
-	if c == nil {
+	client := s.findOrAddClient(command.Key.Client)
+	if client == nil {
 		return Result{Code: Undecided, Index: s.Index}
 	}
-	c.LastUsed = s.Index
-	if command.Key.Seq <= c.ReleasedSeq {
+	client.LastUsed = s.Index
+	if command.Key.Seq <= client.ReleasedSeq {
 		return Result{Code: Released, Index: s.Index}
 	}
-	c.release(command.ReceivedSeq)
-	if len(c.Seqs) >= MaxResultsPerClient {
+	client.release(command.ReceivedSeq)
+	if len(client.Seqs) >= MaxResultsPerClient {
 		return Result{Code: Undecided, Index: s.Index}
 	}
 	result := s.execute(command)
-	c.Seqs, c.Results = append(c.Seqs, command.Key.Seq), append(c.Results, result)
+	client.Seqs, client.Results = append(client.Seqs, command.Key.Seq), append(client.Results, result)
 	return result
 }
 
 // findOrAddClient returns the client with an identity. It returns nil if the client is new and MaxClients are in use.
 func (s *State) findOrAddClient(id uint64) *client {
-	if c := s.clients[id]; c != nil {
-		return c
+	if found := s.clients[id]; found != nil {
+		return found
 	}
 	if len(s.clients) >= MaxClients {
 		s.dropExpiredClients()
@@ -62,9 +62,9 @@
 	if len(s.clients) >= MaxClients {
 		return nil
 	}
-	c := &client{ID: id}
-	s.clients[id] = c
-	return c
+	found := &client{ID: id}
+	s.clients[id] = found
+	return found
 }
 
 // dropExpiredClients drops the clients without a request for more than MaxRequestAge entries.
--- a/internal/consensus/statemachine/interleavings_test.go
+++ b/internal/consensus/statemachine/interleavings_test.go
@@ -49,19 +49,19 @@
 func TestAllInterleavings(t *testing.T) {
 	extraDepth, _ := strconv.Atoi(os.Getenv("COUNCIL_DEPTH"))
 	for _, c := range []struct{ holders, depth int }{{1, 10}, {2, 8}, {3, 6}} {
-		e := explore(c.holders, c.depth+extraDepth, InjectedFaults{})
-		if e.trace != nil || e.relaxed == 0 && c.holders < 3 {
-			t.Errorf("%d holders: %d relaxed, %q", c.holders, e.relaxed, e.trace)
+		result := explore(c.holders, c.depth+extraDepth, InjectedFaults{})
+		if result.trace != nil || result.relaxed == 0 && c.holders < 3 {
+			t.Errorf("%d holders: %d relaxed, %q", c.holders, result.relaxed, result.trace)
 		}
-		t.Logf("%d holders, depth %d: %d states, %d with the relaxed value in force", c.holders, c.depth+extraDepth, len(e.visited), e.relaxed)
+		t.Logf("%d holders, depth %d: %d states, %d with the relaxed value in force", c.holders, c.depth+extraDepth, len(result.visited), result.relaxed)
 	}
 	for name, faults := range map[string]InjectedFaults{
 		"restrictions do not wait":   {SkipRestrictionWait: true},
 		"renewed leases are expired": {ExpireAnyRound: true},
 	} {
-		e := explore(1, 8, faults)
-		t.Logf("%s: %q", name, e.trace)
-		if e.trace == nil {
+		result := explore(1, 8, faults)
+		t.Logf("%s: %q", name, result.trace)
+		if result.trace == nil {
 			t.Errorf("%s: not found", name)
 		}
 	}
--- a/internal/consensus/statemachine/limits_test.go
+++ b/internal/consensus/statemachine/limits_test.go
@@ -4,7 +4,7 @@
 
 // TestClientLimit stores results of 1,024 clients; the 1,025th gets Undecided.
 func TestClientLimit(t *testing.T) {
-	s := New()
+	state := New()
 	for id := uint64(1); id <= 1025; id++ {
 		data, err := Command{Key: Key{id, 1}, Op: Set, Name: "x", AnyVersion: true}.Encode()
 		if err != nil {
@@ -14,9 +14,9 @@
 		if id > 1024 {
 			wantCode, wantClients = Undecided, 1024
 		}
-		_, result, _ := s.Apply(id, data)
-		if result.Code != wantCode || len(s.clients) != wantClients {
-			t.Fatalf("client %d: %v, results of %d clients are stored", id, result.Code, len(s.clients))
+		_, result, _ := state.Apply(id, data)
+		if result.Code != wantCode || len(state.clients) != wantClients {
+			t.Fatalf("client %d: %v, results of %d clients are stored", id, result.Code, len(state.clients))
 		}
 	}
 }
--- a/internal/consensus/statemachine/snapshot.go
+++ b/internal/consensus/statemachine/snapshot.go
@@ -43,23 +43,23 @@
 	if !decoded.isValid() {
 		return nil, codec.ErrMalformed
 	}
-	s := New()
-	s.Index, s.Checksum = decoded.Index, decoded.Checksum
-	s.restrictions, s.lastRestriction = decoded.Restrictions, decoded.LastRestriction
+	state := New()
+	state.Index, state.Checksum = decoded.Index, decoded.Checksum
+	state.restrictions, state.lastRestriction = decoded.Restrictions, decoded.LastRestriction
 	for _, r := range decoded.Registers {
-		s.registers[r.Name] = r
-		s.registerBytes += r.bytes()
+		state.registers[r.Name] = r
+		state.registerBytes += r.bytes()
 	}
 	for _, c := range decoded.Clients {
-		s.clients[c.ID] = c
+		state.clients[c.ID] = c
 	}
 	for _, ack := range decoded.Leases {
-		s.leases[ack.Holder] = &ack
+		state.leases[ack.Holder] = &ack
 	}
-	if s.registerBytes > MaxRegisterBytes {
+	if state.registerBytes > MaxRegisterBytes {
 		return nil, codec.ErrMalformed
 	}
-	return s, nil
+	return state, nil
 }
 
 // isValid checks the limits of the snapshot's parts.
--- a/internal/consensus/statemachine/statemachine_test.go
+++ b/internal/consensus/statemachine/statemachine_test.go
@@ -47,24 +47,24 @@
 // size is the sum of the registers'.
 func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, results := New(), map[Key]Result{}
+		state, results := New(), map[Key]Result{}
 		for index := uint64(1); index < 60; index++ {
 			command := drawCommand(t, index)
 			data, err := command.Encode()
 			if err != nil {
 				t.Fatal(err)
 			}
-			restored := restoreCopy(t, s)
-			before, _, _ := s.Get(command.Name)
-			key, result, ok := s.Apply(index, data)
+			restored := restoreCopy(t, state)
+			before, _, _ := state.Get(command.Name)
+			key, result, ok := state.Apply(index, data)
 			restored.Apply(index, data)
-			requireEqualStates(t, s, restored)
+			requireEqualStates(t, state, restored)
 			if ok {
-				after, _, _ := s.Get(command.Name)
+				after, _, _ := state.Get(command.Name)
 				checkAppliedOnce(t, results, key, result, after.Version != before.Version)
 			}
-			checkRegisters(t, s)
-			checkRestrictions(t, s)
+			checkRegisters(t, state)
+			checkRestrictions(t, state)
 		}
 	})
 }
@@ -130,7 +130,7 @@
 
 // TestSnapshotLimit fills the state to its limits: a snapshot and a Renew command stay within theirs.
 func TestSnapshotLimit(t *testing.T) {
-	s := New()
+	state := New()
 	var index uint64
 	apply := func(command Command) Result {
 		index++
@@ -138,7 +138,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, result, _ := s.Apply(index, data)
+		_, result, _ := state.Apply(index, data)
 		return result
 	}
 	maxID := ^uint64(0)
@@ -159,11 +159,11 @@
 	for first := 0; first < MaxLeases; first += MaxAcksPerCommand {
 		apply(renewCommand(maxID-uint64(first), 0))
 	}
-	snapshot, err := s.Encode()
-	if err != nil || rejectedAsFull == 0 || len(s.leases) != MaxLeases {
-		t.Error(err, rejectedAsFull, len(s.leases))
+	snapshot, err := state.Encode()
+	if err != nil || rejectedAsFull == 0 || len(state.leases) != MaxLeases {
+		t.Error(err, rejectedAsFull, len(state.leases))
 	}
-	t.Logf("%d bytes with %d registers, %d clients, %d leases", len(snapshot), len(s.registers), len(s.clients), len(s.leases))
+	t.Logf("%d bytes with %d registers, %d clients, %d leases", len(snapshot), len(state.registers), len(state.clients), len(state.leases))
 	renew, err := renewCommand(maxID, maxID).Encode()
 	if err != nil {
 		t.Error(err)
@@ -182,24 +182,24 @@
 
 // TestExpiredRequest retries a request after its result was dropped: it is rejected, however late.
 func TestExpiredRequest(t *testing.T) {
-	s := New()
+	state := New()
 	request, _ := Command{Key: Key{1, 1}, Op: Set, Name: "a", AnyVersion: true}.Encode()
-	s.Apply(1, request)
+	state.Apply(1, request)
 	for index := uint64(2); index < 3*MaxRequestAge; index++ {
 		if index%512 == 0 {
-			s.dropExpiredClients()
+			state.dropExpiredClients()
 		}
 		var data []byte
 		if index%1001 == 0 {
 			data = request
 		}
-		_, result, ok := s.Apply(index, data)
+		_, result, ok := state.Apply(index, data)
 		isStored := result.Code == OK && result.Index == 1
 		if ok && result.Code != Expired && !isStored {
 			t.Fatalf("at %d: %v", index, result)
 		}
 	}
-	if register, _, _ := s.Get("a"); register.Version != 1 {
+	if register, _, _ := state.Get("a"); register.Version != 1 {
 		t.Error(register)
 	}
 }
