--- a/cmd/cranelab/main.go
+++ b/cmd/cranelab/main.go
@@ -103,7 +103,7 @@
 		}
 		todo = []experiment.Experiment{*e}
 	}
-	o := experiment.Options{Seed: c.Seed, Seeds: c.Seeds, Short: c.Short, Version: version(), Logs: io.Discard, Break: experiment.Breaks[c.Break], Members: c.Members,
+	o := experiment.Options{Seed: c.Seed, Seeds: c.Seeds, Short: c.Short, Version: version(), Logs: io.Discard, Defect: experiment.Defects[c.Break], Members: c.Members,
 		Zones: zones.Options{Overprovision: c.Overprovision, DetectOnly: c.DetectOnly}}
 	if c.Driver == "processes" && !strings.HasPrefix(c.Experiment, "members-") && !strings.HasPrefix(c.Experiment, "gateways-") {
 		return errors.New("only days of members and gateways are played with processes")
--- a/cmd/cranelab/up.go
+++ b/cmd/cranelab/up.go
@@ -38,7 +38,7 @@
 		defer f.Close()
 		logs = f
 	}
-	err = experiment.Up(ctx, experiment.UpOptions{Program: program, For: c.For, Lose: c.Lose, Rate: c.Rate, Seed: c.Seed, Gateways: c.Gateways, Logs: logs, Out: os.Stdout})
+	err = experiment.Up(ctx, experiment.UpOptions{Program: program, Duration: c.For, ZoneLossDelay: c.Lose, Rate: c.Rate, Seed: c.Seed, Gateways: c.Gateways, Logs: logs, Out: os.Stdout})
 	if errors.Is(err, context.Canceled) {
 		return nil // Ctrl-C is how it ends
 	}
--- /dev/null
+++ b/internal/experiment/client.go
@@ -0,0 +1,139 @@
+package experiment
+
+import (
+	"time"
+
+	"cranegate/routing"
+)
+
+// operation is what a client wants. Each of its tries is a request.
+type operation struct {
+	class        *class
+	classIndex   int // of its class
+	group        *group
+	work         time.Duration
+	arrived      time.Duration
+	sessionToken time.Duration // the commit that a session's read must see, 0 for none
+	gateway      int
+	requests     int
+	earned       float64
+	settled      bool
+}
+
+// request is one try of an operation, sent to one gateway.
+type request struct {
+	*operation
+	id             uint64
+	acceptedAt     time.Duration
+	deadline       time.Duration
+	attempts       int
+	responses      int
+	finished       bool
+	inFlight       []*attempt
+	servedBy       *attempt // that served it, with data of at: sockets
+	servedPosition time.Duration
+}
+
+// generateArrival draws the next operation and schedules its successor. The draws do not depend on what became of
+// earlier operations.
+func (g *gateway) generateArrival() {
+	f, random := g.f, g.arrivals
+	if g.finished {
+		return
+	}
+	rate := f.Rate * f.zoneRate(g.zone) * g.trafficFactor * (1 + f.extraRate)
+	f.after(time.Duration(random.ExpFloat64()/rate*float64(time.Second)), g.generateArrival)
+	draw01, classIndex := random.Float64(), 0
+	for ; classIndex < len(classes)-1 && draw01 >= classes[classIndex].trafficFraction; classIndex++ {
+		draw01 -= classes[classIndex].trafficFraction
+	}
+	class := &classes[classIndex]
+	op := &operation{class: class, classIndex: classIndex, gateway: g.number, group: f.hosts[random.IntN(len(f.hosts))].group, arrived: f.now,
+		work: time.Duration(float64(draw(random, class.minWork, class.maxWork)) * f.workScale)}
+	follows, gap := random.Float64() < 0.78, time.Duration(random.ExpFloat64()*float64(400*time.Millisecond))
+	if primary := op.group.primary; class.Consistency == routing.ConsistencySession && follows && primary != nil {
+		op.sessionToken = min(f.now-gap, primary.position) // there was no commit while no primary ran
+	}
+	f.judge.recordOperation(op)
+	g.sendRequest(op)
+}
+
+// sendRequest sends the next request of an operation. Clients of a gateway that is down use the next one that is up.
+func (g *gateway) sendRequest(op *operation) {
+	f := g.f
+	op.requests++
+	for range f.gateways {
+		if g.down { // the front takes another: how long it takes to notice is not played
+			g = f.gateways[(g.number+1)%len(f.gateways)]
+		}
+	}
+	if g.down {
+		return
+	}
+	g.lastID++
+	request := &request{operation: op, id: g.lastID, acceptedAt: f.now}
+	request.deadline = f.now + time.Duration((0.42+0.58*f.rng.Float64())*float64(op.class.Deadline))
+	g.requests[request.id] = request
+	in := routing.Request{ID: request.id, Class: op.classIndex, Tenant: -1, Group: op.group.number, Remaining: request.deadline - f.now}
+	if op.sessionToken > 0 {
+		in.SinceWrite = max(1, f.now-op.sessionToken)
+	}
+	if g.submit != nil {
+		f.after(request.deadline-f.now+missingResponseSlack, func() { g.requestTimedOut(request) })
+		g.submit(request)
+		return
+	}
+	f.after(request.deadline-f.now+10*time.Millisecond, func() { g.requestTimedOut(request) })
+	g.router.Request(f.now, in)
+}
+
+// requestTimedOut ends a request whose deadline has passed without a response.
+func (g *gateway) requestTimedOut(request *request) {
+	if !request.finished && !g.finished {
+		request.finished = true
+		g.f.judge.unanswered++
+		g.f.judge.note("%s at gateway %d got no answer %v after it was sent", request.class.Name, g.number, g.f.now-request.acceptedAt)
+		if g.router != nil {
+			g.router.ClientDisconnected(g.f.now, request.id)
+		}
+	}
+	delete(g.requests, request.id)
+}
+
+// respond delivers a final response to the client, which may retry: after Retry-After, at once, or after a short wait.
+func (g *gateway) respond(request *request, served bool, nothingRan bool, retryAfter time.Duration, servedBy *attempt, position time.Duration) {
+	f := g.f
+	if request.responses++; g.submit != nil && f.now > request.deadline+lateResponseSlack {
+		f.judge.lateResponses++
+	}
+	if g.finished {
+		return
+	} else if request.finished {
+		if request.responses > 1 { // else it came too late, which overdue has counted
+			f.judge.extraResponses++
+		}
+		return
+	}
+	request.finished = true
+	if served {
+		f.judge.requestServed(request, servedBy, position)
+		return
+	}
+	f.judge.requestRejected(request, nothingRan)
+	g.retry(request, nothingRan, retryAfter)
+}
+
+// retry sends another request of the operation, if the client may and still wants to.
+func (g *gateway) retry(request *request, nothingRan bool, retryAfter time.Duration) {
+	f := g.f
+	if request.settled || request.requests > 3 || !nothingRan && request.class.Effect == routing.NonIdempotent {
+		return
+	}
+	wait := retryAfter
+	if wait == 0 && f.rng.IntN(2) == 0 {
+		wait = 50 * time.Millisecond
+	}
+	if f.now+wait < request.arrived+request.class.Deadline {
+		f.after(wait, func() { g.sendRequest(request.operation) })
+	}
+}
--- a/internal/experiment/soak.go
+++ b/internal/experiment/endurance.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	soakFor    = 45 * time.Minute // the operators' long day
-	soakShort  = 6 * time.Minute
-	soakSwaps  = 15 * time.Second // a host is replaced, under a new id
-	soakKills  = 90 * time.Second // a gateway is killed, and starts anew: all but the first, whose sizes are taken
-	soakWindow = time.Minute      // of each third's end, over which sizes are the largest seen
+	enduranceDuration      = 45 * time.Minute // the operators' long day
+	shortEnduranceDuration = 6 * time.Minute
+	hostReplaceInterval    = 15 * time.Second // a host is replaced, under a new id
+	gatewayKillInterval    = 90 * time.Second // a gateway is killed, and starts anew: all but the first, whose sizes are taken
+	sizeWindow             = time.Minute      // of each third's end, over which sizes are the largest seen
 )
 
-// soak plays a long day of few gateways, of which hosts are replaced all the time, and looks for what grows in the module
-// of the gateway that runs throughout.
-func (e *Experiment) soak(ctx context.Context, o Options) (*Result, error) {
-	s := day(soakFor)
-	if s.Load, s.Break = 0.5, o.Break; o.Short {
-		s.Length = soakShort
+// runEndurance runs a long scenario with few gateways, in which hosts are replaced all the time. It claims that no
+// state grows in the decision module of the gateway that runs throughout.
+func (e *Experiment) runEndurance(ctx context.Context, o Options) (*Result, error) {
+	s := baseSpec(enduranceDuration)
+	if s.Load, s.Defect = 0.5, o.Defect; o.Short {
+		s.Length = shortEnduranceDuration
 	}
 	r := &Result{Experiment: e.Name, About: e.About, Seed: o.Seed, Seeds: 1, Driver: "virtual", Version: o.Version,
 		Size:    fmt.Sprintf("%d hosts, %d gateways, %.0f requests/s each, %v", s.Hosts, s.Gateways, s.Rate, s.Length),
@@ -30,32 +30,32 @@
 	f := newFleet(s, o.Seed)
 	var swap, kill func()
 	swap = func() {
-		live := slices.DeleteFunc(slices.Clone(f.hosts), func(h *host) bool { return !h.ok() || h.draining || h.removed })
+		live := slices.DeleteFunc(slices.Clone(f.hosts), func(h *host) bool { return !h.reachable() || h.draining || h.removed })
 		if len(live) > 0 {
 			f.replace(live[f.rng.IntN(len(live))])
 		}
-		f.after(soakSwaps, swap)
+		f.after(hostReplaceInterval, swap)
 	}
 	kill = func() {
 		g := f.gateways[1+f.rng.IntN(len(f.gateways)-1)]
-		g.die()
-		f.after(time.Second, g.revive)
-		f.after(soakKills, kill)
+		g.crash()
+		f.after(time.Second, g.restart)
+		f.after(gatewayKillInterval, kill)
 	}
-	f.after(soakSwaps, swap)
-	f.after(soakKills, kill)
+	f.after(hostReplaceInterval, swap)
+	f.after(gatewayKillInterval, kill)
 	var thirds [3]map[string]int
 	for at := time.Second; at <= s.Length; at += time.Second {
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		f.run(epoch + at)
-		f.judge.forget(f.now - 10*sec)
+		f.runUntil(epoch + at)
+		f.judge.discardBefore(f.now - 10*sec)
 		if n := int(at / (10 * sec)); o.Progress != nil && at%(10*sec) == 0 {
 			o.Progress(n, int(s.Length/(10*sec)))
 		}
 		for i := range thirds {
-			if end := s.Length * time.Duration(i+1) / 3; at <= end && at > end-soakWindow {
+			if end := s.Length * time.Duration(i+1) / 3; at <= end && at > end-sizeWindow {
 				if thirds[i] == nil {
 					thirds[i] = map[string]int{}
 				}
@@ -65,15 +65,15 @@
 			}
 		}
 	}
-	for _, name := range ruleNames {
-		r.claim(name, f.judge.rules()[name], "==", 0)
+	for _, name := range violationNames {
+		r.addClaim(name, f.judge.violations()[name], "==", 0)
 	}
 	for _, name := range slices.Sorted(maps.Keys(thirds[2])) {
 		for i, x := range thirds {
 			r.Figures[fmt.Sprintf("%s_third_%d", name, i+1)] = float64(x[name])
 		}
 		// A window of a minute sees the largest of what comes and goes; a fifth and eight is what that varies by.
-		r.claim(name+" at the end of the last third, past those of the second", float64(thirds[2][name]), "<=",
+		r.addClaim(name+" at the end of the last third, past those of the second", float64(thirds[2][name]), "<=",
 			1.2*float64(thirds[1][name])+8)
 	}
 	return r, nil
--- /dev/null
+++ b/internal/experiment/excuse.go
@@ -0,0 +1,51 @@
+package experiment
+
+import "time"
+
+// excuse permits verdicts on members that a fault makes unreachable, until the verdicts have had time to spread.
+type excuse struct {
+	fault              *membershipFault
+	faultEnd, graceEnd time.Duration // the end of the fault, and of its news
+}
+
+// verdictGracePeriod is how long after the end of a fault its verdicts may still be in transit.
+const verdictGracePeriod = 5 * time.Second
+
+// maxToleratedPause is the longest pause of a process that must not lead to a verdict of failure.
+const maxToleratedPause = time.Second
+
+// newExcuses returns the excuses of a fault that starts now and ends at end.
+func (f *membershipFault) newExcuses(now, end time.Duration) (out []excuse) {
+	if f.Kind == faultPause && end-now > maxToleratedPause || len(f.Excuses) > 0 {
+		out = append(out, excuse{f, end, end + verdictGracePeriod})
+	}
+	return out
+}
+
+// excuses reports whether observer may consider accused failed while the fault lasts, in a fleet of n members.
+func (f *membershipFault) excuses(by, accused, n int) bool {
+	if f.Kind == faultPause {
+		return f.Members.matches(accused, n)
+	}
+	for _, s := range f.Excuses {
+		if s.matches(accused, n) && !s.matches(by, n) {
+			return true
+		}
+	}
+	return false
+}
+
+// isExcused reports whether any excuse permits observer to consider accused failed now, in a fleet of n members.
+func isExcused(all []excuse, now time.Duration, by, accused, n int) bool {
+	for _, x := range all {
+		if now < x.faultEnd && x.fault.excuses(by, accused, n) {
+			return true
+		}
+		for i := 0; now >= x.faultEnd && now < x.graceEnd && i < n; i++ {
+			if x.fault.excuses(i, accused, n) {
+				return true
+			}
+		}
+	}
+	return false
+}
--- a/internal/experiment/fleetdays_test.go
+++ b/internal/experiment/fleetscenarios_test.go
@@ -7,13 +7,13 @@
 )
 
 // runShort runs the short form of an experiment.
-func runShort(t *testing.T, name string, b Break, seed uint64) *Result {
+func runShort(t *testing.T, name string, b Defect, seed uint64) *Result {
 	t.Helper()
 	e, err := Find(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := e.Run(context.Background(), Options{Seed: seed, Seeds: 1, Short: true, Break: b})
+	r, err := e.Run(context.Background(), Options{Seed: seed, Seeds: 1, Short: true, Defect: b})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,12 +30,12 @@
 	return out
 }
 
-// TestFleetDays plays the fleet's days: no rule is broken, and gateways that share a host's room out earn more than those
+// TestFleetScenarios plays the fleet's days: no rule is broken, and gateways that share a host's room out earn more than those
 // that keep connections as if each were alone.
-func TestFleetDays(t *testing.T) {
+func TestFleetScenarios(t *testing.T) {
 	t.Parallel()
-	for name := range fleetKinds {
-		r := runShort(t, "fleet-"+name, Nothing, 40)
+	for name := range fleetScenarios {
+		r := runShort(t, "fleet-"+name, NoDefect, 40)
 		if len(r.failed()) > 0 {
 			t.Errorf("%s: %v %v", name, r.failed(), r.Notes)
 		}
@@ -48,7 +48,7 @@
 			t.Errorf("%s: %.3f of the attempts found no room, %.3f before", name, now, before)
 		}
 	}
-	if r := runShort(t, "fleet-soak", Nothing, 40); !r.Holds() {
+	if r := runShort(t, "fleet-soak", NoDefect, 40); !r.Holds() {
 		t.Errorf("soak: %+v", r.Claims)
 	}
 }
@@ -69,7 +69,7 @@
 	} {
 		var found []string
 		for seed := uint64(40); seed < 43 && !strings.Contains(strings.Join(found, ";"), c.rule); seed++ { // not each seed has the case
-			found = append(found, runShort(t, c.experiment, Breaks[c.defect], seed).failed()...)
+			found = append(found, runShort(t, c.experiment, Defects[c.defect], seed).failed()...)
 		}
 		if !strings.Contains(strings.Join(found, ";"), c.rule) {
 			t.Errorf("%s was not found by %s: %v", c.defect, c.experiment, found)
--- /dev/null
+++ b/internal/experiment/group.go
@@ -0,0 +1,70 @@
+package experiment
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// group is a replication group: a primary and its replicas.
+type group struct {
+	f           *fleet
+	number      int
+	failoverRNG *rand.Rand // how long its failovers take, whatever the gateways do
+	members     []*host
+	primary     *host
+	electing    bool // the primary is out of reach and an election is on its way
+}
+
+// tick advances the log positions. The primary is always current; a replica that the primary reaches applies the log
+// with a single thread. It also schedules an election once the primary is unreachable or draining.
+func (g *group) tick() {
+	p := g.primary
+	if p != nil && !g.electing && (!p.reachable() || p.draining) {
+		g.electing = true
+		wait := draw(g.failoverRNG, 1400*time.Millisecond, 2700*time.Millisecond) + draw(g.failoverRNG, 1200*time.Millisecond, 4*time.Second)
+		if p.draining && p.reachable() {
+			wait = draw(g.failoverRNG, 360*time.Millisecond, 730*time.Millisecond)
+		}
+		g.f.after(wait, g.elect)
+	}
+	for _, h := range g.members {
+		if !h.reachable() {
+			continue
+		}
+		if h == p && p.reachable() {
+			h.position = g.f.now
+		} else if p != nil && p.reachable() && h.up {
+			h.position = min(g.f.now-g.f.replicationDelay, h.position+time.Duration(float64(replicationInterval)/g.f.applyUtilization))
+		}
+	}
+}
+
+// elect promotes the reachable member with the most advanced log. It tries again while there is none.
+func (g *group) elect() {
+	old := g.primary
+	if old != nil && old.reachable() && !old.draining { // back in time
+		g.electing = false
+		return
+	}
+	var best *host
+	for _, h := range g.members {
+		if h.reachable() && !h.draining && (best == nil || h.position > best.position) {
+			best = h
+		}
+	}
+	if best == nil {
+		g.f.after(200*time.Millisecond, g.elect)
+		return
+	}
+	// Nothing was written meanwhile, so there is nothing to apply: who had all of the log has it still.
+	last := best.position
+	for _, h := range g.members {
+		if h.reachable() {
+			h.position = g.f.now - max(0, last-h.position)
+		}
+	}
+	g.primary, g.electing = best, false
+	for _, h := range []*host{old, best} {
+		g.f.announce(h, draw(g.f.rng, 2300*time.Millisecond, 4400*time.Millisecond))
+	}
+}
--- /dev/null
+++ b/internal/experiment/host.go
@@ -0,0 +1,215 @@
+package experiment
+
+import (
+	"slices"
+	"time"
+
+	"cranegate/routing"
+)
+
+// host is one modelled database host.
+type host struct {
+	f             *fleet
+	id, zone      string
+	group         *group
+	up            bool // its process runs
+	partitions    int  // faults that keep packets from it
+	slow          bool
+	draining      bool
+	removed       bool // replaced by another
+	overloaded    bool // tipped over: it stays down
+	started       time.Duration
+	position      time.Duration
+	incarnation   int // of its process
+	connections   int
+	running       int
+	waiting       []*job
+	recentWork    []workSample
+	cachedReport  healthReport
+	reportExpires time.Duration
+}
+
+// workSample is work that reached a host during its slow start, in seconds of one core.
+type workSample struct {
+	at   time.Duration
+	work float64
+}
+
+// healthReport is the answer of a host to a health check.
+type healthReport struct {
+	position time.Duration
+	primary  bool
+}
+
+// job is one attempt in the queue or on a core of a host.
+type job struct {
+	attempt     *attempt
+	work        time.Duration
+	incarnation int
+}
+
+// reachable reports whether the process runs and no partition separates the host.
+func (h *host) reachable() bool { return h.up && h.partitions == 0 }
+
+// endpoint returns the host's entry in the endpoint list.
+func (h *host) endpoint() routing.Endpoint {
+	e := routing.Endpoint{Member: h.id, Group: h.group.number, Zone: h.zone, Capacity: 1, Primary: h.group.primary == h, StartedAt: h.started}
+	if h.f.HideZones {
+		e.Zone = ""
+	}
+	switch {
+	case !h.up:
+		e.Phase = routing.PhaseRemoved
+	case h.draining:
+		e.Phase = routing.PhaseDraining
+	}
+	return e
+}
+
+// speed returns the fraction of its full capacity that the host has now.
+func (h *host) speed() float64 {
+	s := 1.0
+	if h.started > 0 && h.f.now < h.started+slowStartDuration {
+		s = slowStartCapacity + (1-slowStartCapacity)*float64(h.f.now-h.started)/float64(slowStartDuration)
+	}
+	if h.slow {
+		s /= 4
+	}
+	return s
+}
+
+// crash ends the process: connections are reset and all work is lost.
+func (h *host) crash() {
+	h.up, h.incarnation, h.running, h.waiting, h.connections, h.recentWork = false, h.incarnation+1, 0, nil, 0, nil
+	h.f.notifyHostChanged(h)
+	for _, g := range h.f.gateways {
+		g.resetConnections(h)
+	}
+	h.f.announce(h, draw(h.f.rng, time.Second, 3*time.Second))
+}
+
+// start starts a new process in slow start, with the log at its last position. An overloaded host stays down.
+func (h *host) start() {
+	if h.overloaded {
+		return
+	}
+	h.up, h.started = true, h.f.now
+	h.f.notifyHostChanged(h)
+	h.f.announce(h, draw(h.f.rng, time.Second, 3*time.Second))
+}
+
+// recordWork adds work received during slow start. The host crashes for good when the work within overloadWindow
+// exceeds overloadFactor times its current capacity.
+func (h *host) recordWork(work time.Duration) {
+	if h.speed() >= 1 || h.slow || h.f.DisableOverload {
+		return
+	}
+	h.recentWork = slices.DeleteFunc(h.recentWork, func(s workSample) bool { return s.at < h.f.now-overloadWindow })
+	h.recentWork = append(h.recentWork, workSample{h.f.now, work.Seconds()})
+	sum := 0.0
+	for _, s := range h.recentWork {
+		sum += s.work
+	}
+	if sum > overloadFactor*h.speed()*coresPerHost*overloadWindow.Seconds() && len(h.recentWork) > 1 {
+		h.f.judge.hostOverloaded(h)
+		h.overloaded = true
+		h.crash()
+	}
+}
+
+// receive handles an attempt whose last byte has arrived.
+func (h *host) receive(a *attempt, work time.Duration) {
+	h.f.judge.recordSlowStartCall(h, a.gateway, 1)
+	h.recordWork(work)
+	if !h.up {
+		return
+	}
+	c := a.request.class
+	switch {
+	case c.Consistency == routing.ConsistencyWrite && h.group.primary != h, c.Consistency == routing.ConsistencyStrong && h.group.primary != h && h.f.StaleReads != routing.StaleReadServed:
+		h.reply(a, routing.ResultMissed, 0)
+	case len(h.waiting) >= queueCapacity:
+		h.reply(a, routing.ResultOverCapacity, 0)
+	case h.f.StaleReads != routing.StaleReadServed && h.position < a.requiredPosition:
+		life := h.incarnation
+		h.f.after(catchUpTimeout, func() {
+			if h.incarnation != life {
+				return
+			} else if h.position < a.requiredPosition {
+				h.reply(a, routing.ResultMissed, 0)
+			} else {
+				h.enqueue(a, work)
+			}
+		})
+	default:
+		h.enqueue(a, work)
+	}
+}
+
+// enqueue queues an attempt and dispatches it if a core is free.
+func (h *host) enqueue(a *attempt, work time.Duration) {
+	h.waiting = append(h.waiting, &job{a, work, h.incarnation})
+	h.dispatch()
+}
+
+// dispatch starts queued jobs while a core is free. Attempts abandoned in the meantime are dropped.
+func (h *host) dispatch() {
+	for h.up && h.running < coresPerHost && len(h.waiting) > 0 {
+		j := h.waiting[0]
+		h.waiting = h.waiting[1:]
+		if j.attempt.finished || h.f.now >= j.attempt.abandonAt {
+			if j.attempt.onOutcome != nil {
+				j.attempt.finish(routing.Outcome{Result: routing.ResultTimeout}, 0)
+			}
+			continue
+		}
+		h.running++
+		h.f.judge.attemptRan(j.attempt, h)
+		h.f.after(time.Duration(float64(j.work)/h.speed()), func() {
+			if h.incarnation != j.incarnation {
+				return
+			}
+			h.running--
+			at := h.position
+			if h.group.primary == h {
+				at = h.f.now
+			}
+			if j.attempt.request.class.Consistency == routing.ConsistencyWrite {
+				if h.group.primary != h { // it lost its role while it held the write
+					h.reply(j.attempt, routing.ResultError, 0)
+					h.dispatch()
+					return
+				}
+				at = h.f.now
+			}
+			h.reply(j.attempt, routing.ResultOK, at)
+			h.dispatch()
+		})
+	}
+}
+
+// reply sends an outcome back, unless a partition or a crash prevents it.
+func (h *host) reply(a *attempt, r routing.Result, position time.Duration) {
+	o := routing.Outcome{Result: r, Role: routing.RoleReplica, Position: h.position.Milliseconds()}
+	if h.group.primary == h {
+		o.Role = routing.RolePrimary
+	}
+	if r == routing.ResultOK && a.request.class.Consistency == routing.ConsistencyWrite {
+		o.Position = position.Milliseconds() + 1
+	}
+	life := h.incarnation
+	h.f.after(a.gateway.networkDelay(h), func() {
+		if h.partitions == 0 && h.incarnation == life {
+			a.finish(o, position)
+		}
+	})
+}
+
+// currentReport returns the health report, which the host refreshes every 110 to 240 ms.
+func (h *host) currentReport() healthReport {
+	if h.reportExpires == 0 || h.f.now >= h.reportExpires {
+		h.cachedReport = healthReport{h.position, h.group.primary == h}
+		h.reportExpires = h.f.now + draw(h.f.rng, 110*time.Millisecond, 240*time.Millisecond)
+	}
+	return h.cachedReport
+}
--- /dev/null
+++ b/internal/experiment/links.go
@@ -0,0 +1,92 @@
+package experiment
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// delivery is what happens to one message on its link.
+type delivery struct {
+	lost, corrupted bool
+	copies          int
+	delay           time.Duration    // beside the usual delay
+	stalledBy       *membershipFault // a stall that holds it
+}
+
+// links is the state of all links between members: the active faults and the queues of links with limited bandwidth.
+type links struct {
+	members  int
+	lossRate float64
+	rng      *rand.Rand
+	active   []*membershipFault
+	freeAt   map[[2]int]time.Duration
+}
+
+// deliver draws the delivery of a message of size bytes. A message on a stream is retransmitted until it arrives, so it
+// is delayed instead of lost.
+func (l *links) deliver(now time.Duration, from, to, size int, stream bool) delivery {
+	outcome := delivery{copies: 1, lost: l.rng.Float64() < l.lossRate}
+	for _, f := range l.active {
+		if !f.Members.matches(from, l.members) || !f.Peers.matches(to, l.members) {
+			if !f.Bidirectional || !f.Members.matches(to, l.members) || !f.Peers.matches(from, l.members) {
+				continue
+			}
+		}
+		switch f.Kind {
+		case faultPartition:
+			return delivery{lost: true}
+		case faultStall:
+			outcome.stalledBy = f
+		case faultBandwidth:
+			link := [2]int{from, to}
+			start := max(now, l.freeAt[link])
+			if start-now > maxLinkDelay {
+				outcome.lost = true
+				break
+			}
+			l.freeAt[link] = start + time.Duration(float64(size)/float64(f.BytesPerSecond)*float64(time.Second))
+			outcome.delay += l.freeAt[link] - now
+		case faultNoise:
+			outcome.lost = outcome.lost || l.rng.Float64() < f.LossRate
+			outcome.corrupted = outcome.corrupted || l.rng.Float64() < f.CorruptRate
+			if l.rng.Float64() < f.DuplicateRate {
+				outcome.copies = 2
+			}
+			if l.rng.Float64() < f.DelayRate {
+				outcome.delay += time.Duration(l.rng.Float64() * float64(f.MaxDelayMS) * float64(time.Millisecond))
+			}
+		}
+	}
+	if stream {
+		if outcome.lost || outcome.corrupted {
+			outcome.delay += time.Duration(l.rng.Float64() * float64(time.Second))
+		}
+		outcome.lost, outcome.corrupted, outcome.copies = false, false, 1
+	}
+	return outcome
+}
+
+// startFault activates a fault of links.
+func (l *links) startFault(f *membershipFault) { l.active = append(l.active, f) }
+
+// endFault deactivates a fault of links.
+func (l *links) endFault(f *membershipFault) {
+	for i, x := range l.active {
+		if x == f {
+			l.active = append(l.active[:i:i], l.active[i+1:]...)
+			return
+		}
+	}
+}
+
+// maxLinkDelay is the longest queueing delay on a link with limited bandwidth; messages beyond it are lost.
+const (
+	faultPartition membershipFaultKind = "cut"
+	faultNoise     membershipFaultKind = "noise"
+	faultStall     membershipFaultKind = "stall"  // messages wait until the end
+	faultBandwidth membershipFaultKind = "narrow" // messages wait for their turn, and are lost where they would wait for more than half a second
+	faultPause     membershipFaultKind = "pause"  // the process stands still; what comes waits
+	faultKill      membershipFaultKind = "kill"   // it dies, and starts anew at the end under its name
+	faultLeave     membershipFaultKind = "leave"  // it ends as at SIGTERM, and starts anew at the end
+	maxLinkDelay                       = 500 * time.Millisecond
+)
--- /dev/null
+++ b/internal/experiment/membershipsim.go
@@ -0,0 +1,263 @@
+package experiment
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"cranegate/internal/membership"
+)
+
+// convergenceTime is the time in which the members find each other, before anything is judged.
+const convergenceTime = 20 * time.Second
+
+func init() {
+	for _, d := range membershipScenarios {
+		Experiments = append(Experiments, Experiment{Name: d.name, About: d.About, membership: d})
+	}
+}
+
+// membershipSim runs a membership scenario in virtual time.
+type membershipSim struct {
+	*membershipScenario
+	timeline
+	links
+	plainSWIM       bool
+	rng             *rand.Rand
+	members         []*simMember
+	byAddr          map[string]*simMember
+	excuses         []excuse
+	stalled         map[*membershipFault][]func() // messages that a stall holds
+	malformed       int                           // messages that could not be written or read
+	falseVerdicts   int                           // live members that were held as failed without an excuse
+	notes           []string
+	diedAt          map[membership.Incarnation]time.Duration
+	detections      map[membership.Incarnation][]time.Duration // after how long, by each
+	bytesSent       int                                        // sent by all, from restFrom on
+	messagesSent    int
+	maxDatagramSize int // the longest datagram
+}
+
+// simMember is one member of a membershipSim.
+type simMember struct {
+	sim        *membershipSim
+	index      int
+	addr       string
+	node       *membership.Node
+	generation int
+	up         bool
+	paused     bool
+	inbox      []membership.Message
+}
+
+const (
+	tickInterval = 100 * time.Millisecond
+	maxInbox     = 256 // messages that wait for a process that stands still, as in a socket's buffer
+)
+
+// newMembershipSim creates a simulation of n members. PlainSWIM disables the extensions of SWIM.
+func newMembershipSim(d *membershipScenario, n int, loss float64, plain bool, seed uint64) *membershipSim {
+	w := &membershipSim{membershipScenario: d, plainSWIM: plain, timeline: timeline{now: epoch}, rng: rand.New(rand.NewPCG(seed, 5)),
+		links:  links{members: n, lossRate: loss, rng: rand.New(rand.NewPCG(seed, 6)), freeAt: map[[2]int]time.Duration{}},
+		byAddr: map[string]*simMember{}, stalled: map[*membershipFault][]func(){}, diedAt: map[membership.Incarnation]time.Duration{}, detections: map[membership.Incarnation][]time.Duration{}}
+	for i := range n {
+		p := &simMember{sim: w, index: i, addr: fmt.Sprintf("127.0.%d.%d:7946", i/250, i%250+1)}
+		w.members, w.byAddr[p.addr] = append(w.members, p), p
+		w.after(time.Duration(w.rng.Int64N(int64(sec))), p.start)
+	}
+	for _, x := range d.Faults {
+		w.after(convergenceTime+x.at(), func() { w.startFault(x) })
+		w.after(convergenceTime+x.end(d), func() { w.endFault(x) })
+	}
+	return w
+}
+
+// note records a violation with its time, up to maxMemberNotes.
+func (s *membershipSim) note(format string, args ...any) {
+	if len(s.notes) < 10 {
+		s.notes = append(s.notes, fmt.Sprintf("%7.3fs ", (s.now-epoch-convergenceTime).Seconds())+fmt.Sprintf(format, args...))
+	}
+}
+
+// startFault applies a fault to links and members.
+func (s *membershipSim) startFault(fault *membershipFault) {
+	if fault.Peers.matches != nil {
+		s.links.startFault(fault)
+	}
+	for _, p := range s.members {
+		switch hit := fault.Members.matches(p.index, len(s.members)); {
+		case hit && fault.Kind == faultPause:
+			p.paused = true
+		case hit && fault.Kind == faultKill:
+			p.up = false
+			s.diedAt[p.node.Self().Incarnation] = s.now
+		case hit && fault.Kind == faultLeave:
+			p.node.Leave()
+			p.flush()
+			p.up = false
+			s.diedAt[p.node.Self().Incarnation] = s.now
+		}
+	}
+	s.excuses = append(s.excuses, fault.newExcuses(s.now, s.now+fault.end(s.membershipScenario)-fault.at())...)
+}
+
+// endFault reverts a fault. Crashed members start again.
+func (s *membershipSim) endFault(fault *membershipFault) {
+	if fault.Peers.matches != nil {
+		s.links.endFault(fault)
+		for _, send := range s.stalled[fault] {
+			send()
+		}
+		delete(s.stalled, fault)
+	}
+	for _, p := range s.members {
+		switch hit := fault.Members.matches(p.index, len(s.members)); {
+		case hit && fault.Kind == faultPause:
+			p.paused = false
+			mail := p.inbox
+			p.inbox = nil
+			for _, m := range mail {
+				p.receive(m)
+			}
+		case hit && (fault.Kind == faultKill || fault.Kind == faultLeave):
+			p.start()
+		}
+	}
+}
+
+// start starts a process that knows nothing but three addresses.
+func (m *simMember) start() {
+	w := m.sim
+	m.generation++
+	m.up, m.inbox = true, nil
+	var join []string
+	for k := range min(3, len(w.members)) {
+		join = append(join, w.members[k*len(w.members)/3].addr)
+	}
+	var err error
+	m.node, err = membership.New(w.now, membership.Options{Fleet: "f", Name: fmt.Sprint("g", m.index), Zone: threeZones[m.index%3], Addr: m.addr,
+		Join: join, Seed: w.rng.Uint64(), Gateways: len(w.members), PlainSWIM: w.plainSWIM})
+	if err != nil {
+		panic(err) // the options above are this package's own
+	}
+	m.tick(m.generation)
+}
+
+// tick drives the node every tickInterval, as long as its process runs.
+func (m *simMember) tick(life int) {
+	if !m.up || m.generation != life {
+		return
+	}
+	if !m.paused {
+		m.node.Tick(m.sim.now)
+		m.flush()
+	}
+	m.sim.after(tickInterval, func() { m.tick(life) })
+}
+
+// receive handles a message, or queues it while the process is paused.
+func (m *simMember) receive(message membership.Message) {
+	switch {
+	case !m.up:
+	case m.paused && len(m.inbox) < maxInbox:
+		m.inbox = append(m.inbox, message)
+	case !m.paused:
+		m.node.Step(m.sim.now, message)
+		m.flush()
+	}
+}
+
+// flush sends the node's pending messages and checks its verdicts.
+func (m *simMember) flush() {
+	w := m.sim
+	out, changes := m.node.Ready()
+	for _, c := range changes {
+		w.checkVerdict(m, c)
+	}
+	for _, message := range out {
+		w.send(m, message)
+	}
+}
+
+// send encodes a message and schedules its delivery.
+func (s *membershipSim) send(from *simMember, message membership.Message) {
+	encoded, err := membership.Encode(message)
+	if err != nil {
+		s.malformed++
+		s.note("%d: %v", from.index, err)
+		return
+	}
+	stream := message.Kind == membership.StateRequest || message.Kind == membership.StateResponse
+	if s.messagesSent++; !stream {
+		s.maxDatagramSize = max(s.maxDatagramSize, len(encoded))
+	}
+	s.bytesSent += len(encoded)
+	to := s.byAddr[message.To]
+	if to == nil {
+		return
+	}
+	outcome := s.deliver(s.now, from.index, to.index, len(encoded), stream)
+	if outcome.lost || outcome.corrupted { // whatever is spoilt does not open
+		return
+	}
+	got, err := membership.Decode(encoded)
+	if err != nil {
+		s.malformed++
+		s.note("%d: %v", from.index, err)
+		return
+	}
+	for range outcome.copies {
+		delay := draw(s.rng, 200*time.Microsecond, 5*time.Millisecond) + outcome.delay
+		arrive := func() { s.after(delay, func() { to.receive(got) }) }
+		if held := s.stalled[outcome.stalledBy]; outcome.stalledBy != nil && len(held) < maxInbox {
+			s.stalled[outcome.stalledBy] = append(held, arrive)
+		} else if outcome.stalledBy == nil {
+			arrive()
+		}
+	}
+}
+
+// checkVerdict compares a verdict of failure with the actual state of the accused member.
+func (s *membershipSim) checkVerdict(observer *simMember, change membership.Change) {
+	if change.Member.State != membership.Failed || change.New {
+		return
+	}
+	if at, dead := s.diedAt[change.Member.Incarnation]; dead {
+		s.detections[change.Member.Incarnation] = append(s.detections[change.Member.Incarnation], s.now-at)
+		return
+	}
+	for _, x := range s.members {
+		if x.up && x.node.Self().Incarnation == change.Member.Incarnation && !isExcused(s.excuses, s.now, observer.index, x.index, len(s.members)) && s.now >= epoch+convergenceTime {
+			s.falseVerdicts++
+			s.note("%d holds %d as failed, by %q (%s)", observer.index, x.index, change.Reporter, change.Reason)
+		}
+	}
+}
+
+// divergedViews counts the members whose view is not exactly the set of running members.
+func (s *membershipSim) divergedViews() (bad int) {
+	living := map[membership.Incarnation]bool{}
+	for _, p := range s.members {
+		if p.up {
+			living[p.node.Self().Incarnation] = true
+		}
+	}
+	for _, p := range s.members {
+		if !p.up {
+			continue
+		}
+		seen := 1
+		wrong := false
+		for _, r := range p.node.Members() {
+			if r.State < membership.Failed {
+				if seen++; !living[r.Incarnation] {
+					wrong = true
+				}
+			}
+		}
+		if wrong || seen != len(living) {
+			bad++
+		}
+	}
+	return bad
+}
--- a/internal/experiment/memberdays_test.go
+++ b/internal/experiment/membershipsim_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// TestMemberDays plays the short form of all days of members. Nobody who lives and is reached may be held as failed, and
+// TestMembershipScenarios plays the short form of all days of members. Nobody who lives and is reached may be held as failed, and
 // what all use of a budget together is never more than it.
-func TestMemberDays(t *testing.T) {
+func TestMembershipScenarios(t *testing.T) {
 	t.Parallel()
-	for _, d := range memberDays {
+	for _, d := range membershipScenarios {
 		e, err := Find(d.name)
 		if err != nil {
 			t.Fatal(err)
@@ -26,13 +26,13 @@
 	}
 }
 
-// TestMemberJudgeFinds lets the judge see members that give verdicts on one trial: they fail the living.
-func TestMemberJudgeFinds(t *testing.T) {
-	for _, d := range memberDays {
+// TestMembershipJudgeDetectsFalseVerdicts lets the judge see members that give verdicts on one trial: they fail the living.
+func TestMembershipJudgeDetectsFalseVerdicts(t *testing.T) {
+	for _, d := range membershipScenarios {
 		if d.name != "members-pair" {
 			continue
 		}
-		if x := playMembers(d, 20, 0.1, true, 1); x.lies == 0 || len(x.notes) == 0 {
+		if x := runMembershipSim(d, 20, 0.1, true, 1); x.falseVerdicts == 0 || len(x.notes) == 0 {
 			t.Errorf("%s: no false verdict was found", d.name)
 		}
 	}
--- /dev/null
+++ b/internal/experiment/process.go
@@ -0,0 +1,68 @@
+package experiment
+
+import (
+	"fmt"
+	"net"
+	"net/netip"
+	"os/exec"
+	"syscall"
+	"time"
+)
+
+// process is one member's process.
+type process struct {
+	index                    int
+	configFile, adminAddress string
+	operatorTables           string // of the operator's file
+	cmd                      *exec.Cmd
+	ended                    chan struct{}
+	start                    string
+	up, paused               bool
+	listen, relayAddress     netip.AddrPort
+}
+
+// killWithParent ends a child process when this process dies, also by SIGKILL. The kernel watches the thread that
+// started the child; the Go runtime keeps its threads.
+var killWithParent = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+
+// freePort returns a port that is free for both UDP and TCP.
+func freePort(at netip.Addr) (netip.AddrPort, error) {
+	l, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(netip.AddrPortFrom(at, 0)))
+	if err != nil {
+		return netip.AddrPort{}, err
+	}
+	defer l.Close()
+	return l.Addr().(*net.TCPAddr).AddrPort(), nil
+}
+
+// kill kills the process and waits for its end.
+func (p *process) kill() {
+	if p.cmd != nil && p.cmd.Process != nil && p.ended != nil {
+		p.cmd.Process.Kill()
+		<-p.ended
+	}
+}
+
+// terminate sends SIGTERM, and kills the process if it does not end within processTimeout.
+func (p *process) terminate() error {
+	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		return err
+	}
+	select {
+	case <-p.ended:
+		return nil
+	case <-time.After(processTimeout):
+		p.kill()
+		return fmt.Errorf("it does not end in %v after SIGTERM", processTimeout)
+	}
+}
+
+// memberView is the part of a member's report that the harness checks; see gossip.View.
+type memberView struct {
+	Self    struct{ Start string }
+	Members []struct{ Start, State string }
+	Part    float64
+	Size    int
+
+	Conflicts []string
+}
--- a/internal/experiment/procs_test.go
+++ b/internal/experiment/processharness_test.go
@@ -62,7 +62,7 @@
 	}))
 }
 
-func broken(defect string) func(string) *exec.Cmd {
+func brokenCommand(defect string) func(string) *exec.Cmd {
 	return func(file string) *exec.Cmd {
 		cmd := exec.Command(os.Args[0], file)
 		cmd.Env = append(os.Environ(), breakEnv+"="+defect)
@@ -83,13 +83,13 @@
 		t.Fatal(err)
 	}
 	var logs strings.Builder
-	x, err := playProcesses(context.Background(), e.members, 5, e.members.Losses[0], 1,
+	x, err := runProcessScenario(context.Background(), e.membership, 5, e.membership.LossRates[0], 1,
 		func(file string) *exec.Cmd { return exec.Command(program, "--operator", file) }, &logs)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, logs.String())
 	}
-	if x.lies != 0 || x.parts > 1+1e-9 || x.unequal != 0 || x.healed >= processWait.Seconds() {
-		t.Errorf("%d live members held as failed, parts of a budget %.3f, %d views not the living after %.1f s: %v", x.lies, x.parts, x.unequal, x.healed, x.notes)
+	if x.falseVerdicts != 0 || x.maxBudgetShare > 1+1e-9 || x.divergedViews != 0 || x.healSeconds >= processTimeout.Seconds() {
+		t.Errorf("%d live members held as failed, parts of a budget %.3f, %d views not the living after %.1f s: %v", x.falseVerdicts, x.maxBudgetShare, x.divergedViews, x.healSeconds, x.notes)
 	}
 	if x.changes < 20 {
 		t.Errorf("%d news of members were seen: the judge reads nothing", x.changes)
@@ -107,10 +107,10 @@
 	if out, err := exec.Command("go", "build", "-race", "-o", program, "cranegate/cmd/cranegate").CombinedOutput(); err != nil {
 		t.Fatalf("building: %v\n%s", err, out)
 	}
-	d := gatewayDays[0].gatewayDay
+	d := gatewayScenarios[0].gatewayScenario
 	d.spec.Rate, d.spec.Length = 10, 17*sec
-	d.spec.Faults = []Fault{{Kind: Crash, Zone: "nuernberg", At: 9 * sec, For: 3 * sec}}
-	d.members = mustDay(`
+	d.spec.Faults = []Fault{{Kind: Crash, Zone: "nuernberg", At: 9 * sec, Duration: 3 * sec}}
+	d.members = mustParseScenario(`
 about = "one of three is cut off"
 losses = [0.1]
 length_s = 8
@@ -122,27 +122,27 @@
 excuses = ["one 0", "but 0"]
 `)
 	var logs strings.Builder
-	x, j, err := playGateways(context.Background(), d, 3, 0.1, 3, program, true, &logs)
+	x, j, err := runGatewayArm(context.Background(), d, 3, 0.1, 3, program, true, &logs)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, logs.String())
 	}
 	for _, name := range []string{"stale_reads", "second_runs", "wrong_answers", "tipped_over"} {
-		if n := j.rules()[name]; n > 0 {
+		if n := j.violations()[name]; n > 0 {
 			t.Errorf("%s: %.0f: %v", name, n, j.notes)
 		}
 	}
-	if x.lies != 0 || x.parts > 1+1e-9 || x.changes < 6 || x.excused == 0 {
-		t.Errorf("%d held as failed, parts %.3f, %d news, %d verdicts across the cut: %v", x.lies, x.parts, x.changes, x.excused, x.notes)
+	if x.falseVerdicts != 0 || x.maxBudgetShare > 1+1e-9 || x.changes < 6 || x.excusedVerdicts == 0 {
+		t.Errorf("%d held as failed, parts %.3f, %d news, %d verdicts across the cut: %v", x.falseVerdicts, x.maxBudgetShare, x.changes, x.excusedVerdicts, x.notes)
 	}
-	if _, asked, earned := j.earned(epoch, epoch+8*sec); len(j.asks) < 200 || earned < asked/2 {
-		t.Errorf("%d requests; of %.0f asked for before the cut %.0f was earned", len(j.asks), asked, earned)
+	if _, asked, earned := j.earnedWeight(epoch, epoch+8*sec); len(j.operations) < 200 || earned < asked/2 {
+		t.Errorf("%d requests; of %.0f asked for before the cut %.0f was earned", len(j.operations), asked, earned)
 	}
 }
 
-// TestProcessJudgeFinds plays with members that are broken on purpose, each in its way: the judge has to see it.
-func TestProcessJudgeFinds(t *testing.T) {
-	day := func(text string) *memberDay {
-		d, err := readDay("about = \"broken members\"\nlosses = [0.0]\n" + text)
+// TestProcessJudgeDetectsDefects plays with members that are broken on purpose, each in its way: the judge has to see it.
+func TestProcessJudgeDetectsDefects(t *testing.T) {
+	day := func(text string) *membershipScenario {
+		d, err := parseScenario("about = \"broken members\"\nlosses = [0.0]\n" + text)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -150,16 +150,16 @@
 	}
 	for _, c := range []struct {
 		defect string
-		day    *memberDay
-		found  func(processFigures) bool
+		day    *membershipScenario
+		found  func(processStats) bool
 	}{
-		{"hasty", day("length_s = 7\n[[fault]]\nkind = \"cut\"\nwho = \"but 1\"\nto = \"one 1\"\nexcuses = [\"one 1\"]"), func(x processFigures) bool { return x.lies > 0 }},
-		{"greedy", day("length_s = 1"), func(x processFigures) bool { return x.parts > 1.5 }},
-		{"blind", day("length_s = 7\n[[fault]]\nkind = \"kill\"\nat_s = 1\nwho = \"one 1\""), func(x processFigures) bool { return x.unequal > 0 }},
+		{"hasty", day("length_s = 7\n[[fault]]\nkind = \"cut\"\nwho = \"but 1\"\nto = \"one 1\"\nexcuses = [\"one 1\"]"), func(x processStats) bool { return x.falseVerdicts > 0 }},
+		{"greedy", day("length_s = 1"), func(x processStats) bool { return x.maxBudgetShare > 1.5 }},
+		{"blind", day("length_s = 7\n[[fault]]\nkind = \"kill\"\nat_s = 1\nwho = \"one 1\""), func(x processStats) bool { return x.divergedViews > 0 }},
 	} {
 		t.Run(c.defect, func(t *testing.T) {
 			t.Parallel()
-			x, err := playProcesses(context.Background(), c.day, 4, c.day.Losses[0], 2, broken(c.defect), io.Discard)
+			x, err := runProcessScenario(context.Background(), c.day, 4, c.day.LossRates[0], 2, brokenCommand(c.defect), io.Discard)
 			if err == nil && !c.found(x) {
 				t.Errorf("nothing was found: %+v", x)
 			} else if err != nil {
@@ -169,9 +169,9 @@
 	}
 }
 
-// TestStrangers adds to three members one that bears another's name, one with another key, and one with a file that has a
+// TestUnexpectedMembers adds to three members one that bears another's name, one with another key, and one with a file that has a
 // fault. The two of one name are told of and neither is held as failed; the other two enter nothing.
-func TestStrangers(t *testing.T) {
+func TestUnexpectedMembers(t *testing.T) {
 	t.Parallel()
 	program := filepath.Join(t.TempDir(), "cranegate")
 	if out, err := exec.Command("go", "build", "-o", program, "cranegate/cmd/cranegate").CombinedOutput(); err != nil {
@@ -179,26 +179,26 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	dir := t.TempDir()
-	r := newRig(ctx, &memberDay{Length: seconds(time.Hour)}, 6, 0, 1, dir, io.Discard)
-	r.program = func(file string) *exec.Cmd { return exec.Command(program, "--operator", file) }
+	r := newProcessHarness(ctx, &membershipScenario{Duration: seconds(time.Hour)}, 6, 0, 1, dir, io.Discard)
+	r.command = func(file string) *exec.Cmd { return exec.Command(program, "--operator", file) }
 	t.Cleanup(func() {
-		for _, p := range r.procs {
+		for _, p := range r.processes {
 			p.kill()
 		}
 		cancel()
-		r.net.work.Wait()
+		r.network.work.Wait()
 	})
 	if err := r.prepare(6); err != nil {
 		t.Fatal(err)
 	}
-	r.net.serve()
+	r.network.serve()
 	put := func(i int, from, to string) {
 		t.Helper()
-		text := strings.Replace(r.procs[i].tables, from, to, 1)
-		if text == r.procs[i].tables {
+		text := strings.Replace(r.processes[i].operatorTables, from, to, 1)
+		if text == r.processes[i].operatorTables {
 			t.Fatalf("%q does not stand in the file", from)
 		}
-		if err := os.WriteFile(r.procs[i].file, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(r.processes[i].configFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -210,54 +210,54 @@
 	put(4, filepath.Join(dir, "key"), other)
 	put(5, "zone =", "zones =")
 	for i := range 5 {
-		if err := r.launch(r.procs[i]); err != nil {
+		if err := r.launch(r.processes[i]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := r.launch(r.procs[5]); err == nil {
+	if err := r.launch(r.processes[5]); err == nil {
 		t.Error("a process with a faulty file runs")
 	}
 	r.mu.Lock()
-	r.warm = r.net.now()
+	r.startedAt = r.network.now()
 	r.mu.Unlock()
 	settled := func() bool {
 		for i := range 4 {
-			v, err := r.ask(r.procs[i])
+			v, err := r.fetchView(r.processes[i])
 			if err != nil || len(v.Members) != 3 || len(v.Conflicts) != 1 || v.Conflicts[0] != "g0" {
 				return false
 			}
 		}
 		return true
 	}
-	for end := time.Now().Add(processWait); !settled(); time.Sleep(pollEvery) {
+	for end := time.Now().Add(processTimeout); !settled(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatal("four members of which two have one name don't show that")
 		}
 	}
 	time.Sleep(4 * time.Second) // longer than any verdict takes
 	r.mu.Lock()
-	lies, notes := r.lies, r.notes
+	lies, notes := r.falseVerdicts, r.notes
 	r.mu.Unlock()
 	if lies > 0 || !settled() {
 		t.Errorf("%d held as failed: %v", lies, notes)
 	}
-	if v, err := r.ask(r.procs[4]); err != nil || len(v.Members) != 0 || v.Part != 0 {
+	if v, err := r.fetchView(r.processes[4]); err != nil || len(v.Members) != 0 || v.Part != 0 {
 		t.Errorf("the one with another key: %+v, %v", v, err)
 	}
 }
 
-// TestNothingIsLeft ends a day from outside and looks for what is still there.
-func TestNothingIsLeft(t *testing.T) {
+// TestProcessesEndWithContext ends a day from outside and looks for what is still there.
+func TestProcessesEndWithContext(t *testing.T) {
 	t.Parallel()
-	d, err := readDay("about = \"long\"\nlosses = [0.0]\nlength_s = 60")
+	d, err := parseScenario("about = \"long\"\nlosses = [0.0]\nlength_s = 60")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	var started []*exec.Cmd
-	_, err = playProcesses(ctx, d, 3, 0, 1, func(file string) *exec.Cmd {
-		started = append(started, broken("none")(file))
+	_, err = runProcessScenario(ctx, d, 3, 0, 1, func(file string) *exec.Cmd {
+		started = append(started, brokenCommand("none")(file))
 		return started[len(started)-1]
 	}, io.Discard)
 	if err == nil || len(started) != 3 {
@@ -270,36 +270,36 @@
 	}
 }
 
-// TestDaysRefused reads days with faults.
-func TestDaysRefused(t *testing.T) {
+// TestInvalidScenarios reads days with faults.
+func TestInvalidScenarios(t *testing.T) {
 	head := "about = \"x\"\nlosses = [0.0]\nlength_s = 5\n"
 	for _, text := range []string{"", "about = \"x\"\nlength_s = 5", head + "heals_s = 1", head + "[[fault]]\nkind = \"flood\"\nwho = \"all\"",
 		head + "[[fault]]\nkind = \"cut\"\nwho = \"all\"", head + "[[fault]]\nkind = \"kill\"\nwho = \"one\"", head + "[[fault]]\nkind = \"kill\"\nwho = \"one 1\"\nat_s = 6",
 		head + "[[fault]]\nkind = \"noise\"\nwho = \"all\"\nto = \"all\"\nlose = 2.0", head + "[[fault]]\nkind = \"narrow\"\nwho = \"all\"\nto = \"all\""} {
-		if _, err := readDay(text); err == nil {
+		if _, err := parseScenario(text); err == nil {
 			t.Errorf("this was taken:\n%s", text)
 		}
 	}
-	if _, err := readDay(head); err != nil {
+	if _, err := parseScenario(head); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestLinksCut holds what passes against a cut in one direction and in both.
-func TestLinksCut(t *testing.T) {
+// TestLinkPartition holds what passes against a cut in one direction and in both.
+func TestLinkPartition(t *testing.T) {
 	for _, both := range []bool{false, true} {
-		d := mustDay(fmt.Sprintf("about = \"x\"\nlosses = [0.0]\nlength_s = 5\n[[fault]]\nkind = \"cut\"\nwho = \"one 1\"\nto = \"one 2\"\nboth = %t", both))
-		l := links{n: 4, rng: rand.New(rand.NewPCG(1, 1)), free: map[[2]int]time.Duration{}}
-		l.begin(d.Faults[0])
+		d := mustParseScenario(fmt.Sprintf("about = \"x\"\nlosses = [0.0]\nlength_s = 5\n[[fault]]\nkind = \"cut\"\nwho = \"one 1\"\nto = \"one 2\"\nboth = %t", both))
+		l := links{members: 4, rng: rand.New(rand.NewPCG(1, 1)), freeAt: map[[2]int]time.Duration{}}
+		l.startFault(d.Faults[0])
 		for from := range 4 {
 			for to := range 4 {
 				want := from == 1 && to == 2 || both && from == 2 && to == 1
-				if got := l.fate(0, from, to, 100, false).lost; got != want {
+				if got := l.deliver(0, from, to, 100, false).lost; got != want {
 					t.Errorf("both %t: from %d to %d lost %t", both, from, to, got)
 				}
 			}
 		}
-		if l.end(d.Faults[0]); l.fate(0, 1, 2, 100, false).lost {
+		if l.endFault(d.Faults[0]); l.deliver(0, 1, 2, 100, false).lost {
 			t.Error("the cut does not end")
 		}
 	}
--- /dev/null
+++ b/internal/experiment/restart.go
@@ -0,0 +1,97 @@
+package experiment
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+const (
+	gracefulShutdownDuration = 3 * time.Second        // from SIGTERM to the end of a process
+	restartDelay             = 500 * time.Millisecond // from its end to the next
+	hostDrainDuration        = 3 * time.Second        // a replaced host ends after this
+)
+
+// startReplacement restarts gateways or replaces hosts.
+func (f *fleet) startReplacement(fault Fault) {
+	switch fault.Kind {
+	case Kill:
+		for i, g := range f.gateways {
+			if int(float64(i+1)*fault.Fraction) > int(float64(i)*fault.Fraction) {
+				g.crash()
+				f.after(fault.Duration, g.restart)
+			}
+		}
+	case Restart:
+		for i, g := range f.gateways {
+			f.after(fault.Duration/10*time.Duration(i*10/len(f.gateways)), func() {
+				g.down = true
+				f.after(gracefulShutdownDuration, g.crash)
+				f.after(gracefulShutdownDuration+restartDelay, g.restart)
+			})
+		}
+	case Replace:
+		hosts := f.affectedHosts(fault)
+		for i, h := range hosts {
+			f.after(fault.Duration*time.Duration(i)/time.Duration(len(hosts)), func() { f.replace(h) })
+		}
+	}
+}
+
+// crash ends the gateway's process. Its clients see their connections break.
+func (g *gateway) crash() {
+	f := g.f
+	g.down, g.router = true, nil
+	g.incarnation++
+	requests := g.requests
+	g.requests = map[uint64]*request{}
+	for _, id := range slices.Sorted(maps.Keys(requests)) {
+		q := requests[id]
+		for _, a := range q.inFlight {
+			a.finished = true
+		}
+		if !q.finished {
+			q.finished = true
+			f.judge.interruptedRequests++
+			g.retry(q, false, 0)
+		}
+	}
+	for _, h := range f.hosts {
+		if p := g.pools[h]; p != nil {
+			if h.up {
+				h.connections -= len(p.idle) + len(p.inFlight)
+			}
+			g.pools[h] = &pool{}
+		}
+	}
+}
+
+// restart starts a new process of the gateway.
+func (g *gateway) restart() {
+	g.down = false
+	g.start()
+}
+
+// replace starts a new host in place of another, which drains and ends.
+func (f *fleet) replace(old *host) {
+	if !old.up || old.removed {
+		return
+	}
+	g := old.group
+	h := &host{f: f, id: fmt.Sprintf("%s-%d", old.id, len(f.hosts)), group: g, zone: old.zone, up: true, started: f.now, position: old.position}
+	g.members = append(g.members, h)
+	f.hosts = append(f.hosts, h)
+	for _, x := range f.gateways {
+		x.hosts[h.id], x.pools[h] = h, &pool{}
+	}
+	f.notifyHostChanged(h)
+	f.announce(h, draw(f.rng, 450*time.Millisecond, 2300*time.Millisecond))
+	old.draining = true
+	f.announce(old, draw(f.rng, 0, 400*time.Millisecond))
+	f.after(hostDrainDuration, func() {
+		old.removed = true
+		g.members = slices.DeleteFunc(g.members, func(x *host) bool { return x == old })
+		old.crash()
+	})
+}
--- /dev/null
+++ b/internal/experiment/scenario.go
@@ -0,0 +1,174 @@
+package experiment
+
+import (
+	"embed"
+	"fmt"
+	"path"
+	"strings"
+	"time"
+
+	"github.com/BurntSushi/toml"
+)
+
+// scenarioFiles are the membership scenarios. Simulations and real processes run the same files.
+//
+//go:embed scenarios/*.toml
+var scenarioFiles embed.FS
+
+// membershipScenario describes faults of members that know each other, on a network that loses and delays messages.
+type membershipScenario struct {
+	About           string             `toml:"about"`
+	LossRates       []float64          `toml:"losses"` // the shares of messages that get lost all day; each is played
+	Duration        seconds            `toml:"length_s"`
+	HealTimeout     seconds            `toml:"heal_s"` // from the last fault's end until all views have to be equal; 0: not claimed
+	ClaimsDetection bool               `toml:"crash"`  // claims how soon crashes are known
+	ClaimsIdleCost  bool               `toml:"rest"`   // claims what messages cost at rest
+	Faults          []*membershipFault `toml:"fault"`
+
+	name string
+}
+
+// membershipFault affects some of the members, or their messages to some others.
+type membershipFault struct {
+	Kind          membershipFaultKind `toml:"kind"`
+	At            seconds             `toml:"at_s"`
+	Duration      seconds             `toml:"for_s"` // 0: for the rest of the day
+	Members       selector            `toml:"who"`
+	Peers         selector            `toml:"to"`
+	Bidirectional bool                `toml:"both"` // also what To send to Who
+	// Excuses says whom those that are not of the same selection may hold as failed while it lasts: whom nobody on their
+	// side reaches, or who stands still for longer than is promised to be borne. For some seconds after the end all are
+	// excused that anybody was.
+	Excuses []selector `toml:"excuses"`
+
+	LossRate       float64 `toml:"lose"` // noise: shares of messages
+	DuplicateRate  float64 `toml:"double"`
+	CorruptRate    float64 `toml:"spoil"` // bits are flipped
+	DelayRate      float64 `toml:"late"`
+	MaxDelayMS     int     `toml:"late_ms"` // by so much at most
+	BytesPerSecond int     `toml:"bytes_s"` // narrow: a second and link
+}
+
+// membershipFaultKind is the kind of a membership fault, as scenario files name it.
+type membershipFaultKind string
+
+// seconds is a duration that scenario files give as a number of seconds.
+type seconds time.Duration
+
+// UnmarshalTOML reads a number of seconds.
+func (s *seconds) UnmarshalTOML(x any) error {
+	switch x := x.(type) {
+	case int64:
+		*s = seconds(x) * seconds(time.Second)
+	case float64:
+		*s = seconds(x * float64(time.Second))
+	default:
+		return fmt.Errorf("%v is no number of seconds", x)
+	}
+	return nil
+}
+
+// selector selects members by index: "all", "lower" or "upper" (half), "one 3", "but 3", "zone 1" of three, or "tenths
+// 0-3" of each ten.
+type selector struct {
+	text    string
+	matches func(i, n int) bool
+}
+
+// UnmarshalText parses a selector.
+func (s *selector) UnmarshalText(b []byte) error {
+	s.text = string(b)
+	word, rest, _ := strings.Cut(s.text, " ")
+	var a, z int
+	numbers := 0
+	if rest != "" {
+		numbers, _ = fmt.Sscanf(rest, "%d-%d", &a, &z)
+	}
+	switch {
+	case s.text == "all":
+		s.matches = func(int, int) bool { return true }
+	case s.text == "lower":
+		s.matches = func(i, n int) bool { return i < n/2 }
+	case s.text == "upper":
+		s.matches = func(i, n int) bool { return i >= n/2 }
+	case word == "one" && numbers == 1:
+		s.matches = func(i, _ int) bool { return i == a }
+	case word == "but" && numbers == 1:
+		s.matches = func(i, _ int) bool { return i != a }
+	case word == "zone" && numbers == 1 && a < 3:
+		s.matches = func(i, _ int) bool { return i%3 == a }
+	case word == "tenths" && numbers == 2:
+		s.matches = func(i, _ int) bool { return i%10 >= a && i%10 <= z }
+	default:
+		return fmt.Errorf("%q selects no members", s.text)
+	}
+	return nil
+}
+
+// membershipScenarios are all membership scenarios, in order of their names.
+var membershipScenarios = mustReadScenarios()
+
+// mustReadScenarios parses the embedded scenario files. It panics on errors, as they are part of the program.
+func mustReadScenarios() []*membershipScenario {
+	files, err := scenarioFiles.ReadDir("scenarios")
+	if err != nil {
+		panic(err) // they are part of the program
+	}
+	var days []*membershipScenario
+	for _, f := range files {
+		text, err := scenarioFiles.ReadFile("scenarios/" + f.Name())
+		if err == nil {
+			var d *membershipScenario
+			if d, err = parseScenario(string(text)); err == nil {
+				d.name = strings.TrimSuffix(f.Name(), path.Ext(f.Name()))
+				days = append(days, d)
+			}
+		}
+		if err != nil {
+			panic(fmt.Sprintf("%s: %v", f.Name(), err))
+		}
+	}
+	return days
+}
+
+// parseScenario parses and validates a membership scenario.
+func parseScenario(text string) (*membershipScenario, error) {
+	d := &membershipScenario{}
+	meta, err := toml.Decode(text, d)
+	if err != nil {
+		return nil, err
+	}
+	if unknown := meta.Undecoded(); len(unknown) > 0 {
+		return nil, fmt.Errorf("unknown key %s", unknown[0])
+	}
+	if d.About == "" || d.Duration <= 0 || len(d.LossRates) == 0 {
+		return nil, fmt.Errorf("about, length_s and losses are needed")
+	}
+	for i, f := range d.Faults {
+		link := f.Kind == faultPartition || f.Kind == faultNoise || f.Kind == faultStall || f.Kind == faultBandwidth
+		switch {
+		case !link && f.Kind != faultPause && f.Kind != faultKill && f.Kind != faultLeave:
+			return nil, fmt.Errorf("fault %d: there is no kind %q", i, f.Kind)
+		case f.Members.matches == nil || link != (f.Peers.matches != nil) || f.Bidirectional && !link:
+			return nil, fmt.Errorf("fault %d: who, and to where messages are concerned, are needed", i)
+		case f.At < 0 || f.Duration < 0 || f.At+f.Duration > d.Duration:
+			return nil, fmt.Errorf("fault %d: it lies outside the day", i)
+		case f.Kind == faultBandwidth && f.BytesPerSecond <= 0:
+			return nil, fmt.Errorf("fault %d: bytes_s is needed", i)
+		case max(f.LossRate, f.DuplicateRate, f.CorruptRate, f.DelayRate) > 1 || min(f.LossRate, f.DuplicateRate, f.CorruptRate, f.DelayRate) < 0 || f.MaxDelayMS < 0:
+			return nil, fmt.Errorf("fault %d: shares lie between 0 and 1", i)
+		}
+	}
+	return d, nil
+}
+
+// at returns when the fault starts within its scenario.
+func (f *membershipFault) at() time.Duration { return time.Duration(f.At) }
+
+// end returns when the fault ends within its scenario. Faults without a duration end after it.
+func (f *membershipFault) end(d *membershipScenario) time.Duration {
+	if f.Duration == 0 {
+		return time.Duration(d.Duration) + time.Hour
+	}
+	return time.Duration(f.At + f.Duration)
+}
--- /dev/null
+++ b/internal/experiment/slowstart.go
@@ -0,0 +1,151 @@
+package experiment
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"math"
+	"runtime"
+	"slices"
+	"time"
+)
+
+// slowStartRecord is what all gateways sent one host since its last start.
+type slowStartRecord struct {
+	calls          []slowStartCall
+	incarnation    int
+	notifiedStarts map[*gateway]time.Duration // the start that each gateway was told of
+	// The greatest excess of a window over N + 2 root of N + 2 requests of mean work, of all that came, and of windows of
+	// which two thirds came from gateways that had been told of the start; and what that window held.
+	excess, notifiedExcess float64
+	worstWindow            string
+}
+
+// slowStartCall is one attempt or health check that reached a host during its slow start.
+type slowStartCall struct {
+	at       time.Duration
+	work     float64 // over the mean work of a request; 1 for any attempt, as its work is chance
+	notified bool
+}
+
+// chanceMargin is the excess over a budget of n calls that chance explains.
+func chanceMargin(n float64) float64 { return 2*math.Sqrt(n) + 2 }
+
+// slowStartOf returns the record of a host and creates it at first use.
+func (j *Judge) slowStartOf(h *host) *slowStartRecord {
+	r := j.slowStarts[h]
+	if r == nil {
+		r = &slowStartRecord{notifiedStarts: map[*gateway]time.Duration{}, excess: math.Inf(-1), notifiedExcess: math.Inf(-1)}
+		j.slowStarts[h] = r
+	}
+	return r
+}
+
+// startNotified records that a gateway has been notified of a host's start.
+func (j *Judge) startNotified(g *gateway, h *host, started time.Duration) {
+	if h != nil && started > 0 {
+		j.slowStartOf(h).notifiedStarts[g] = started
+	}
+}
+
+// recordSlowStartCall records a call at a host that may be in slow start: an attempt, of work 1, or a health check, of
+// its cost relative to a request.
+func (j *Judge) recordSlowStartCall(h *host, g *gateway, work float64) {
+	if h.started == 0 || h.speed() >= 1 || h.slow {
+		return
+	}
+	r := j.slowStartOf(h)
+	if r.incarnation != h.incarnation {
+		r.incarnation, r.calls = h.incarnation, nil
+	}
+	r.calls = slices.DeleteFunc(r.calls, func(c slowStartCall) bool { return c.at <= j.fleet.now-overloadWindow })
+	r.calls = append(r.calls, slowStartCall{j.fleet.now, work, r.notifiedStarts[g] == h.started})
+	all, told := 0.0, 0.0
+	for _, c := range r.calls {
+		if all += c.work; c.notified {
+			told += c.work
+		}
+	}
+	n := overloadFactor * h.speed() * coresPerHost * overloadWindow.Seconds() / j.fleet.meanWork()
+	over := all - n - chanceMargin(n)
+	if told > all*2/3 && over > r.notifiedExcess {
+		r.notifiedExcess = over
+	}
+	if over > r.excess {
+		r.excess = over
+		r.worstWindow = fmt.Sprintf("%s: %.1f calls (%.1f of gateways that were told) within %v, %.1f s after its start, N %.1f",
+			h.id, all, told, overloadWindow, (j.fleet.now - h.started).Seconds(), n)
+	}
+}
+
+// slowStartExcess returns the largest excess over all hosts, of all calls and of calls by notified gateways, and
+// describes the window with the former.
+func (j *Judge) slowStartExcess() (excess, told float64, most string) {
+	excess, told = math.Inf(-1), math.Inf(-1)
+	for _, r := range j.slowStarts {
+		if r.excess > excess {
+			excess, most = r.excess, r.worstWindow
+		}
+		told = max(told, r.notifiedExcess)
+	}
+	return excess, told, most
+}
+
+// slowStartScenarios are scenarios with host starts before 20 or 30 gateways, by name. Some gateways restart just
+// before. The first host of a group is its primary; if it returns before another is elected, it receives all of the
+// group's writes during slow start.
+var slowStartScenarios = map[string][]Fault{
+	"one":   {gatewayKillFault, hostCrashFault(0, 12, 2500)},
+	"two":   {gatewayKillFault, hostCrashFault(0, 12, 2500), hostCrashFault(4, 12, 2500)},
+	"again": {gatewayKillFault, hostCrashFault(0, 12, 2500), hostCrashFault(0, 18, 2000)},
+	"elect": {gatewayKillFault, hostCrashFault(1, 12, 2500), hostCrashFault(2, 12, 2500), hostCrashFault(3, 12, 2500), hostCrashFault(0, 15, 12000)},
+	"join":  {gatewayKillFault, {Kind: Replace, Fraction: 0.6, At: 6 * sec, Duration: 9 * sec}},
+}
+
+// gatewayKillFault restarts two of five gateways half a second after the hosts have started.
+var gatewayKillFault = Fault{Kind: Kill, Fraction: 0.4, At: 14 * sec, Duration: sec}
+
+// hostCrashFault crashes a host, at a time in seconds, for a duration in ms.
+func hostCrashFault(host, at, ms int) Fault {
+	return Fault{Kind: Crash, HostNumber: host + 1, At: time.Duration(at) * sec, Duration: time.Duration(ms) * time.Millisecond}
+}
+
+// slowStartSpec describes a slow-start scenario.
+func slowStartSpec(gateways int, faults []Fault, b Defect) Spec {
+	s := baseSpec(28*sec, faults...)
+	s.Hosts, s.Groups, s.Gateways, s.Load, s.Defect = 10, 3, gateways, 0.85, b
+	s.Rate = 240 / float64(gateways) * s.Load // hosts that take some tens of requests a second
+	s.UnevenTraffic, s.DisableOverload = true, true
+	return s
+}
+
+func init() {
+	Experiments = append(Experiments, Experiment{Name: "fleet-ramp", slowStart: true,
+		About: "20 and 30 uneven gateways, some of them new, before hosts that start: what all send each is held against its budget"})
+}
+
+// runSlowStart runs each slow-start scenario with 20 and with 30 gateways and each seed.
+func (e *Experiment) runSlowStart(ctx context.Context, o Options) (*Result, error) {
+	r := &Result{Experiment: e.Name, About: e.About, Seed: o.Seed, Seeds: o.Seeds, Driver: "virtual", Version: o.Version,
+		Size:    "10 hosts, 3 groups, 20 and 30 gateways, 204 requests/s, load 0.85",
+		Machine: fmt.Sprintf("%d cores", runtime.NumCPU()), Figures: map[string]float64{}, Series: map[string][]float64{}}
+	names := slices.Sorted(maps.Keys(slowStartScenarios))
+	for _, name := range names {
+		worst, told, most := math.Inf(-1), math.Inf(-1), ""
+		for i := range o.Seeds * 2 {
+			if ctx.Err() != nil {
+				return nil, ctx.Err()
+			}
+			f := newFleet(slowStartSpec(20+10*(i%2), slowStartScenarios[name], o.Defect), o.Seed+uint64(i/2))
+			f.runUntil(epoch + f.Length)
+			all, of, what := f.judge.slowStartExcess()
+			if told = max(told, of); all > worst {
+				worst, most = all, fmt.Sprintf("%s, seed %d, %d gateways: %s", name, o.Seed+uint64(i/2), f.Gateways, what)
+			}
+		}
+		r.addClaim(name+": calls over N + 2 root of N + 2 in the fullest window", worst, "<=", 0)
+		r.Figures["excess_"+name], r.Figures["excess_told_"+name] = worst, told
+		r.Notes = append(r.Notes, most)
+	}
+	return r, nil
+}
--- /dev/null
+++ b/internal/experiment/sockethost.go
@@ -0,0 +1,171 @@
+package experiment
+
+import (
+	"bytes"
+	"context"
+	"net"
+	"sync"
+
+	"cranegate/internal/fake"
+	"cranegate/routing"
+)
+
+// hostSockets is a host's side of the network. While it is blocked nothing passes: bytes wait, as during a partition,
+// and are lost with their connection if the process has crashed meanwhile.
+type hostSockets struct {
+	live      *live
+	host      *host
+	addresses [2]string
+	server    *fake.Host
+
+	mu        sync.Mutex
+	blocked   chan struct{} // closed when the door opens; nil while it is open
+	ctx       context.Context
+	cancel    context.CancelFunc
+	listeners [2]net.Listener
+	conns     map[net.Conn]bool
+}
+
+// waitUnblocked waits while the sockets are blocked. It returns false if the process has crashed.
+func (s *hostSockets) waitUnblocked() bool {
+	s.mu.Lock()
+	shut, life := s.blocked, s.ctx
+	s.mu.Unlock()
+	if shut == nil {
+		return true
+	}
+	select {
+	case <-shut:
+		return life.Err() == nil
+	case <-life.Done():
+		return false
+	}
+}
+
+// blockableConn is a connection that passes no bytes while its host is blocked.
+type blockableConn struct {
+	net.Conn
+	sockets *hostSockets
+}
+
+// Read returns bytes once the host is unblocked. Requests that arrive before count as attempts at an unreachable host.
+func (c blockableConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.sockets.mu.Lock()
+	shut := c.sockets.blocked != nil
+	c.sockets.mu.Unlock()
+	if text := b[:n]; shut && !bytes.Contains(text, []byte("SHOW pressure")) {
+		if _, rest, ok := bytes.Cut(text, []byte("id=")); ok {
+			id, _, _ := bytes.Cut(rest, []byte(","))
+			c.sockets.live.post(func() { c.sockets.live.recordLost(c.sockets.host, string(id)) })
+		}
+	}
+	if !c.sockets.waitUnblocked() {
+		return 0, net.ErrClosed
+	}
+	return n, err
+}
+
+// Write writes once the host is unblocked.
+func (c blockableConn) Write(b []byte) (int, error) {
+	if !c.sockets.waitUnblocked() {
+		return 0, net.ErrClosed
+	}
+	return c.Conn.Write(b)
+}
+
+// handleStatement waits for the model's outcome of a statement and converts it into an act of the fake host.
+func (s *hostSockets) handleStatement(id, text string, prepare bool) fake.Act {
+	if prepare {
+		return fake.Serve
+	}
+	s.mu.Lock()
+	life := s.ctx
+	s.mu.Unlock()
+	out := make(chan routing.Result, 1)
+	s.live.post(func() { s.live.receive(s.host, id, out) })
+	select {
+	case r := <-out:
+		return map[routing.Result]fake.Act{routing.ResultOK: fake.Serve, routing.ResultMissed: fake.Miss,
+			routing.ResultOverCapacity: fake.Reject, routing.ResultTimeout: fake.Silent, routing.ResultError: fake.Error}[r]
+	case <-life.Done():
+	case <-s.live.ctx.Done():
+	}
+	return fake.Reset
+}
+
+// report returns what the host tells of its role and position: the current values, or those of its health report.
+func (s *hostSockets) report(report bool) (primary bool, position int64) {
+	type told struct {
+		primary  bool
+		position int64
+	}
+	out := make(chan told, 1)
+	s.live.post(func() {
+		x := healthReport{s.host.position, s.host.group.primary == s.host}
+		if report {
+			x = s.host.currentReport()
+		}
+		out <- told{x.primary, s.live.unixMillis(x.position)}
+	})
+	select {
+	case x := <-out:
+		return x.primary, x.position
+	case <-s.live.ctx.Done():
+		return false, 0
+	}
+}
+
+// setState applies the state of the modelled host to its sockets. It runs in the goroutine that owns the model.
+func (s *hostSockets) setState(up, cut bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if cut && s.blocked == nil {
+		s.blocked = make(chan struct{})
+	} else if !cut && s.blocked != nil {
+		close(s.blocked)
+		s.blocked = nil
+	}
+	running := s.ctx != nil && s.ctx.Err() == nil
+	switch {
+	case running && !up:
+		s.cancel()
+		for i, x := range s.listeners {
+			x.Close()
+			s.listeners[i] = nil
+		}
+		for c := range s.conns {
+			c.(*net.TCPConn).SetLinger(0) // a reset, as of a process that has died
+			c.Close()
+		}
+		s.conns = map[net.Conn]bool{}
+	case !running && up:
+		s.ctx, s.cancel = context.WithCancel(s.live.ctx)
+		for i := range s.listeners {
+			x, err := net.Listen("tcp", s.addresses[i])
+			if err != nil {
+				s.live.judge.note("%s can't listen again: %v", s.host.id, err)
+				continue
+			}
+			s.listeners[i], s.addresses[i] = x, x.Addr().String()
+			go fake.Accept(x, func(c net.Conn) { s.serveConn(c, i) })
+		}
+	}
+}
+
+// serveConn serves one connection until it ends.
+func (s *hostSockets) serveConn(c net.Conn, protocol int) {
+	s.mu.Lock()
+	s.conns[c] = true
+	s.mu.Unlock()
+	defer func() {
+		s.mu.Lock()
+		delete(s.conns, c)
+		s.mu.Unlock()
+	}()
+	if protocol == 0 {
+		s.server.ServePostgres(blockableConn{c, s})
+	} else {
+		s.server.ServeMySQL(blockableConn{c, s})
+	}
+}
--- a/internal/experiment/live_test.go
+++ b/internal/experiment/sockets_test.go
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// TestSockets plays some seconds with real gateways on loopback, through both fronts: hosts of a zone fall silent, are
+// TestSocketDriver plays some seconds with real gateways on loopback, through both fronts: hosts of a zone fall silent, are
 // back cold, and one drains. What is held here does not hang on the machine's pace.
-func TestSockets(t *testing.T) {
+func TestSocketDriver(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "cranegate")
 	if out, err := exec.Command("go", "build", "-o", program, "cranegate/cmd/cranegate").CombinedOutput(); err != nil {
 		t.Fatalf("building: %v\n%s", err, out)
 	}
-	s := day(8*sec, Fault{Kind: Silent, Zone: "nuernberg", At: 2 * sec, For: 3 * sec, Cold: true}, Fault{Kind: Crash, Host: "", Zone: "augsburg", But: 2, At: 3 * sec, For: sec})
+	s := baseSpec(8*sec, Fault{Kind: Silent, Zone: "nuernberg", At: 2 * sec, Duration: 3 * sec, RestartAtEnd: true}, Fault{Kind: Crash, Host: "", Zone: "augsburg", Spared: 2, At: 3 * sec, Duration: sec})
 	s.Load, s.Gateways = 0.3, 2
-	j, err := playLive(context.Background(), s, 5, program, "[zones]\n", io.Discard, nil)
+	j, err := runSockets(context.Background(), s, 5, program, "[zones]\n", io.Discard, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"stale_reads", "second_runs", "wrong_answers"} {
-		if n := j.rules()[name]; n > 0 {
+		if n := j.violations()[name]; n > 0 {
 			t.Errorf("%s: %.0f: %v", name, n, j.notes)
 		}
 	}
-	if asked, earned, _ := j.worth(epoch, epoch+2*sec); len(j.asks) < 300 || earned < asked/2 {
-		t.Errorf("%d requests; of %.0f asked for before the loss %.0f was earned", len(j.asks), asked, earned)
+	if asked, earned, _ := j.weights(epoch, epoch+2*sec); len(j.operations) < 300 || earned < asked/2 {
+		t.Errorf("%d requests; of %.0f asked for before the loss %.0f was earned", len(j.operations), asked, earned)
 	}
-	if j.extra > 0 {
-		t.Errorf("%d requests got a second answer", j.extra)
+	if j.extraResponses > 0 {
+		t.Errorf("%d requests got a second answer", j.extraResponses)
 	}
 }
 
@@ -43,13 +43,13 @@
 		t.Fatalf("building: %v\n%s", err, out)
 	}
 	var out strings.Builder
-	if err := Up(context.Background(), UpOptions{Program: program, For: 2500 * time.Millisecond, Rate: 30, Seed: 1, Gateways: 2, Logs: io.Discard, Out: &out}); err != nil {
+	if err := Up(context.Background(), UpOptions{Program: program, Duration: 2500 * time.Millisecond, Rate: 30, Seed: 1, Gateways: 2, Logs: io.Discard, Out: &out}); err != nil {
 		t.Fatal(err)
 	}
 	if text := out.String(); strings.Count(text, "worth served") != 2 || !strings.Contains(text, "MySQL on 127.0.0.1:") || !strings.Contains(text, "gateways count") {
 		t.Errorf("it showed:\n%s", text)
 	}
-	if err := Up(context.Background(), UpOptions{Program: "no-such-program", For: time.Second, Rate: 30, Logs: io.Discard, Out: io.Discard}); err == nil {
+	if err := Up(context.Background(), UpOptions{Program: "no-such-program", Duration: time.Second, Rate: 30, Logs: io.Discard, Out: io.Discard}); err == nil {
 		t.Error("a program that is not there is no fault")
 	}
 }
--- a/internal/experiment/up.go
+++ b/internal/experiment/up.go
@@ -12,29 +12,29 @@
 	"cranegate/routing"
 )
 
-// UpOptions are those of a fleet to look at.
+// UpOptions configure Up.
 type UpOptions struct {
-	Program   string
-	For       time.Duration // 0: until the context ends
-	Lose      time.Duration // when a zone is lost, for 15 s, and again every minute; 0: never
-	Rate      float64
-	Seed      uint64
-	Gateways  int // that know each other, where there are more than one
-	Logs, Out io.Writer
+	Program       string
+	Duration      time.Duration // 0: until the context ends
+	ZoneLossDelay time.Duration // when a zone is lost, for 15 s, and again every minute; 0: never
+	Rate          float64
+	Seed          uint64
+	Gateways      int // that know each other, where there are more than one
+	Logs, Out     io.Writer
 }
 
-// Up plays a fleet of three zones on sockets, with both fronts of each gateway, and writes a line a second. Its clients
-// are told of nothing; what they get is on the line. Several gateways know each other, and are cut in two while the zone
-// is lost; the line says how many each counts as there.
+// Up runs a fleet of three zones on sockets, with both frontends of each gateway, and writes a status line every
+// second. Several gateways form a fleet, which is partitioned in two while the zone is lost; the line then shows how
+// many members each sees. It returns ctx's error.
 func Up(ctx context.Context, o UpOptions) error {
-	s := Spec{Zones: threeZones, Hosts: 9, Groups: 3, Gateways: max(1, o.Gateways), Rate: o.Rate, Load: 0.3, Length: o.For, Guards: routing.StaleReadDelayed}
+	s := Spec{Zones: threeZones, Hosts: 9, Groups: 3, Gateways: max(1, o.Gateways), Rate: o.Rate, Load: 0.3, Length: o.Duration, StaleReads: routing.StaleReadDelayed}
 	if s.Length <= 0 {
 		s.Length = 24 * time.Hour
 	}
-	for at := o.Lose; o.Lose > 0 && at < s.Length; at += time.Minute {
-		s.Faults = append(s.Faults, Fault{Kind: Silent, Zone: "nuernberg", At: at, For: 15 * sec, Cold: true})
+	for at := o.ZoneLossDelay; o.ZoneLossDelay > 0 && at < s.Length; at += time.Minute {
+		s.Faults = append(s.Faults, Fault{Kind: Silent, Zone: "nuernberg", At: at, Duration: 15 * sec, RestartAtEnd: true})
 	}
-	how := liveOptions{program: o.Program, operator: func(int) string { return "[zones]\n" }, logs: func(int) io.Writer { return o.Logs }}
+	how := liveOptions{program: o.Program, operatorTables: func(int) string { return "[zones]\n" }, logs: func(int) io.Writer { return o.Logs }}
 	var views atomic.Pointer[string]
 	if s.Gateways > 1 {
 		dir, err := os.MkdirTemp("", "cranelab")
@@ -43,62 +43,62 @@
 		}
 		defer os.RemoveAll(dir)
 		rctx, cancel := context.WithCancel(ctx)
-		r := newRig(rctx, &memberDay{}, s.Gateways, 0, o.Seed, dir, o.Logs)
-		defer r.net.work.Wait()
+		r := newProcessHarness(rctx, &membershipScenario{}, s.Gateways, 0, o.Seed, dir, o.Logs)
+		defer r.network.work.Wait()
 		defer cancel()
 		if err := r.prepare(s.Gateways); err != nil {
 			return err
 		}
-		r.net.serve()
-		how.operator = func(i int) string { return "[zones]\n" + r.procs[i].tables }
-		how.begins = func(*live) { r.net.work.Go(func() { r.show(s.Faults, &views) }) }
+		r.network.serve()
+		how.operatorTables = func(i int) string { return "[zones]\n" + r.processes[i].operatorTables }
+		how.onStart = func(*live) { r.network.work.Go(func() { r.showPartitions(s.Faults, &views) }) }
 	}
 	first := true
-	how.each = func(l *live) {
+	how.everySecond = func(l *live) {
 		if first {
 			first = false
-			fmt.Fprintf(o.Out, "PostgreSQL on %s, MySQL on %s; a zone is lost after %v\n", l.fronts[0].address[0], l.fronts[0].address[1], o.Lose)
+			fmt.Fprintf(o.Out, "PostgreSQL on %s, MySQL on %s; a zone is lost after %v\n", l.frontends[0].addresses[0], l.frontends[0].addresses[1], o.ZoneLossDelay)
 		}
-		text := l.line()
+		text := l.statusLine()
 		if v := views.Load(); v != nil {
 			text += *v
 		}
 		fmt.Fprintln(o.Out, text)
-		l.judge.forget(l.now - 10*time.Second)
+		l.judge.discardBefore(l.now - 10*time.Second)
 	}
-	_, err := playLiveWith(ctx, s, o.Seed, how)
+	_, err := runLive(ctx, s, o.Seed, how)
 	return err
 }
 
-// show has the gateways cut in two while zones are lost, and keeps what each counts as there.
-func (r *rig) show(faults []Fault, views *atomic.Pointer[string]) {
+// showPartitions partitions the gateways while zones are lost, and stores the size of each gateway's view.
+func (h *processHarness) showPartitions(faults []Fault, views *atomic.Pointer[string]) {
 	var lower, upper selector
 	for s, text := range map[*selector]string{&lower: "lower", &upper: "upper"} {
 		if err := s.UnmarshalText([]byte(text)); err != nil {
 			panic(err) // they are those of the days
 		}
 	}
-	halves := &memberFault{Kind: cutOff, Who: lower, To: upper, Both: true}
+	halves := &membershipFault{Kind: faultPartition, Members: lower, Peers: upper, Bidirectional: true}
 	began, cut := time.Now(), false
 	for tick := time.NewTicker(time.Second); ; {
 		select {
 		case <-tick.C:
-		case <-r.net.ctx.Done():
+		case <-h.network.ctx.Done():
 			tick.Stop()
 			return
 		}
 		at := time.Since(began)
-		now := slices.ContainsFunc(faults, func(f Fault) bool { return at >= f.At && at < f.At+f.For })
+		now := slices.ContainsFunc(faults, func(f Fault) bool { return at >= f.At && at < f.At+f.Duration })
 		if now && !cut {
-			r.net.begin(halves)
+			h.network.startFault(halves)
 		} else if cut && !now {
-			r.net.end(halves)
+			h.network.endFault(halves)
 		}
 		cut = now
 		text := "  gateways count"
-		for _, p := range r.procs {
+		for _, p := range h.processes {
 			seen := "?"
-			if v, err := r.ask(p); err == nil {
+			if v, err := h.fetchView(p); err == nil {
 				there := 1
 				for _, m := range v.Members {
 					if m.State == "alive" || m.State == "draining" {
@@ -116,10 +116,10 @@
 	}
 }
 
-// line tells of the last second whose requests have been answered by now.
-func (l *live) line() string {
+// statusLine summarises the last second whose requests have all been answered.
+func (l *live) statusLine() string {
 	to := l.now - 2*time.Second // the longest deadline is 2.5 s
-	_, asked, earned := l.judge.earned(to-time.Second, to)
+	_, asked, earned := l.judge.earnedWeight(to-time.Second, to)
 	counts := map[string]int{}
 	for _, t := range l.judge.attempts {
 		if t.at >= l.now-time.Second {
@@ -134,7 +134,7 @@
 	for _, z := range l.Zones {
 		up := 0
 		for _, h := range l.hosts {
-			if h.zone == z && h.ok() {
+			if h.zone == z && h.reachable() {
 				up++
 			}
 		}
