--- a/internal/experiment/attempt.go
+++ b/internal/experiment/attempt.go
@@ -10,17 +10,17 @@
 // attempt is one attempt of a request at one host.
 type attempt struct {
 	gateway            *gateway
-	gatewayIncarnation int // of the gateway
+	gatewayIncarnation int // at the time of the send
 	request            *request
 	host               *host
 	number             int
 	sentAt             time.Duration
-	connectedAt        time.Duration // its connection
+	connectedAt        time.Duration // connect time of its connection
 	abandonAt          time.Duration
-	beginBy            time.Duration // it has to begin before this; 0: whenever it can
-	requiredPosition   time.Duration // position that the data must have
+	beginBy            time.Duration // latest start; 0: none
+	requiredPosition   time.Duration // minimum log position of the data
 	written, finished  bool
-	onOutcome          func(routing.Outcome, time.Duration) // takes the outcome where the gateway is a real one
+	onOutcome          func(routing.Outcome, time.Duration) // receives the outcome on sockets; nil: the decision module does
 }
 
 // Send starts an attempt; see routing.Effects.
--- a/internal/experiment/client.go
+++ b/internal/experiment/client.go
@@ -9,11 +9,11 @@
 // operation is what a client wants. Each of its tries is a request.
 type operation struct {
 	class        *class
-	classIndex   int // of its class
+	classIndex   int // index of class
 	group        *group
 	work         time.Duration
 	arrived      time.Duration
-	sessionToken time.Duration // the commit that a session's read must see, 0 for none
+	sessionToken time.Duration // position of the commit that the session must read; 0: none
 	gateway      int
 	requests     int
 	earned       float64
@@ -30,7 +30,7 @@
 	responses      int
 	finished       bool
 	inFlight       []*attempt
-	servedBy       *attempt // that served it, with data of at: sockets
+	servedBy       *attempt // set on sockets only
 	servedPosition time.Duration
 }
 
@@ -52,7 +52,7 @@
 		work: time.Duration(float64(draw(random, class.minWork, class.maxWork)) * f.workScale)}
 	follows, gap := random.Float64() < 0.78, time.Duration(random.ExpFloat64()*float64(400*time.Millisecond))
 	if primary := op.group.primary; class.Consistency == routing.ConsistencySession && follows && primary != nil {
-		op.sessionToken = min(f.now-gap, primary.position) // there was no commit while no primary ran
+		op.sessionToken = min(f.now-gap, primary.position) // no commit is possible without a primary
 	}
 	f.judge.recordOperation(op)
 	g.sendRequest(op)
@@ -63,7 +63,7 @@
 	f := g.f
 	op.requests++
 	for range f.gateways {
-		if g.down { // the front takes another: how long it takes to notice is not played
+		if g.down { // the front end's failover time is not modelled
 			g = f.gateways[(g.number+1)%len(f.gateways)]
 		}
 	}
@@ -109,7 +109,7 @@
 	if g.finished {
 		return
 	} else if request.finished {
-		if request.responses > 1 { // else it came too late, which overdue has counted
+		if request.responses > 1 { // a single late response is counted by requestTimedOut
 			f.judge.extraResponses++
 		}
 		return
--- a/internal/experiment/defect.go
+++ b/internal/experiment/defect.go
@@ -12,10 +12,10 @@
 // The defects.
 const (
 	NoDefect              Defect = iota
-	DefectSlowStartBudget        // cold hosts are taken to bear seven times what they do
-	DefectIgnoreDraining         // drains are not heard
-	DefectStaleReads             // data may be ten seconds older than it may, and hosts do not check
-	DefectRepeatWrites           // writes are repeated like reads
+	DefectSlowStartBudget        // slow-start budgets are seven times too large
+	DefectIgnoreDraining         // draining states are ignored
+	DefectStaleReads             // staleness bounds are 10 s too large, and hosts do not check
+	DefectRepeatWrites           // writes are retried like reads
 )
 
 // Defects maps names of the command line to defects.
--- a/internal/experiment/excuse.go
+++ b/internal/experiment/excuse.go
@@ -5,7 +5,7 @@
 // excuse permits verdicts on members that a fault makes unreachable, until the verdicts have had time to spread.
 type excuse struct {
 	fault              *membershipFault
-	faultEnd, graceEnd time.Duration // the end of the fault, and of its news
+	faultEnd, graceEnd time.Duration // end of the fault, and of the time in which its verdicts spread
 }
 
 // verdictGracePeriod is how long after the end of a fault its verdicts may still be in transit.
@@ -23,12 +23,12 @@
 }
 
 // excuses reports whether observer may consider accused failed while the fault lasts, in a fleet of n members.
-func (f *membershipFault) excuses(by, accused, n int) bool {
+func (f *membershipFault) excuses(observer, accused, n int) bool {
 	if f.Kind == faultPause {
 		return f.Members.matches(accused, n)
 	}
 	for _, s := range f.Excuses {
-		if s.matches(accused, n) && !s.matches(by, n) {
+		if s.matches(accused, n) && !s.matches(observer, n) {
 			return true
 		}
 	}
@@ -36,13 +36,13 @@
 }
 
 // isExcused reports whether any excuse permits observer to consider accused failed now, in a fleet of n members.
-func isExcused(all []excuse, now time.Duration, by, accused, n int) bool {
-	for _, x := range all {
-		if now < x.faultEnd && x.fault.excuses(by, accused, n) {
+func isExcused(excuses []excuse, now time.Duration, observer, accused, n int) bool {
+	for _, excuse := range excuses {
+		if now < excuse.faultEnd && excuse.fault.excuses(observer, accused, n) {
 			return true
 		}
-		for i := 0; now >= x.faultEnd && now < x.graceEnd && i < n; i++ {
-			if x.fault.excuses(i, accused, n) {
+		for i := 0; now >= excuse.faultEnd && now < excuse.graceEnd && i < n; i++ {
+			if excuse.fault.excuses(i, accused, n) {
 				return true
 			}
 		}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -19,17 +19,17 @@
 	Name, About   string
 	zone          string
 	spec          func(short bool) Spec
-	maxDetection  time.Duration // within which attempts must avoid the zone, 0: not claimed
-	lossAt        float64       // seconds from the start to the loss
-	returnAt      float64       // and to the return, 0: not looked at
-	claimsReturn  bool          // claims the return
-	claimsNotLost bool          // claims that no zone is condemned
+	maxDetection  time.Duration // bound on the time until attempts avoid the zone; 0: not claimed
+	lossAt        float64       // seconds from the start
+	returnAt      float64       // seconds from the start; 0: not measured
+	claimsReturn  bool          // claims the recovery after the return
+	claimsNotLost bool          // claims that no zone is considered lost
 	loads         []float64
 	membership    *membershipScenario
 	gateways      *gatewayScenario
-	endurance     bool           // a long day of which nothing may be left
-	slowStart     bool           // days of cold hosts
-	fleet         *fleetScenario // a day of a whole fleet; nil: of a zone
+	endurance     bool           // a long run in which no state may grow
+	slowStart     bool           // scenarios with starting hosts
+	fleet         *fleetScenario // a scenario of a whole fleet
 }
 
 // Find returns the experiment with the given name. The error for an unknown name lists all names.
@@ -47,11 +47,11 @@
 // Options configure a run of an experiment.
 type Options struct {
 	Seed     uint64
-	Seeds    int // from Seed on
+	Seeds    int // consecutive seeds from Seed
 	Short    bool
-	Zones    zones.Options // of the arm that is measured; Own is each gateway's
-	Defect   Defect        // a defect made on purpose, which the claims should show
-	Members  []int         // sizes of the days of members; none: 10, 80, 300 and 1000
+	Zones    zones.Options // of the measured arm; OwnZone is set for each gateway
+	Defect   Defect        // a deliberate defect, which the claims should reveal
+	Members  []int         // sizes of membership scenarios; none: 10, 80, 300 and 1000
 	Progress func(done, all int)
 	Version  string
 
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -1,9 +1,10 @@
-// Package experiment plays a fleet of gateways and database hosts in virtual time and judges what happens from the
-// hosts' and the clients' side. The gateways run the real decision module; hosts, log, network, discovery and
-// clients are models. It exists for what no bench shows: a zone that is lost as a whole and comes back.
+// Package experiment simulates a fleet of gateways and database hosts in virtual time and judges the outcome from the
+// side of the hosts and the clients. The gateways run the real decision module; hosts, replication, network, discovery
+// and clients are models. It covers what benchmarks do not show, such as the loss and return of a whole zone. Some
+// experiments run real gateways on sockets, or real processes connected by relays.
 //
-// A day is drawn from its seed alone: two runs of one seed give the same day, whatever the gateways do, as far as
-// arrivals, faults and drawn delays go.
+// A scenario is determined by its specification and a seed: two runs with the same seed have the same arrivals, faults
+// and drawn delays, whatever the gateways do.
 package experiment
 
 import (
@@ -19,19 +20,19 @@
 type fleet struct {
 	Spec
 	timeline
-	rng              *rand.Rand // of what depends on the gateways' acts
+	rng              *rand.Rand // for draws that depend on what the gateways do
 	hosts            []*host
 	groups           []*group
 	gateways         []*gateway
 	judge            *Judge
-	workScale        float64 // of work, so that Load comes out
+	workScale        float64 // factor on the work of requests that yields Load
 	replicationDelay time.Duration
-	applyUtilization float64 // part of the time in which a replica applies at load 1
-	between          time.Duration
+	applyUtilization float64 // fraction of time in which a replica applies the log at load 1
+	crossZoneDelay          time.Duration
 	discoveryDown    bool
-	extraRate        float64 // added to the rate
+	extraRate        float64 // fraction of the rate that is added
 	onListed         func(*host, routing.Endpoint)
-	onHostChanged    func(*host) // told of a host that has died, started, been cut or restored, or that the list names anew
+	onHostChanged    func(*host) // called after a crash, start, partition, recovery or replacement
 }
 
 // notifyHostChanged calls onHostChanged, if it is set.
@@ -42,26 +43,27 @@
 }
 
 // draw returns a uniformly distributed duration between min and max.
-func draw(r *rand.Rand, a, b time.Duration) time.Duration {
-	return a + time.Duration(r.Float64()*float64(b-a))
+func draw(random *rand.Rand, low, high time.Duration) time.Duration {
+	return low + time.Duration(random.Float64()*float64(high-low))
 }
 
 // newFleet builds the fleet that spec and seed determine. The order of random draws here is part of the results of a
 // seed.
-func newFleet(s Spec, seed uint64) *fleet {
-	f := &fleet{Spec: s, timeline: timeline{now: epoch}, rng: rand.New(rand.NewPCG(seed, 1))}
-	d := rand.New(rand.NewPCG(seed, 2)) // what the day is made of
-	f.replicationDelay, f.applyUtilization, f.between = draw(d, 2*time.Millisecond, 15*time.Millisecond), 0.33+0.18*d.Float64(),
-		draw(d, 420*time.Microsecond, 780*time.Microsecond)
-	for i := range s.Groups {
+func newFleet(spec Spec, seed uint64) *fleet {
+	f := &fleet{Spec: spec, timeline: timeline{now: epoch}, rng: rand.New(rand.NewPCG(seed, 1))}
+	scenarioRNG := rand.New(rand.NewPCG(seed, 2)) // draws that define the scenario
+	f.replicationDelay = draw(scenarioRNG, 2*time.Millisecond, 15*time.Millisecond)
+	f.applyUtilization = 0.33 + 0.18*scenarioRNG.Float64()
+	f.crossZoneDelay = draw(scenarioRNG, 420*time.Microsecond, 780*time.Microsecond)
+	for i := range spec.Groups {
 		f.groups = append(f.groups, &group{f: f, number: i, failoverRNG: rand.New(rand.NewPCG(seed, 1000+uint64(i)))})
 	}
-	for i := range s.Hosts {
-		g := f.groups[i*s.Groups/s.Hosts]
-		h := &host{f: f, id: fmt.Sprintf("h%03d-%s", i, string('a'+rune(d.IntN(26)))), group: g, up: true, position: f.now,
-			zone: s.Zones[(g.number+len(g.members))%len(s.Zones)]} // primaries are spread over the zones
-		if s.Layout != nil {
-			h.zone = s.Layout[i]
+	for i := range spec.Hosts {
+		g := f.groups[i*spec.Groups/spec.Hosts]
+		h := &host{f: f, id: fmt.Sprintf("h%03d-%s", i, string('a'+rune(scenarioRNG.IntN(26)))), group: g, up: true, position: f.now,
+			zone: spec.Zones[(g.number+len(g.members))%len(spec.Zones)]} // spreads primaries over the zones
+		if spec.Layout != nil {
+			h.zone = spec.Layout[i]
 		}
 		g.members = append(g.members, h)
 		f.hosts = append(f.hosts, h)
@@ -74,25 +76,25 @@
 		mean += c.trafficFraction * (c.minWork + c.maxWork).Seconds() / 2
 	}
 	rate := 0.0
-	for i := range s.Gateways {
-		rate += s.Rate * f.zoneRate(s.Zones[i%len(s.Zones)])
+	for i := range spec.Gateways {
+		rate += spec.Rate * f.zoneRate(spec.Zones[i%len(spec.Zones)])
 	}
-	f.workScale = s.Load * float64(s.Hosts*coresPerHost) / (rate * mean)
+	f.workScale = spec.Load * float64(spec.Hosts*coresPerHost) / (rate * mean)
 	f.judge = newJudge(f)
-	for i := range s.Gateways {
+	for i := range spec.Gateways {
 		f.gateways = append(f.gateways, newGateway(f, i, rand.New(rand.NewPCG(seed, 100+uint64(i)))))
 	}
-	if s.UnevenTraffic {
+	if spec.UnevenTraffic {
 		sum := 0.0
 		for _, g := range f.gateways {
-			g.trafficFactor = 0.3 + 3*math.Pow(d.Float64(), 4)
+			g.trafficFactor = 0.3 + 3*math.Pow(scenarioRNG.Float64(), 4)
 			sum += g.trafficFactor
 		}
 		for _, g := range f.gateways {
-			g.trafficFactor *= float64(s.Gateways) / sum
+			g.trafficFactor *= float64(spec.Gateways) / sum
 		}
 	}
-	for _, x := range s.Faults {
+	for _, x := range spec.Faults {
 		f.after(x.At, func() { f.startFault(x) })
 		f.after(x.At+x.Duration, func() { f.endFault(x) })
 	}
--- a/internal/experiment/fleetscenarios.go
+++ b/internal/experiment/fleetscenarios.go
@@ -4,12 +4,8 @@
 	"context"
 	"fmt"
 	"runtime"
-	"strings"
-	"sync/atomic"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"cranegate/routing"
 )
 
@@ -17,7 +13,7 @@
 // in one gateway may be harmful in all. The reference is the same module in gateways that size their pools as if each
 // were alone.
 type fleetScenario struct {
-	faultStart, faultEnd float64 // seconds of the trouble
+	faultStart, faultEnd float64 // seconds from the start
 	faults               []Fault
 }
 
@@ -68,12 +64,12 @@
 
 // fleetTotals sums the results of several runs over all gateways.
 type fleetTotals struct {
-	asked, earned, allowed                   float64 // worth, from the trouble to the end
-	earnedBefore, earnedAfter                float64 // shares of worth earned before the trouble, and in 5 s near the end
+	asked, earned, allowed                   float64 // priority weight, from the fault to the end
+	earnedBefore, earnedAfter                float64 // sums of the earned fractions before the fault, and in 5 s near the end
 	connects, rejectedConnects, healthChecks float64
-	attempts, firstAttempts, primaryAttempts float64 // all; first ones; first ones at primaries
+	attempts, firstAttempts, primaryAttempts float64 // primaryAttempts are first attempts at primaries
 	operations, requests                     float64
-	maxHostConnections                       float64 // connections at one host at one moment, at most
+	maxHostConnections                       float64 // maximum number of concurrent connections to one host
 	runs                                     float64
 }
 
@@ -103,76 +99,76 @@
 
 // runFleet runs a fleet scenario with each seed, with the reference's pool sizes and with those under test.
 func (e *Experiment) runFleet(ctx context.Context, o Options) (*Result, error) {
-	s := e.spec(o.Short)
-	s.Load, s.Defect = e.loads[0], o.Defect
+	spec := e.spec(o.Short)
+	spec.Load, spec.Defect = e.loads[0], o.Defect
 	if o.Defect == DefectStaleReads {
-		s.StaleReads = routing.StaleReadServed // hosts that check would hide it
-	}
-	r := &Result{Experiment: e.Name, About: e.About, Seed: o.Seed, Seeds: o.Seeds, Driver: "virtual", Version: o.Version,
-		Size: fmt.Sprintf("%d hosts with room for %d connections, %d groups, %d gateways, %.0f requests/s each, load %.1f",
-			s.Hosts, s.HostConnections, s.Groups, s.Gateways, s.Rate, s.Load),
-		Machine: fmt.Sprintf("%d cores", runtime.NumCPU()), Figures: map[string]float64{}, Series: map[string][]float64{}}
-	work, ctx := errgroup.WithContext(ctx)
-	work.SetLimit(max(1, runtime.GOMAXPROCS(0)/2)) // a day of 300 gateways takes a GB
-	days := make([][2]*fleet, o.Seeds)
-	var done atomic.Int32
-	for i := range days {
-		work.Go(func() error {
-			for arm := range days[i] {
-				if ctx.Err() != nil {
-					return ctx.Err()
-				}
-				x := s
-				if x.PoolGateways = 1; arm == 1 {
-					x.PoolGateways = 0
-				}
-				f := newFleet(x, o.Seed+uint64(i))
-				f.runUntil(epoch + s.Length)
-				days[i][arm] = f
-			}
-			if n := int(done.Add(1)); o.Progress != nil {
-				o.Progress(n, len(days))
-			}
-			return nil
-		})
+		spec.StaleReads = routing.StaleReadServed // hosts that check would hide it
 	}
-	if err := work.Wait(); err != nil {
+	r := e.newResult(o, driverVirtual, fmt.Sprintf("%d hosts with room for %d connections, %d groups, %d gateways, %.0f requests/s each, load %.1f",
+		spec.Hosts, spec.HostConnections, spec.Groups, spec.Gateways, spec.Rate, spec.Load))
+	runs := make([]fleetArms, o.Seeds)
+	limit := max(1, runtime.GOMAXPROCS(0)/2) // a run of 300 gateways takes a GB
+	err := o.forEachSeed(ctx, limit, func(ctx context.Context, i int) (err error) {
+		reference := spec
+		reference.PoolGateways = 1
+		if runs[i].reference, err = runFleetArm(ctx, reference, o.Seed+uint64(i)); err != nil {
+			return err
+		}
+		runs[i].measured, err = runFleetArm(ctx, spec, o.Seed+uint64(i))
+		return err
+	})
+	if err != nil {
 		return nil, err
 	}
-	broken := map[string]float64{}
-	var was, now fleetTotals
-	var series [2][][]float64
-	for _, d := range days {
-		was.add(d[0], e.fleet)
-		now.add(d[1], e.fleet)
-		for arm, f := range d {
-			series[arm] = append(series[arm], f.judge.weightSeries())
-		}
-		for name, n := range d[1].judge.violations() {
-			broken[name] += n
+	violations := map[string]float64{}
+	var reference, measured fleetTotals
+	var referenceSeries, measuredSeries [][]float64
+	for _, run := range runs {
+		judge := run.measured.judge
+		reference.add(run.reference, e.fleet)
+		measured.add(run.measured, e.fleet)
+		referenceSeries = append(referenceSeries, run.reference.judge.weightSeries())
+		measuredSeries = append(measuredSeries, judge.weightSeries())
+		for name, n := range judge.violations() {
+			violations[name] += n
 		}
-		r.Notes = append(r.Notes, d[1].judge.notes...)
-	}
-	r.Notes = r.Notes[:min(len(r.Notes), 20)]
-	for _, name := range violationNames {
-		r.addClaim(strings.ReplaceAll(name, "_", " "), broken[name], "==", 0)
-	}
-	for arm, x := range map[string]*fleetTotals{"": &now, "_before": &was} {
-		r.Figures["worth_of_allowed"+arm] = x.earned / x.allowed
-		r.Figures["worth_of_asked"+arm] = x.earned / x.asked
-		r.Figures["worth_near_end"+arm] = x.earnedAfter / x.runs
-		r.Figures["worth_at_first"+arm] = x.earnedBefore / x.runs
-		r.Figures["connects_an_attempt"+arm] = x.connects / x.attempts
-		r.Figures["no_room_an_attempt"+arm] = x.rejectedConnects / x.attempts
-		r.Figures["probes_a_request"+arm] = x.healthChecks / x.operations
-		r.Figures["attempts_a_request"+arm] = x.attempts / x.operations
-		r.Figures["tries_a_request"+arm] = x.requests / x.operations
-		r.Figures["first_attempts_at_primaries"+arm] = x.primaryAttempts / x.firstAttempts
-		r.Figures["connections_at_a_host_most"+arm] = x.maxHostConnections
+		r.Notes = append(r.Notes, judge.notes...)
 	}
-	r.addClaim("worth from the trouble on, over gateways that keep connections as if each were alone", now.earned/was.earned, ">=", 0.99)
-	r.addClaim("worth near the end, of that before the trouble", now.earnedAfter/now.earnedBefore, ">=", 0.95)
-	r.addClaim("attempts that found no room for a connection", now.rejectedConnects/now.attempts, "<=", 0.02)
-	r.Series["before"], r.Series["now"] = meanSeries(series[0]), meanSeries(series[1])
+	r.limitNotes()
+	r.claimNoViolations("", violations)
+	measured.addFigures(r, "")
+	reference.addFigures(r, "_before")
+	r.addClaim("worth from the trouble on, over gateways that keep connections as if each were alone", measured.earned/reference.earned, ">=", 0.99)
+	r.addClaim("worth near the end, of that before the trouble", measured.earnedAfter/measured.earnedBefore, ">=", 0.95)
+	r.addClaim("attempts that found no room for a connection", measured.rejectedConnects/measured.attempts, "<=", 0.02)
+	r.Series["before"], r.Series["now"] = meanSeries(referenceSeries), meanSeries(measuredSeries)
 	return r, nil
 }
+
+// fleetArms are the two arms of one seed.
+type fleetArms struct{ reference, measured *fleet }
+
+// runFleetArm runs a scenario once. It returns ctx's error if ctx has ended before.
+func runFleetArm(ctx context.Context, spec Spec, seed uint64) (*fleet, error) {
+	if err := ctx.Err(); err != nil {
+		return nil, err
+	}
+	f := newFleet(spec, seed)
+	f.runUntil(epoch + spec.Length)
+	return f, nil
+}
+
+// addFigures adds the totals to a result, with a suffix for the names of the figures.
+func (t *fleetTotals) addFigures(r *Result, suffix string) {
+	r.Figures["worth_of_allowed"+suffix] = t.earned / t.allowed
+	r.Figures["worth_of_asked"+suffix] = t.earned / t.asked
+	r.Figures["worth_near_end"+suffix] = t.earnedAfter / t.runs
+	r.Figures["worth_at_first"+suffix] = t.earnedBefore / t.runs
+	r.Figures["connects_an_attempt"+suffix] = t.connects / t.attempts
+	r.Figures["no_room_an_attempt"+suffix] = t.rejectedConnects / t.attempts
+	r.Figures["probes_a_request"+suffix] = t.healthChecks / t.operations
+	r.Figures["attempts_a_request"+suffix] = t.attempts / t.operations
+	r.Figures["tries_a_request"+suffix] = t.requests / t.operations
+	r.Figures["first_attempts_at_primaries"+suffix] = t.primaryAttempts / t.firstAttempts
+	r.Figures["connections_at_a_host_most"+suffix] = t.maxHostConnections
+}
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -15,20 +15,20 @@
 	f             *fleet
 	number        int
 	zone          string
-	trafficFactor float64 // of the mean traffic
+	trafficFactor float64 // relative to the mean traffic
 	router        *routing.Router
 	config        routing.Config
 	poolSizer     *poolsize.Sizer
-	down          bool // its process does not run, or takes no more clients
-	incarnation   int  // of its process
+	down          bool // the process does not run, or shuts down
+	incarnation   int  // counts process starts
 	arrivals      *rand.Rand
 	pools         map[*host]*pool
 	hosts         map[string]*host
 	requests      map[uint64]*request
 	lastID        uint64
-	zoneChanges   []string       // zones and the states that they entered
-	finished      bool           // the day is over
-	submit        func(*request) // sends a try over sockets; nil: to the module here
+	zoneChanges   []string       // "zone state" for each state entered
+	finished      bool           // the run is over
+	submit        func(*request) // sends a request over sockets; nil: to router
 }
 
 // newGateway creates a gateway and schedules its first arrival. On sockets the decision module runs in a real process
@@ -69,7 +69,7 @@
 	g.poolSizer = poolsize.New(size, idleTimeout, clock(f.now))
 	var err error
 	if g.router, err = routing.New(f.now, g.config, g.arrivals.Uint64(), g); err != nil {
-		panic(err) // the configuration is this package's own
+		panic(err) // the configuration is fixed
 	}
 	l := routing.EndpointList{Kind: routing.EndpointListComplete}
 	for _, h := range f.hosts {
@@ -104,7 +104,7 @@
 	if h.zone == g.zone {
 		return 100 * time.Microsecond
 	}
-	return g.f.between
+	return g.f.crossZoneDelay
 }
 
 // Reject is a final response that guarantees that nothing ran.
@@ -124,42 +124,42 @@
 // CheckHealth sends a health check to a host and passes the result to the decision module.
 func (g *gateway) CheckHealth(member string, by routing.ConnPolicy) {
 	h, f := g.hosts[member], g.f
-	at := f.now
+	sentAt := f.now
 	f.judge.healthChecks++
-	over, process := false, g.incarnation
-	up := time.Duration(0)
-	end := func(r routing.Result, p routing.Report) {
-		if !over && process == g.incarnation {
-			over = true
-			x := routing.HealthCheckResult{Member: member, Result: r, Latency: f.now - at, Report: p}
+	finished, incarnation := false, g.incarnation
+	connectedAt := time.Duration(0)
+	end := func(r routing.Result, report routing.Report) {
+		if !finished && incarnation == g.incarnation {
+			finished = true
+			check := routing.HealthCheckResult{Member: member, Result: r, Latency: f.now - sentAt, Report: report}
 			if r == routing.ResultOK {
-				x.ConnectedAt = up
+				check.ConnectedAt = connectedAt
 			}
-			g.router.HealthChecked(f.now, x)
+			g.router.HealthChecked(f.now, check)
 		}
 	}
 	f.after(connectTimeout, func() { end(routing.ResultTimeout, routing.Report{}) })
 	g.dial(h, by, func(opened time.Duration) {
-		if up = opened; opened <= 0 {
+		if connectedAt = opened; opened <= 0 {
 			end(routing.ResultConnectFailed, routing.Report{})
 			return
 		}
 		life := h.incarnation
 		f.judge.recordSlowStartCall(h, g, healthCheckDuration.Seconds()/f.meanWork())
 		f.after(2*g.networkDelay(h)+healthCheckDuration, func() {
-			if h.partitions > 0 || process != g.incarnation {
+			if h.partitions > 0 || incarnation != g.incarnation {
 				return
 			} else if h.incarnation != life || !h.up {
 				end(routing.ResultReset, routing.Report{})
 				return
 			}
 			g.release(h, opened)
-			x := h.currentReport()
-			p := routing.Report{HasPosition: true, Position: x.position.Milliseconds(), Role: routing.RoleReplica}
-			if x.primary {
-				p.Role = routing.RolePrimary
+			check := h.currentReport()
+			report := routing.Report{HasPosition: true, Position: check.position.Milliseconds(), Role: routing.RoleReplica}
+			if check.primary {
+				report.Role = routing.RolePrimary
 			}
-			end(routing.ResultOK, p)
+			end(routing.ResultOK, report)
 		})
 	})
 }
--- a/internal/experiment/gatewayscenarios.go
+++ b/internal/experiment/gatewayscenarios.go
@@ -7,8 +7,6 @@
 	"io"
 	"math"
 	"os"
-	"runtime"
-	"strings"
 	"time"
 
 	"golang.org/x/sync/errgroup"
@@ -67,11 +65,11 @@
 
 // mustParseScenario parses a scenario that is part of the program.
 func mustParseScenario(text string) *membershipScenario {
-	d, err := parseScenario(text)
+	scenario, err := parseScenario(text)
 	if err != nil {
-		panic(err) // it is part of the program
+		panic(err) // the text is part of the program
 	}
-	return d
+	return scenario
 }
 
 // lineWriter calls a function with each complete line.
@@ -96,127 +94,172 @@
 const settleTime = 7 * time.Second
 
 // runGatewayArm runs a scenario once, with the gateways knowing each other or not. Pauses of processes apply to both.
-func runGatewayArm(ctx context.Context, d gatewayScenario, n int, loss float64, seed uint64, program string, on bool, logs io.Writer) (x processStats, j *Judge, err error) {
+func runGatewayArm(ctx context.Context, scenario gatewayScenario, n int, lossRate float64, seed uint64, program string, joined bool, logs io.Writer) (stats processStats, judge *Judge, err error) {
 	dir, err := os.MkdirTemp("", "cranelab")
 	if err != nil {
-		return x, nil, err
+		return stats, nil, err
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d.spec.Rate *= float64(d.spec.Gateways) / float64(n) // the clients are the same
-	d.spec.Gateways = n
-	r := newProcessHarness(ctx, d.members, n, loss, seed, dir, logs)
-	r.isolated = !on
-	defer r.network.work.Wait()
+	scenario.spec.Rate *= float64(scenario.spec.Gateways) / float64(n) // the total rate stays the same
+	scenario.spec.Gateways = n
+	harness := newProcessHarness(ctx, scenario.members, n, lossRate, seed, dir, logs)
+	harness.isolated = !joined
+	defer harness.network.work.Wait()
 	defer cancel()
-	if err := r.prepare(n); err != nil {
-		return x, nil, err
+	if err := harness.prepare(n); err != nil {
+		return stats, nil, err
 	}
-	r.network.serve()
-	o := liveOptions{program: program, operatorTables: func(i int) string { return r.processes[i].operatorTables },
-		logs: func(i int) io.Writer { return &lineWriter{line: func(line string) { r.readLogLine(i, line) }} }}
-	if !on {
+	harness.network.serve()
+	o := liveOptions{program: program, operatorTables: func(i int) string { return harness.processes[i].operatorTables },
+		logs: func(i int) io.Writer { return &lineWriter{line: func(line string) { harness.readLogLine(i, line) }} }}
+	if !joined {
 		o.operatorTables = func(int) string { return "" }
 	}
 	var play errgroup.Group
 	o.onStart = func(l *live) {
-		for i, p := range r.processes {
+		for i, p := range harness.processes {
 			p.cmd, p.ended = l.commands[i], make(chan struct{})
 		}
 		play.Go(func() error {
-			for _, p := range r.processes {
-				r.mu.Lock()
+			for _, p := range harness.processes {
+				harness.mu.Lock()
 				p.up = true
-				r.mu.Unlock()
-				if on {
-					if err := r.waitReady(p); err != nil {
+				harness.mu.Unlock()
+				if joined {
+					if err := harness.waitReady(p); err != nil {
 						return err
 					}
 				}
 			}
 			var err error
-			x, err = r.run(ctx)
+			stats, err = harness.run(ctx)
 			return err
 		})
 	}
-	j, err = runLive(ctx, d.spec, seed, o)
+	judge, err = runLive(ctx, scenario.spec, seed, o)
 	if perr := play.Wait(); err == nil {
 		err = perr
 	}
-	return x, j, err
+	return stats, judge, err
 }
 
 // runGateways runs a gateway scenario at each size, loss rate and seed, with the gateways knowing each other and not.
 func (e *Experiment) runGateways(ctx context.Context, o Options) (*Result, error) {
-	d := *e.gateways
+	spec := e.gateways.spec
 	sizes := o.Members
 	if len(sizes) == 0 {
-		sizes = []int{d.spec.Gateways}
+		sizes = []int{spec.Gateways}
 	}
-	r := &Result{Experiment: e.Name, About: e.About, Seed: o.Seed, Seeds: o.Seeds, Driver: "processes", Version: o.Version,
-		Size:    fmt.Sprintf("%v gateways, %d hosts, %.0f requests/s in all", sizes, d.spec.Hosts, d.spec.Rate*float64(d.spec.Gateways)),
-		Machine: fmt.Sprintf("%d cores", runtime.NumCPU()), Figures: map[string]float64{}, Series: map[string][]float64{}}
+	r := e.newResult(o, driverProcesses, fmt.Sprintf("%v gateways, %d hosts, %.0f requests/s in all", sizes, spec.Hosts, spec.Rate*float64(spec.Gateways)))
 	for _, n := range sizes {
-		for _, loss := range d.members.LossRates {
-			var sum processStats
-			var earned, asked [2]float64
-			var resident, late [2]float64
-			broken := map[string]float64{}
+		for _, lossRate := range e.gateways.members.LossRates {
+			variant := memberVariant{n, lossRate}
+			totals := gatewayTotals{violations: map[string]float64{}}
 			for i := range o.Seeds {
-				var arms [2]processStats
-				var judges [2]*Judge
-				work, ctx := errgroup.WithContext(ctx)
-				for arm := range arms {
-					work.Go(func() (err error) {
-						arms[arm], judges[arm], err = runGatewayArm(ctx, d, n, loss, o.Seed+uint64(i), o.Program, arm == 1, o.Logs)
-						return err
-					})
-				}
-				if err := work.Wait(); err != nil {
+				run, err := e.runGatewaySeed(ctx, variant, o.Seed+uint64(i), o)
+				if err != nil {
 					return nil, fmt.Errorf("%d gateways, seed %d: %w", n, o.Seed+uint64(i), err)
 				}
-				on := arms[1]
-				sum.falseVerdicts, sum.changes, sum.notes = sum.falseVerdicts+on.falseVerdicts, sum.changes+on.changes, append(sum.notes, on.notes...)
-				if i == 0 || on.excusedVerdicts < sum.excusedVerdicts {
-					sum.excusedVerdicts = on.excusedVerdicts
-				}
-				sum.healSeconds, sum.maxBudgetShare = max(sum.healSeconds, on.healSeconds), max(sum.maxBudgetShare, on.maxBudgetShare)
-				for name, k := range judges[1].violations() {
-					broken[name] += k
-				}
-				for arm, j := range judges {
-					_, want, got := j.earnedWeight(epoch, epoch+d.spec.Length-3*sec) // the longest deadline is 2.5 s
-					asked[arm], earned[arm] = asked[arm]+want, earned[arm]+got
-					late[arm] += float64(j.lateResponses)
-					if arms[arm].residentMB == 0 { // the day was over before the processes were looked at
-						arms[arm].residentMB = math.NaN()
-					}
-					resident[arm] += arms[arm].residentMB / float64(o.Seeds)
-				}
-				r.Notes = append(r.Notes, judges[1].notes...)
-				if o.Progress != nil {
-					o.Progress(i+1, o.Seeds)
-				}
-			}
-			p := fmt.Sprintf("%d gateways, loss %.0f%%: ", n, loss*100)
-			key := func(name string) string { return fmt.Sprintf("%s_%d_loss_%.0f", name, n, loss*100) }
-			for _, name := range violationNames {
-				r.addClaim(p+strings.ReplaceAll(name, "_", " "), broken[name], "==", 0)
+				totals.add(run, spec, o.Seeds)
+				r.Notes = append(r.Notes, run.joined.judge.notes...)
+				o.reportProgress(i+1, o.Seeds)
 			}
-			r.addClaim(p+"live members held as failed", float64(sum.falseVerdicts), "==", 0)
-			r.addClaim(p+"of a budget that all may use together, at most", sum.maxBudgetShare, "<=", 1+1e-9)
-			r.addClaim(p+"news that were seen of them", float64(sum.changes), ">=", float64(n*(n-1)*o.Seeds))
-			r.addClaim(p+"verdicts across the cut, which show that it was one, least day", float64(sum.excusedVerdicts), ">=", float64(n))
-			r.addClaim(p+"s until all views are the living, worst day", sum.healSeconds, "<=", time.Duration(d.members.HealTimeout).Seconds())
-			r.addClaim(p+"worth, over that without knowing each other", (earned[1]/asked[1])/(earned[0]/asked[0]), ">=", 0.99)
-			r.addClaim(p+"MB more resident, on the mean", resident[1]-resident[0], "<=", 3)
-			r.Figures[key("worth")], r.Figures[key("worth_off")] = earned[1]/asked[1], earned[0]/asked[0]
-			r.Figures[key("resident_mb")], r.Figures[key("resident_mb_off")] = resident[1], resident[0]
-			r.Figures[key("late_answers")], r.Figures[key("late_answers_off")] = late[1], late[0]
-			r.Notes = append(r.Notes, sum.notes...)
+			e.claimGateways(r, variant, &totals, o.Seeds)
+			r.Notes = append(r.Notes, totals.members.notes...)
 		}
 	}
-	r.Notes = r.Notes[:min(len(r.Notes), 20)]
+	r.limitNotes()
 	return r, nil
 }
+
+// gatewayArm is the result of one arm with one seed.
+type gatewayArm struct {
+	members processStats
+	judge   *Judge
+}
+
+// gatewayRun is the result of one seed, with gateways that know each other and with isolated ones.
+type gatewayRun struct{ joined, isolated gatewayArm }
+
+// runGatewaySeed runs both arms at the same time.
+func (e *Experiment) runGatewaySeed(ctx context.Context, v memberVariant, seed uint64, o Options) (run gatewayRun, err error) {
+	work, ctx := errgroup.WithContext(ctx)
+	start := func(arm *gatewayArm, joined bool) {
+		work.Go(func() (err error) {
+			arm.members, arm.judge, err = runGatewayArm(ctx, *e.gateways, v.members, v.lossRate, seed, o.Program, joined, o.Logs)
+			return err
+		})
+	}
+	start(&run.isolated, false)
+	start(&run.joined, true)
+	err = work.Wait()
+	return run, err
+}
+
+// gatewayTotals sums the runs of one variant.
+type gatewayTotals struct {
+	runs             int
+	members          processStats // of the joined gateways
+	violations       map[string]float64
+	joined, isolated gatewayArmTotals
+}
+
+// gatewayArmTotals sums the runs of one arm.
+type gatewayArmTotals struct {
+	requested, earned float64 // priority weight
+	residentMB        float64 // mean
+	lateResponses     float64
+}
+
+// add adds the results of one of several seeds.
+func (t *gatewayTotals) add(run gatewayRun, spec Spec, seeds int) {
+	members := run.joined.members
+	t.members.falseVerdicts += members.falseVerdicts
+	t.members.changes += members.changes
+	t.members.notes = append(t.members.notes, members.notes...)
+	if t.runs == 0 || members.excusedVerdicts < t.members.excusedVerdicts {
+		t.members.excusedVerdicts = members.excusedVerdicts
+	}
+	t.members.healSeconds = max(t.members.healSeconds, members.healSeconds)
+	t.members.maxBudgetShare = max(t.members.maxBudgetShare, members.maxBudgetShare)
+	for name, n := range run.joined.judge.violations() {
+		t.violations[name] += n
+	}
+	t.joined.add(run.joined, spec, seeds)
+	t.isolated.add(run.isolated, spec, seeds)
+	t.runs++
+}
+
+// add adds the results of one of several seeds.
+func (t *gatewayArmTotals) add(arm gatewayArm, spec Spec, seeds int) {
+	_, requested, earned := arm.judge.earnedWeight(epoch, epoch+spec.Length-3*sec) // the longest deadline is 2.5 s
+	t.requested += requested
+	t.earned += earned
+	t.lateResponses += float64(arm.judge.lateResponses)
+	resident := arm.members.residentMB
+	if resident == 0 { // the run ended before the processes were measured
+		resident = math.NaN()
+	}
+	t.residentMB += resident / float64(seeds)
+}
+
+// earnedFraction is the earned fraction of the requested priority weight.
+func (t *gatewayArmTotals) earnedFraction() float64 { return t.earned / t.requested }
+
+// claimGateways adds the claims and figures of one variant.
+func (e *Experiment) claimGateways(r *Result, v memberVariant, t *gatewayTotals, seeds int) {
+	prefix := v.prefix("gateways")
+	r.claimNoViolations(prefix, t.violations)
+	r.claimMemberVerdicts(prefix, v, t.members, seeds)
+	r.addClaim(prefix+"verdicts across the cut, which show that it was one, least day", float64(t.members.excusedVerdicts), ">=", float64(v.members))
+	r.addClaim(prefix+"s until all views are the living, worst day", t.members.healSeconds, "<=", time.Duration(e.gateways.members.HealTimeout).Seconds())
+	r.addClaim(prefix+"worth, over that without knowing each other", t.joined.earnedFraction()/t.isolated.earnedFraction(), ">=", 0.99)
+	r.addClaim(prefix+"MB more resident, on the mean", t.joined.residentMB-t.isolated.residentMB, "<=", 3)
+	for suffix, arm := range map[string]*gatewayArmTotals{"": &t.joined, "_off": &t.isolated} {
+		r.Figures[v.figure("worth"+suffix)] = arm.earnedFraction()
+		r.Figures[v.figure("resident_mb"+suffix)] = arm.residentMB
+		r.Figures[v.figure("late_answers"+suffix)] = arm.lateResponses
+	}
+}
--- a/internal/experiment/group.go
+++ b/internal/experiment/group.go
@@ -9,20 +9,20 @@
 type group struct {
 	f           *fleet
 	number      int
-	failoverRNG *rand.Rand // how long its failovers take, whatever the gateways do
+	failoverRNG *rand.Rand // for failover times, whatever the gateways do
 	members     []*host
 	primary     *host
-	electing    bool // the primary is out of reach and an election is on its way
+	electing    bool // the primary is unreachable and an election is pending
 }
 
 // tick advances the log positions. The primary is always current; a replica that the primary reaches applies the log
 // with a single thread. It also schedules an election once the primary is unreachable or draining.
 func (g *group) tick() {
-	p := g.primary
-	if p != nil && !g.electing && (!p.reachable() || p.draining) {
+	primary := g.primary
+	if primary != nil && !g.electing && (!primary.reachable() || primary.draining) {
 		g.electing = true
 		wait := draw(g.failoverRNG, 1400*time.Millisecond, 2700*time.Millisecond) + draw(g.failoverRNG, 1200*time.Millisecond, 4*time.Second)
-		if p.draining && p.reachable() {
+		if primary.draining && primary.reachable() {
 			wait = draw(g.failoverRNG, 360*time.Millisecond, 730*time.Millisecond)
 		}
 		g.f.after(wait, g.elect)
@@ -31,9 +31,9 @@
 		if !h.reachable() {
 			continue
 		}
-		if h == p && p.reachable() {
+		if h == primary && primary.reachable() {
 			h.position = g.f.now
-		} else if p != nil && p.reachable() && h.up {
+		} else if primary != nil && primary.reachable() && h.up {
 			h.position = min(g.f.now-g.f.replicationDelay, h.position+time.Duration(float64(replicationInterval)/g.f.applyUtilization))
 		}
 	}
@@ -42,7 +42,7 @@
 // elect promotes the reachable member with the most advanced log. It tries again while there is none.
 func (g *group) elect() {
 	old := g.primary
-	if old != nil && old.reachable() && !old.draining { // back in time
+	if old != nil && old.reachable() && !old.draining { // it recovered before the election
 		g.electing = false
 		return
 	}
@@ -56,7 +56,7 @@
 		g.f.after(200*time.Millisecond, g.elect)
 		return
 	}
-	// Nothing was written meanwhile, so there is nothing to apply: who had all of the log has it still.
+	// Nothing was written meanwhile, so each member keeps its distance to the most advanced one.
 	last := best.position
 	for _, h := range g.members {
 		if h.reachable() {
--- a/internal/experiment/host.go
+++ b/internal/experiment/host.go
@@ -12,15 +12,15 @@
 	f             *fleet
 	id, zone      string
 	group         *group
-	up            bool // its process runs
-	partitions    int  // faults that keep packets from it
+	up            bool // the process runs
+	partitions    int  // active faults that isolate the host
 	slow          bool
 	draining      bool
-	removed       bool // replaced by another
-	overloaded    bool // tipped over: it stays down
+	removed       bool // replaced by another host
+	overloaded    bool // crashed under load in slow start: stays down
 	started       time.Duration
 	position      time.Duration
-	incarnation   int // of its process
+	incarnation   int // counts process ends
 	connections   int
 	running       int
 	waiting       []*job
@@ -104,13 +104,13 @@
 	if h.speed() >= 1 || h.slow || h.f.DisableOverload {
 		return
 	}
-	h.recentWork = slices.DeleteFunc(h.recentWork, func(s workSample) bool { return s.at < h.f.now-overloadWindow })
+	h.recentWork = slices.DeleteFunc(h.recentWork, func(sample workSample) bool { return sample.at < h.f.now-overloadWindow })
 	h.recentWork = append(h.recentWork, workSample{h.f.now, work.Seconds()})
-	sum := 0.0
-	for _, s := range h.recentWork {
-		sum += s.work
+	total := 0.0
+	for _, sample := range h.recentWork {
+		total += sample.work
 	}
-	if sum > overloadFactor*h.speed()*coresPerHost*overloadWindow.Seconds() && len(h.recentWork) > 1 {
+	if total > overloadFactor*h.speed()*coresPerHost*overloadWindow.Seconds() && len(h.recentWork) > 1 {
 		h.f.judge.hostOverloaded(h)
 		h.overloaded = true
 		h.crash()
@@ -118,31 +118,31 @@
 }
 
 // receive handles an attempt whose last byte has arrived.
-func (h *host) receive(a *attempt, work time.Duration) {
-	h.f.judge.recordSlowStartCall(h, a.gateway, 1)
+func (h *host) receive(attempt *attempt, work time.Duration) {
+	h.f.judge.recordSlowStartCall(h, attempt.gateway, 1)
 	h.recordWork(work)
 	if !h.up {
 		return
 	}
-	c := a.request.class
+	c := attempt.request.class
 	switch {
 	case c.Consistency == routing.ConsistencyWrite && h.group.primary != h, c.Consistency == routing.ConsistencyStrong && h.group.primary != h && h.f.StaleReads != routing.StaleReadServed:
-		h.reply(a, routing.ResultMissed, 0)
+		h.reply(attempt, routing.ResultMissed, 0)
 	case len(h.waiting) >= queueCapacity:
-		h.reply(a, routing.ResultOverCapacity, 0)
-	case h.f.StaleReads != routing.StaleReadServed && h.position < a.requiredPosition:
+		h.reply(attempt, routing.ResultOverCapacity, 0)
+	case h.f.StaleReads != routing.StaleReadServed && h.position < attempt.requiredPosition:
 		life := h.incarnation
 		h.f.after(catchUpTimeout, func() {
 			if h.incarnation != life {
 				return
-			} else if h.position < a.requiredPosition {
-				h.reply(a, routing.ResultMissed, 0)
+			} else if h.position < attempt.requiredPosition {
+				h.reply(attempt, routing.ResultMissed, 0)
 			} else {
-				h.enqueue(a, work)
+				h.enqueue(attempt, work)
 			}
 		})
 	default:
-		h.enqueue(a, work)
+		h.enqueue(attempt, work)
 	}
 }
 
@@ -170,37 +170,37 @@
 				return
 			}
 			h.running--
-			at := h.position
+			position := h.position
 			if h.group.primary == h {
-				at = h.f.now
+				position = h.f.now
 			}
 			if j.attempt.request.class.Consistency == routing.ConsistencyWrite {
-				if h.group.primary != h { // it lost its role while it held the write
+				if h.group.primary != h { // it was demoted while it ran the write
 					h.reply(j.attempt, routing.ResultError, 0)
 					h.dispatch()
 					return
 				}
-				at = h.f.now
+				position = h.f.now
 			}
-			h.reply(j.attempt, routing.ResultOK, at)
+			h.reply(j.attempt, routing.ResultOK, position)
 			h.dispatch()
 		})
 	}
 }
 
 // reply sends an outcome back, unless a partition or a crash prevents it.
-func (h *host) reply(a *attempt, r routing.Result, position time.Duration) {
-	o := routing.Outcome{Result: r, Role: routing.RoleReplica, Position: h.position.Milliseconds()}
+func (h *host) reply(attempt *attempt, result routing.Result, position time.Duration) {
+	outcome := routing.Outcome{Result: result, Role: routing.RoleReplica, Position: h.position.Milliseconds()}
 	if h.group.primary == h {
-		o.Role = routing.RolePrimary
+		outcome.Role = routing.RolePrimary
 	}
-	if r == routing.ResultOK && a.request.class.Consistency == routing.ConsistencyWrite {
-		o.Position = position.Milliseconds() + 1
+	if result == routing.ResultOK && attempt.request.class.Consistency == routing.ConsistencyWrite {
+		outcome.Position = position.Milliseconds() + 1
 	}
 	life := h.incarnation
-	h.f.after(a.gateway.networkDelay(h), func() {
+	h.f.after(attempt.gateway.networkDelay(h), func() {
 		if h.partitions == 0 && h.incarnation == life {
-			a.finish(o, position)
+			attempt.finish(outcome, position)
 		}
 	})
 }
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -13,21 +13,21 @@
 type Judge struct {
 	fleet *fleet
 
-	// What the rules forbid, counted.
+	// Violations of the invariants.
 	staleReads, duplicateRuns, unanswered, extraResponses, overloadedHosts, sendsToDrained, wrongAnswers int
 	notes                                                                                                []string
 
 	operations                 []*operation
 	runs                       map[*request]int
-	drainedSince               map[*gateway]map[*host]time.Duration // when a gateway was told to send nothing more
+	drainedSince               map[*gateway]map[*host]time.Duration // when the gateway was notified
 	attempts                   []attemptRecord
 	snapshots                  []fleetSnapshot
 	healthChecks               int
-	maxHostConnections         int // connections at one host, at most
-	lateResponses              int // answers that came lateResponseSlack after the client's time, on sockets
-	interruptedRequests        int // requests that ended with their gateway's process
+	maxHostConnections         int // maximum number of connections to one host
+	lateResponses              int // responses more than lateResponseSlack after the deadline, on sockets
+	interruptedRequests        int // requests in flight when their gateway crashed
 	slowStarts                 map[*host]*slowStartRecord
-	connects, rejectedConnects int // connections that came up and stayed, and that were ended with a refusal
+	connects, rejectedConnects int // established connections, and those rejected over capacity
 }
 
 // attemptRecord is one recorded attempt.
@@ -36,14 +36,14 @@
 	gateway     int
 	zone        string
 	first, read bool
-	replica     bool // it went to a member that is no primary,
-	sameZone    bool // and to the gateway's own zone
+	replica     bool // sent to a member that is not the primary
+	sameZone    bool // sent to the gateway's own zone
 }
 
 // fleetSnapshot is the state of the fleet at one time.
 type fleetSnapshot struct {
 	at               time.Duration
-	cores            []float64 // by group: that can be reached, warm as they are
+	cores            []float64 // by group: capacity that is reachable, reduced by slow start
 	primaryReachable []bool    // by group
 	newestPosition   []time.Duration
 }
@@ -116,7 +116,7 @@
 
 // requestServed checks a response with data of the given position and credits its priority weight.
 func (j *Judge) requestServed(request *request, attempt *attempt, position time.Duration) {
-	required := attempt.requiredPosition // as of the send
+	required := attempt.requiredPosition // at the time of the send
 	if request.class.Consistency == routing.ConsistencyAny || request.class.Consistency == routing.ConsistencyWrite {
 		required = 0
 	}
@@ -150,17 +150,17 @@
 // takeSnapshot records the state of the fleet, from which the achievable weight is computed.
 func (j *Judge) takeSnapshot() {
 	n := len(j.fleet.groups)
-	s := fleetSnapshot{at: j.fleet.now, cores: make([]float64, n), primaryReachable: make([]bool, n), newestPosition: make([]time.Duration, n)}
+	snapshot := fleetSnapshot{at: j.fleet.now, cores: make([]float64, n), primaryReachable: make([]bool, n), newestPosition: make([]time.Duration, n)}
 	for _, h := range j.fleet.hosts {
 		if h.reachable() {
-			s.cores[h.group.number] += coresPerHost * h.speed()
-			s.newestPosition[h.group.number] = max(s.newestPosition[h.group.number], h.position)
+			snapshot.cores[h.group.number] += coresPerHost * h.speed()
+			snapshot.newestPosition[h.group.number] = max(snapshot.newestPosition[h.group.number], h.position)
 		}
 	}
 	for i, g := range j.fleet.groups {
-		s.primaryReachable[i] = g.primary != nil && g.primary.reachable()
+		snapshot.primaryReachable[i] = g.primary != nil && g.primary.reachable()
 	}
-	j.snapshots = append(j.snapshots, s)
+	j.snapshots = append(j.snapshots, snapshot)
 }
 
 // discardBefore drops records older than a time, for runs without an end.
--- a/internal/experiment/links.go
+++ b/internal/experiment/links.go
@@ -9,8 +9,8 @@
 type delivery struct {
 	lost, corrupted bool
 	copies          int
-	delay           time.Duration    // beside the usual delay
-	stalledBy       *membershipFault // a stall that holds it
+	delay           time.Duration    // in addition to the usual delay
+	stalledBy       *membershipFault // the stall that delays it; nil: none
 }
 
 // links is the state of all links between members: the active faults and the queues of links with limited bandwidth.
@@ -83,10 +83,10 @@
 const (
 	faultPartition membershipFaultKind = "cut"
 	faultNoise     membershipFaultKind = "noise"
-	faultStall     membershipFaultKind = "stall"  // messages wait until the end
-	faultBandwidth membershipFaultKind = "narrow" // messages wait for their turn, and are lost where they would wait for more than half a second
-	faultPause     membershipFaultKind = "pause"  // the process stands still; what comes waits
-	faultKill      membershipFaultKind = "kill"   // it dies, and starts anew at the end under its name
-	faultLeave     membershipFaultKind = "leave"  // it ends as at SIGTERM, and starts anew at the end
+	faultStall     membershipFaultKind = "stall"  // messages wait until the end of the fault
+	faultBandwidth membershipFaultKind = "narrow" // messages queue for bandwidth, up to maxLinkDelay
+	faultPause     membershipFaultKind = "pause"  // the process is stopped; its messages wait
+	faultKill      membershipFaultKind = "kill"   // the process is killed, and restarts at the end under its name
+	faultLeave     membershipFaultKind = "leave"  // the process ends as on SIGTERM, and restarts at the end
 	maxLinkDelay                       = 500 * time.Millisecond
 )
--- a/internal/experiment/membershiprun.go
+++ b/internal/experiment/membershiprun.go
@@ -5,140 +5,185 @@
 	"fmt"
 	"runtime"
 	"slices"
-	"sync/atomic"
 	"time"
-
-	"golang.org/x/sync/errgroup"
 )
 
 // membershipStats are the results of one simulation run.
 type membershipStats struct {
 	falseVerdicts, divergedViews      int
 	malformed                         int
-	maxBudgetShare, minBudgetShare    float64 // of a budget that all may use together, at most and at least
-	detectionSeconds                  float64 // s until 99 of 100 know of a crash
-	bytesPerSecond, messagesPerSecond float64 // a second and member, in the last ten seconds
+	maxBudgetShare, minBudgetShare    float64 // extremes of the sum of all shares of a budget
+	detectionSeconds                  float64 // until 99% know of a crash
+	bytesPerSecond, messagesPerSecond float64 // per member, in the last ten seconds
 	maxDatagramSize                   int
 	notes                             []string
 }
 
 // runMembershipSim runs a scenario once in virtual time.
-func runMembershipSim(d *membershipScenario, n int, loss float64, plain bool, seed uint64) membershipStats {
-	w := newMembershipSim(d, n, loss, plain, seed)
-	end := epoch + convergenceTime + time.Duration(d.Duration)
-	x := membershipStats{minBudgetShare: 1}
-	// What all may use of a budget together is never more than the budget, cut or not.
+func runMembershipSim(scenario *membershipScenario, n int, lossRate float64, plainSWIM bool, seed uint64) membershipStats {
+	sim := newMembershipSim(scenario, n, lossRate, plainSWIM, seed)
+	end := epoch + convergenceTime + time.Duration(scenario.Duration)
+	stats := membershipStats{minBudgetShare: 1}
+	// The sum of all shares must never exceed the budget, partitioned or not.
 	for at := epoch + convergenceTime; at <= end; at += sec / 2 {
-		if w.runUntil(at); at == end-10*sec {
-			w.bytesSent, w.messagesSent = 0, 0
+		if sim.runUntil(at); at == end-10*sec {
+			sim.bytesSent, sim.messagesSent = 0, 0
 		}
 		parts := 0.0
-		for _, p := range w.members {
+		for _, p := range sim.members {
 			if p.up && !p.paused {
 				parts += p.node.BudgetShare()
 			}
 		}
-		x.maxBudgetShare = max(x.maxBudgetShare, parts)
-		x.minBudgetShare = min(x.minBudgetShare, parts)
+		stats.maxBudgetShare = max(stats.maxBudgetShare, parts)
+		stats.minBudgetShare = min(stats.minBudgetShare, parts)
 	}
-	x.malformed, x.falseVerdicts, x.notes, x.maxDatagramSize = w.malformed, w.falseVerdicts, w.notes, w.maxDatagramSize
-	x.bytesPerSecond, x.messagesPerSecond = float64(w.bytesSent)/10/float64(n), float64(w.messagesSent)/10/float64(n)
-	x.divergedViews = w.divergedViews()
-	for s := range w.diedAt {
-		took := w.detections[s]
+	stats.malformed, stats.falseVerdicts, stats.notes, stats.maxDatagramSize = sim.malformed, sim.falseVerdicts, sim.notes, sim.maxDatagramSize
+	stats.bytesPerSecond, stats.messagesPerSecond = float64(sim.bytesSent)/10/float64(n), float64(sim.messagesSent)/10/float64(n)
+	stats.divergedViews = sim.divergedViews()
+	for s := range sim.diedAt {
+		took := sim.detections[s]
 		slices.Sort(took)
-		if need := (n - 1) * 99 / 100; d.ClaimsDetection && len(took) >= need {
-			x.detectionSeconds = max(x.detectionSeconds, took[need-1].Seconds())
-		} else if d.ClaimsDetection {
-			x.detectionSeconds = time.Duration(d.Duration).Seconds()
+		if need := (n - 1) * 99 / 100; scenario.ClaimsDetection && len(took) >= need {
+			stats.detectionSeconds = max(stats.detectionSeconds, took[need-1].Seconds())
+		} else if scenario.ClaimsDetection {
+			stats.detectionSeconds = time.Duration(scenario.Duration).Seconds()
 		}
 	}
-	return x
+	return stats
 }
 
 // runMembers runs a membership scenario in virtual time at each size, with each loss rate and seed. Small fleets also
 // run plain SWIM (one probe, then hearsay) for comparison.
 func (e *Experiment) runMembers(ctx context.Context, o Options) (*Result, error) {
-	d := e.membership
-	sizes := []int{10, 80, 300, 1000}
+	sizes, lossRates := []int{10, 80, 300, 1000}, e.membership.LossRates
 	if len(o.Members) > 0 {
 		sizes = o.Members
 	} else if o.Short {
 		sizes = []int{12}
 	}
-	losses := d.LossRates
-	if o.Short { // the worst alone
-		losses = losses[len(losses)-1:]
+	if o.Short { // only the highest
+		lossRates = lossRates[len(lossRates)-1:]
 	}
-	r := &Result{Experiment: e.Name, About: e.About, Seed: o.Seed, Seeds: o.Seeds, Driver: "virtual", Version: o.Version,
-		Size: fmt.Sprintf("%v members", sizes), Machine: fmt.Sprintf("%d cores", runtime.NumCPU()),
-		Figures: map[string]float64{}, Series: map[string][]float64{}}
-	least := 0.0
+	r := e.newResult(o, driverVirtual, fmt.Sprintf("%v members", sizes))
+	idleBytes := 0.0 // of the smallest fleet
 	for _, n := range sizes {
-		for _, loss := range losses {
-			days := make([][2]membershipStats, o.Seeds)
-			work, ctx := errgroup.WithContext(ctx)
-			work.SetLimit(runtime.GOMAXPROCS(0))
-			var done atomic.Int32
-			for i := range days {
-				work.Go(func() error {
-					if ctx.Err() != nil {
-						return ctx.Err()
-					}
-					days[i][0] = runMembershipSim(d, n, loss, false, o.Seed+uint64(i))
-					if n <= 80 && !o.Short { // for comparison, where it is cheap
-						days[i][1] = runMembershipSim(d, n, loss, true, o.Seed+uint64(i))
-					}
-					if k := int(done.Add(1)); o.Progress != nil {
-						o.Progress(k, len(days))
-					}
-					return nil
-				})
-			}
-			if err := work.Wait(); err != nil {
+		for _, lossRate := range lossRates {
+			variant := memberVariant{n, lossRate}
+			runs, err := e.runMemberSeeds(ctx, variant, o)
+			if err != nil {
 				return nil, err
 			}
-			var lies, plainLies, unequal, longest, spoilt int
-			parts, partsLeast := 0.0, 1.0
-			var detect, plainDetect, bytes, messages float64
-			for _, x := range days {
-				lies, plainLies, unequal = lies+x[0].falseVerdicts, plainLies+x[1].falseVerdicts, unequal+x[0].divergedViews
-				spoilt += x[0].malformed
-				parts, partsLeast = max(parts, x[0].maxBudgetShare), min(partsLeast, x[0].minBudgetShare)
-				detect, plainDetect, longest = max(detect, x[0].detectionSeconds), max(plainDetect, x[1].detectionSeconds), max(longest, x[0].maxDatagramSize)
-				bytes, messages = bytes+x[0].bytesPerSecond/float64(len(days)), messages+x[0].messagesPerSecond/float64(len(days))
-				r.Notes = append(r.Notes, x[0].notes...)
-			}
-			p := fmt.Sprintf("%d members, loss %.0f%%: ", n, loss*100)
-			key := func(name string) string { return fmt.Sprintf("%s_%d_loss_%.0f", name, n, loss*100) }
-			r.addClaim(p+"live members held as failed", float64(lies), "==", 0)
-			r.addClaim(p+"of a budget that all may use together, at most", parts, "<=", 1+1e-9)
-			r.Figures[key("parts_at_most")], r.Figures[key("parts_at_least")] = parts, partsLeast
-			r.addClaim(p+"messages that could not be written or read", float64(spoilt), "==", 0)
-			r.Figures[key("longest_datagram")] = float64(longest)
-			r.Figures[key("false_verdicts")], r.Figures[key("bytes_a_second")], r.Figures[key("messages_a_second")] = float64(lies), bytes, messages
-			if n <= 80 {
-				r.Figures[key("false_verdicts_one_trial")] = float64(plainLies)
-			}
-			if d.HealTimeout > 0 {
-				r.addClaim(p+"views that are not the living at the end", float64(unequal), "==", 0)
-			}
-			if d.ClaimsDetection {
-				r.Figures[key("known_by_99_of_100_s")] = detect
-				if n <= 80 {
-					r.Figures[key("known_by_99_of_100_s_one_trial")] = plainDetect
-				}
-				r.addClaim(p+"s until 99 of 100 know of a crash, worst day", detect, "<=", map[bool]float64{true: 5, false: 8}[loss == 0])
-			}
-			if d.ClaimsIdleCost && loss == 0 {
-				if least == 0 {
-					least = bytes
-				}
-				r.addClaim(p+"bytes a second that one sends at rest", bytes, "<=", 2000)
-				r.addClaim(p+"the same, over the smallest fleet's", bytes/least, "<=", 1.2)
+			totals := sumMemberRuns(runs)
+			r.Notes = append(r.Notes, totals.swim.notes...)
+			if idleBytes == 0 && lossRate == 0 {
+				idleBytes = totals.swim.bytesPerSecond
 			}
+			e.claimMembership(r, variant, totals, idleBytes)
 		}
 	}
-	r.Notes = r.Notes[:min(len(r.Notes), 20)]
+	r.limitNotes()
 	return r, nil
 }
+
+// maxPlainSWIMMembers is the largest fleet that also runs plain SWIM, for comparison.
+const maxPlainSWIMMembers = 80
+
+// memberVariant is a size and a loss rate with which a scenario runs.
+type memberVariant struct {
+	members  int
+	lossRate float64
+}
+
+// prefix begins the names of the variant's claims; unit is members, processes or gateways.
+func (v memberVariant) prefix(unit string) string {
+	return fmt.Sprintf("%d %s, loss %.0f%%: ", v.members, unit, v.lossRate*100)
+}
+
+// figure returns the name of one of the variant's figures.
+func (v memberVariant) figure(name string) string {
+	return fmt.Sprintf("%s_%d_loss_%.0f", name, v.members, v.lossRate*100)
+}
+
+// maxDetectionSeconds is the claimed bound on the detection of a crash.
+func (v memberVariant) maxDetectionSeconds() float64 {
+	if v.lossRate == 0 {
+		return 5
+	}
+	return 8
+}
+
+// memberRun is the result of one seed, with the extensions of SWIM and without.
+type memberRun struct{ swim, plain membershipStats }
+
+// runMemberSeeds simulates a variant with each seed.
+func (e *Experiment) runMemberSeeds(ctx context.Context, v memberVariant, o Options) ([]memberRun, error) {
+	runs := make([]memberRun, o.Seeds)
+	err := o.forEachSeed(ctx, runtime.GOMAXPROCS(0), func(_ context.Context, i int) error {
+		seed := o.Seed + uint64(i)
+		runs[i].swim = runMembershipSim(e.membership, v.members, v.lossRate, false, seed)
+		if v.members <= maxPlainSWIMMembers && !o.Short {
+			runs[i].plain = runMembershipSim(e.membership, v.members, v.lossRate, true, seed)
+		}
+		return nil
+	})
+	return runs, err
+}
+
+// sumMemberRuns sums counts, takes the mean of rates and the extreme of all others. Of plain SWIM it takes verdicts and
+// detection.
+func sumMemberRuns(runs []memberRun) memberRun {
+	sum := memberRun{swim: membershipStats{minBudgetShare: 1}}
+	for _, run := range runs {
+		swim := run.swim
+		sum.swim.falseVerdicts += swim.falseVerdicts
+		sum.swim.divergedViews += swim.divergedViews
+		sum.swim.malformed += swim.malformed
+		sum.swim.maxBudgetShare = max(sum.swim.maxBudgetShare, swim.maxBudgetShare)
+		sum.swim.minBudgetShare = min(sum.swim.minBudgetShare, swim.minBudgetShare)
+		sum.swim.detectionSeconds = max(sum.swim.detectionSeconds, swim.detectionSeconds)
+		sum.swim.maxDatagramSize = max(sum.swim.maxDatagramSize, swim.maxDatagramSize)
+		sum.swim.bytesPerSecond += swim.bytesPerSecond / float64(len(runs))
+		sum.swim.messagesPerSecond += swim.messagesPerSecond / float64(len(runs))
+		sum.swim.notes = append(sum.swim.notes, swim.notes...)
+		sum.plain.falseVerdicts += run.plain.falseVerdicts
+		sum.plain.detectionSeconds = max(sum.plain.detectionSeconds, run.plain.detectionSeconds)
+	}
+	return sum
+}
+
+// claimMembership adds the claims and figures of one variant. The claims on idle cost compare with idleBytes, the bytes
+// per second of a member of the smallest fleet.
+func (e *Experiment) claimMembership(r *Result, v memberVariant, totals memberRun, idleBytes float64) {
+	swim, plain, prefix := totals.swim, totals.plain, v.prefix("members")
+	r.addClaim(prefix+"live members held as failed", float64(swim.falseVerdicts), "==", 0)
+	r.addClaim(prefix+"of a budget that all may use together, at most", swim.maxBudgetShare, "<=", maxTotalShare)
+	r.Figures[v.figure("parts_at_most")] = swim.maxBudgetShare
+	r.Figures[v.figure("parts_at_least")] = swim.minBudgetShare
+	r.addClaim(prefix+"messages that could not be written or read", float64(swim.malformed), "==", 0)
+	r.Figures[v.figure("longest_datagram")] = float64(swim.maxDatagramSize)
+	r.Figures[v.figure("false_verdicts")] = float64(swim.falseVerdicts)
+	r.Figures[v.figure("bytes_a_second")] = swim.bytesPerSecond
+	r.Figures[v.figure("messages_a_second")] = swim.messagesPerSecond
+	comparesPlain := v.members <= maxPlainSWIMMembers
+	if comparesPlain {
+		r.Figures[v.figure("false_verdicts_one_trial")] = float64(plain.falseVerdicts)
+	}
+	if e.membership.HealTimeout > 0 {
+		r.addClaim(prefix+"views that are not the living at the end", float64(swim.divergedViews), "==", 0)
+	}
+	if e.membership.ClaimsDetection {
+		r.Figures[v.figure("known_by_99_of_100_s")] = swim.detectionSeconds
+		if comparesPlain {
+			r.Figures[v.figure("known_by_99_of_100_s_one_trial")] = plain.detectionSeconds
+		}
+		r.addClaim(prefix+"s until 99 of 100 know of a crash, worst day", swim.detectionSeconds, "<=", v.maxDetectionSeconds())
+	}
+	if e.membership.ClaimsIdleCost && v.lossRate == 0 {
+		r.addClaim(prefix+"bytes a second that one sends at rest", swim.bytesPerSecond, "<=", 2000)
+		r.addClaim(prefix+"the same, over the smallest fleet's", swim.bytesPerSecond/idleBytes, "<=", 1.2)
+	}
+}
+
+// maxTotalShare bounds the sum of all members' shares of a budget, with a margin for rounding.
+const maxTotalShare = 1 + 1e-9
--- a/internal/experiment/membershipsim.go
+++ b/internal/experiment/membershipsim.go
@@ -27,15 +27,15 @@
 	members         []*simMember
 	byAddr          map[string]*simMember
 	excuses         []excuse
-	stalled         map[*membershipFault][]func() // messages that a stall holds
-	malformed       int                           // messages that could not be written or read
-	falseVerdicts   int                           // live members that were held as failed without an excuse
+	stalled         map[*membershipFault][]func() // messages delayed by a stall
+	malformed       int                           // messages that could not be encoded or decoded
+	falseVerdicts   int                           // verdicts on running members without an excuse
 	notes           []string
 	diedAt          map[membership.Incarnation]time.Duration
-	detections      map[membership.Incarnation][]time.Duration // after how long, by each
-	bytesSent       int                                        // sent by all, from restFrom on
+	detections      map[membership.Incarnation][]time.Duration // delay of each observer's verdict
+	bytesSent       int                                        // by all members, in the last ten seconds
 	messagesSent    int
-	maxDatagramSize int // the longest datagram
+	maxDatagramSize int // in bytes
 }
 
 // simMember is one member of a membershipSim.
@@ -52,24 +52,24 @@
 
 const (
 	tickInterval = 100 * time.Millisecond
-	maxInbox     = 256 // messages that wait for a process that stands still, as in a socket's buffer
+	maxInbox     = 256 // messages queued for a paused process, as in a socket's buffer
 )
 
 // newMembershipSim creates a simulation of n members. PlainSWIM disables the extensions of SWIM.
-func newMembershipSim(d *membershipScenario, n int, loss float64, plain bool, seed uint64) *membershipSim {
-	w := &membershipSim{membershipScenario: d, plainSWIM: plain, timeline: timeline{now: epoch}, rng: rand.New(rand.NewPCG(seed, 5)),
-		links:  links{members: n, lossRate: loss, rng: rand.New(rand.NewPCG(seed, 6)), freeAt: map[[2]int]time.Duration{}},
+func newMembershipSim(scenario *membershipScenario, n int, lossRate float64, plainSWIM bool, seed uint64) *membershipSim {
+	sim := &membershipSim{membershipScenario: scenario, plainSWIM: plainSWIM, timeline: timeline{now: epoch}, rng: rand.New(rand.NewPCG(seed, 5)),
+		links:  links{members: n, lossRate: lossRate, rng: rand.New(rand.NewPCG(seed, 6)), freeAt: map[[2]int]time.Duration{}},
 		byAddr: map[string]*simMember{}, stalled: map[*membershipFault][]func(){}, diedAt: map[membership.Incarnation]time.Duration{}, detections: map[membership.Incarnation][]time.Duration{}}
 	for i := range n {
-		p := &simMember{sim: w, index: i, addr: fmt.Sprintf("127.0.%d.%d:7946", i/250, i%250+1)}
-		w.members, w.byAddr[p.addr] = append(w.members, p), p
-		w.after(time.Duration(w.rng.Int64N(int64(sec))), p.start)
+		p := &simMember{sim: sim, index: i, addr: fmt.Sprintf("127.0.%d.%d:7946", i/250, i%250+1)}
+		sim.members, sim.byAddr[p.addr] = append(sim.members, p), p
+		sim.after(time.Duration(sim.rng.Int64N(int64(sec))), p.start)
 	}
-	for _, x := range d.Faults {
-		w.after(convergenceTime+x.at(), func() { w.startFault(x) })
-		w.after(convergenceTime+x.end(d), func() { w.endFault(x) })
+	for _, x := range scenario.Faults {
+		sim.after(convergenceTime+x.at(), func() { sim.startFault(x) })
+		sim.after(convergenceTime+x.end(scenario), func() { sim.endFault(x) })
 	}
-	return w
+	return sim
 }
 
 // note records a violation with its time, up to maxMemberNotes.
@@ -127,32 +127,32 @@
 
 // start starts a process that knows nothing but three addresses.
 func (m *simMember) start() {
-	w := m.sim
+	sim := m.sim
 	m.generation++
 	m.up, m.inbox = true, nil
 	var join []string
-	for k := range min(3, len(w.members)) {
-		join = append(join, w.members[k*len(w.members)/3].addr)
+	for k := range min(3, len(sim.members)) {
+		join = append(join, sim.members[k*len(sim.members)/3].addr)
 	}
 	var err error
-	m.node, err = membership.New(w.now, membership.Options{Fleet: "f", Name: fmt.Sprint("g", m.index), Zone: threeZones[m.index%3], Addr: m.addr,
-		Join: join, Seed: w.rng.Uint64(), Gateways: len(w.members), PlainSWIM: w.plainSWIM})
+	m.node, err = membership.New(sim.now, membership.Options{Fleet: "f", Name: fmt.Sprint("g", m.index), Zone: threeZones[m.index%3], Addr: m.addr,
+		Join: join, Seed: sim.rng.Uint64(), Gateways: len(sim.members), PlainSWIM: sim.plainSWIM})
 	if err != nil {
-		panic(err) // the options above are this package's own
+		panic(err) // the options are fixed
 	}
 	m.tick(m.generation)
 }
 
 // tick drives the node every tickInterval, as long as its process runs.
-func (m *simMember) tick(life int) {
-	if !m.up || m.generation != life {
+func (m *simMember) tick(generation int) {
+	if !m.up || m.generation != generation {
 		return
 	}
 	if !m.paused {
 		m.node.Tick(m.sim.now)
 		m.flush()
 	}
-	m.sim.after(tickInterval, func() { m.tick(life) })
+	m.sim.after(tickInterval, func() { m.tick(generation) })
 }
 
 // receive handles a message, or queues it while the process is paused.
@@ -169,13 +169,13 @@
 
 // flush sends the node's pending messages and checks its verdicts.
 func (m *simMember) flush() {
-	w := m.sim
+	sim := m.sim
 	out, changes := m.node.Ready()
 	for _, c := range changes {
-		w.checkVerdict(m, c)
+		sim.checkVerdict(m, c)
 	}
 	for _, message := range out {
-		w.send(m, message)
+		sim.send(m, message)
 	}
 }
 
@@ -197,7 +197,7 @@
 		return
 	}
 	outcome := s.deliver(s.now, from.index, to.index, len(encoded), stream)
-	if outcome.lost || outcome.corrupted { // whatever is spoilt does not open
+	if outcome.lost || outcome.corrupted { // corrupted messages fail authentication
 		return
 	}
 	got, err := membership.Decode(encoded)
--- a/internal/experiment/pool.go
+++ b/internal/experiment/pool.go
@@ -12,10 +12,10 @@
 
 // pool holds the connections of one gateway to one host.
 type pool struct {
-	idle     []idleConn // the one used last is at the end
-	inFlight []*attempt // begun, on open connections
+	idle     []idleConn // most recently used last
+	inFlight []*attempt // written attempts
 	usage    poolsize.Host
-	nextTrim time.Duration // the next look at the idle ones
+	nextExpiryCheck time.Duration // time of the next closeExpired
 }
 
 // idleConn is an idle connection, with the times at which it was established and last released.
@@ -82,21 +82,21 @@
 // check.
 func (g *gateway) closeExpired(h *host) {
 	p, f := g.pools[h], g.f
-	left := func(i int) time.Duration {
+	remaining := func(i int) time.Duration {
 		return g.poolSizer.IdleTimeout(clock(f.now), &p.usage, len(p.idle)-1-i) - (f.now - p.idle[i].releasedAt)
 	}
-	for len(p.idle) > 0 && left(0) <= 0 {
+	for len(p.idle) > 0 && remaining(0) <= 0 {
 		p.idle = p.idle[1:]
 		h.connections--
 	}
 	next := time.Duration(math.MaxInt64)
 	for i := range p.idle {
-		next = min(next, left(i))
+		next = min(next, remaining(i))
 	}
-	if life, process := h.incarnation, g.incarnation; len(p.idle) > 0 && (p.nextTrim <= f.now || f.now+next < p.nextTrim) {
-		p.nextTrim = f.now + next
+	if hostIncarnation, incarnation := h.incarnation, g.incarnation; len(p.idle) > 0 && (p.nextExpiryCheck <= f.now || f.now+next < p.nextExpiryCheck) {
+		p.nextExpiryCheck = f.now + next
 		f.after(next, func() {
-			if h.incarnation == life && g.incarnation == process {
+			if h.incarnation == hostIncarnation && g.incarnation == incarnation {
 				g.closeExpired(h)
 			}
 		})
--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -13,7 +13,7 @@
 type process struct {
 	index                    int
 	configFile, adminAddress string
-	operatorTables           string // of the operator's file
+	operatorTables           string // contents of configFile
 	cmd                      *exec.Cmd
 	ended                    chan struct{}
 	start                    string
@@ -56,13 +56,3 @@
 		return fmt.Errorf("it does not end in %v after SIGTERM", processTimeout)
 	}
 }
-
-// memberView is the part of a member's report that the harness checks; see gossip.View.
-type memberView struct {
-	Self    struct{ Start string }
-	Members []struct{ Start, State string }
-	Part    float64
-	Size    int
-
-	Conflicts []string
-}
--- a/internal/experiment/processharness.go
+++ b/internal/experiment/processharness.go
@@ -3,8 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -16,7 +14,6 @@
 	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 )
 
@@ -31,32 +28,32 @@
 	processes []*process
 	logs      io.Writer
 	client    http.Client
-	startedAt time.Duration // when the day began, by the network's clock
-	isolated  bool          // processes don't know each other: for comparison
+	startedAt time.Duration // start of the scenario, by the network's clock; 0: members still converge
+	isolated  bool          // processes don't know each other, for comparison
 
-	mu              sync.Mutex // guards what follows: lines come from each process's own goroutine
+	mu              sync.Mutex // guards the fields below: each process logs from its own goroutine
 	excuses         []excuse
-	memberByStart   map[string]int // whose each start is
+	memberByStart   map[string]int // index of the member that each start belongs to
 	diedAt          map[string]time.Duration
 	detections      map[string][]time.Duration
 	falseVerdicts   int
 	notes           []string
-	changes         int // verdicts and other news that were seen: a rig that reads nothing judges nothing
-	excusedVerdicts int // verdicts on the living that were to be expected: without any a cut has cut nothing
+	changes         int // state changes read; without any the harness has judged nothing
+	excusedVerdicts int // expected verdicts on running members; without any a partition had no effect
 }
 
 // harnessCount numbers the harnesses of this process, so that each has its own addresses.
 var harnessCount atomic.Int32
 
 const (
-	processTimeout = 30 * time.Second // for what has to happen in the end, on a busy machine
+	processTimeout = 30 * time.Second // generous, for busy machines
 	pollInterval   = 250 * time.Millisecond
 )
 
 // newProcessHarness returns a harness for n members; prepare creates them.
-func newProcessHarness(ctx context.Context, d *membershipScenario, n int, loss float64, seed uint64, dir string, logs io.Writer) *processHarness {
-	return &processHarness{membershipScenario: d, dir: dir, logs: logs, client: http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
-		network:       newNetwork(ctx, links{members: n, lossRate: loss, rng: rand.New(rand.NewPCG(seed, 6)), freeAt: map[[2]int]time.Duration{}}),
+func newProcessHarness(ctx context.Context, scenario *membershipScenario, n int, lossRate float64, seed uint64, dir string, logs io.Writer) *processHarness {
+	return &processHarness{membershipScenario: scenario, dir: dir, logs: logs, client: http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
+		network:       newNetwork(ctx, links{members: n, lossRate: lossRate, rng: rand.New(rand.NewPCG(seed, 6)), freeAt: map[[2]int]time.Duration{}}),
 		memberByStart: map[string]int{}, diedAt: map[string]time.Duration{}, detections: map[string][]time.Duration{}}
 }
 
@@ -143,55 +140,6 @@
 	}
 }
 
-// fetchView requests a member's view from its admin listener.
-func (h *processHarness) fetchView(p *process) (v memberView, err error) {
-	resp, err := h.client.Get("http://" + p.adminAddress + "/members")
-	if err != nil {
-		return v, err
-	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return v, errors.New(resp.Status)
-	}
-	return v, json.NewDecoder(io.LimitReader(resp.Body, 4<<20)).Decode(&v)
-}
-
-// readLogLine checks a line that a member has logged.
-func (h *processHarness) readLogLine(i int, line string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	fmt.Fprintf(h.logs, "g%d %s\n", i, line)
-	_, rest, ok := strings.Cut(line, "event=member_changed ")
-	if !ok {
-		return
-	}
-	values := map[string]string{}
-	for _, word := range strings.Fields(rest) {
-		if k, v, ok := strings.Cut(word, "="); ok {
-			values[k] = v
-		}
-	}
-	now := h.network.now()
-	h.changes++
-	if values["to"] != "failed" || values["from"] == "new" {
-		return
-	}
-	start := values["incarnation"]
-	if at, dead := h.diedAt[start]; dead {
-		h.detections[start] = append(h.detections[start], now-at)
-		return
-	}
-	of, known := h.memberByStart[start]
-	switch {
-	case !known || !h.processes[of].up || h.processes[of].start != start || h.startedAt == 0:
-	case isExcused(h.excuses, now, i, of, len(h.processes)):
-		h.excusedVerdicts++
-	default:
-		h.falseVerdicts++
-		h.note("%d holds %d as failed, by %s", i, of, line)
-	}
-}
-
 // note records a violation with its time, up to maxMemberNotes.
 func (h *processHarness) note(format string, args ...any) {
 	if len(h.notes) < 10 {
@@ -199,195 +147,56 @@
 	}
 }
 
-// pollViews requests all views at the same time. It returns how many differ from the set of running members, and the
-// sum of their shares of a common budget.
-func (h *processHarness) pollViews() (unequal int, parts float64) {
-	if h.isolated {
-		return 0, 0
-	}
-	living, asked := map[string]bool{}, []*process{}
-	h.mu.Lock()
-	for _, p := range h.processes {
-		if p.up {
-			living[p.start] = true
-		}
-		if p.up && !p.paused {
-			asked = append(asked, p)
-		}
-	}
-	h.mu.Unlock()
-	views := make([]*memberView, len(asked))
-	var work sync.WaitGroup
-	for k, p := range asked {
-		work.Go(func() {
-			if v, err := h.fetchView(p); err == nil {
-				views[k] = &v
-			}
-		})
-	}
-	work.Wait()
-	for _, v := range views {
-		if v == nil {
-			unequal++
-			continue
-		}
-		parts += v.Part
-		seen, wrong := 1, !living[v.Self.Start]
-		for _, m := range v.Members {
-			if m.State == "alive" || m.State == "draining" {
-				seen++
-				wrong = wrong || !living[m.Start]
-			}
-		}
-		if wrong || seen != len(living) {
-			unequal++
-		}
-	}
-	return unequal, parts
-}
-
 // run waits until the members have found each other, applies the faults, and waits for their views to converge.
-func (h *processHarness) run(ctx context.Context) (x processStats, err error) {
+func (h *processHarness) run(ctx context.Context) (stats processStats, err error) {
 	if h.isolated {
 		time.Sleep(settleTime)
-	}
-	for end := time.Now().Add(processTimeout); !h.isolated; time.Sleep(pollInterval) {
-		unequal, parts := h.pollViews()
-		x.maxBudgetShare = max(x.maxBudgetShare, parts)
-		if unequal == 0 && parts > 0.99 {
-			break
-		}
-		if ctx.Err() != nil || time.Now().After(end) {
-			return x, fmt.Errorf("%d of %d members have not found all others in %v", unequal, len(h.processes), processTimeout)
-		}
+	} else if err := h.waitConverged(ctx, &stats); err != nil {
+		return stats, err
 	}
 	h.mu.Lock()
 	h.startedAt = h.network.now()
 	h.mu.Unlock()
-	type act struct {
-		at time.Duration
-		do func() error
+	if err := h.runFaults(ctx, &stats); err != nil {
+		return stats, err
 	}
-	var acts []act
-	last := time.Duration(0)
-	for _, f := range h.Faults {
-		acts = append(acts, act{f.at(), func() error { return h.startFault(f) }})
-		if end := f.end(h.membershipScenario); end <= time.Duration(h.Duration) {
-			last = max(last, end)
-			acts = append(acts, act{end, func() error { return h.endFault(f) }})
-		}
-	}
-	slices.SortStableFunc(acts, func(a, b act) int { return int(a.at - b.at) })
-	healed := time.Duration(0)
-	x.healSeconds = processTimeout.Seconds()
-	for {
-		now := h.network.now() - h.startedAt
-		for len(acts) > 0 && acts[0].at <= now {
-			if err := acts[0].do(); err != nil {
-				return x, err
-			}
-			acts = acts[1:]
-		}
-		unequal, parts := h.pollViews()
-		x.maxBudgetShare, x.divergedViews = max(x.maxBudgetShare, parts), unequal
-		if now = h.network.now() - h.startedAt; unequal > 0 || len(acts) > 0 {
-			healed = 0
-		} else if healed == 0 {
-			healed = now
-			x.healSeconds = max(0, now-last).Seconds()
-		}
-		// The day ends when its time is over, and views are equal or have had their time.
-		if now >= time.Duration(h.Duration) && (healed > 0 || h.HealTimeout == 0 || now >= last+processTimeout) {
-			break
-		}
-		wait := pollInterval
-		if len(acts) > 0 {
-			wait = min(wait, max(0, acts[0].at-now))
-		}
-		select {
-		case <-time.After(wait):
-		case <-ctx.Done():
-			return x, ctx.Err()
-		}
-	}
-	x.bytesPerSecond, x.residentMB = h.resourceUsage()
+	stats.bytesPerSecond, stats.residentMB = h.resourceUsage()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for start := range h.diedAt {
-		took := h.detections[start]
-		slices.Sort(took)
-		if !h.ClaimsDetection {
-			continue
-		}
-		if x.detectionSeconds = processTimeout.Seconds(); len(took) >= len(h.processes)-1 {
-			x.detectionSeconds = took[len(h.processes)-2].Seconds()
-		}
+	if h.ClaimsDetection {
+		stats.detectionSeconds = h.detectionSeconds()
 	}
-	x.falseVerdicts, x.changes, x.excusedVerdicts, x.notes = h.falseVerdicts, h.changes, h.excusedVerdicts, h.notes
-	return x, nil
+	stats.falseVerdicts, stats.changes, stats.excusedVerdicts, stats.notes = h.falseVerdicts, h.changes, h.excusedVerdicts, h.notes
+	return stats, nil
 }
 
-// startFault applies a fault.
-func (h *processHarness) startFault(f *membershipFault) error {
-	h.mu.Lock()
-	now := h.network.now()
-	h.excuses = append(h.excuses, f.newExcuses(now, now+f.end(h.membershipScenario)-f.at())...)
-	h.mu.Unlock()
-	if f.Peers.matches != nil {
-		h.network.startFault(f)
-		return nil
-	}
-	for _, p := range h.processes {
-		if !f.Members.matches(p.index, len(h.processes)) || !p.up {
-			continue
-		}
-		var err error
-		switch f.Kind {
-		case faultPause:
-			h.mu.Lock()
-			p.paused = true
-			h.mu.Unlock()
-			err = p.cmd.Process.Signal(syscall.SIGSTOP)
-		case faultKill, faultLeave:
-			h.mu.Lock()
-			p.up = false
-			h.diedAt[p.start] = h.network.now()
-			h.mu.Unlock()
-			if f.Kind == faultLeave {
-				err = p.terminate()
-			} else {
-				p.kill()
-			}
+// waitConverged waits until all members know each other and share the whole of a budget.
+func (h *processHarness) waitConverged(ctx context.Context, stats *processStats) error {
+	for end := time.Now().Add(processTimeout); ; time.Sleep(pollInterval) {
+		diverged, total := h.pollViews()
+		stats.maxBudgetShare = max(stats.maxBudgetShare, total)
+		if diverged == 0 && total > 0.99 {
+			return nil
 		}
-		if err != nil {
-			return fmt.Errorf("%s of member %d: %w", f.Kind, p.index, err)
+		if ctx.Err() != nil || time.Now().After(end) {
+			return fmt.Errorf("%d of %d members have not found all others in %v", diverged, len(h.processes), processTimeout)
 		}
 	}
-	return nil
 }
 
-// endFault reverts a fault. Killed processes start again, all at once.
-func (h *processHarness) endFault(f *membershipFault) error {
-	if f.Peers.matches != nil {
-		h.network.endFault(f)
-		return nil
-	}
-	var errs []error
-	for _, p := range h.processes {
-		if !f.Members.matches(p.index, len(h.processes)) {
-			continue
-		}
-		switch f.Kind {
-		case faultPause:
-			errs = append(errs, p.cmd.Process.Signal(syscall.SIGCONT))
-			h.mu.Lock()
-			p.paused = false
-			h.mu.Unlock()
-		case faultKill, faultLeave:
-			errs = append(errs, h.launch(p))
+// detectionSeconds returns how long it took until all other members knew of a member's end, or processTimeout if they
+// never did. The caller holds mu.
+func (h *processHarness) detectionSeconds() float64 {
+	seconds := 0.0
+	for start := range h.diedAt {
+		detections := h.detections[start]
+		slices.Sort(detections)
+		seconds = processTimeout.Seconds()
+		if others := len(h.processes) - 1; len(detections) >= others {
+			seconds = detections[others-1].Seconds()
 		}
 	}
-	return errors.Join(errs...)
+	return seconds
 }
 
 // resourceUsage returns the mean bytes per second that a member has sent, and its mean resident memory in MB.
@@ -397,7 +206,7 @@
 			continue
 		}
 		if resp, err := h.client.Get("http://" + p.adminAddress + "/counters"); err == nil {
-			text, _ := io.ReadAll(io.LimitReader(resp.Body, 64<<10)) // what is missing shows as 0
+			text, _ := io.ReadAll(io.LimitReader(resp.Body, 64<<10)) // a missing value shows as 0
 			resp.Body.Close()
 			for _, line := range strings.Split(string(text), "\n") {
 				var n float64
--- a/internal/experiment/processrun.go
+++ b/internal/experiment/processrun.go
@@ -6,93 +6,109 @@
 	"io"
 	"os"
 	"os/exec"
-	"runtime"
 	"time"
 )
 
 // processStats are the results of one run with processes.
 type processStats struct {
 	falseVerdicts, divergedViews int
-	healSeconds                  float64 // s from the end of the last fault until all views were the living; the bound if they never were
-	maxBudgetShare               float64 // of a common budget that all may use, at most
-	detectionSeconds             float64 // s until all others know of a crash; 0: none
+	healSeconds                  float64 // from the end of the last fault until all views had converged; processTimeout if never
+	maxBudgetShare               float64 // maximum of the sum of all shares of a budget
+	detectionSeconds             float64 // until all others know of a crash; 0: no crash
 	changes                      int
-	excusedVerdicts              int     // verdicts on the living that were to be expected
-	bytesPerSecond               float64 // a second and member, over the day
-	residentMB                   float64 // MB a process, at the end
+	excusedVerdicts              int     // expected verdicts on running members
+	bytesPerSecond               float64 // per member, over the whole run
+	residentMB                   float64 // per process, at the end
 	notes                        []string
 }
 
 // runProcessScenario runs a scenario once. All processes have ended when it returns.
-func runProcessScenario(ctx context.Context, d *membershipScenario, n int, loss float64, seed uint64, program func(file string) *exec.Cmd, logs io.Writer) (x processStats, err error) {
+func runProcessScenario(ctx context.Context, scenario *membershipScenario, n int, lossRate float64, seed uint64, command func(file string) *exec.Cmd, logs io.Writer) (stats processStats, err error) {
 	dir, err := os.MkdirTemp("", "cranelab")
 	if err != nil {
-		return x, err
+		return stats, err
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	r := newProcessHarness(ctx, d, n, loss, seed, dir, logs)
-	r.command = program
+	harness := newProcessHarness(ctx, scenario, n, lossRate, seed, dir, logs)
+	harness.command = command
 	defer func() {
-		for _, p := range r.processes {
+		for _, p := range harness.processes {
 			p.kill()
 		}
 		cancel()
-		r.network.work.Wait()
+		harness.network.work.Wait()
 	}()
-	if err := r.prepare(n); err != nil {
-		return x, err
+	if err := harness.prepare(n); err != nil {
+		return stats, err
 	}
-	r.network.serve()
-	for _, p := range r.processes {
-		if err := r.launch(p); err != nil {
-			return x, err
+	harness.network.serve()
+	for _, p := range harness.processes {
+		if err := harness.launch(p); err != nil {
+			return stats, err
 		}
 	}
-	return r.run(ctx)
+	return harness.run(ctx)
 }
 
 // runProcesses runs a membership scenario with real processes at each size, with each loss rate and seed.
 func (e *Experiment) runProcesses(ctx context.Context, o Options) (*Result, error) {
-	d := e.membership
 	sizes := o.Members
 	if len(sizes) == 0 {
 		sizes = []int{7}
 	}
-	r := &Result{Experiment: e.Name, About: e.About, Seed: o.Seed, Seeds: o.Seeds, Driver: "processes", Version: o.Version,
-		Size: fmt.Sprintf("%v members", sizes), Machine: fmt.Sprintf("%d cores", runtime.NumCPU()),
-		Figures: map[string]float64{}, Series: map[string][]float64{}}
-	program := func(file string) *exec.Cmd { return exec.Command(o.Program, "--operator", file) }
+	r := e.newResult(o, driverProcesses, fmt.Sprintf("%v members", sizes))
+	command := func(file string) *exec.Cmd { return exec.Command(o.Program, "--operator", file) }
 	for _, n := range sizes {
-		for _, loss := range d.LossRates {
-			var sum processStats
+		for _, lossRate := range e.membership.LossRates {
+			variant := memberVariant{n, lossRate}
+			var totals processStats
 			for i := range o.Seeds {
-				x, err := runProcessScenario(ctx, d, n, loss, o.Seed+uint64(i), program, o.Logs)
+				seed := o.Seed + uint64(i)
+				stats, err := runProcessScenario(ctx, e.membership, n, lossRate, seed, command, o.Logs)
 				if err != nil {
-					return nil, fmt.Errorf("%d members, loss %.0f%%, seed %d: %w", n, loss*100, o.Seed+uint64(i), err)
+					return nil, fmt.Errorf("%d members, loss %.0f%%, seed %d: %w", n, lossRate*100, seed, err)
 				}
-				sum.falseVerdicts, sum.changes, sum.notes = sum.falseVerdicts+x.falseVerdicts, sum.changes+x.changes, append(sum.notes, x.notes...)
-				sum.healSeconds, sum.maxBudgetShare, sum.detectionSeconds = max(sum.healSeconds, x.healSeconds), max(sum.maxBudgetShare, x.maxBudgetShare), max(sum.detectionSeconds, x.detectionSeconds)
-				sum.bytesPerSecond, sum.residentMB = max(sum.bytesPerSecond, x.bytesPerSecond), max(sum.residentMB, x.residentMB)
-				if o.Progress != nil {
-					o.Progress(i+1, o.Seeds)
-				}
-			}
-			p := fmt.Sprintf("%d processes, loss %.0f%%: ", n, loss*100)
-			key := func(name string) string { return fmt.Sprintf("%s_%d_loss_%.0f", name, n, loss*100) }
-			r.addClaim(p+"live members held as failed", float64(sum.falseVerdicts), "==", 0)
-			r.addClaim(p+"of a budget that all may use together, at most", sum.maxBudgetShare, "<=", 1+1e-9)
-			r.addClaim(p+"news that were seen of them", float64(sum.changes), ">=", float64(n*(n-1)*o.Seeds))
-			if d.HealTimeout > 0 {
-				r.addClaim(p+"s until all views are the living, worst day", sum.healSeconds, "<=", time.Duration(d.HealTimeout).Seconds())
-			}
-			if d.ClaimsDetection {
-				r.addClaim(p+"s until all know of a crash, worst day", sum.detectionSeconds, "<=", map[bool]float64{true: 5, false: 8}[loss == 0])
+				totals.add(stats)
+				o.reportProgress(i+1, o.Seeds)
 			}
-			r.Figures[key("bytes_a_second")], r.Figures[key("resident_mb")] = sum.bytesPerSecond, sum.residentMB
-			r.Notes = append(r.Notes, sum.notes...)
+			e.claimProcesses(r, variant, totals, o.Seeds)
+			r.Notes = append(r.Notes, totals.notes...)
 		}
 	}
-	r.Notes = r.Notes[:min(len(r.Notes), 20)]
+	r.limitNotes()
 	return r, nil
 }
+
+// add adds the results of one run: counts are summed, of all others the maximum is taken.
+func (s *processStats) add(run processStats) {
+	s.falseVerdicts += run.falseVerdicts
+	s.changes += run.changes
+	s.notes = append(s.notes, run.notes...)
+	s.healSeconds = max(s.healSeconds, run.healSeconds)
+	s.maxBudgetShare = max(s.maxBudgetShare, run.maxBudgetShare)
+	s.detectionSeconds = max(s.detectionSeconds, run.detectionSeconds)
+	s.bytesPerSecond = max(s.bytesPerSecond, run.bytesPerSecond)
+	s.residentMB = max(s.residentMB, run.residentMB)
+}
+
+// claimProcesses adds the claims and figures of one variant.
+func (e *Experiment) claimProcesses(r *Result, v memberVariant, totals processStats, seeds int) {
+	prefix := v.prefix("processes")
+	r.claimMemberVerdicts(prefix, v, totals, seeds)
+	if e.membership.HealTimeout > 0 {
+		r.addClaim(prefix+"s until all views are the living, worst day", totals.healSeconds, "<=", time.Duration(e.membership.HealTimeout).Seconds())
+	}
+	if e.membership.ClaimsDetection {
+		r.addClaim(prefix+"s until all know of a crash, worst day", totals.detectionSeconds, "<=", v.maxDetectionSeconds())
+	}
+	r.Figures[v.figure("bytes_a_second")] = totals.bytesPerSecond
+	r.Figures[v.figure("resident_mb")] = totals.residentMB
+}
+
+// claimMemberVerdicts claims correct verdicts and budgets, and that the harness has seen each member join each other.
+func (r *Result) claimMemberVerdicts(prefix string, v memberVariant, totals processStats, seeds int) {
+	r.addClaim(prefix+"live members held as failed", float64(totals.falseVerdicts), "==", 0)
+	r.addClaim(prefix+"of a budget that all may use together, at most", totals.maxBudgetShare, "<=", maxTotalShare)
+	r.addClaim(prefix+"news that were seen of them", float64(totals.changes), ">=", float64(v.members*(v.members-1)*seeds))
+}
--- a/internal/experiment/relay.go
+++ b/internal/experiment/relay.go
@@ -14,9 +14,9 @@
 // identifies the sender by the source address.
 type network struct {
 	startedAt  time.Time
-	mu         sync.Mutex // guards links and held
+	mu         sync.Mutex // guards links and stalled
 	links      links
-	stalled    map[*membershipFault][]func() // datagrams that a stall holds
+	stalled    map[*membershipFault][]func() // datagrams delayed by a stall
 	memberByIP map[netip.Addr]int
 	relays     []*relay
 	work       sync.WaitGroup
@@ -128,9 +128,9 @@
 		datagram[k/8] ^= 1 << (k % 8)
 	}
 	for range outcome.copies {
-		late := outcome.delay + draw(network.links.rng, 200*time.Microsecond, 3*time.Millisecond) // so that some overtake others
+		late := outcome.delay + draw(network.links.rng, 200*time.Microsecond, 3*time.Millisecond) // reorders some datagrams
 		send := func() {
-			time.AfterFunc(late, func() { r.udp.WriteToUDPAddrPort(datagram, r.destination) }) // one that can't be sent is lost
+			time.AfterFunc(late, func() { r.udp.WriteToUDPAddrPort(datagram, r.destination) }) // a datagram that can't be sent is lost
 		}
 		if outcome.stalledBy == nil {
 			send()
--- a/internal/experiment/restart.go
+++ b/internal/experiment/restart.go
@@ -9,8 +9,8 @@
 
 const (
 	gracefulShutdownDuration = 3 * time.Second        // from SIGTERM to the end of a process
-	restartDelay             = 500 * time.Millisecond // from its end to the next
-	hostDrainDuration        = 3 * time.Second        // a replaced host ends after this
+	restartDelay             = 500 * time.Millisecond // from the end of a process to the next start
+	hostDrainDuration        = 3 * time.Second        // until a replaced host ends
 )
 
 // startReplacement restarts gateways or replaces hosts.
@@ -82,8 +82,8 @@
 	h := &host{f: f, id: fmt.Sprintf("%s-%d", old.id, len(f.hosts)), group: g, zone: old.zone, up: true, started: f.now, position: old.position}
 	g.members = append(g.members, h)
 	f.hosts = append(f.hosts, h)
-	for _, x := range f.gateways {
-		x.hosts[h.id], x.pools[h] = h, &pool{}
+	for _, gateway := range f.gateways {
+		gateway.hosts[h.id], gateway.pools[h] = h, &pool{}
 	}
 	f.notifyHostChanged(h)
 	f.announce(h, draw(f.rng, 450*time.Millisecond, 2300*time.Millisecond))
@@ -91,7 +91,7 @@
 	f.announce(old, draw(f.rng, 0, 400*time.Millisecond))
 	f.after(hostDrainDuration, func() {
 		old.removed = true
-		g.members = slices.DeleteFunc(g.members, func(x *host) bool { return x == old })
+		g.members = slices.DeleteFunc(g.members, func(gateway *host) bool { return gateway == old })
 		old.crash()
 	})
 }
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -19,9 +19,9 @@
 	Machine    string               `json:"machine"`
 	Figures    map[string]float64   `json:"figures"`
 	Claims     []Claim              `json:"claims"`
-	Series     map[string][]float64 `json:"series,omitempty"` // a value a second, from the day's start
+	Series     map[string][]float64 `json:"series,omitempty"` // a value per second from the start of the run
 	Faults     []string             `json:"faults,omitempty"`
-	Notes      []string             `json:"notes,omitempty"` // what the judge said of broken rules
+	Notes      []string             `json:"notes,omitempty"` // details of violations
 }
 
 // The drivers of experiments, as results name them.
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -18,11 +18,11 @@
 // membershipScenario describes faults of members that know each other, on a network that loses and delays messages.
 type membershipScenario struct {
 	About           string             `toml:"about"`
-	LossRates       []float64          `toml:"losses"` // the shares of messages that get lost all day; each is played
+	LossRates       []float64          `toml:"losses"` // permanent rates of message loss; each is run
 	Duration        seconds            `toml:"length_s"`
-	HealTimeout     seconds            `toml:"heal_s"` // from the last fault's end until all views have to be equal; 0: not claimed
-	ClaimsDetection bool               `toml:"crash"`  // claims how soon crashes are known
-	ClaimsIdleCost  bool               `toml:"rest"`   // claims what messages cost at rest
+	HealTimeout     seconds            `toml:"heal_s"` // bound from the last fault's end until all views are equal; 0: not claimed
+	ClaimsDetection bool               `toml:"crash"`  // claims a bound on the detection of crashes
+	ClaimsIdleCost  bool               `toml:"rest"`   // claims a bound on traffic without faults
 	Faults          []*membershipFault `toml:"fault"`
 
 	name string
@@ -32,21 +32,21 @@
 type membershipFault struct {
 	Kind          membershipFaultKind `toml:"kind"`
 	At            seconds             `toml:"at_s"`
-	Duration      seconds             `toml:"for_s"` // 0: for the rest of the day
+	Duration      seconds             `toml:"for_s"` // 0: until the end of the scenario
 	Members       selector            `toml:"who"`
 	Peers         selector            `toml:"to"`
-	Bidirectional bool                `toml:"both"` // also what To send to Who
-	// Excuses says whom those that are not of the same selection may hold as failed while it lasts: whom nobody on their
-	// side reaches, or who stands still for longer than is promised to be borne. For some seconds after the end all are
-	// excused that anybody was.
+	Bidirectional bool                `toml:"both"` // also messages from Peers to Members
+	// Excuses selects groups of members that those outside the same group may consider failed during the fault, because
+	// nobody on their side reaches them or because they pause for longer than maxToleratedPause. For
+	// verdictGracePeriod after the end, any member may.
 	Excuses []selector `toml:"excuses"`
 
-	LossRate       float64 `toml:"lose"` // noise: shares of messages
+	LossRate       float64 `toml:"lose"` // noise: probabilities by message
 	DuplicateRate  float64 `toml:"double"`
-	CorruptRate    float64 `toml:"spoil"` // bits are flipped
+	CorruptRate    float64 `toml:"spoil"` // a bit is flipped
 	DelayRate      float64 `toml:"late"`
-	MaxDelayMS     int     `toml:"late_ms"` // by so much at most
-	BytesPerSecond int     `toml:"bytes_s"` // narrow: a second and link
+	MaxDelayMS     int     `toml:"late_ms"` // maximum delay
+	BytesPerSecond int     `toml:"bytes_s"` // narrow: bandwidth of each link
 }
 
 // membershipFaultKind is the kind of a membership fault, as scenario files name it.
@@ -114,44 +114,44 @@
 	if err != nil {
 		panic(err) // they are part of the program
 	}
-	var days []*membershipScenario
+	var scenarios []*membershipScenario
 	for _, f := range files {
 		text, err := scenarioFiles.ReadFile("scenarios/" + f.Name())
 		if err == nil {
-			var d *membershipScenario
-			if d, err = parseScenario(string(text)); err == nil {
-				d.name = strings.TrimSuffix(f.Name(), path.Ext(f.Name()))
-				days = append(days, d)
+			var scenario *membershipScenario
+			if scenario, err = parseScenario(string(text)); err == nil {
+				scenario.name = strings.TrimSuffix(f.Name(), path.Ext(f.Name()))
+				scenarios = append(scenarios, scenario)
 			}
 		}
 		if err != nil {
 			panic(fmt.Sprintf("%s: %v", f.Name(), err))
 		}
 	}
-	return days
+	return scenarios
 }
 
 // parseScenario parses and validates a membership scenario.
 func parseScenario(text string) (*membershipScenario, error) {
-	d := &membershipScenario{}
-	meta, err := toml.Decode(text, d)
+	scenario := &membershipScenario{}
+	meta, err := toml.Decode(text, scenario)
 	if err != nil {
 		return nil, err
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, fmt.Errorf("unknown key %s", unknown[0])
 	}
-	if d.About == "" || d.Duration <= 0 || len(d.LossRates) == 0 {
+	if scenario.About == "" || scenario.Duration <= 0 || len(scenario.LossRates) == 0 {
 		return nil, fmt.Errorf("about, length_s and losses are needed")
 	}
-	for i, f := range d.Faults {
+	for i, f := range scenario.Faults {
 		link := f.Kind == faultPartition || f.Kind == faultNoise || f.Kind == faultStall || f.Kind == faultBandwidth
 		switch {
 		case !link && f.Kind != faultPause && f.Kind != faultKill && f.Kind != faultLeave:
 			return nil, fmt.Errorf("fault %d: there is no kind %q", i, f.Kind)
 		case f.Members.matches == nil || link != (f.Peers.matches != nil) || f.Bidirectional && !link:
 			return nil, fmt.Errorf("fault %d: who, and to where messages are concerned, are needed", i)
-		case f.At < 0 || f.Duration < 0 || f.At+f.Duration > d.Duration:
+		case f.At < 0 || f.Duration < 0 || f.At+f.Duration > scenario.Duration:
 			return nil, fmt.Errorf("fault %d: it lies outside the day", i)
 		case f.Kind == faultBandwidth && f.BytesPerSecond <= 0:
 			return nil, fmt.Errorf("fault %d: bytes_s is needed", i)
@@ -159,16 +159,16 @@
 			return nil, fmt.Errorf("fault %d: shares lie between 0 and 1", i)
 		}
 	}
-	return d, nil
+	return scenario, nil
 }
 
 // at returns when the fault starts within its scenario.
 func (f *membershipFault) at() time.Duration { return time.Duration(f.At) }
 
 // end returns when the fault ends within its scenario. Faults without a duration end after it.
-func (f *membershipFault) end(d *membershipScenario) time.Duration {
+func (f *membershipFault) end(scenario *membershipScenario) time.Duration {
 	if f.Duration == 0 {
-		return time.Duration(d.Duration) + time.Hour
+		return time.Duration(scenario.Duration) + time.Hour
 	}
 	return time.Duration(f.At + f.Duration)
 }
--- a/internal/experiment/slowstart.go
+++ b/internal/experiment/slowstart.go
@@ -14,9 +14,9 @@
 type slowStartRecord struct {
 	calls          []slowStartCall
 	incarnation    int
-	notifiedStarts map[*gateway]time.Duration // the start that each gateway was told of
-	// The greatest excess of a window over N + 2 root of N + 2 requests of mean work, of all that came, and of windows of
-	// which two thirds came from gateways that had been told of the start; and what that window held.
+	notifiedStarts map[*gateway]time.Duration // the start that each gateway was notified of
+	// Largest excess of a window over N + chanceMargin(N) requests of mean work, where N is the budget: of all calls, and
+	// in windows of which two thirds came from notified gateways; with a description of the window of the former.
 	excess, notifiedExcess float64
 	worstWindow            string
 }
@@ -24,7 +24,7 @@
 // slowStartCall is one attempt or health check that reached a host during its slow start.
 type slowStartCall struct {
 	at       time.Duration
-	work     float64 // over the mean work of a request; 1 for any attempt, as its work is chance
+	work     float64 // relative to the mean work of a request; 1 for any attempt, as its work is random
 	notified bool
 }
 
@@ -33,12 +33,12 @@
 
 // slowStartOf returns the record of a host and creates it at first use.
 func (j *Judge) slowStartOf(h *host) *slowStartRecord {
-	r := j.slowStarts[h]
-	if r == nil {
-		r = &slowStartRecord{notifiedStarts: map[*gateway]time.Duration{}, excess: math.Inf(-1), notifiedExcess: math.Inf(-1)}
-		j.slowStarts[h] = r
+	record := j.slowStarts[h]
+	if record == nil {
+		record = &slowStartRecord{notifiedStarts: map[*gateway]time.Duration{}, excess: math.Inf(-1), notifiedExcess: math.Inf(-1)}
+		j.slowStarts[h] = record
 	}
-	return r
+	return record
 }
 
 // startNotified records that a gateway has been notified of a host's start.
@@ -54,41 +54,41 @@
 	if h.started == 0 || h.speed() >= 1 || h.slow {
 		return
 	}
-	r := j.slowStartOf(h)
-	if r.incarnation != h.incarnation {
-		r.incarnation, r.calls = h.incarnation, nil
+	record := j.slowStartOf(h)
+	if record.incarnation != h.incarnation {
+		record.incarnation, record.calls = h.incarnation, nil
 	}
-	r.calls = slices.DeleteFunc(r.calls, func(c slowStartCall) bool { return c.at <= j.fleet.now-overloadWindow })
-	r.calls = append(r.calls, slowStartCall{j.fleet.now, work, r.notifiedStarts[g] == h.started})
+	record.calls = slices.DeleteFunc(record.calls, func(c slowStartCall) bool { return c.at <= j.fleet.now-overloadWindow })
+	record.calls = append(record.calls, slowStartCall{j.fleet.now, work, record.notifiedStarts[g] == h.started})
 	all, told := 0.0, 0.0
-	for _, c := range r.calls {
+	for _, c := range record.calls {
 		if all += c.work; c.notified {
 			told += c.work
 		}
 	}
-	n := overloadFactor * h.speed() * coresPerHost * overloadWindow.Seconds() / j.fleet.meanWork()
-	over := all - n - chanceMargin(n)
-	if told > all*2/3 && over > r.notifiedExcess {
-		r.notifiedExcess = over
+	budget := overloadFactor * h.speed() * coresPerHost * overloadWindow.Seconds() / j.fleet.meanWork()
+	excess := all - budget - chanceMargin(budget)
+	if told > all*2/3 && excess > record.notifiedExcess {
+		record.notifiedExcess = excess
 	}
-	if over > r.excess {
-		r.excess = over
-		r.worstWindow = fmt.Sprintf("%s: %.1f calls (%.1f of gateways that were told) within %v, %.1f s after its start, N %.1f",
-			h.id, all, told, overloadWindow, (j.fleet.now - h.started).Seconds(), n)
+	if excess > record.excess {
+		record.excess = excess
+		record.worstWindow = fmt.Sprintf("%s: %.1f calls (%.1f of gateways that were told) within %v, %.1f s after its start, N %.1f",
+			h.id, all, told, overloadWindow, (j.fleet.now - h.started).Seconds(), budget)
 	}
 }
 
 // slowStartExcess returns the largest excess over all hosts, of all calls and of calls by notified gateways, and
 // describes the window with the former.
-func (j *Judge) slowStartExcess() (excess, told float64, most string) {
+func (j *Judge) slowStartExcess() (excess, told float64, worstWindow string) {
 	excess, told = math.Inf(-1), math.Inf(-1)
 	for _, r := range j.slowStarts {
 		if r.excess > excess {
-			excess, most = r.excess, r.worstWindow
+			excess, worstWindow = r.excess, r.worstWindow
 		}
 		told = max(told, r.notifiedExcess)
 	}
-	return excess, told, most
+	return excess, told, worstWindow
 }
 
 // slowStartScenarios are scenarios with host starts before 20 or 30 gateways, by name. Some gateways restart just
@@ -111,12 +111,12 @@
 }
 
 // slowStartSpec describes a slow-start scenario.
-func slowStartSpec(gateways int, faults []Fault, b Defect) Spec {
-	s := baseSpec(28*sec, faults...)
-	s.Hosts, s.Groups, s.Gateways, s.Load, s.Defect = 10, 3, gateways, 0.85, b
-	s.Rate = 240 / float64(gateways) * s.Load // hosts that take some tens of requests a second
-	s.UnevenTraffic, s.DisableOverload = true, true
-	return s
+func slowStartSpec(gateways int, faults []Fault, defect Defect) Spec {
+	spec := baseSpec(28*sec, faults...)
+	spec.Hosts, spec.Groups, spec.Gateways, spec.Load, spec.Defect = 10, 3, gateways, 0.85, defect
+	spec.Rate = 240 / float64(gateways) * spec.Load // each host takes some tens of requests per second
+	spec.UnevenTraffic, spec.DisableOverload = true, true
+	return spec
 }
 
 func init() {
@@ -131,21 +131,21 @@
 		Machine: fmt.Sprintf("%d cores", runtime.NumCPU()), Figures: map[string]float64{}, Series: map[string][]float64{}}
 	names := slices.Sorted(maps.Keys(slowStartScenarios))
 	for _, name := range names {
-		worst, told, most := math.Inf(-1), math.Inf(-1), ""
+		worstExcess, notifiedExcess, worstWindow := math.Inf(-1), math.Inf(-1), ""
 		for i := range o.Seeds * 2 {
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
 			f := newFleet(slowStartSpec(20+10*(i%2), slowStartScenarios[name], o.Defect), o.Seed+uint64(i/2))
 			f.runUntil(epoch + f.Length)
-			all, of, what := f.judge.slowStartExcess()
-			if told = max(told, of); all > worst {
-				worst, most = all, fmt.Sprintf("%s, seed %d, %d gateways: %s", name, o.Seed+uint64(i/2), f.Gateways, what)
+			all, notified, window := f.judge.slowStartExcess()
+			if notifiedExcess = max(notifiedExcess, notified); all > worstExcess {
+				worstExcess, worstWindow = all, fmt.Sprintf("%s, seed %d, %d gateways: %s", name, o.Seed+uint64(i/2), f.Gateways, window)
 			}
 		}
-		r.addClaim(name+": calls over N + 2 root of N + 2 in the fullest window", worst, "<=", 0)
-		r.Figures["excess_"+name], r.Figures["excess_told_"+name] = worst, told
-		r.Notes = append(r.Notes, most)
+		r.addClaim(name+": calls over N + 2 root of N + 2 in the fullest window", worstExcess, "<=", 0)
+		r.Figures["excess_"+name], r.Figures["excess_told_"+name] = worstExcess, notifiedExcess
+		r.Notes = append(r.Notes, worstWindow)
 	}
 	return r, nil
 }
--- a/internal/experiment/socketclient.go
+++ b/internal/experiment/socketclient.go
@@ -35,15 +35,15 @@
 func (c mysqlClient) query(text string) (fake.Reply, error) { return c.Query(text) }
 
 // submit sends a request over a connection of either protocol and passes the response to the model.
-func (l *live) submit(q *request) {
-	id := fmt.Sprintf("%02x%014x", q.gateway, q.id)
-	l.openRequests[id] = q
-	key, protocol := fmt.Sprintf("k%d", q.id), int(q.id%2)
-	text := fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=%d", id, q.class.Name, (q.deadline-l.now)/time.Millisecond, q.group.number)
-	if q.sessionToken > 0 {
-		text += fmt.Sprintf(",after=%d", l.unixMillis(q.sessionToken)+1)
+func (l *live) submit(request *request) {
+	id := fmt.Sprintf("%02x%014x", request.gateway, request.id)
+	l.openRequests[id] = request
+	key, protocol := fmt.Sprintf("k%d", request.id), int(request.id%2)
+	text := fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=%d", id, request.class.Name, (request.deadline-l.now)/time.Millisecond, request.group.number)
+	if request.sessionToken > 0 {
+		text += fmt.Sprintf(",after=%d", l.unixMillis(request.sessionToken)+1)
 	}
-	if q.class.Consistency == routing.ConsistencyWrite {
+	if request.class.Consistency == routing.ConsistencyWrite {
 		text += " */ INSERT INTO records (k, v) VALUES ('" + key + "', 'x') RETURNING v"
 	} else {
 		text += " */ SELECT v FROM records WHERE k = '" + key + "'"
@@ -51,45 +51,45 @@
 	l.work.Add(1)
 	go func() {
 		defer l.work.Done()
-		r, err := l.query(q.gateway, protocol, text)
+		r, err := l.query(request.gateway, protocol, text)
 		l.post(func() {
 			delete(l.openRequests, id)
 			switch {
 			case err != nil:
-				l.judge.note("%s got no answer: %v", q.class.Name, err)
-				return // overdue counts it
-			case r.Outcome == "served" && (q.servedBy == nil || q.class.Consistency != routing.ConsistencyWrite && r.Value != "value of "+key):
+				l.judge.note("%s got no answer: %v", request.class.Name, err)
+				return // requestTimedOut counts it
+			case r.Outcome == "served" && (request.servedBy == nil || request.class.Consistency != routing.ConsistencyWrite && r.Value != "value of "+key):
 				l.judge.wrongAnswers++
-				l.judge.note("%s was served %q", q.class.Name, r.Value)
+				l.judge.note("%s was served %q", request.class.Name, r.Value)
 				return
 			}
-			l.gateways[q.gateway].respond(q, r.Outcome == "served", r.Outcome == "refused", 0, q.servedBy, q.servedPosition)
+			l.gateways[request.gateway].respond(request, r.Outcome == "served", r.Outcome == "refused", 0, request.servedBy, request.servedPosition)
 		})
 	}()
 }
 
 // query uses an idle connection or a new one. If the connection ends before a response, the gateway is taken to have
 // closed it between requests, and query retries once on a new one.
-func (l *live) query(gateway, protocol int, text string) (r fake.Reply, err error) {
+func (l *live) query(gateway, protocol int, text string) (reply fake.Reply, err error) {
 	for try := range 2 {
 		var c client
 		if c, err = l.dial(gateway, protocol, try > 0); err != nil {
-			return r, err
+			return reply, err
 		}
-		if r, err = c.query(text); err == nil {
+		if reply, err = c.query(text); err == nil {
 			select {
 			case l.frontends[gateway].idle[protocol] <- c:
 			default:
 				c.Close()
 			}
-			return r, nil
+			return reply, nil
 		}
 		c.Close()
 		if !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-			return r, err
+			return reply, err
 		}
 	}
-	return r, err
+	return reply, err
 }
 
 // dial returns an idle connection, or a new one if there is none or fresh is set.
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	raw.SetDeadline(time.Now().Add(time.Minute)) // bounds a day, not an answer
+	raw.SetDeadline(time.Now().Add(time.Minute)) // bounds the run, not a response
 	if protocol == 0 {
 		c, err := fake.DialPostgres(raw, "")
 		return postgresClient{c}, err
--- a/internal/experiment/sockethost.go
+++ b/internal/experiment/sockethost.go
@@ -19,7 +19,7 @@
 	server    *fake.Host
 
 	mu        sync.Mutex
-	blocked   chan struct{} // closed when the door opens; nil while it is open
+	blocked   chan struct{} // closed to unblock; nil: not blocked
 	ctx       context.Context
 	cancel    context.CancelFunc
 	listeners [2]net.Listener
@@ -135,7 +135,7 @@
 			s.listeners[i] = nil
 		}
 		for c := range s.conns {
-			c.(*net.TCPConn).SetLinger(0) // a reset, as of a process that has died
+			c.(*net.TCPConn).SetLinger(0) // reset, as after a crash
 			c.Close()
 		}
 		s.conns = map[net.Conn]bool{}
--- a/internal/experiment/sockets.go
+++ b/internal/experiment/sockets.go
@@ -30,9 +30,9 @@
 	calls        chan func()
 	ctx          context.Context
 	sockets      map[*host]*hostSockets
-	discovery    [2]*fake.Discovery // of the PostgreSQL and the MySQL hosts
+	discovery    [2]*fake.Discovery // for PostgreSQL and MySQL
 	targets      [2]map[*host]discovery.Target
-	frontends    []frontend // of each gateway
+	frontends    []frontend // by gateway
 	openRequests map[string]*request
 	work         sync.WaitGroup
 	commands     []*exec.Cmd
@@ -130,10 +130,10 @@
 // liveOptions configure a run on sockets.
 type liveOptions struct {
 	program        string
-	operatorTables func(gateway int) string    // what its operator's file has beside the second front
-	logs           func(gateway int) io.Writer // what it writes
-	everySecond    func(*live)                 // is called every second; nil: nothing
-	onStart        func(*live)                 // is called when all gateways listen; nil: nothing
+	operatorTables func(gateway int) string    // further tables of its operator's file
+	logs           func(gateway int) io.Writer // receives its output
+	everySecond    func(*live)                 // called every second, if set
+	onStart        func(*live)                 // called when all gateways listen, if set
 }
 
 // runSockets runs a scenario on sockets, with the program as gateways. Zones is the operator's table for zones, or
@@ -145,54 +145,61 @@
 
 // runLive runs a scenario on sockets and returns its judge, or ctx's error. It waits until all processes and goroutines
 // have ended.
-func runLive(ctx context.Context, s Spec, seed uint64, o liveOptions) (*Judge, error) {
+func runLive(ctx context.Context, spec Spec, seed uint64, o liveOptions) (*Judge, error) {
 	dir, err := os.MkdirTemp("", "cranelab")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	s.Sockets = true
-	l := &live{fleet: newFleet(s, seed), calls: make(chan func(), 1024), ctx: ctx, sockets: map[*host]*hostSockets{}, openRequests: map[string]*request{}}
-	defer func() {
-		gone := make(chan struct{})
-		for _, p := range l.commands {
-			p.Process.Signal(syscall.SIGTERM)
-			p.Process.Signal(syscall.SIGCONT)
-		}
-		go func() {
-			for _, p := range l.commands {
-				p.Wait()
-			}
-			close(gone)
-		}()
-		l.runRealTime(1<<62, gone) // hosts go on meanwhile
-		cancel()
-		for _, d := range l.sockets {
-			d.setState(false, false)
-		}
-		l.work.Wait()
-	}()
+	spec.Sockets = true
+	l := &live{fleet: newFleet(spec, seed), calls: make(chan func(), 1024), ctx: ctx, sockets: map[*host]*hostSockets{}, openRequests: map[string]*request{}}
+	defer l.shutdown(cancel)
+	l.startHosts()
+	if err := l.startGateways(ctx, dir, o); err != nil {
+		return nil, err
+	}
+	l.startedAt = time.Now()
+	if o.onStart != nil {
+		o.onStart(l)
+	}
+	if o.everySecond != nil {
+		l.callEverySecond(o.everySecond)
+	}
+	l.runRealTime(epoch+spec.Length, ctx.Done())
+	for _, g := range l.gateways { // requests that are open at the end, and later ones, are not judged
+		g.finished = true
+	}
+	return l.judge, ctx.Err()
+}
+
+// startHosts opens the sockets of all hosts and publishes their endpoints.
+func (l *live) startHosts() {
 	for i := range l.discovery {
 		l.discovery[i], l.targets[i] = &fake.Discovery{}, map[*host]discovery.Target{}
 	}
 	l.startedAt = time.Now()
 	for _, h := range l.hosts {
-		d := &hostSockets{live: l, host: h, addresses: [2]string{"127.0.0.1:0", "127.0.0.1:0"}, conns: map[net.Conn]bool{}}
-		d.server = &fake.Host{Act: d.handleStatement, Tell: d.report}
-		l.sockets[h] = d
-		d.setState(true, false)
+		s := &hostSockets{live: l, host: h, addresses: [2]string{"127.0.0.1:0", "127.0.0.1:0"}, conns: map[net.Conn]bool{}}
+		s.server = &fake.Host{Act: s.handleStatement, Tell: s.report}
+		l.sockets[h] = s
+		s.setState(true, false)
 		l.publish(h, h.endpoint())
 	}
 	l.onHostChanged = func(h *host) { l.sockets[h].setState(h.up, h.partitions > 0) }
 	l.onListed = l.publish
-	// Hosts answer while the gateways start; the day begins when all listen.
-	start, ready := l.fleet, make(chan error, 1)
-	for _, g := range start.gateways {
+}
+
+// startGateways starts all gateways. Meanwhile hosts answer, but model time stands still: the run begins when all
+// gateways listen.
+func (l *live) startGateways(ctx context.Context, dir string, o liveOptions) error {
+	for _, g := range l.gateways {
 		g.submit = l.submit
 	}
-	idle, stop := context.WithCancel(ctx)
+	ready := make(chan error, 1)
+	starting, stop := context.WithCancel(ctx)
 	go func() {
+		defer stop()
 		var err error
 		for i := range l.gateways {
 			if err == nil {
@@ -200,35 +207,47 @@
 			}
 		}
 		ready <- err
-		stop()
 	}()
-	for idle.Err() == nil { // the model stands still but for what is asked of it
+	for starting.Err() == nil {
 		select {
 		case call := <-l.calls:
 			call()
-		case <-idle.Done():
+		case <-starting.Done():
 		}
 	}
-	if err := <-ready; err != nil {
-		return nil, err
+	return <-ready
+}
+
+// callEverySecond calls a function every second until the end of the run.
+func (l *live) callEverySecond(call func(*live)) {
+	var tick func()
+	tick = func() {
+		if l.now < epoch+l.Length {
+			call(l)
+		}
+		l.after(time.Second, tick)
 	}
-	l.startedAt = time.Now()
-	if o.onStart != nil {
-		o.onStart(l)
+	l.after(time.Second, tick)
+}
+
+// shutdown terminates the gateways, then the hosts, and waits for all of them. Hosts answer until the gateways have
+// ended.
+func (l *live) shutdown(cancel context.CancelFunc) {
+	for _, command := range l.commands {
+		command.Process.Signal(syscall.SIGTERM)
+		command.Process.Signal(syscall.SIGCONT)
 	}
-	if o.everySecond != nil {
-		var second func()
-		second = func() {
-			if l.now < epoch+s.Length {
-				o.everySecond(l)
-			}
-			l.after(time.Second, second)
+	ended := make(chan struct{})
+	go func() {
+		for _, command := range l.commands {
+			command.Wait()
 		}
-		l.after(time.Second, second)
-	}
-	l.runRealTime(epoch+s.Length, ctx.Done())
-	for _, g := range l.gateways { // what is open at the end, and what comes later, is not judged
-		g.finished = true
+		close(ended)
+	}()
+	l.runRealTime(1<<62, ended)
+	cancel()
+	for _, s := range l.sockets {
+		s.setState(false, false)
 	}
-	return l.judge, ctx.Err()
+	l.work.Wait()
 }
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -12,24 +12,24 @@
 // Spec describes a scenario. Together with a seed it determines a run.
 type Spec struct {
 	Zones           []string
-	Hosts           int     // spread over the zones in turn
-	Groups          int     // each has its hosts in turn; the first host of a group is its primary
-	Gateways        int     // spread over the zones in turn
-	Rate            float64 // requests a second a gateway, first tries
-	Load            float64 // work asked for, of what all hosts can do
+	Hosts           int     // distributed round-robin over the zones
+	Groups          int     // of consecutive hosts; the first host of each is its primary
+	Gateways        int     // distributed round-robin over the zones
+	Rate            float64 // operations per second and gateway
+	Load            float64 // requested work, relative to the capacity of all hosts
 	Length          time.Duration
 	Faults          []Fault
 	StaleReads      routing.StaleReadPolicy
-	HideZones       bool     // hosts are listed without a zone
-	Sockets         bool     // gateways are real: see live
-	Layout          []string // the zone of each host; none: in turn
+	HideZones       bool     // endpoints carry no zone
+	Sockets         bool     // gateways are real processes; see live
+	Layout          []string // zone of each host; nil: round-robin
 	Configure       func(*routing.Config)
-	HostConnections int                // connections that a host holds; 0: maxConnections
-	PoolGateways    int                // the number of gateways by which idle connections are kept; 0: all that there are
-	Defect          Defect             // what is broken on purpose
-	ZoneRates       map[string]float64 // factor on the rate of gateways of a zone
-	UnevenTraffic   bool               // gateways have from a third to over three times of the mean traffic
-	DisableOverload bool               // cold hosts bear all that they are sent: the judge counts it
+	HostConnections int                // connection limit of a host; 0: maxConnections
+	PoolGateways    int                // number of gateways assumed when pools are sized; 0: Gateways
+	Defect          Defect             // deliberate defect of the gateways
+	ZoneRates       map[string]float64 // factors on Rate by zone; missing: 1
+	UnevenTraffic   bool               // gateways get from 0.3 to 3.3 times the mean traffic
+	DisableOverload bool               // hosts in slow start never crash under load
 }
 
 // FaultKind is the kind of a fault in the modelled fleet.
@@ -37,16 +37,16 @@
 
 // The kinds of fault.
 const (
-	Silent        FaultKind = iota // packets vanish; nothing is reset
-	Crash                          // processes die: connections are reset, new ones refused
+	Silent        FaultKind = iota // packets are dropped without a reset
+	Crash                          // processes end: connections are reset, new ones refused
 	Slow                           // hosts work at a quarter of their speed
-	Drain                          // hosts are listed as draining
-	DiscoveryDown                  // discovery tells the gateways nothing
-	Reconfigure                    // the tiers of all gateways are replaced, as by SIGHUP
-	Kill                           // a share of the gateways die at once, and start anew with nothing at the end
-	Restart                        // all gateways are restarted, a tenth at a time: no new clients for 3 s, then a new process
-	Replace                        // a share of the hosts are replaced, one after the other: a new one starts, cold, the old one drains
-	Burst                          // half as much again is asked
+	Drain                          // endpoints are listed as draining
+	DiscoveryDown                  // gateways receive no endpoint updates
+	Reconfigure                    // the zone tiers of all gateways are replaced, as by SIGHUP
+	Kill                           // a fraction of the gateways is killed at once, and restarts without state at the end
+	Restart                        // rolling restart of all gateways, a tenth at a time, with graceful shutdown
+	Replace                        // a fraction of the hosts is replaced one by one: the new one starts, the old one drains
+	Burst                          // 50% more operations
 )
 
 // Fault is a fault that begins At after the start of the run and lasts for Duration. It selects hosts by Zone, Host,
@@ -55,15 +55,15 @@
 	Kind         FaultKind
 	Zone         string // all hosts of a zone; empty: see Host
 	Host         string
-	HostNumber   int // of the host, from 1 on, where it is not named; 0: see Share
+	HostNumber   int // index of the host from 1, if Host is empty; 0: see Fraction
 	At, Duration time.Duration
-	RestartAtEnd bool    // hosts start anew at the end, cold, their logs where they stood
-	Spared       int     // this many hosts of the zone are spared
-	Fraction     float64 // of the hosts, spread over all, where neither a zone nor a host is named; or of the gateways
+	RestartAtEnd bool    // hosts restart at the end, in slow start and with their old log position
+	Spared       int     // number of selected hosts that are spared
+	Fraction     float64 // of all hosts, evenly distributed, if no zone or host is set; or of the gateways
 	Reconfigure  func(*routing.Router)
 }
 
-// What hosts and the network are made of. Ranges are drawn once a day.
+// Properties of hosts and network.
 const (
 	coresPerHost        = 3
 	queueCapacity       = 60
@@ -84,7 +84,7 @@
 type class struct {
 	routing.Class
 	trafficFraction  float64
-	minWork, maxWork time.Duration // of work, at a fleet's full load of 120 requests a second
+	minWork, maxWork time.Duration // at a fleet's full load of 120 requests per second
 }
 
 var classes = []class{
--- a/internal/experiment/up.go
+++ b/internal/experiment/up.go
@@ -16,10 +16,10 @@
 type UpOptions struct {
 	Program       string
 	Duration      time.Duration // 0: until the context ends
-	ZoneLossDelay time.Duration // when a zone is lost, for 15 s, and again every minute; 0: never
+	ZoneLossDelay time.Duration // until a zone is lost for 15 s, and again every minute; 0: never
 	Rate          float64
 	Seed          uint64
-	Gateways      int // that know each other, where there are more than one
+	Gateways      int // more than one form a fleet
 	Logs, Out     io.Writer
 }
 
@@ -27,34 +27,34 @@
 // second. Several gateways form a fleet, which is partitioned in two while the zone is lost; the line then shows how
 // many members each sees. It returns ctx's error.
 func Up(ctx context.Context, o UpOptions) error {
-	s := Spec{Zones: threeZones, Hosts: 9, Groups: 3, Gateways: max(1, o.Gateways), Rate: o.Rate, Load: 0.3, Length: o.Duration, StaleReads: routing.StaleReadDelayed}
-	if s.Length <= 0 {
-		s.Length = 24 * time.Hour
+	spec := Spec{Zones: threeZones, Hosts: 9, Groups: 3, Gateways: max(1, o.Gateways), Rate: o.Rate, Load: 0.3, Length: o.Duration, StaleReads: routing.StaleReadDelayed}
+	if spec.Length <= 0 {
+		spec.Length = 24 * time.Hour
 	}
-	for at := o.ZoneLossDelay; o.ZoneLossDelay > 0 && at < s.Length; at += time.Minute {
-		s.Faults = append(s.Faults, Fault{Kind: Silent, Zone: "nuernberg", At: at, Duration: 15 * sec, RestartAtEnd: true})
+	for at := o.ZoneLossDelay; o.ZoneLossDelay > 0 && at < spec.Length; at += time.Minute {
+		spec.Faults = append(spec.Faults, Fault{Kind: Silent, Zone: "nuernberg", At: at, Duration: 15 * sec, RestartAtEnd: true})
 	}
-	how := liveOptions{program: o.Program, operatorTables: func(int) string { return "[zones]\n" }, logs: func(int) io.Writer { return o.Logs }}
+	options := liveOptions{program: o.Program, operatorTables: func(int) string { return "[zones]\n" }, logs: func(int) io.Writer { return o.Logs }}
 	var views atomic.Pointer[string]
-	if s.Gateways > 1 {
+	if spec.Gateways > 1 {
 		dir, err := os.MkdirTemp("", "cranelab")
 		if err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
-		rctx, cancel := context.WithCancel(ctx)
-		r := newProcessHarness(rctx, &membershipScenario{}, s.Gateways, 0, o.Seed, dir, o.Logs)
-		defer r.network.work.Wait()
+		harnessCtx, cancel := context.WithCancel(ctx)
+		harness := newProcessHarness(harnessCtx, &membershipScenario{}, spec.Gateways, 0, o.Seed, dir, o.Logs)
+		defer harness.network.work.Wait()
 		defer cancel()
-		if err := r.prepare(s.Gateways); err != nil {
+		if err := harness.prepare(spec.Gateways); err != nil {
 			return err
 		}
-		r.network.serve()
-		how.operatorTables = func(i int) string { return "[zones]\n" + r.processes[i].operatorTables }
-		how.onStart = func(*live) { r.network.work.Go(func() { r.showPartitions(s.Faults, &views) }) }
+		harness.network.serve()
+		options.operatorTables = func(i int) string { return "[zones]\n" + harness.processes[i].operatorTables }
+		options.onStart = func(*live) { harness.network.work.Go(func() { harness.showPartitions(spec.Faults, &views) }) }
 	}
 	first := true
-	how.everySecond = func(l *live) {
+	options.everySecond = func(l *live) {
 		if first {
 			first = false
 			fmt.Fprintf(o.Out, "PostgreSQL on %s, MySQL on %s; a zone is lost after %v\n", l.frontends[0].addresses[0], l.frontends[0].addresses[1], o.ZoneLossDelay)
@@ -66,7 +66,7 @@
 		fmt.Fprintln(o.Out, text)
 		l.judge.discardBefore(l.now - 10*time.Second)
 	}
-	_, err := runLive(ctx, s, o.Seed, how)
+	_, err := runLive(ctx, spec, o.Seed, options)
 	return err
 }
 
@@ -75,7 +75,7 @@
 	var lower, upper selector
 	for s, text := range map[*selector]string{&lower: "lower", &upper: "upper"} {
 		if err := s.UnmarshalText([]byte(text)); err != nil {
-			panic(err) // they are those of the days
+			panic(err) // the texts are fixed
 		}
 	}
 	halves := &membershipFault{Kind: faultPartition, Members: lower, Peers: upper, Bidirectional: true}
