--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -28,7 +28,7 @@
 	workScale        float64 // factor on the work of requests that yields Load
 	replicationDelay time.Duration
 	applyUtilization float64 // fraction of time in which a replica applies the log at load 1
-	crossZoneDelay          time.Duration
+	crossZoneDelay   time.Duration
 	discoveryDown    bool
 	extraRate        float64 // fraction of the rate that is added
 	onListed         func(*host, routing.Endpoint)
--- a/internal/experiment/pool.go
+++ b/internal/experiment/pool.go
@@ -12,9 +12,9 @@
 
 // pool holds the connections of one gateway to one host.
 type pool struct {
-	idle     []idleConn // most recently used last
-	inFlight []*attempt // written attempts
-	usage    poolsize.Host
+	idle            []idleConn // most recently used last
+	inFlight        []*attempt // written attempts
+	usage           poolsize.Host
 	nextExpiryCheck time.Duration // time of the next closeExpired
 }
 
--- a/internal/processtest/statefile_test.go
+++ b/internal/processtest/statefile_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestFileSizeLimit sets a process's file size limit to zero: a detach call that can't be stored fails and the process survives. Once
-// files may grow again the same call succeeds and outlives the process.
+// TestFileSizeLimit sets a process's file size limit to zero: a detach call that can't be stored fails, though the host is out of service in
+// this process all the same, and the process survives. Once files may grow again the same call succeeds and outlives the process.
 func TestFileSizeLimit(t *testing.T) {
 	h := newHarness(t, 256)
 	p := h.start().waitReady()
--- a/internal/soak/gateway.go
+++ b/internal/soak/gateway.go
@@ -11,18 +11,18 @@
 
 // gateway is one gateway of the fleet: its processes, consecutive or concurrent, and their surroundings.
 type gateway struct {
-	scenario   *scenario
-	name       string
-	configPath string // path of the configuration file
-	stateDir   string // directory shared by its processes
-	listener   *net.TCPListener
-	agents     [2]*agent
-	proxies    map[string]*proxy // by host UID
+	reservation // of its processes
+	scenario    *scenario
+	name        string
+	configPath  string // path of the configuration file
+	stateDir    string // directory shared by its processes
+	listener    *net.TCPListener
+	agents      [2]*agent
+	proxies     map[string]*proxy // by host UID
 
 	mu                   sync.Mutex
 	processes            []*process
 	activeAgent          int            // index of the agent in the configuration
-	reserved             bool           // by a fault that acts on its processes
 	bannedHosts          map[*host]bool // hosts with an active ban
 	disruptions          []interval     // when processes died or paused; requests then are checked less strictly
 	drains               []interval     // in which client connections may be closed
@@ -83,24 +83,6 @@
 	return append([]*process(nil), g.processes...)
 }
 
-// tryReserve reserves the gateway's processes for one fault. It returns false if they are reserved already.
-func (g *gateway) tryReserve() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.reserved {
-		return false
-	}
-	g.reserved = true
-	return true
-}
-
-// release ends the reservation of the gateway's processes.
-func (g *gateway) release() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.reserved = false
-}
-
 // reserveBan reserves a host for one ban at this gateway, unless it is reserved already.
 func (g *gateway) reserveBan(h *host) (release func(), ok bool) {
 	g.mu.Lock()
--- a/internal/soak/host.go
+++ b/internal/soak/host.go
@@ -15,10 +15,11 @@
 // host is one fake database host. It records what it executes by the requests' ids.
 type host struct {
 	*fake.Host
-	checker *checker
-	uid     string
-	group   int
-	address string
+	reservation // of the host
+	checker     *checker
+	uid         string
+	group       int
+	address     string
 
 	down    atomic.Bool  // its process has ended: connections are reset
 	hanging atomic.Bool  // it accepts connections and does not answer
@@ -27,7 +28,6 @@
 	mu          sync.Mutex
 	listedState string // state in the endpoint list; empty if not listed
 	bootMS      int64
-	reserved    bool // by a fault
 }
 
 const (
@@ -38,7 +38,13 @@
 
 // newHost starts a host; the first of a group is its primary.
 func (s *scenario) newHost(group, n int) (*host, error) {
-	h := &host{Host: &fake.Host{Primary: n == 0}, checker: s.checker, uid: fmt.Sprintf("db-%d-%d", group, n), group: group, listedState: "SERVING"}
+	h := &host{
+		Host:        &fake.Host{Primary: n == 0},
+		checker:     s.checker,
+		uid:         fmt.Sprintf("db-%d-%d", group, n),
+		group:       group,
+		listedState: "SERVING",
+	}
 	h.Act = h.handleStatement
 	l, err := listen()
 	if err != nil {
@@ -86,8 +92,17 @@
 	if h.Primary {
 		role = "primary"
 	}
-	return discovery.Target{UID: h.uid, Endpoint: h.address, Zone: "nuernberg", Group: h.group, State: h.listedState, Capacity: 1, BootMS: h.bootMS,
-		Replication: role}, h.listedState != ""
+	target := discovery.Target{
+		UID:         h.uid,
+		Endpoint:    h.address,
+		Zone:        "nuernberg",
+		Group:       h.group,
+		State:       h.listedState,
+		Capacity:    1,
+		BootMS:      h.bootMS,
+		Replication: role,
+	}
+	return target, h.listedState != ""
 }
 
 // setListing changes the host's entry in the endpoint list.
@@ -104,24 +119,6 @@
 	return h.bootMS
 }
 
-// tryReserve reserves the host for one fault. It returns false if it is reserved already.
-func (h *host) tryReserve() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.reserved {
-		return false
-	}
-	h.reserved = true
-	return true
-}
-
-// release ends the reservation of the host.
-func (h *host) release() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.reserved = false
-}
-
 // listen opens a listener on a loopback address of its own.
 func listen() (*net.TCPListener, error) {
 	address, err := fake.FreeAddress()
