--- a/cmd/cranelab/main.go
+++ b/cmd/cranelab/main.go
@@ -1,5 +1,5 @@
-// Command cranelab plays experiments with the gateway's decisions on a modelled fleet and keeps their results.
-// It ends with 0 if all claims hold, 1 if one does not, and 2 if the experiment could not run.
+// Command cranelab runs experiments with the gateway's decisions on a modelled fleet and saves their results.
+// Its exit status is 0 if all claims hold, 1 if one does not, and 2 if the experiment could not run.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	"cranegate/internal/zones"
 )
 
-// errClaims says that an experiment ran and a claim does not hold.
+// errClaims reports that an experiment ran and a claim does not hold.
 var errClaims = errors.New("a claim does not hold")
 
 var cli struct {
@@ -56,6 +56,7 @@
 	}
 }
 
+// fail prints an error and exits with status 2.
 func fail(err error) {
 	fmt.Fprintln(os.Stderr, "cranelab:", err)
 	os.Exit(2)
@@ -88,64 +89,27 @@
 	DetectOnly    bool    `help:"Find lost zones, but share no reads out by tiers."`
 }
 
-// Run runs one experiment, or all.
+// Run runs one experiment, or all. It returns errClaims if a claim does not hold.
 func (c runCmd) Run(ctx context.Context) error {
-	if c.Short {
-		c.Seeds = min(c.Seeds, 3)
-	}
-	todo := slices.DeleteFunc(slices.Clone(experiment.Experiments), func(e experiment.Experiment) bool {
-		return strings.HasSuffix(e.Name, "-mass") || strings.HasPrefix(e.Name, "gateways-")
-	})
-	if c.Experiment != "all" {
-		e, err := experiment.Find(c.Experiment)
-		if err != nil {
-			return err
-		}
-		todo = []experiment.Experiment{*e}
+	experiments, err := c.experiments()
+	if err != nil {
+		return err
 	}
-	o := experiment.Options{Seed: c.Seed, Seeds: c.Seeds, Short: c.Short, Version: version(), Logs: io.Discard, Defect: experiment.Defects[c.Break], Members: c.Members,
-		Zones: zones.Options{Overprovision: c.Overprovision, DetectOnly: c.DetectOnly}}
 	if c.Driver == "processes" && !strings.HasPrefix(c.Experiment, "members-") && !strings.HasPrefix(c.Experiment, "gateways-") {
 		return errors.New("only days of members and gateways are played with processes")
 	}
-	if c.Driver != "virtual" {
-		program, clean, err := gateway()
-		if err != nil {
-			return err
-		}
-		defer clean()
-		o.Program, o.Before, o.Seeds = program, cmp.Or(c.Gateway, program), min(c.Seeds, 3)
-		if c.Logs != "" {
-			f, err := os.Create(c.Logs)
-			if err != nil {
-				return fmt.Errorf("keeping the logs: %w", err)
-			}
-			defer f.Close()
-			o.Logs = f
-		}
+	options, cleanup, err := c.options()
+	if err != nil {
+		return err
 	}
+	defer cleanup()
 	holds := true
-	for _, e := range todo {
-		start := time.Now()
-		o.Progress = progress(e.Name)
-		r, err := e.Run(ctx, o)
+	for _, e := range experiments {
+		r, err := c.runExperiment(ctx, e, options)
 		if err != nil {
-			return fmt.Errorf("%s: %w", e.Name, err)
+			return err
 		}
 		holds = holds && r.Holds()
-		if c.Out != "" {
-			if err := save(filepath.Join(c.Out, e.Name), r); err != nil {
-				return err
-			}
-		}
-		if c.JSON {
-			if err := json.NewEncoder(os.Stdout).Encode(r); err != nil {
-				return err
-			}
-			continue
-		}
-		fmt.Printf("%s: %s\n%s; seeds %d to %d; %v\n", r.Experiment, r.About, r.Size, r.Seed, r.Seed+uint64(r.Seeds)-1, time.Since(start).Round(time.Millisecond))
-		table(os.Stdout, r)
 	}
 	if !holds {
 		return errClaims
@@ -153,8 +117,82 @@
 	return nil
 }
 
-// table prints the claims.
-func table(out io.Writer, r *experiment.Result) {
+// experiments returns the experiments to run. Those of 300 gateways or of several gateway processes run only by name.
+func (c runCmd) experiments() ([]experiment.Experiment, error) {
+	if c.Experiment != "all" {
+		e, err := experiment.Find(c.Experiment)
+		if err != nil {
+			return nil, err
+		}
+		return []experiment.Experiment{*e}, nil
+	}
+	return slices.DeleteFunc(slices.Clone(experiment.Experiments), func(e experiment.Experiment) bool {
+		return strings.HasSuffix(e.Name, "-mass") || strings.HasPrefix(e.Name, "gateways-")
+	}), nil
+}
+
+// maxSlowSeeds is the maximum number of seeds of the short form, and in real time.
+const maxSlowSeeds = 3
+
+// options converts the flags. It finds or builds the gateway's program and opens the log file, if they are needed;
+// cleanup removes the one and closes the other.
+func (c runCmd) options() (o experiment.Options, cleanup func(), err error) {
+	o = experiment.Options{
+		Seed:    c.Seed,
+		Seeds:   c.Seeds,
+		Short:   c.Short,
+		Version: version(),
+		Logs:    io.Discard,
+		Defect:  experiment.Defects[c.Break],
+		Members: c.Members,
+		Zones:   zones.Options{Overprovision: c.Overprovision, DetectOnly: c.DetectOnly},
+	}
+	if c.Short || c.Driver != "virtual" {
+		o.Seeds = min(o.Seeds, maxSlowSeeds)
+	}
+	if c.Driver == "virtual" {
+		return o, func() {}, nil
+	}
+	program, removeProgram, err := gateway()
+	if err != nil {
+		return o, nil, err
+	}
+	o.Program, o.Before = program, cmp.Or(c.Gateway, program)
+	if c.Logs == "" {
+		return o, removeProgram, nil
+	}
+	file, err := os.Create(c.Logs)
+	if err != nil {
+		removeProgram()
+		return o, nil, fmt.Errorf("keeping the logs: %w", err)
+	}
+	o.Logs = file
+	return o, func() { file.Close(); removeProgram() }, nil
+}
+
+// runExperiment runs one experiment, and saves and prints its result.
+func (c runCmd) runExperiment(ctx context.Context, e experiment.Experiment, o experiment.Options) (*experiment.Result, error) {
+	start := time.Now()
+	o.Progress = progress(e.Name)
+	r, err := e.Run(ctx, o)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", e.Name, err)
+	}
+	if c.Out != "" {
+		if err := save(filepath.Join(c.Out, e.Name), r); err != nil {
+			return nil, err
+		}
+	}
+	if c.JSON {
+		return r, json.NewEncoder(os.Stdout).Encode(r)
+	}
+	fmt.Printf("%s: %s\n%s; seeds %d to %d; %v\n", r.Experiment, r.About, r.Size, r.Seed, r.Seed+uint64(r.Seeds)-1, time.Since(start).Round(time.Millisecond))
+	printClaims(os.Stdout, r)
+	return r, nil
+}
+
+// printClaims prints a table of the claims, and the notes.
+func printClaims(out io.Writer, r *experiment.Result) {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	for _, c := range r.Claims {
 		verdict := "holds"
@@ -169,7 +207,7 @@
 	}
 }
 
-// save writes a result.
+// save writes a result to result.json in dir, which it creates.
 func save(dir string, r *experiment.Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("keeping the result: %w", err)
@@ -184,7 +222,7 @@
 	return nil
 }
 
-// progress shows on a terminal how many days have been played.
+// progress returns a function that shows the progress of an experiment, or nil if standard error is not a terminal.
 func progress(name string) func(done, all int) {
 	if s, err := os.Stderr.Stat(); err != nil || s.Mode()&os.ModeCharDevice == 0 {
 		return nil
@@ -197,7 +235,7 @@
 	}
 }
 
-// version is the commit that the program was built from.
+// version returns the commit that the program was built from.
 func version() string {
 	if b, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range b.Settings {
--- a/cmd/cranelab/report.go
+++ b/cmd/cranelab/report.go
@@ -69,7 +69,7 @@
 	return out.Close()
 }
 
-// chart draws the worth earned by the second.
+// chart draws the earned fraction of the priority weight by second.
 func chart(r *experiment.Result, path string) error {
 	p := plot.New()
 	p.Title.Text = r.Experiment
--- a/cmd/cranelab/soak.go
+++ b/cmd/cranelab/soak.go
@@ -23,7 +23,7 @@
 	List     bool          `help:"List the defects."`
 }
 
-// Run plays the runs, with real processes in real time.
+// Run runs the seeds, with real processes in real time. It returns errClaims if a rule is broken.
 func (c soakCmd) Run(ctx context.Context) error {
 	switch {
 	case c.List:
@@ -32,22 +32,22 @@
 		}
 		return nil
 	case c.Defects:
-		return c.playDefects(ctx)
+		return c.runAllDefects(ctx)
 	case c.Defect != "":
 		d, err := soak.FindDefect(c.Defect)
 		if err != nil {
 			return err
 		}
-		return c.playDefect(ctx, d)
+		return c.runDefect(ctx, d)
 	}
-	found, err := c.play(ctx, nil)
+	found, err := c.runSeeds(ctx, nil)
 	if err == nil && len(found) > 0 {
 		err = fmt.Errorf("%w: %v", errClaims, soak.Rules(found))
 	}
 	return err
 }
 
-// options are those of the form, as the flags change them.
+// options returns the options of the short or long form, as changed by the flags.
 func (c soakCmd) options() soak.Options {
 	o := soak.Long
 	if c.Short {
@@ -63,8 +63,8 @@
 	return o
 }
 
-// play plays all seeds, and returns what was found.
-func (c soakCmd) play(ctx context.Context, defect *soak.Defect) (found []soak.Finding, err error) {
+// runSeeds runs all seeds and returns their findings. A nil defect leaves the gateway as it is.
+func (c soakCmd) runSeeds(ctx context.Context, defect *soak.Defect) (found []soak.Finding, err error) {
 	dir, err := os.MkdirTemp("", "cranelab")
 	if err != nil {
 		return nil, fmt.Errorf("making a folder: %w", err)
@@ -89,10 +89,10 @@
 	return found, nil
 }
 
-// playDefect plays the seeds with a defect, which has to be found.
-func (c soakCmd) playDefect(ctx context.Context, d *soak.Defect) error {
+// runDefect runs the seeds with a defect. It returns errClaims if they do not find it.
+func (c soakCmd) runDefect(ctx context.Context, d *soak.Defect) error {
 	fmt.Printf("with the defect %s:\n", d.Name)
-	found, err := c.play(ctx, d)
+	found, err := c.runSeeds(ctx, d)
 	if err != nil {
 		return err
 	}
@@ -103,11 +103,11 @@
 	return nil
 }
 
-// playDefects plays all of them, and goes on behind one that was not found.
-func (c soakCmd) playDefects(ctx context.Context) error {
+// runAllDefects runs the seeds with each defect, and joins the errors.
+func (c soakCmd) runAllDefects(ctx context.Context) error {
 	var all error
 	for i := range soak.Defects {
-		if err := c.playDefect(ctx, &soak.Defects[i]); err != nil {
+		if err := c.runDefect(ctx, &soak.Defects[i]); err != nil {
 			fmt.Println(err)
 			all = errors.Join(all, err)
 		}
--- a/cmd/cranelab/up.go
+++ b/cmd/cranelab/up.go
@@ -22,7 +22,7 @@
 	Seed     uint64        `default:"1" help:"What the day is drawn from."`
 }
 
-// Run plays a fleet on sockets and prints a line a second.
+// Run runs a fleet on sockets and prints a status line every second.
 func (c upCmd) Run(ctx context.Context) error {
 	program, clean, err := gateway()
 	if err != nil {
@@ -45,7 +45,7 @@
 	return err
 }
 
-// gateway finds the gateway's program beside this one or under bin, or builds it; clean removes what it built.
+// gateway finds the gateway's program beside this one, or builds it; clean removes what it built.
 func gateway() (program string, clean func(), err error) {
 	none := func() {}
 	if self, err := os.Executable(); err == nil {
--- a/internal/experiment/attempt.go
+++ b/internal/experiment/attempt.go
@@ -38,7 +38,16 @@
 
 // newAttempt creates the next attempt of a request, with the position that its data must have if it is sent now.
 func (g *gateway) newAttempt(request *request, h *host, abandonAt time.Duration) *attempt {
-	attempt := &attempt{gateway: g, gatewayIncarnation: g.incarnation, request: request, host: h, number: request.attempts, sentAt: g.f.now, abandonAt: abandonAt, requiredPosition: request.sessionToken}
+	attempt := &attempt{
+		gateway:            g,
+		gatewayIncarnation: g.incarnation,
+		request:            request,
+		host:               h,
+		number:             request.attempts,
+		sentAt:             g.f.now,
+		abandonAt:          abandonAt,
+		requiredPosition:   request.sessionToken,
+	}
 	switch request.class.Consistency {
 	case routing.ConsistencyBounded:
 		attempt.requiredPosition = g.f.now - request.class.StalenessBound
@@ -51,84 +60,84 @@
 }
 
 // write sends the attempt over its connection, unless it has been abandoned or its start deadline has passed.
-func (a *attempt) write(opened time.Duration) {
+func (a *attempt) write(connectedAt time.Duration) {
 	g, h, f := a.gateway, a.host, a.gateway.f
 	if a.finished {
-		if opened > 0 && a.gatewayIncarnation == g.incarnation {
-			g.release(h, opened)
-		} else if opened > 0 {
+		if connectedAt > 0 && a.gatewayIncarnation == g.incarnation {
+			g.release(h, connectedAt)
+		} else if connectedAt > 0 {
 			h.connections--
 		}
 		return
 	}
-	if a.connectedAt = opened; opened == 0 {
+	if a.connectedAt = connectedAt; connectedAt == 0 {
 		a.finish(routing.Outcome{Result: routing.ResultConnectFailed}, 0)
 		return
-	} else if opened == overCapacity {
+	} else if connectedAt == overCapacity {
 		f.after(2*g.networkDelay(h), func() { a.finish(routing.Outcome{Result: routing.ResultOverCapacity}, 0) })
 		return
 	}
 	if a.beginBy > 0 && f.now >= a.beginBy {
-		g.release(h, opened)
+		g.release(h, connectedAt)
 		a.finish(routing.Outcome{Result: routing.ResultNotSent}, 0)
 		return
 	}
 	a.written = true
 	g.pools[h].inFlight = append(g.pools[h].inFlight, a)
-	life := h.incarnation
+	hostIncarnation := h.incarnation
 	f.judge.attemptWritten(a)
 	f.after(g.networkDelay(h), func() {
-		if h.partitions == 0 && h.incarnation == life {
+		if h.partitions == 0 && h.incarnation == hostIncarnation {
 			h.receive(a, a.request.work)
 		}
 	})
 }
 
 // abandon gives up an attempt and closes its connection. An attempt without a byte written has never run.
-func (a *attempt) abandon(r routing.Result) {
+func (a *attempt) abandon(result routing.Result) {
 	if !a.written {
-		r = routing.ResultNotSent
+		result = routing.ResultNotSent
 	}
-	a.finish(routing.Outcome{Result: r}, 0)
+	a.finish(routing.Outcome{Result: result}, 0)
 }
 
 // finish settles an attempt. The decision module receives the outcome after the current event.
-func (a *attempt) finish(o routing.Outcome, position time.Duration) {
+func (a *attempt) finish(outcome routing.Outcome, position time.Duration) {
 	if a.finished {
 		return
 	}
 	a.finished = true
 	if a.onOutcome != nil {
-		a.onOutcome(o, position)
+		a.onOutcome(outcome, position)
 		return
 	}
 	g, f := a.gateway, a.gateway.f
 	if p := g.pools[a.host]; a.written {
 		p.inFlight = slices.DeleteFunc(p.inFlight, func(x *attempt) bool { return x == a })
-		if o.Result == routing.ResultTimeout || o.Result == routing.ResultCancelled {
+		if outcome.Result == routing.ResultTimeout || outcome.Result == routing.ResultCancelled {
 			a.host.connections--
-		} else if o.Result != routing.ResultReset {
+		} else if outcome.Result != routing.ResultReset {
 			g.release(a.host, a.connectedAt)
-			o.ConnectedAt = a.connectedAt
+			outcome.ConnectedAt = a.connectedAt
 		}
 	}
 	f.after(0, func() {
-		q := a.request
-		q.inFlight = slices.DeleteFunc(q.inFlight, func(x *attempt) bool { return x == a })
-		if o.Result == routing.ResultOK && !q.finished {
-			g.respond(q, true, false, 0, a, position)
+		request := a.request
+		request.inFlight = slices.DeleteFunc(request.inFlight, func(x *attempt) bool { return x == a })
+		if outcome.Result == routing.ResultOK && !request.finished {
+			g.respond(request, true, false, 0, a, position)
 		}
-		o.Request, o.Attempt, o.Member, o.Latency, o.Closed = q.id, a.number, a.host.id, f.now-a.sentAt, q.finished
+		outcome.Request, outcome.Attempt, outcome.Member, outcome.Latency, outcome.Closed = request.id, a.number, a.host.id, f.now-a.sentAt, request.finished
 		if a.gatewayIncarnation == g.incarnation {
-			g.router.Outcome(f.now, o)
+			g.router.Outcome(f.now, outcome)
 		}
 	})
 }
 
 // Cancel abandons one attempt.
 func (g *gateway) Cancel(id uint64, number int) {
-	if q := g.requests[id]; q != nil {
-		for _, a := range q.inFlight {
+	if request := g.requests[id]; request != nil {
+		for _, a := range request.inFlight {
 			if a.number == number {
 				a.abandon(routing.ResultCancelled)
 				return
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -28,7 +28,7 @@
 	workScale        float64 // factor on the work of requests that yields Load
 	replicationDelay time.Duration
 	applyUtilization float64 // fraction of time in which a replica applies the log at load 1
-	crossZoneDelay          time.Duration
+	crossZoneDelay   time.Duration
 	discoveryDown    bool
 	extraRate        float64 // fraction of the rate that is added
 	onListed         func(*host, routing.Endpoint)
@@ -55,15 +55,40 @@
 	f.replicationDelay = draw(scenarioRNG, 2*time.Millisecond, 15*time.Millisecond)
 	f.applyUtilization = 0.33 + 0.18*scenarioRNG.Float64()
 	f.crossZoneDelay = draw(scenarioRNG, 420*time.Microsecond, 780*time.Microsecond)
-	for i := range spec.Groups {
+	f.addHosts(seed, scenarioRNG)
+	f.workScale = f.newWorkScale()
+	f.judge = newJudge(f)
+	for i := range spec.Gateways {
+		f.gateways = append(f.gateways, newGateway(f, i, rand.New(rand.NewPCG(seed, 100+uint64(i)))))
+	}
+	if spec.UnevenTraffic {
+		f.drawTraffic(scenarioRNG)
+	}
+	for _, fault := range spec.Faults {
+		f.after(fault.At, func() { f.startFault(fault) })
+		f.after(fault.At+fault.Duration, func() { f.endFault(fault) })
+	}
+	f.tick()
+	return f
+}
+
+// addHosts adds all groups and their hosts.
+func (f *fleet) addHosts(seed uint64, scenarioRNG *rand.Rand) {
+	for i := range f.Groups {
 		f.groups = append(f.groups, &group{f: f, number: i, failoverRNG: rand.New(rand.NewPCG(seed, 1000+uint64(i)))})
 	}
-	for i := range spec.Hosts {
-		g := f.groups[i*spec.Groups/spec.Hosts]
-		h := &host{f: f, id: fmt.Sprintf("h%03d-%s", i, string('a'+rune(scenarioRNG.IntN(26)))), group: g, up: true, position: f.now,
-			zone: spec.Zones[(g.number+len(g.members))%len(spec.Zones)]} // spreads primaries over the zones
-		if spec.Layout != nil {
-			h.zone = spec.Layout[i]
+	for i := range f.Hosts {
+		g := f.groups[i*f.Groups/f.Hosts]
+		h := &host{
+			f:        f,
+			id:       fmt.Sprintf("h%03d-%s", i, string('a'+rune(scenarioRNG.IntN(26)))),
+			group:    g,
+			up:       true,
+			position: f.now,
+			zone:     f.Zones[(g.number+len(g.members))%len(f.Zones)], // spreads primaries over the zones
+		}
+		if f.Layout != nil {
+			h.zone = f.Layout[i]
 		}
 		g.members = append(g.members, h)
 		f.hosts = append(f.hosts, h)
@@ -71,35 +96,31 @@
 	for _, g := range f.groups {
 		g.primary = g.members[0]
 	}
+}
+
+// newWorkScale returns the factor on the work of requests that yields Load.
+func (f *fleet) newWorkScale() float64 {
 	mean := 0.0
 	for _, c := range classes {
 		mean += c.trafficFraction * (c.minWork + c.maxWork).Seconds() / 2
 	}
 	rate := 0.0
-	for i := range spec.Gateways {
-		rate += spec.Rate * f.zoneRate(spec.Zones[i%len(spec.Zones)])
+	for i := range f.Gateways {
+		rate += f.Rate * f.zoneRate(f.Zones[i%len(f.Zones)])
 	}
-	f.workScale = spec.Load * float64(spec.Hosts*coresPerHost) / (rate * mean)
-	f.judge = newJudge(f)
-	for i := range spec.Gateways {
-		f.gateways = append(f.gateways, newGateway(f, i, rand.New(rand.NewPCG(seed, 100+uint64(i)))))
-	}
-	if spec.UnevenTraffic {
-		sum := 0.0
-		for _, g := range f.gateways {
-			g.trafficFactor = 0.3 + 3*math.Pow(scenarioRNG.Float64(), 4)
-			sum += g.trafficFactor
-		}
-		for _, g := range f.gateways {
-			g.trafficFactor *= float64(spec.Gateways) / sum
-		}
+	return f.Load * float64(f.Hosts*coresPerHost) / (rate * mean)
+}
+
+// drawTraffic draws each gateway's part of the traffic, with a mean of 1.
+func (f *fleet) drawTraffic(scenarioRNG *rand.Rand) {
+	sum := 0.0
+	for _, g := range f.gateways {
+		g.trafficFactor = 0.3 + 3*math.Pow(scenarioRNG.Float64(), 4)
+		sum += g.trafficFactor
 	}
-	for _, x := range spec.Faults {
-		f.after(x.At, func() { f.startFault(x) })
-		f.after(x.At+x.Duration, func() { f.endFault(x) })
+	for _, g := range f.gateways {
+		g.trafficFactor *= float64(f.Gateways) / sum
 	}
-	f.tick()
-	return f
 }
 
 // zoneRate returns the factor on the request rate of gateways in a zone.
--- a/internal/experiment/fleetscenarios.go
+++ b/internal/experiment/fleetscenarios.go
@@ -64,7 +64,7 @@
 
 // fleetTotals sums the results of several runs over all gateways.
 type fleetTotals struct {
-	asked, earned, allowed                   float64 // priority weight, from the fault to the end
+	requested, earned, achievable            float64 // priority weight, from the fault to the end
 	earnedBefore, earnedAfter                float64 // sums of the earned fractions before the fault, and in 5 s near the end
 	connects, rejectedConnects, healthChecks float64
 	attempts, firstAttempts, primaryAttempts float64 // primaryAttempts are first attempts at primaries
@@ -73,27 +73,27 @@
 	runs                                     float64
 }
 
-func (t *fleetTotals) add(f *fleet, k *fleetScenario) {
-	j, end := f.judge, epoch+f.Length
+func (t *fleetTotals) add(f *fleet, scenario *fleetScenario) {
+	judge, end := f.judge, epoch+f.Length
 	at := func(x float64) time.Duration { return epoch + time.Duration(x*float64(sec)) }
-	asked, earned, allowed := j.weights(at(k.faultStart), end-2*sec)
-	t.asked, t.earned, t.allowed = t.asked+asked, t.earned+earned, t.allowed+allowed
-	_, asked, earned = j.earnedWeight(at(2), at(min(k.faultStart, 6)))
-	t.earnedBefore += earned / asked
-	_, asked, earned = j.earnedWeight(end-7*sec, end-2*sec)
-	t.earnedAfter += earned / asked
-	t.connects, t.rejectedConnects, t.healthChecks = t.connects+float64(j.connects), t.rejectedConnects+float64(j.rejectedConnects), t.healthChecks+float64(j.healthChecks)
-	for _, attempt := range j.attempts {
+	requested, earned, achievable := judge.weights(at(scenario.faultStart), end-2*sec)
+	t.requested, t.earned, t.achievable = t.requested+requested, t.earned+earned, t.achievable+achievable
+	_, requested, earned = judge.earnedWeight(at(2), at(min(scenario.faultStart, 6)))
+	t.earnedBefore += earned / requested
+	_, requested, earned = judge.earnedWeight(end-7*sec, end-2*sec)
+	t.earnedAfter += earned / requested
+	t.connects, t.rejectedConnects, t.healthChecks = t.connects+float64(judge.connects), t.rejectedConnects+float64(judge.rejectedConnects), t.healthChecks+float64(judge.healthChecks)
+	for _, attempt := range judge.attempts {
 		if t.attempts++; attempt.first {
 			if t.firstAttempts++; !attempt.replica {
 				t.primaryAttempts++
 			}
 		}
 	}
-	for _, a := range j.operations {
-		t.operations, t.requests = t.operations+1, t.requests+float64(a.requests)
+	for _, op := range judge.operations {
+		t.operations, t.requests = t.operations+1, t.requests+float64(op.requests)
 	}
-	t.maxHostConnections = max(t.maxHostConnections, float64(j.maxHostConnections))
+	t.maxHostConnections = max(t.maxHostConnections, float64(judge.maxHostConnections))
 	t.runs++
 }
 
@@ -160,8 +160,8 @@
 
 // addFigures adds the totals to a result, with a suffix for the names of the figures.
 func (t *fleetTotals) addFigures(r *Result, suffix string) {
-	r.Figures["worth_of_allowed"+suffix] = t.earned / t.allowed
-	r.Figures["worth_of_asked"+suffix] = t.earned / t.asked
+	r.Figures["worth_of_allowed"+suffix] = t.earned / t.achievable
+	r.Figures["worth_of_asked"+suffix] = t.earned / t.requested
 	r.Figures["worth_near_end"+suffix] = t.earnedAfter / t.runs
 	r.Figures["worth_at_first"+suffix] = t.earnedBefore / t.runs
 	r.Figures["connects_an_attempt"+suffix] = t.connects / t.attempts
--- a/internal/experiment/fleetscenarios_test.go
+++ b/internal/experiment/fleetscenarios_test.go
@@ -30,8 +30,8 @@
 	return out
 }
 
-// TestFleetScenarios plays the fleet's days: no rule is broken, and gateways that share a host's room out earn more than those
-// that keep connections as if each were alone.
+// TestFleetScenarios checks that no invariant is violated, and that gateways that share the connection limit of a host
+// earn at least as much as those that size their pools as if each were alone.
 func TestFleetScenarios(t *testing.T) {
 	t.Parallel()
 	for name := range fleetScenarios {
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestDefectsAreFound breaks the gateways on purpose: claims that nothing can break are worth nothing.
+// TestDefectsAreFound runs gateways with deliberate defects: each must break a claim.
 func TestDefectsAreFound(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -34,31 +34,57 @@
 // newGateway creates a gateway and schedules its first arrival. On sockets the decision module runs in a real process
 // instead.
 func newGateway(f *fleet, n int, arrivals *rand.Rand) *gateway {
-	g := &gateway{f: f, number: n, trafficFactor: 1, zone: f.Zones[n%len(f.Zones)], arrivals: arrivals, pools: map[*host]*pool{},
-		hosts: map[string]*host{}, requests: map[uint64]*request{}}
-	cfg := routing.Config{Gateways: f.Gateways, Zone: g.zone, StaleReads: f.StaleReads, CatchUpTimeout: catchUpTimeout, Positions: true,
-		RoleSource: routing.RoleSourceDelayed, AllowCancel: true, AllowHedging: true, AllowHealthChecks: true, MaxAttempts: 6,
-		MaxRetryAfter: 500 * time.Millisecond, CrossZoneCost: 0.01, SlowStartCapacity: slowStartCapacity, SlowStartDuration: slowStartDuration,
-		OverloadFactor: overloadFactor, OverloadWindow: overloadWindow}
-	for _, c := range classes {
-		cfg.Classes = append(cfg.Classes, c.Class)
-	}
-	if f.Configure != nil {
-		f.Configure(&cfg)
+	g := &gateway{
+		f:             f,
+		number:        n,
+		trafficFactor: 1,
+		zone:          f.Zones[n%len(f.Zones)],
+		arrivals:      arrivals,
+		pools:         map[*host]*pool{},
+		hosts:         map[string]*host{},
+		requests:      map[uint64]*request{},
 	}
-	f.Defect.apply(&cfg)
-	g.config = cfg
+	g.config = f.gatewayConfig(g.zone)
 	for _, h := range f.hosts {
 		g.hosts[h.id], g.pools[h] = h, &pool{}
 	}
 	f.after(0, g.generateArrival)
-	if f.Sockets {
-		return g
+	if !f.Sockets {
+		g.start()
 	}
-	g.start()
 	return g
 }
 
+// gatewayConfig returns the configuration of the decision module of a gateway in a zone.
+func (f *fleet) gatewayConfig(zone string) routing.Config {
+	config := routing.Config{
+		Gateways:          f.Gateways,
+		Zone:              zone,
+		StaleReads:        f.StaleReads,
+		CatchUpTimeout:    catchUpTimeout,
+		Positions:         true,
+		RoleSource:        routing.RoleSourceDelayed,
+		AllowCancel:       true,
+		AllowHedging:      true,
+		AllowHealthChecks: true,
+		MaxAttempts:       6,
+		MaxRetryAfter:     500 * time.Millisecond,
+		CrossZoneCost:     0.01,
+		SlowStartCapacity: slowStartCapacity,
+		SlowStartDuration: slowStartDuration,
+		OverloadFactor:    overloadFactor,
+		OverloadWindow:    overloadWindow,
+	}
+	for _, c := range classes {
+		config.Classes = append(config.Classes, c.Class)
+	}
+	if f.Configure != nil {
+		f.Configure(&config)
+	}
+	f.Defect.apply(&config)
+	return config
+}
+
 // start begins a process that knows nothing but the endpoint list.
 func (g *gateway) start() {
 	f := g.f
@@ -71,14 +97,14 @@
 	if g.router, err = routing.New(f.now, g.config, g.arrivals.Uint64(), g); err != nil {
 		panic(err) // the configuration is fixed
 	}
-	l := routing.EndpointList{Kind: routing.EndpointListComplete}
+	list := routing.EndpointList{Kind: routing.EndpointListComplete}
 	for _, h := range f.hosts {
 		if g.hosts[h.id] != nil && !h.removed {
-			l.Endpoints = append(l.Endpoints, h.endpoint())
+			list.Endpoints = append(list.Endpoints, h.endpoint())
 			f.judge.endpointNotified(g, h.endpoint())
 		}
 	}
-	g.router.UpdateEndpoints(f.now, l)
+	g.router.UpdateEndpoints(f.now, list)
 }
 
 // clock converts model time into a time.Time.
@@ -109,66 +135,23 @@
 
 // Reject is a final response that guarantees that nothing ran.
 func (g *gateway) Reject(id uint64, retryAfter time.Duration, _ routing.Reason) {
-	if q := g.requests[id]; q != nil {
-		g.respond(q, false, true, retryAfter, nil, 0)
+	if request := g.requests[id]; request != nil {
+		g.respond(request, false, true, retryAfter, nil, 0)
 	}
 }
 
 // Fail is a final response without a guarantee.
 func (g *gateway) Fail(id uint64, _ routing.Reason) {
-	if q := g.requests[id]; q != nil {
-		g.respond(q, false, false, 0, nil, 0)
-	}
-}
-
-// CheckHealth sends a health check to a host and passes the result to the decision module.
-func (g *gateway) CheckHealth(member string, by routing.ConnPolicy) {
-	h, f := g.hosts[member], g.f
-	sentAt := f.now
-	f.judge.healthChecks++
-	finished, incarnation := false, g.incarnation
-	connectedAt := time.Duration(0)
-	end := func(r routing.Result, report routing.Report) {
-		if !finished && incarnation == g.incarnation {
-			finished = true
-			check := routing.HealthCheckResult{Member: member, Result: r, Latency: f.now - sentAt, Report: report}
-			if r == routing.ResultOK {
-				check.ConnectedAt = connectedAt
-			}
-			g.router.HealthChecked(f.now, check)
-		}
+	if request := g.requests[id]; request != nil {
+		g.respond(request, false, false, 0, nil, 0)
 	}
-	f.after(connectTimeout, func() { end(routing.ResultTimeout, routing.Report{}) })
-	g.dial(h, by, func(opened time.Duration) {
-		if connectedAt = opened; opened <= 0 {
-			end(routing.ResultConnectFailed, routing.Report{})
-			return
-		}
-		life := h.incarnation
-		f.judge.recordSlowStartCall(h, g, healthCheckDuration.Seconds()/f.meanWork())
-		f.after(2*g.networkDelay(h)+healthCheckDuration, func() {
-			if h.partitions > 0 || incarnation != g.incarnation {
-				return
-			} else if h.incarnation != life || !h.up {
-				end(routing.ResultReset, routing.Report{})
-				return
-			}
-			g.release(h, opened)
-			check := h.currentReport()
-			report := routing.Report{HasPosition: true, Position: check.position.Milliseconds(), Role: routing.RoleReplica}
-			if check.primary {
-				report.Role = routing.RolePrimary
-			}
-			end(routing.ResultOK, report)
-		})
-	})
 }
 
 // SetTimer schedules a timer event of the decision module.
 func (g *gateway) SetTimer(after time.Duration, name string) {
-	process := g.incarnation
+	incarnation := g.incarnation
 	g.f.after(after, func() {
-		if process == g.incarnation {
+		if incarnation == g.incarnation {
 			g.router.Timer(g.f.now, name)
 		}
 	})
--- a/internal/experiment/gatewayscenarios.go
+++ b/internal/experiment/gatewayscenarios.go
@@ -17,8 +17,8 @@
 // gatewayScenario runs real gateways that know each other in front of modelled hosts and clients, while messages
 // between gateways are lost and hosts start.
 type gatewayScenario struct {
-	spec    Spec
-	members *membershipScenario
+	spec       Spec
+	membership *membershipScenario
 }
 
 // gatewayScenarios run with processes only.
@@ -29,7 +29,7 @@
 	{"gateways-cut", gatewayScenario{
 		spec: Spec{Zones: threeZones, Hosts: 12, Groups: 4, Gateways: 7, Rate: 30, Load: 0.5, Length: 32 * sec, StaleReads: routing.StaleReadDelayed,
 			Faults: []Fault{{Kind: Crash, Zone: "nuernberg", At: 10 * sec, Duration: 4 * sec}}},
-		members: mustParseScenario(`
+		membership: mustParseScenario(`
 about = "seven gateways are cut in two while hosts of a zone start cold; one-sided cuts, lost messages and a standstill"
 losses = [0.1]
 length_s = 24
@@ -59,7 +59,7 @@
 func init() {
 	for i := range gatewayScenarios {
 		d := &gatewayScenarios[i]
-		Experiments = append(Experiments, Experiment{Name: d.name, About: d.members.About, gateways: &d.gatewayScenario})
+		Experiments = append(Experiments, Experiment{Name: d.name, About: d.membership.About, gateways: &d.gatewayScenario})
 	}
 }
 
@@ -104,7 +104,7 @@
 	defer cancel()
 	scenario.spec.Rate *= float64(scenario.spec.Gateways) / float64(n) // the total rate stays the same
 	scenario.spec.Gateways = n
-	harness := newProcessHarness(ctx, scenario.members, n, lossRate, seed, dir, logs)
+	harness := newProcessHarness(ctx, scenario.membership, n, lossRate, seed, dir, logs)
 	harness.isolated = !joined
 	defer harness.network.work.Wait()
 	defer cancel()
@@ -154,7 +154,7 @@
 	}
 	r := e.newResult(o, driverProcesses, fmt.Sprintf("%v gateways, %d hosts, %.0f requests/s in all", sizes, spec.Hosts, spec.Rate*float64(spec.Gateways)))
 	for _, n := range sizes {
-		for _, lossRate := range e.gateways.members.LossRates {
+		for _, lossRate := range e.gateways.membership.LossRates {
 			variant := memberVariant{n, lossRate}
 			totals := gatewayTotals{violations: map[string]float64{}}
 			for i := range o.Seeds {
@@ -254,7 +254,7 @@
 	r.claimNoViolations(prefix, t.violations)
 	r.claimMemberVerdicts(prefix, v, t.members, seeds)
 	r.addClaim(prefix+"verdicts across the cut, which show that it was one, least day", float64(t.members.excusedVerdicts), ">=", float64(v.members))
-	r.addClaim(prefix+"s until all views are the living, worst day", t.members.healSeconds, "<=", time.Duration(e.gateways.members.HealTimeout).Seconds())
+	r.addClaim(prefix+"s until all views are the living, worst day", t.members.healSeconds, "<=", time.Duration(e.gateways.membership.HealTimeout).Seconds())
 	r.addClaim(prefix+"worth, over that without knowing each other", t.joined.earnedFraction()/t.isolated.earnedFraction(), ">=", 0.99)
 	r.addClaim(prefix+"MB more resident, on the mean", t.joined.residentMB-t.isolated.residentMB, "<=", 3)
 	for suffix, arm := range map[string]*gatewayArmTotals{"": &t.joined, "_off": &t.isolated} {
--- a/internal/experiment/host.go
+++ b/internal/experiment/host.go
@@ -131,9 +131,9 @@
 	case len(h.waiting) >= queueCapacity:
 		h.reply(attempt, routing.ResultOverCapacity, 0)
 	case h.f.StaleReads != routing.StaleReadServed && h.position < attempt.requiredPosition:
-		life := h.incarnation
+		incarnation := h.incarnation
 		h.f.after(catchUpTimeout, func() {
-			if h.incarnation != life {
+			if h.incarnation != incarnation {
 				return
 			} else if h.position < attempt.requiredPosition {
 				h.reply(attempt, routing.ResultMissed, 0)
@@ -197,9 +197,9 @@
 	if result == routing.ResultOK && attempt.request.class.Consistency == routing.ConsistencyWrite {
 		outcome.Position = position.Milliseconds() + 1
 	}
-	life := h.incarnation
+	incarnation := h.incarnation
 	h.f.after(attempt.gateway.networkDelay(h), func() {
-		if h.partitions == 0 && h.incarnation == life {
+		if h.partitions == 0 && h.incarnation == incarnation {
 			attempt.finish(outcome, position)
 		}
 	})
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -14,8 +14,14 @@
 	fleet *fleet
 
 	// Violations of the invariants.
-	staleReads, duplicateRuns, unanswered, extraResponses, overloadedHosts, sendsToDrained, wrongAnswers int
-	notes                                                                                                []string
+	staleReads      int
+	duplicateRuns   int // of writes
+	unanswered      int
+	extraResponses  int
+	overloadedHosts int
+	sendsToDrained  int
+	wrongAnswers    int
+	notes           []string
 
 	operations                 []*operation
 	runs                       map[*request]int
@@ -55,13 +61,13 @@
 
 // note records a violation with its time, up to maxNotes.
 func (j *Judge) note(format string, args ...any) {
-	if len(j.notes) < 20 {
+	if len(j.notes) < maxNotes {
 		j.notes = append(j.notes, fmt.Sprintf("%8.3fs ", (j.fleet.now-epoch).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
 // recordOperation records a client's operation.
-func (j *Judge) recordOperation(a *operation) { j.operations = append(j.operations, a) }
+func (j *Judge) recordOperation(op *operation) { j.operations = append(j.operations, op) }
 
 // endpointNotified records an endpoint update that a gateway received. From drainGracePeriod on it must send nothing
 // new to a draining or removed host.
@@ -79,8 +85,16 @@
 
 // attemptSent records an attempt and counts those sent to a host that the gateway knows to be draining.
 func (j *Judge) attemptSent(a *attempt) {
-	j.attempts = append(j.attempts, attemptRecord{j.fleet.now, a.gateway.number, a.host.zone, a.number == 0,
-		a.request.class.Consistency != routing.ConsistencyWrite && a.request.class.Consistency != routing.ConsistencyStrong, a.host != a.request.group.primary, a.host.zone == a.gateway.zone})
+	consistency := a.request.class.Consistency
+	j.attempts = append(j.attempts, attemptRecord{
+		at:       j.fleet.now,
+		gateway:  a.gateway.number,
+		zone:     a.host.zone,
+		first:    a.number == 0,
+		read:     consistency != routing.ConsistencyWrite && consistency != routing.ConsistencyStrong,
+		replica:  a.host != a.request.group.primary,
+		sameZone: a.host.zone == a.gateway.zone,
+	})
 	if at, ok := j.drainedSince[a.gateway][a.host]; ok && j.fleet.now > at+drainGracePeriod {
 		j.sendsToDrained++
 		j.note("gateway %d sent to %s, which it knows to drain", a.gateway.number, a.host.id)
@@ -89,12 +103,13 @@
 
 // attemptWritten counts concurrent attempts of a request that is not idempotent.
 func (j *Judge) attemptWritten(a *attempt) {
-	if a.request.class.Effect == routing.NonIdempotent {
-		for _, x := range a.request.inFlight {
-			if x != a && x.written && !x.finished {
-				j.duplicateRuns++
-				j.note("two copies of one write are out")
-			}
+	if a.request.class.Effect != routing.NonIdempotent {
+		return
+	}
+	for _, other := range a.request.inFlight {
+		if other != a && other.written && !other.finished {
+			j.duplicateRuns++
+			j.note("two copies of one write are out")
 		}
 	}
 }
@@ -180,7 +195,12 @@
 
 // violations returns the number of violations of each invariant.
 func (j *Judge) violations() map[string]float64 {
-	return map[string]float64{"stale_reads": float64(j.staleReads), "second_runs": float64(j.duplicateRuns),
-		"without_one_answer": float64(j.unanswered + j.extraResponses), "wrong_answers": float64(j.wrongAnswers),
-		"tipped_over": float64(j.overloadedHosts), "sends_to_drained": float64(j.sendsToDrained)}
+	return map[string]float64{
+		"stale_reads":        float64(j.staleReads),
+		"second_runs":        float64(j.duplicateRuns),
+		"without_one_answer": float64(j.unanswered + j.extraResponses),
+		"wrong_answers":      float64(j.wrongAnswers),
+		"tipped_over":        float64(j.overloadedHosts),
+		"sends_to_drained":   float64(j.sendsToDrained),
+	}
 }
--- a/internal/experiment/judgemetrics.go
+++ b/internal/experiment/judgemetrics.go
@@ -10,21 +10,21 @@
 )
 
 // weights sums the requested, the earned and the achievable priority weight of arrivals in a window.
-func (j *Judge) weights(from, to time.Duration) (asked, earned, allowed float64) {
-	in, asked, earned := j.earnedWeight(from, to)
-	return asked, earned, j.achievableWeight(in, from)
+func (j *Judge) weights(from, to time.Duration) (requested, earned, achievable float64) {
+	operations, requested, earned := j.earnedWeight(from, to)
+	return requested, earned, j.achievableWeight(operations, from)
 }
 
 // earnedWeight returns the operations that arrived in a window, and sums their requested and their earned priority
 // weight.
-func (j *Judge) earnedWeight(from, to time.Duration) (in []*operation, asked, earned float64) {
-	for _, a := range j.operations {
-		if a.arrived >= from && a.arrived < to {
-			asked, earned = asked+a.class.PriorityWeight, earned+a.earned
-			in = append(in, a)
+func (j *Judge) earnedWeight(from, to time.Duration) (operations []*operation, requested, earned float64) {
+	for _, op := range j.operations {
+		if op.arrived >= from && op.arrived < to {
+			requested, earned = requested+op.class.PriorityWeight, earned+op.earned
+			operations = append(operations, op)
 		}
 	}
-	return in, asked, earned
+	return operations, requested, earned
 }
 
 // earliestService returns the first time within a limit at which some member could have started an operation, or 0.
@@ -56,82 +56,115 @@
 // time that a member could serve it until its latency objective or, where late responses earn, its deadline. It ignores
 // queues and the network.
 func (j *Judge) achievableWeight(operations []*operation, from time.Duration) (weight float64) {
-	capacity := map[[2]int]float64{}
-	for _, s := range j.snapshots {
-		for g, c := range s.cores {
-			capacity[[2]int{g, int((s.at - from) / capacityInterval)}] += c * replicationInterval.Seconds()
-		}
+	free := j.freeCapacity(from)
+	weightPerWork := func(op *operation) float64 { return op.class.PriorityWeight / op.work.Seconds() }
+	sorted := slices.SortedStableFunc(slices.Values(operations), func(a, b *operation) int {
+		return cmp.Compare(weightPerWork(b), weightPerWork(a))
+	})
+	allocate := func(op *operation, limit time.Duration) bool {
+		start := j.earliestService(op, limit)
+		return start > 0 && free.allocate(op, start, op.arrived+limit)
 	}
-	rate := func(a *operation) float64 { return a.class.PriorityWeight / a.work.Seconds() }
-	sorted := slices.SortedStableFunc(slices.Values(operations), func(a, b *operation) int { return cmp.Compare(rate(b), rate(a)) })
-	allocate := func(a *operation, within time.Duration) bool {
-		first := j.earliestService(a, within)
-		if first == 0 {
-			return false
-		}
-		g, lo, hi, free := a.group.number, int((first-from)/capacityInterval), int((a.arrived+within-from)/capacityInterval), 0.0
-		for i := lo; i <= hi; i++ {
-			free += capacity[[2]int{g, i}]
-		}
-		if free < a.work.Seconds() {
-			return false
+	for _, op := range sorted {
+		if allocate(op, op.class.LatencyObjective) {
+			weight += op.class.PriorityWeight
+		} else if op.class.LateShare > 0 && allocate(op, op.class.Deadline) {
+			weight += op.class.PriorityWeight * op.class.LateShare
 		}
-		for i, left := lo, a.work.Seconds(); left > 0 && i <= hi; i++ {
-			take := min(left, capacity[[2]int{g, i}])
-			capacity[[2]int{g, i}] -= take
-			left -= take
-		}
-		return true
 	}
-	for _, a := range sorted {
-		if allocate(a, a.class.LatencyObjective) {
-			weight += a.class.PriorityWeight
-		} else if a.class.LateShare > 0 && allocate(a, a.class.Deadline) {
-			weight += a.class.PriorityWeight * a.class.LateShare
+	return weight
+}
+
+// capacity is the free capacity of each group, in seconds of one core by capacityInterval.
+type capacity struct {
+	from time.Duration
+	free map[groupInterval]float64
+}
+
+// groupInterval identifies an interval of a group's capacity.
+type groupInterval struct{ group, interval int }
+
+// freeCapacity returns the capacity of all reachable hosts, in intervals from a time on.
+func (j *Judge) freeCapacity(from time.Duration) capacity {
+	c := capacity{from: from, free: map[groupInterval]float64{}}
+	for _, snapshot := range j.snapshots {
+		for group, cores := range snapshot.cores {
+			c.free[groupInterval{group, c.interval(snapshot.at)}] += cores * replicationInterval.Seconds()
 		}
 	}
-	return weight
+	return c
+}
+
+// interval returns the interval that contains a time.
+func (c capacity) interval(at time.Duration) int { return int((at - c.from) / capacityInterval) }
+
+// allocate takes the work of an operation from its group's capacity between two times, the earliest first. It returns
+// false, and takes nothing, if there is not enough.
+func (c capacity) allocate(op *operation, start, end time.Duration) bool {
+	group, first, last := op.group.number, c.interval(start), c.interval(end)
+	available := 0.0
+	for i := first; i <= last; i++ {
+		available += c.free[groupInterval{group, i}]
+	}
+	needed := op.work.Seconds()
+	if available < needed {
+		return false
+	}
+	for i := first; needed > 0 && i <= last; i++ {
+		taken := min(needed, c.free[groupInterval{group, i}])
+		c.free[groupInterval{group, i}] -= taken
+		needed -= taken
+	}
+	return true
 }
 
 // avoidanceTime returns how long after from the gateways keep sending to a zone, for the slowest gateway: the end of
 // its last window of 20 attempts of which more than one went to the zone.
 func (j *Judge) avoidanceTime(zone string, from, to time.Duration) time.Duration {
-	worst := time.Duration(0)
-	for g := range j.fleet.gateways {
+	slowest := time.Duration(0)
+	for gateway := range j.fleet.gateways {
 		var times []time.Duration
 		var toZone []bool
-		for _, t := range j.attempts {
-			if t.gateway == g && t.at >= from && t.at < to {
-				times, toZone = append(times, t.at), append(toZone, t.zone == zone)
+		for _, attempt := range j.attempts {
+			if attempt.gateway == gateway && attempt.at >= from && attempt.at < to {
+				times = append(times, attempt.at)
+				toZone = append(toZone, attempt.zone == zone)
 			}
 		}
-		for i := len(times) - 1; i >= 19; i-- {
-			n := 0
-			for _, b := range toZone[i-19 : i+1] {
-				if b {
-					n++
-				}
-			}
-			if n > 1 {
-				for k := i; k >= 0; k-- { // the last attempt that went to the zone
-					if toZone[k] {
-						worst = max(worst, times[k]-from)
-						break
-					}
-				}
-				break
+		if last := lastUnavoided(toZone); last >= 0 {
+			slowest = max(slowest, times[last]-from)
+		}
+	}
+	return slowest
+}
+
+// avoidanceWindow is the number of consecutive attempts of which at most one goes to a zone that is avoided.
+const avoidanceWindow = 20
+
+// lastUnavoided returns the index of the last attempt to the zone in the last window of which more than one attempt went
+// to the zone, or -1.
+func lastUnavoided(toZone []bool) int {
+	for end := len(toZone) - 1; end >= avoidanceWindow-1; end-- {
+		count, last := 0, -1
+		for i := end - avoidanceWindow + 1; i <= end; i++ {
+			if toZone[i] {
+				count++
+				last = i
 			}
 		}
+		if count > 1 {
+			return last
+		}
 	}
-	return worst
+	return -1
 }
 
 // zoneFraction returns the fraction of first attempts of reads in a window that went to a zone.
 func (j *Judge) zoneFraction(zone string, from, to time.Duration) float64 {
 	toZone, all := 0.0, 0.0
-	for _, t := range j.attempts {
-		if t.first && t.read && t.at >= from && t.at < to {
-			if all++; t.zone == zone {
+	for _, attempt := range j.attempts {
+		if attempt.first && attempt.read && attempt.at >= from && attempt.at < to {
+			if all++; attempt.zone == zone {
 				toZone++
 			}
 		}
@@ -143,15 +176,15 @@
 // to replicas, and of all.
 func (j *Judge) crossZoneFractions(from, to time.Duration) (reads, all float64) {
 	var leftReads, totalReads, left, total float64
-	for _, t := range j.attempts {
-		if !t.first || t.at < from || t.at >= to {
+	for _, attempt := range j.attempts {
+		if !attempt.first || attempt.at < from || attempt.at >= to {
 			continue
 		}
-		if total++; !t.sameZone {
+		if total++; !attempt.sameZone {
 			left++
 		}
-		if t.read && t.replica {
-			if totalReads++; !t.sameZone {
+		if attempt.read && attempt.replica {
+			if totalReads++; !attempt.sameZone {
 				leftReads++
 			}
 		}
--- a/internal/experiment/links.go
+++ b/internal/experiment/links.go
@@ -15,11 +15,16 @@
 
 // links is the state of all links between members: the active faults and the queues of links with limited bandwidth.
 type links struct {
-	members  int
-	lossRate float64
-	rng      *rand.Rand
-	active   []*membershipFault
-	freeAt   map[[2]int]time.Duration
+	memberCount int
+	lossRate    float64
+	rng         *rand.Rand
+	active      []*membershipFault
+	freeAt      map[[2]int]time.Duration
+}
+
+// newLinks returns the links between n members, without faults.
+func newLinks(n int, lossRate float64, seed uint64) links {
+	return links{memberCount: n, lossRate: lossRate, rng: rand.New(rand.NewPCG(seed, 6)), freeAt: map[[2]int]time.Duration{}}
 }
 
 // deliver draws the delivery of a message of size bytes. A message on a stream is retransmitted until it arrives, so it
@@ -27,8 +32,8 @@
 func (l *links) deliver(now time.Duration, from, to, size int, stream bool) delivery {
 	outcome := delivery{copies: 1, lost: l.rng.Float64() < l.lossRate}
 	for _, f := range l.active {
-		if !f.Members.matches(from, l.members) || !f.Peers.matches(to, l.members) {
-			if !f.Bidirectional || !f.Members.matches(to, l.members) || !f.Peers.matches(from, l.members) {
+		if !f.Members.matches(from, l.memberCount) || !f.Peers.matches(to, l.memberCount) {
+			if !f.Bidirectional || !f.Members.matches(to, l.memberCount) || !f.Peers.matches(from, l.memberCount) {
 				continue
 			}
 		}
@@ -80,13 +85,4 @@
 }
 
 // maxLinkDelay is the longest queueing delay on a link with limited bandwidth; messages beyond it are lost.
-const (
-	faultPartition membershipFaultKind = "cut"
-	faultNoise     membershipFaultKind = "noise"
-	faultStall     membershipFaultKind = "stall"  // messages wait until the end of the fault
-	faultBandwidth membershipFaultKind = "narrow" // messages queue for bandwidth, up to maxLinkDelay
-	faultPause     membershipFaultKind = "pause"  // the process is stopped; its messages wait
-	faultKill      membershipFaultKind = "kill"   // the process is killed, and restarts at the end under its name
-	faultLeave     membershipFaultKind = "leave"  // the process ends as on SIGTERM, and restarts at the end
-	maxLinkDelay                       = 500 * time.Millisecond
-)
+const maxLinkDelay = 500 * time.Millisecond
--- a/internal/experiment/membershipsim.go
+++ b/internal/experiment/membershipsim.go
@@ -51,30 +51,39 @@
 }
 
 const (
-	tickInterval = 100 * time.Millisecond
-	maxInbox     = 256 // messages queued for a paused process, as in a socket's buffer
+	tickInterval   = 100 * time.Millisecond
+	maxMemberNotes = 10
+	maxInbox       = 256 // messages queued for a paused process, as in a socket's buffer
 )
 
 // newMembershipSim creates a simulation of n members. PlainSWIM disables the extensions of SWIM.
 func newMembershipSim(scenario *membershipScenario, n int, lossRate float64, plainSWIM bool, seed uint64) *membershipSim {
-	sim := &membershipSim{membershipScenario: scenario, plainSWIM: plainSWIM, timeline: timeline{now: epoch}, rng: rand.New(rand.NewPCG(seed, 5)),
-		links:  links{members: n, lossRate: lossRate, rng: rand.New(rand.NewPCG(seed, 6)), freeAt: map[[2]int]time.Duration{}},
-		byAddr: map[string]*simMember{}, stalled: map[*membershipFault][]func(){}, diedAt: map[membership.Incarnation]time.Duration{}, detections: map[membership.Incarnation][]time.Duration{}}
+	sim := &membershipSim{
+		membershipScenario: scenario,
+		plainSWIM:          plainSWIM,
+		timeline:           timeline{now: epoch},
+		rng:                rand.New(rand.NewPCG(seed, 5)),
+		links:              newLinks(n, lossRate, seed),
+		byAddr:             map[string]*simMember{},
+		stalled:            map[*membershipFault][]func(){},
+		diedAt:             map[membership.Incarnation]time.Duration{},
+		detections:         map[membership.Incarnation][]time.Duration{},
+	}
 	for i := range n {
-		p := &simMember{sim: sim, index: i, addr: fmt.Sprintf("127.0.%d.%d:7946", i/250, i%250+1)}
-		sim.members, sim.byAddr[p.addr] = append(sim.members, p), p
-		sim.after(time.Duration(sim.rng.Int64N(int64(sec))), p.start)
+		member := &simMember{sim: sim, index: i, addr: fmt.Sprintf("127.0.%d.%d:7946", i/250, i%250+1)}
+		sim.members, sim.byAddr[member.addr] = append(sim.members, member), member
+		sim.after(time.Duration(sim.rng.Int64N(int64(sec))), member.start)
 	}
-	for _, x := range scenario.Faults {
-		sim.after(convergenceTime+x.at(), func() { sim.startFault(x) })
-		sim.after(convergenceTime+x.end(scenario), func() { sim.endFault(x) })
+	for _, fault := range scenario.Faults {
+		sim.after(convergenceTime+fault.at(), func() { sim.startFault(fault) })
+		sim.after(convergenceTime+fault.end(scenario), func() { sim.endFault(fault) })
 	}
 	return sim
 }
 
 // note records a violation with its time, up to maxMemberNotes.
 func (s *membershipSim) note(format string, args ...any) {
-	if len(s.notes) < 10 {
+	if len(s.notes) < maxMemberNotes {
 		s.notes = append(s.notes, fmt.Sprintf("%7.3fs ", (s.now-epoch-convergenceTime).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
@@ -84,18 +93,18 @@
 	if fault.Peers.matches != nil {
 		s.links.startFault(fault)
 	}
-	for _, p := range s.members {
-		switch hit := fault.Members.matches(p.index, len(s.members)); {
+	for _, member := range s.members {
+		switch hit := fault.Members.matches(member.index, len(s.members)); {
 		case hit && fault.Kind == faultPause:
-			p.paused = true
+			member.paused = true
 		case hit && fault.Kind == faultKill:
-			p.up = false
-			s.diedAt[p.node.Self().Incarnation] = s.now
+			member.up = false
+			s.diedAt[member.node.Self().Incarnation] = s.now
 		case hit && fault.Kind == faultLeave:
-			p.node.Leave()
-			p.flush()
-			p.up = false
-			s.diedAt[p.node.Self().Incarnation] = s.now
+			member.node.Leave()
+			member.flush()
+			member.up = false
+			s.diedAt[member.node.Self().Incarnation] = s.now
 		}
 	}
 	s.excuses = append(s.excuses, fault.newExcuses(s.now, s.now+fault.end(s.membershipScenario)-fault.at())...)
@@ -110,17 +119,17 @@
 		}
 		delete(s.stalled, fault)
 	}
-	for _, p := range s.members {
-		switch hit := fault.Members.matches(p.index, len(s.members)); {
+	for _, member := range s.members {
+		switch hit := fault.Members.matches(member.index, len(s.members)); {
 		case hit && fault.Kind == faultPause:
-			p.paused = false
-			mail := p.inbox
-			p.inbox = nil
-			for _, m := range mail {
-				p.receive(m)
+			member.paused = false
+			inbox := member.inbox
+			member.inbox = nil
+			for _, m := range inbox {
+				member.receive(m)
 			}
 		case hit && (fault.Kind == faultKill || fault.Kind == faultLeave):
-			p.start()
+			member.start()
 		}
 	}
 }
@@ -209,8 +218,8 @@
 	for range outcome.copies {
 		delay := draw(s.rng, 200*time.Microsecond, 5*time.Millisecond) + outcome.delay
 		arrive := func() { s.after(delay, func() { to.receive(got) }) }
-		if held := s.stalled[outcome.stalledBy]; outcome.stalledBy != nil && len(held) < maxInbox {
-			s.stalled[outcome.stalledBy] = append(held, arrive)
+		if stalled := s.stalled[outcome.stalledBy]; outcome.stalledBy != nil && len(stalled) < maxInbox {
+			s.stalled[outcome.stalledBy] = append(stalled, arrive)
 		} else if outcome.stalledBy == nil {
 			arrive()
 		}
@@ -226,20 +235,24 @@
 		s.detections[change.Member.Incarnation] = append(s.detections[change.Member.Incarnation], s.now-at)
 		return
 	}
-	for _, x := range s.members {
-		if x.up && x.node.Self().Incarnation == change.Member.Incarnation && !isExcused(s.excuses, s.now, observer.index, x.index, len(s.members)) && s.now >= epoch+convergenceTime {
+	if s.now < epoch+convergenceTime {
+		return
+	}
+	for _, accused := range s.members {
+		running := accused.up && accused.node.Self().Incarnation == change.Member.Incarnation
+		if running && !isExcused(s.excuses, s.now, observer.index, accused.index, len(s.members)) {
 			s.falseVerdicts++
-			s.note("%d holds %d as failed, by %q (%s)", observer.index, x.index, change.Reporter, change.Reason)
+			s.note("%d holds %d as failed, by %q (%s)", observer.index, accused.index, change.Reporter, change.Reason)
 		}
 	}
 }
 
 // divergedViews counts the members whose view is not exactly the set of running members.
-func (s *membershipSim) divergedViews() (bad int) {
-	living := map[membership.Incarnation]bool{}
+func (s *membershipSim) divergedViews() (diverged int) {
+	running := map[membership.Incarnation]bool{}
 	for _, p := range s.members {
 		if p.up {
-			living[p.node.Self().Incarnation] = true
+			running[p.node.Self().Incarnation] = true
 		}
 	}
 	for _, p := range s.members {
@@ -250,14 +263,14 @@
 		wrong := false
 		for _, r := range p.node.Members() {
 			if r.State < membership.Failed {
-				if seen++; !living[r.Incarnation] {
+				if seen++; !running[r.Incarnation] {
 					wrong = true
 				}
 			}
 		}
-		if wrong || seen != len(living) {
-			bad++
+		if wrong || seen != len(running) {
+			diverged++
 		}
 	}
-	return bad
+	return diverged
 }
--- a/internal/experiment/membershipsim_test.go
+++ b/internal/experiment/membershipsim_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestMembershipScenarios plays the short form of all days of members. Nobody who lives and is reached may be held as failed, and
-// what all use of a budget together is never more than it.
+// TestMembershipScenarios runs the short form of all membership scenarios. No reachable running member may be
+// considered failed, and the shares of a budget must never exceed it.
 func TestMembershipScenarios(t *testing.T) {
 	t.Parallel()
 	for _, d := range membershipScenarios {
@@ -26,7 +26,7 @@
 	}
 }
 
-// TestMembershipJudgeDetectsFalseVerdicts lets the judge see members that give verdicts on one trial: they fail the living.
+// TestMembershipJudgeDetectsFalseVerdicts runs plain SWIM, whose verdicts after one probe fail running members.
 func TestMembershipJudgeDetectsFalseVerdicts(t *testing.T) {
 	for _, d := range membershipScenarios {
 		if d.name != "members-pair" {
--- a/internal/experiment/pool.go
+++ b/internal/experiment/pool.go
@@ -12,9 +12,9 @@
 
 // pool holds the connections of one gateway to one host.
 type pool struct {
-	idle     []idleConn // most recently used last
-	inFlight []*attempt // written attempts
-	usage    poolsize.Host
+	idle            []idleConn // most recently used last
+	inFlight        []*attempt // written attempts
+	usage           poolsize.Host
 	nextExpiryCheck time.Duration // time of the next closeExpired
 }
 
@@ -29,52 +29,69 @@
 
 // dial obtains a connection by the given policy and passes its connect time to then: 0 if the host can't be reached,
 // overCapacity if it rejected the connection.
-func (g *gateway) dial(h *host, by routing.ConnPolicy, then func(opened time.Duration)) {
+func (g *gateway) dial(h *host, policy routing.ConnPolicy, then func(connectedAt time.Duration)) {
 	p, f := g.pools[h], g.f
 	g.poolSizer.RecordAttempt(clock(f.now), &p.usage, len(g.hosts))
-	switch n := len(p.idle) - 1; {
-	case n >= 0 && by == routing.ConnOldest:
-		i := slices.IndexFunc(p.idle, func(c idleConn) bool {
-			return c.connectedAt == slices.MinFunc(p.idle, func(a, b idleConn) int { return cmp.Compare(a.connectedAt, b.connectedAt) }).connectedAt
-		})
-		c := p.idle[i]
-		p.idle = slices.Delete(p.idle, i, i+1)
-		then(c.connectedAt)
-	case n >= 0 && by == routing.ConnAny:
-		c := p.idle[n]
-		p.idle = p.idle[:n]
-		then(c.connectedAt)
+	switch last := len(p.idle) - 1; {
+	case last >= 0 && policy == routing.ConnOldest:
+		then(p.take(p.oldest()))
+	case last >= 0 && policy == routing.ConnAny:
+		then(p.take(last))
 	case h.partitions > 0:
 		f.after(connectTimeout, func() { then(0) })
 	default:
-		f.after(3*g.networkDelay(h)+connectDuration, func() {
-			if room := cmp.Or(f.HostConnections, maxConnections); h.reachable() && h.connections < room {
-				h.connections++
-				f.judge.connects++
-				g.poolSizer.RecordConnect()
-				f.judge.maxHostConnections = max(f.judge.maxHostConnections, h.connections)
-				then(f.now)
-			} else if h.reachable() {
-				f.judge.rejectedConnects++
-				if g.poolSizer.RecordRejection(clock(f.now)) {
-					for _, x := range f.hosts {
-						g.closeExpired(x)
-					}
-				}
-				then(overCapacity)
-			} else if h.partitions > 0 {
-				f.after(connectTimeout, func() { then(0) })
-			} else {
-				then(0)
+		f.after(3*g.networkDelay(h)+connectDuration, func() { g.connect(h, then) })
+	}
+}
+
+// oldest returns the index of the idle connection that was established first.
+func (p *pool) oldest() int {
+	oldest := 0
+	for i, c := range p.idle {
+		if c.connectedAt < p.idle[oldest].connectedAt {
+			oldest = i
+		}
+	}
+	return oldest
+}
+
+// take removes an idle connection and returns its connect time.
+func (p *pool) take(i int) time.Duration {
+	c := p.idle[i]
+	p.idle = slices.Delete(p.idle, i, i+1)
+	return c.connectedAt
+}
+
+// connect completes a connection attempt at a host; see dial.
+func (g *gateway) connect(h *host, then func(connectedAt time.Duration)) {
+	f := g.f
+	limit := cmp.Or(f.HostConnections, maxConnections)
+	switch {
+	case h.reachable() && h.connections < limit:
+		h.connections++
+		f.judge.connects++
+		g.poolSizer.RecordConnect()
+		f.judge.maxHostConnections = max(f.judge.maxHostConnections, h.connections)
+		then(f.now)
+	case h.reachable():
+		f.judge.rejectedConnects++
+		if g.poolSizer.RecordRejection(clock(f.now)) {
+			for _, other := range f.hosts {
+				g.closeExpired(other)
 			}
-		})
+		}
+		then(overCapacity)
+	case h.partitions > 0:
+		f.after(connectTimeout, func() { then(0) })
+	default:
+		then(0)
 	}
 }
 
 // release returns a connection to the pool.
-func (g *gateway) release(h *host, up time.Duration) {
+func (g *gateway) release(h *host, connectedAt time.Duration) {
 	p := g.pools[h]
-	p.idle = append(p.idle, idleConn{up, g.f.now})
+	p.idle = append(p.idle, idleConn{connectedAt, g.f.now})
 	g.closeExpired(h)
 }
 
@@ -106,10 +123,10 @@
 // resetConnections resets all connections to a host.
 func (g *gateway) resetConnections(h *host) {
 	p := g.pools[h]
-	out := p.inFlight
+	inFlight := p.inFlight
 	p.idle, p.inFlight = nil, nil
 	g.f.after(g.networkDelay(h), func() {
-		for _, a := range out {
+		for _, a := range inFlight {
 			a.finish(routing.Outcome{Result: routing.ResultReset}, 0)
 		}
 	})
--- a/internal/experiment/processharness.go
+++ b/internal/experiment/processharness.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net/http"
 	"os"
 	"os/exec"
@@ -52,9 +51,16 @@
 
 // newProcessHarness returns a harness for n members; prepare creates them.
 func newProcessHarness(ctx context.Context, scenario *membershipScenario, n int, lossRate float64, seed uint64, dir string, logs io.Writer) *processHarness {
-	return &processHarness{membershipScenario: scenario, dir: dir, logs: logs, client: http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
-		network:       newNetwork(ctx, links{members: n, lossRate: lossRate, rng: rand.New(rand.NewPCG(seed, 6)), freeAt: map[[2]int]time.Duration{}}),
-		memberByStart: map[string]int{}, diedAt: map[string]time.Duration{}, detections: map[string][]time.Duration{}}
+	return &processHarness{
+		membershipScenario: scenario,
+		dir:                dir,
+		logs:               logs,
+		client:             http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
+		network:            newNetwork(ctx, newLinks(n, lossRate, seed)),
+		memberByStart:      map[string]int{},
+		diedAt:             map[string]time.Duration{},
+		detections:         map[string][]time.Duration{},
+	}
 }
 
 // prepare allocates addresses, opens the relays and writes the configuration files of n members.
@@ -63,7 +69,7 @@
 	var join []string
 	for i := range n {
 		p := &process{index: i, configFile: filepath.Join(h.dir, fmt.Sprintf("g%d.toml", i))}
-		member, behind := addresses(number, i)
+		member, relayAddress := addresses(number, i)
 		listen, err := freePort(member)
 		if err != nil {
 			return err
@@ -73,7 +79,7 @@
 			return err
 		}
 		p.listen, p.adminAddress = listen, admin.String()
-		if p.relayAddress, err = h.network.addRelay(p.listen, behind); err != nil {
+		if p.relayAddress, err = h.network.addRelay(p.listen, relayAddress); err != nil {
 			return err
 		}
 		if i%max(1, n/3) == 0 && len(join) < 3 {
@@ -121,10 +127,10 @@
 // waitReady waits until a started process reports its view.
 func (h *processHarness) waitReady(p *process) error {
 	for end := time.Now().Add(processTimeout); ; time.Sleep(20 * time.Millisecond) {
-		v, err := h.fetchView(p)
+		view, err := h.fetchView(p)
 		if err == nil {
 			h.mu.Lock()
-			p.start, p.up, p.paused = v.Self.Start, true, false
+			p.start, p.up, p.paused = view.Self.Start, true, false
 			h.memberByStart[p.start] = p.index
 			h.mu.Unlock()
 			return nil
@@ -142,7 +148,7 @@
 
 // note records a violation with its time, up to maxMemberNotes.
 func (h *processHarness) note(format string, args ...any) {
-	if len(h.notes) < 10 {
+	if len(h.notes) < maxMemberNotes {
 		h.notes = append(h.notes, fmt.Sprintf("%7.3fs ", (h.network.now()-h.startedAt).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/experiment/processharness_test.go
+++ b/internal/experiment/processharness_test.go
@@ -20,7 +20,7 @@
 	"cranegate/internal/logging"
 )
 
-// breakEnv has the test's own program run as a member with a defect, by whose name it is set.
+// breakEnv names the defect of a member that the test's own program runs as.
 const breakEnv = "CRANELAB_BROKEN_MEMBER"
 
 func TestMain(m *testing.M) {
@@ -32,14 +32,25 @@
 	os.Exit(m.Run())
 }
 
-// brokenMember runs a member that is broken on purpose. It returns only what went wrong.
+// buildGateway builds the gateway's program with further flags of go build.
+func buildGateway(t *testing.T, flags ...string) (program string) {
+	t.Helper()
+	program = filepath.Join(t.TempDir(), "cranegate")
+	args := append(append([]string{"build"}, flags...), "-o", program, "cranegate/cmd/cranegate")
+	if out, err := exec.Command("go", args...).CombinedOutput(); err != nil {
+		t.Fatalf("building: %v\n%s", err, out)
+	}
+	return program
+}
+
+// brokenMember runs a member with a deliberate defect. It returns only with an error.
 func brokenMember(defect, file string) error {
 	o, err := config.LoadOperator(file, nil)
 	if err != nil {
 		return err
 	}
 	opt := o.Fleet.Options(o.Seed)
-	opt.Members.PlainSWIM = defect == "hasty" // a verdict after one trial, hearsay, and no doubt of itself
+	opt.Members.PlainSWIM = defect == "hasty" // a verdict after one probe, hearsay, and no local health awareness
 	p, err := gossip.Listen(opt)
 	if err != nil {
 		return err
@@ -62,6 +73,7 @@
 	}))
 }
 
+// brokenCommand returns commands that run members with a defect.
 func brokenCommand(defect string) func(string) *exec.Cmd {
 	return func(file string) *exec.Cmd {
 		cmd := exec.Command(os.Args[0], file)
@@ -70,14 +82,11 @@
 	}
 }
 
-// TestProcesses starts five gateways and plays a day between them: messages are lost, doubled, spoilt and late, one link is
-// cut in one direction, one process stands still, one is killed and starts anew, and one hears nobody.
+// TestProcesses runs a scenario with five gateways: messages are lost, duplicated, corrupted and delayed, one link is
+// cut in one direction, one process pauses, one is killed and restarts, and one receives nothing.
 func TestProcesses(t *testing.T) {
 	t.Parallel()
-	program := filepath.Join(t.TempDir(), "cranegate")
-	if out, err := exec.Command("go", "build", "-race", "-o", program, "cranegate/cmd/cranegate").CombinedOutput(); err != nil {
-		t.Fatalf("building: %v\n%s", err, out)
-	}
+	program := buildGateway(t, "-race")
 	e, err := Find("members-short")
 	if err != nil {
 		t.Fatal(err)
@@ -99,18 +108,15 @@
 	}
 }
 
-// TestGatewaysCut plays some seconds with clients and hosts before three gateways that know each other, of which one is cut
-// off while hosts of a zone start cold. What is held here does not hang on the machine's pace.
+// TestGatewaysCut runs clients and hosts with three gateways that know each other, of which one is isolated while hosts
+// of a zone restart. The checks do not depend on the speed of the machine.
 func TestGatewaysCut(t *testing.T) {
 	t.Parallel()
-	program := filepath.Join(t.TempDir(), "cranegate")
-	if out, err := exec.Command("go", "build", "-race", "-o", program, "cranegate/cmd/cranegate").CombinedOutput(); err != nil {
-		t.Fatalf("building: %v\n%s", err, out)
-	}
+	program := buildGateway(t, "-race")
 	d := gatewayScenarios[0].gatewayScenario
 	d.spec.Rate, d.spec.Length = 10, 17*sec
 	d.spec.Faults = []Fault{{Kind: Crash, Zone: "nuernberg", At: 9 * sec, Duration: 3 * sec}}
-	d.members = mustParseScenario(`
+	d.membership = mustParseScenario(`
 about = "one of three is cut off"
 losses = [0.1]
 length_s = 8
@@ -139,9 +145,9 @@
 	}
 }
 
-// TestProcessJudgeDetectsDefects plays with members that are broken on purpose, each in its way: the judge has to see it.
+// TestProcessJudgeDetectsDefects runs members with one defect each, which the harness must detect.
 func TestProcessJudgeDetectsDefects(t *testing.T) {
-	day := func(text string) *membershipScenario {
+	scenario := func(text string) *membershipScenario {
 		d, err := parseScenario("about = \"broken members\"\nlosses = [0.0]\n" + text)
 		if err != nil {
 			t.Fatal(err)
@@ -149,17 +155,17 @@
 		return d
 	}
 	for _, c := range []struct {
-		defect string
-		day    *membershipScenario
-		found  func(processStats) bool
+		defect   string
+		scenario *membershipScenario
+		found    func(processStats) bool
 	}{
-		{"hasty", day("length_s = 7\n[[fault]]\nkind = \"cut\"\nwho = \"but 1\"\nto = \"one 1\"\nexcuses = [\"one 1\"]"), func(x processStats) bool { return x.falseVerdicts > 0 }},
-		{"greedy", day("length_s = 1"), func(x processStats) bool { return x.maxBudgetShare > 1.5 }},
-		{"blind", day("length_s = 7\n[[fault]]\nkind = \"kill\"\nat_s = 1\nwho = \"one 1\""), func(x processStats) bool { return x.divergedViews > 0 }},
+		{"hasty", scenario("length_s = 7\n[[fault]]\nkind = \"cut\"\nwho = \"but 1\"\nto = \"one 1\"\nexcuses = [\"one 1\"]"), func(x processStats) bool { return x.falseVerdicts > 0 }},
+		{"greedy", scenario("length_s = 1"), func(x processStats) bool { return x.maxBudgetShare > 1.5 }},
+		{"blind", scenario("length_s = 7\n[[fault]]\nkind = \"kill\"\nat_s = 1\nwho = \"one 1\""), func(x processStats) bool { return x.divergedViews > 0 }},
 	} {
 		t.Run(c.defect, func(t *testing.T) {
 			t.Parallel()
-			x, err := runProcessScenario(context.Background(), c.day, 4, c.day.LossRates[0], 2, brokenCommand(c.defect), io.Discard)
+			x, err := runProcessScenario(context.Background(), c.scenario, 4, c.scenario.LossRates[0], 2, brokenCommand(c.defect), io.Discard)
 			if err == nil && !c.found(x) {
 				t.Errorf("nothing was found: %+v", x)
 			} else if err != nil {
@@ -169,60 +175,67 @@
 	}
 }
 
-// TestUnexpectedMembers adds to three members one that bears another's name, one with another key, and one with a file that has a
-// fault. The two of one name are told of and neither is held as failed; the other two enter nothing.
-func TestUnexpectedMembers(t *testing.T) {
-	t.Parallel()
-	program := filepath.Join(t.TempDir(), "cranegate")
-	if out, err := exec.Command("go", "build", "-o", program, "cranegate/cmd/cranegate").CombinedOutput(); err != nil {
-		t.Fatalf("building: %v\n%s", err, out)
-	}
+// startUnexpectedMembers starts three regular members, a fourth with the name of the first, a fifth with another key, and
+// tries to start a sixth with an invalid file.
+func startUnexpectedMembers(t *testing.T) *processHarness {
+	t.Helper()
+	program := buildGateway(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	dir := t.TempDir()
-	r := newProcessHarness(ctx, &membershipScenario{Duration: seconds(time.Hour)}, 6, 0, 1, dir, io.Discard)
-	r.command = func(file string) *exec.Cmd { return exec.Command(program, "--operator", file) }
+	h := newProcessHarness(ctx, &membershipScenario{Duration: seconds(time.Hour)}, 6, 0, 1, dir, io.Discard)
+	h.command = func(file string) *exec.Cmd { return exec.Command(program, "--operator", file) }
 	t.Cleanup(func() {
-		for _, p := range r.processes {
+		for _, p := range h.processes {
 			p.kill()
 		}
 		cancel()
-		r.network.work.Wait()
+		h.network.work.Wait()
 	})
-	if err := r.prepare(6); err != nil {
+	if err := h.prepare(6); err != nil {
 		t.Fatal(err)
 	}
-	r.network.serve()
-	put := func(i int, from, to string) {
-		t.Helper()
-		text := strings.Replace(r.processes[i].operatorTables, from, to, 1)
-		if text == r.processes[i].operatorTables {
-			t.Fatalf("%q does not stand in the file", from)
-		}
-		if err := os.WriteFile(r.processes[i].configFile, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	other := filepath.Join(dir, "other")
-	if err := os.WriteFile(other, []byte(strings.Repeat("00", 32)), 0o600); err != nil {
+	h.network.serve()
+	otherKey := filepath.Join(dir, "other")
+	if err := os.WriteFile(otherKey, []byte(strings.Repeat("00", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	put(3, "g3", "g0")
-	put(4, filepath.Join(dir, "key"), other)
-	put(5, "zone =", "zones =")
+	replaceInConfig(t, h.processes[3], "g3", "g0")
+	replaceInConfig(t, h.processes[4], filepath.Join(dir, "key"), otherKey)
+	replaceInConfig(t, h.processes[5], "zone =", "zones =")
 	for i := range 5 {
-		if err := r.launch(r.processes[i]); err != nil {
+		if err := h.launch(h.processes[i]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := r.launch(r.processes[5]); err == nil {
+	if err := h.launch(h.processes[5]); err == nil {
 		t.Error("a process with a faulty file runs")
 	}
-	r.mu.Lock()
-	r.startedAt = r.network.now()
-	r.mu.Unlock()
+	h.mu.Lock()
+	h.startedAt = h.network.now()
+	h.mu.Unlock()
+	return h
+}
+
+// replaceInConfig replaces a text in a member's file before its start.
+func replaceInConfig(t *testing.T, p *process, old, replacement string) {
+	t.Helper()
+	text := strings.Replace(p.operatorTables, old, replacement, 1)
+	if text == p.operatorTables {
+		t.Fatalf("%q does not stand in the file", old)
+	}
+	if err := os.WriteFile(p.configFile, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestUnexpectedMembers checks that two members with the same name are reported and neither is considered failed, and
+// that members with another key or an invalid file don't join.
+func TestUnexpectedMembers(t *testing.T) {
+	t.Parallel()
+	h := startUnexpectedMembers(t)
 	settled := func() bool {
 		for i := range 4 {
-			v, err := r.fetchView(r.processes[i])
+			v, err := h.fetchView(h.processes[i])
 			if err != nil || len(v.Members) != 3 || len(v.Conflicts) != 1 || v.Conflicts[0] != "g0" {
 				return false
 			}
@@ -235,18 +248,18 @@
 		}
 	}
 	time.Sleep(4 * time.Second) // longer than any verdict takes
-	r.mu.Lock()
-	lies, notes := r.falseVerdicts, r.notes
-	r.mu.Unlock()
-	if lies > 0 || !settled() {
-		t.Errorf("%d held as failed: %v", lies, notes)
+	h.mu.Lock()
+	falseVerdicts, notes := h.falseVerdicts, h.notes
+	h.mu.Unlock()
+	if falseVerdicts > 0 || !settled() {
+		t.Errorf("%d held as failed: %v", falseVerdicts, notes)
 	}
-	if v, err := r.fetchView(r.processes[4]); err != nil || len(v.Members) != 0 || v.Part != 0 {
+	if v, err := h.fetchView(h.processes[4]); err != nil || len(v.Members) != 0 || v.BudgetShare != 0 {
 		t.Errorf("the one with another key: %+v, %v", v, err)
 	}
 }
 
-// TestProcessesEndWithContext ends a day from outside and looks for what is still there.
+// TestProcessesEndWithContext cancels a run and checks that no process is left.
 func TestProcessesEndWithContext(t *testing.T) {
 	t.Parallel()
 	d, err := parseScenario("about = \"long\"\nlosses = [0.0]\nlength_s = 60")
@@ -270,7 +283,7 @@
 	}
 }
 
-// TestInvalidScenarios reads days with faults.
+// TestInvalidScenarios parses scenarios with errors.
 func TestInvalidScenarios(t *testing.T) {
 	head := "about = \"x\"\nlosses = [0.0]\nlength_s = 5\n"
 	for _, text := range []string{"", "about = \"x\"\nlength_s = 5", head + "heals_s = 1", head + "[[fault]]\nkind = \"flood\"\nwho = \"all\"",
@@ -285,11 +298,11 @@
 	}
 }
 
-// TestLinkPartition holds what passes against a cut in one direction and in both.
+// TestLinkPartition checks which messages pass a partition in one direction and in both.
 func TestLinkPartition(t *testing.T) {
 	for _, both := range []bool{false, true} {
 		d := mustParseScenario(fmt.Sprintf("about = \"x\"\nlosses = [0.0]\nlength_s = 5\n[[fault]]\nkind = \"cut\"\nwho = \"one 1\"\nto = \"one 2\"\nboth = %t", both))
-		l := links{members: 4, rng: rand.New(rand.NewPCG(1, 1)), freeAt: map[[2]int]time.Duration{}}
+		l := links{memberCount: 4, rng: rand.New(rand.NewPCG(1, 1)), freeAt: map[[2]int]time.Duration{}}
 		l.startFault(d.Faults[0])
 		for from := range 4 {
 			for to := range 4 {
--- a/internal/experiment/processviews.go
+++ b/internal/experiment/processviews.go
@@ -11,23 +11,23 @@
 )
 
 // fetchView requests a member's view from its admin listener.
-func (h *processHarness) fetchView(p *process) (v memberView, err error) {
+func (h *processHarness) fetchView(p *process) (view memberView, err error) {
 	resp, err := h.client.Get("http://" + p.adminAddress + "/members")
 	if err != nil {
-		return v, err
+		return view, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return v, errors.New(resp.Status)
+		return view, errors.New(resp.Status)
 	}
-	return v, json.NewDecoder(io.LimitReader(resp.Body, 4<<20)).Decode(&v)
+	return view, json.NewDecoder(io.LimitReader(resp.Body, 4<<20)).Decode(&view)
 }
 
 // readLogLine checks a line that a member has logged.
-func (h *processHarness) readLogLine(i int, line string) {
+func (h *processHarness) readLogLine(observer int, line string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	fmt.Fprintf(h.logs, "g%d %s\n", i, line)
+	fmt.Fprintf(h.logs, "g%d %s\n", observer, line)
 	_, rest, ok := strings.Cut(line, "event=member_changed ")
 	if !ok {
 		return
@@ -48,70 +48,93 @@
 		h.detections[start] = append(h.detections[start], now-at)
 		return
 	}
-	of, known := h.memberByStart[start]
+	accused, known := h.memberByStart[start]
 	switch {
-	case !known || !h.processes[of].up || h.processes[of].start != start || h.startedAt == 0:
-	case isExcused(h.excuses, now, i, of, len(h.processes)):
+	case !known || !h.processes[accused].up || h.processes[accused].start != start || h.startedAt == 0:
+	case isExcused(h.excuses, now, observer, accused, len(h.processes)):
 		h.excusedVerdicts++
 	default:
 		h.falseVerdicts++
-		h.note("%d holds %d as failed, by %s", i, of, line)
+		h.note("%d holds %d as failed, by %s", observer, accused, line)
 	}
 }
 
 // pollViews requests all views at the same time. It returns how many differ from the set of running members, and the
 // sum of their shares of a common budget.
-func (h *processHarness) pollViews() (unequal int, parts float64) {
+func (h *processHarness) pollViews() (diverged int, totalShare float64) {
 	if h.isolated {
 		return 0, 0
 	}
-	living, asked := map[string]bool{}, []*process{}
+	running, polled := map[string]bool{}, []*process{}
 	h.mu.Lock()
 	for _, p := range h.processes {
 		if p.up {
-			living[p.start] = true
+			running[p.start] = true
 		}
 		if p.up && !p.paused {
-			asked = append(asked, p)
+			polled = append(polled, p)
 		}
 	}
 	h.mu.Unlock()
-	views := make([]*memberView, len(asked))
+	views := make([]*memberView, len(polled))
 	var work sync.WaitGroup
-	for k, p := range asked {
+	for i, p := range polled {
 		work.Go(func() {
-			if v, err := h.fetchView(p); err == nil {
-				views[k] = &v
+			if view, err := h.fetchView(p); err == nil {
+				views[i] = &view
 			}
 		})
 	}
 	work.Wait()
-	for _, v := range views {
-		if v == nil {
-			unequal++
+	for _, view := range views {
+		if view == nil {
+			diverged++
 			continue
 		}
-		parts += v.Part
-		seen, wrong := 1, !living[v.Self.Start]
-		for _, m := range v.Members {
-			if m.State == "alive" || m.State == "draining" {
-				seen++
-				wrong = wrong || !living[m.Start]
-			}
-		}
-		if wrong || seen != len(living) {
-			unequal++
+		totalShare += view.BudgetShare
+		if !view.matches(running) {
+			diverged++
 		}
 	}
-	return unequal, parts
+	return diverged, totalShare
 }
 
 // memberView is the part of a member's report that the harness checks; see gossip.View.
 type memberView struct {
-	Self    struct{ Start string }
-	Members []struct{ Start, State string }
-	Part    float64
-	Size    int
+	Self struct {
+		Start string `json:"start"`
+	} `json:"self"`
+	Members []struct {
+		Start string `json:"start"`
+		State string `json:"state"`
+	} `json:"members"`
+	BudgetShare float64  `json:"part"`
+	Conflicts   []string `json:"conflicts"`
+}
 
-	Conflicts []string
+// known returns the number of members that the member considers present, with itself.
+func (v *memberView) known() int {
+	known := 1
+	for _, member := range v.Members {
+		if memberPresent(member.State) {
+			known++
+		}
+	}
+	return known
+}
+
+// memberPresent reports whether a state of a member counts as present.
+func memberPresent(state string) bool { return state == "alive" || state == "draining" }
+
+// matches reports whether the view is exactly the set of running members, given by their starts.
+func (v *memberView) matches(running map[string]bool) bool {
+	if !running[v.Self.Start] || v.known() != len(running) {
+		return false
+	}
+	for _, member := range v.Members {
+		if memberPresent(member.State) && !running[member.Start] {
+			return false
+		}
+	}
+	return true
 }
--- a/internal/experiment/relay.go
+++ b/internal/experiment/relay.go
@@ -40,8 +40,8 @@
 )
 
 // addresses returns the addresses of member i and of its relay, in the address range of a harness.
-func addresses(rig, i int) (member, relay netip.Addr) {
-	a, b := byte(64+rig>>6&63), byte(rig&63<<2)
+func addresses(harness, i int) (member, relay netip.Addr) {
+	a, b := byte(64+harness>>6&63), byte(harness&63<<2)
 	return netip.AddrFrom4([4]byte{127, a, b | byte(i/200), byte(1 + i%200)}), netip.AddrFrom4([4]byte{127, a, b | 2 | byte(i/200), byte(1 + i%200)})
 }
 
@@ -51,8 +51,8 @@
 }
 
 // addRelay starts the relay of the next member, which listens at destination, and returns the relay's address.
-func (n *network) addRelay(dest netip.AddrPort, at netip.Addr) (netip.AddrPort, error) {
-	r := &relay{network: n, member: len(n.relays), destination: dest}
+func (n *network) addRelay(destination netip.AddrPort, at netip.Addr) (netip.AddrPort, error) {
+	r := &relay{network: n, member: len(n.relays), destination: destination}
 	var err error
 	if r.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(at, 0))); err != nil {
 		return netip.AddrPort{}, fmt.Errorf("opening a relay: %w", err)
@@ -63,7 +63,7 @@
 		return netip.AddrPort{}, fmt.Errorf("opening a relay: %w", err)
 	}
 	context.AfterFunc(n.ctx, func() { r.udp.Close(); r.tcp.Close() })
-	n.memberByIP[dest.Addr()] = r.member
+	n.memberByIP[destination.Addr()] = r.member
 	n.relays = append(n.relays, r)
 	return addr, nil
 }
@@ -90,10 +90,10 @@
 func (n *network) endFault(f *membershipFault) {
 	n.mu.Lock()
 	n.links.endFault(f)
-	held := n.stalled[f]
+	stalled := n.stalled[f]
 	delete(n.stalled, f)
 	n.mu.Unlock()
-	for _, send := range held {
+	for _, send := range stalled {
 		send()
 	}
 }
@@ -134,8 +134,8 @@
 		}
 		if outcome.stalledBy == nil {
 			send()
-		} else if held := network.stalled[outcome.stalledBy]; len(held) < maxStalled {
-			network.stalled[outcome.stalledBy] = append(held, send)
+		} else if stalled := network.stalled[outcome.stalledBy]; len(stalled) < maxStalled {
+			network.stalled[outcome.stalledBy] = append(stalled, send)
 		}
 	}
 }
@@ -203,7 +203,7 @@
 }
 
 // conditions returns the deliveries of a chunk of a stream and of its acknowledgement.
-func (r *relay) conditions(from, size int) (there, back delivery) {
+func (r *relay) conditions(from, size int) (forward, back delivery) {
 	r.network.mu.Lock()
 	defer r.network.mu.Unlock()
 	now := r.network.now()
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -52,6 +52,17 @@
 // membershipFaultKind is the kind of a membership fault, as scenario files name it.
 type membershipFaultKind string
 
+// The kinds of membership faults.
+const (
+	faultPartition membershipFaultKind = "cut"
+	faultNoise     membershipFaultKind = "noise"
+	faultStall     membershipFaultKind = "stall"  // messages wait until the end of the fault
+	faultBandwidth membershipFaultKind = "narrow" // messages queue for bandwidth, up to maxLinkDelay
+	faultPause     membershipFaultKind = "pause"  // the process is stopped; its messages wait
+	faultKill      membershipFaultKind = "kill"   // the process is killed, and restarts at the end under its name
+	faultLeave     membershipFaultKind = "leave"  // the process ends as on SIGTERM, and restarts at the end
+)
+
 // seconds is a duration that scenario files give as a number of seconds.
 type seconds time.Duration
 
--- a/internal/experiment/slowstart.go
+++ b/internal/experiment/slowstart.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"maps"
 	"math"
-	"runtime"
 	"slices"
 	"time"
 )
@@ -60,35 +59,35 @@
 	}
 	record.calls = slices.DeleteFunc(record.calls, func(c slowStartCall) bool { return c.at <= j.fleet.now-overloadWindow })
 	record.calls = append(record.calls, slowStartCall{j.fleet.now, work, record.notifiedStarts[g] == h.started})
-	all, told := 0.0, 0.0
+	all, notified := 0.0, 0.0
 	for _, c := range record.calls {
 		if all += c.work; c.notified {
-			told += c.work
+			notified += c.work
 		}
 	}
 	budget := overloadFactor * h.speed() * coresPerHost * overloadWindow.Seconds() / j.fleet.meanWork()
 	excess := all - budget - chanceMargin(budget)
-	if told > all*2/3 && excess > record.notifiedExcess {
+	if notified > all*2/3 && excess > record.notifiedExcess {
 		record.notifiedExcess = excess
 	}
 	if excess > record.excess {
 		record.excess = excess
 		record.worstWindow = fmt.Sprintf("%s: %.1f calls (%.1f of gateways that were told) within %v, %.1f s after its start, N %.1f",
-			h.id, all, told, overloadWindow, (j.fleet.now - h.started).Seconds(), budget)
+			h.id, all, notified, overloadWindow, (j.fleet.now - h.started).Seconds(), budget)
 	}
 }
 
 // slowStartExcess returns the largest excess over all hosts, of all calls and of calls by notified gateways, and
 // describes the window with the former.
-func (j *Judge) slowStartExcess() (excess, told float64, worstWindow string) {
-	excess, told = math.Inf(-1), math.Inf(-1)
+func (j *Judge) slowStartExcess() (excess, notified float64, worstWindow string) {
+	excess, notified = math.Inf(-1), math.Inf(-1)
 	for _, r := range j.slowStarts {
 		if r.excess > excess {
 			excess, worstWindow = r.excess, r.worstWindow
 		}
-		told = max(told, r.notifiedExcess)
+		notified = max(notified, r.notifiedExcess)
 	}
-	return excess, told, worstWindow
+	return excess, notified, worstWindow
 }
 
 // slowStartScenarios are scenarios with host starts before 20 or 30 gateways, by name. Some gateways restart just
@@ -126,9 +125,7 @@
 
 // runSlowStart runs each slow-start scenario with 20 and with 30 gateways and each seed.
 func (e *Experiment) runSlowStart(ctx context.Context, o Options) (*Result, error) {
-	r := &Result{Experiment: e.Name, About: e.About, Seed: o.Seed, Seeds: o.Seeds, Driver: "virtual", Version: o.Version,
-		Size:    "10 hosts, 3 groups, 20 and 30 gateways, 204 requests/s, load 0.85",
-		Machine: fmt.Sprintf("%d cores", runtime.NumCPU()), Figures: map[string]float64{}, Series: map[string][]float64{}}
+	r := e.newResult(o, driverVirtual, "10 hosts, 3 groups, 20 and 30 gateways, 204 requests/s, load 0.85")
 	names := slices.Sorted(maps.Keys(slowStartScenarios))
 	for _, name := range names {
 		worstExcess, notifiedExcess, worstWindow := math.Inf(-1), math.Inf(-1), ""
--- a/internal/experiment/slowstart_test.go
+++ b/internal/experiment/slowstart_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestSlowStartBudget plays days with cold hosts: what all gateways send one, probes, second copies and held writes
-// among it, stays within chance of its budget. Budgets seven times as large are found.
+// TestSlowStartBudget checks that all calls to a starting host (attempts, health checks, hedged and queued requests)
+// stay within its budget, apart from chance, and that budgets seven times as large are detected.
 func TestSlowStartBudget(t *testing.T) {
 	t.Parallel()
 	if r := runShort(t, "fleet-ramp", NoDefect, 40); !r.Holds() {
--- a/internal/experiment/sockethost.go
+++ b/internal/experiment/sockethost.go
@@ -29,15 +29,15 @@
 // waitUnblocked waits while the sockets are blocked. It returns false if the process has crashed.
 func (s *hostSockets) waitUnblocked() bool {
 	s.mu.Lock()
-	shut, life := s.blocked, s.ctx
+	blocked, ctx := s.blocked, s.ctx
 	s.mu.Unlock()
-	if shut == nil {
+	if blocked == nil {
 		return true
 	}
 	select {
-	case <-shut:
-		return life.Err() == nil
-	case <-life.Done():
+	case <-blocked:
+		return ctx.Err() == nil
+	case <-ctx.Done():
 		return false
 	}
 }
@@ -52,9 +52,9 @@
 func (c blockableConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.sockets.mu.Lock()
-	shut := c.sockets.blocked != nil
+	blocked := c.sockets.blocked != nil
 	c.sockets.mu.Unlock()
-	if text := b[:n]; shut && !bytes.Contains(text, []byte("SHOW pressure")) {
+	if text := b[:n]; blocked && !bytes.Contains(text, []byte("SHOW pressure")) {
 		if _, rest, ok := bytes.Cut(text, []byte("id=")); ok {
 			id, _, _ := bytes.Cut(rest, []byte(","))
 			c.sockets.live.post(func() { c.sockets.live.recordLost(c.sockets.host, string(id)) })
@@ -80,36 +80,36 @@
 		return fake.Serve
 	}
 	s.mu.Lock()
-	life := s.ctx
+	ctx := s.ctx
 	s.mu.Unlock()
-	out := make(chan routing.Result, 1)
-	s.live.post(func() { s.live.receive(s.host, id, out) })
+	result := make(chan routing.Result, 1)
+	s.live.post(func() { s.live.receive(s.host, id, result) })
 	select {
-	case r := <-out:
+	case r := <-result:
 		return map[routing.Result]fake.Act{routing.ResultOK: fake.Serve, routing.ResultMissed: fake.Miss,
 			routing.ResultOverCapacity: fake.Reject, routing.ResultTimeout: fake.Silent, routing.ResultError: fake.Error}[r]
-	case <-life.Done():
+	case <-ctx.Done():
 	case <-s.live.ctx.Done():
 	}
 	return fake.Reset
 }
 
 // report returns what the host tells of its role and position: the current values, or those of its health report.
-func (s *hostSockets) report(report bool) (primary bool, position int64) {
-	type told struct {
+func (s *hostSockets) report(cached bool) (primary bool, position int64) {
+	type state struct {
 		primary  bool
 		position int64
 	}
-	out := make(chan told, 1)
+	result := make(chan state, 1)
 	s.live.post(func() {
 		x := healthReport{s.host.position, s.host.group.primary == s.host}
-		if report {
+		if cached {
 			x = s.host.currentReport()
 		}
-		out <- told{x.primary, s.live.unixMillis(x.position)}
+		result <- state{x.primary, s.live.unixMillis(x.position)}
 	})
 	select {
-	case x := <-out:
+	case x := <-result:
 		return x.primary, x.position
 	case <-s.live.ctx.Done():
 		return false, 0
@@ -117,12 +117,12 @@
 }
 
 // setState applies the state of the modelled host to its sockets. It runs in the goroutine that owns the model.
-func (s *hostSockets) setState(up, cut bool) {
+func (s *hostSockets) setState(up, partitioned bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if cut && s.blocked == nil {
+	if partitioned && s.blocked == nil {
 		s.blocked = make(chan struct{})
-	} else if !cut && s.blocked != nil {
+	} else if !partitioned && s.blocked != nil {
 		close(s.blocked)
 		s.blocked = nil
 	}
--- a/internal/experiment/sockets_test.go
+++ b/internal/experiment/sockets_test.go
@@ -3,20 +3,15 @@
 import (
 	"context"
 	"io"
-	"os/exec"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 )
 
-// TestSocketDriver plays some seconds with real gateways on loopback, through both fronts: hosts of a zone fall silent, are
-// back cold, and one drains. What is held here does not hang on the machine's pace.
+// TestSocketDriver runs real gateways on loopback, with both frontends, while hosts of a zone fall silent and restart,
+// and others crash. The checks do not depend on the speed of the machine.
 func TestSocketDriver(t *testing.T) {
-	program := filepath.Join(t.TempDir(), "cranegate")
-	if out, err := exec.Command("go", "build", "-o", program, "cranegate/cmd/cranegate").CombinedOutput(); err != nil {
-		t.Fatalf("building: %v\n%s", err, out)
-	}
+	program := buildGateway(t)
 	s := baseSpec(8*sec, Fault{Kind: Silent, Zone: "nuernberg", At: 2 * sec, Duration: 3 * sec, RestartAtEnd: true}, Fault{Kind: Crash, Host: "", Zone: "augsburg", Spared: 2, At: 3 * sec, Duration: sec})
 	s.Load, s.Gateways = 0.3, 2
 	j, err := runSockets(context.Background(), s, 5, program, "[zones]\n", io.Discard, nil)
@@ -38,10 +33,7 @@
 
 // TestUp shows the fleet for two seconds.
 func TestUp(t *testing.T) {
-	program := filepath.Join(t.TempDir(), "cranegate")
-	if out, err := exec.Command("go", "build", "-o", program, "cranegate/cmd/cranegate").CombinedOutput(); err != nil {
-		t.Fatalf("building: %v\n%s", err, out)
-	}
+	program := buildGateway(t)
 	var out strings.Builder
 	if err := Up(context.Background(), UpOptions{Program: program, Duration: 2500 * time.Millisecond, Rate: 30, Seed: 1, Gateways: 2, Logs: io.Discard, Out: &out}); err != nil {
 		t.Fatal(err)
--- a/internal/experiment/up.go
+++ b/internal/experiment/up.go
@@ -98,14 +98,8 @@
 		text := "  gateways count"
 		for _, p := range h.processes {
 			seen := "?"
-			if v, err := h.fetchView(p); err == nil {
-				there := 1
-				for _, m := range v.Members {
-					if m.State == "alive" || m.State == "draining" {
-						there++
-					}
-				}
-				seen = fmt.Sprint(there)
+			if view, err := h.fetchView(p); err == nil {
+				seen = fmt.Sprint(view.known())
 			}
 			text += " " + seen
 		}
--- a/internal/experiment/zonescenarios_test.go
+++ b/internal/experiment/zonescenarios_test.go
@@ -11,7 +11,7 @@
 	"cranegate/routing"
 )
 
-// tiered turns zones on.
+// enableZones turns zones on.
 func enableZones(c *routing.Config) { c.Zones = &zones.Options{OwnZone: c.Zone} }
 
 // states counts the gateways that have come to hold a state of a zone.
@@ -94,8 +94,8 @@
 	}},
 }
 
-// TestZoneLossCases plays each hard case at two loads, with members that check what they serve and with members that
-// leave that to the gateway.
+// TestZoneLossCases runs each case at two loads, with hosts that check the staleness of reads and with hosts that leave
+// that to the gateway.
 func TestZoneLossCases(t *testing.T) {
 	for _, c := range zoneLossCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -138,7 +138,7 @@
 	return earned / asked
 }
 
-// TestSameSeedSameRun guards the comparisons: one seed plays one day, to the last figure.
+// TestSameSeedSameRun checks that runs of one seed are equal to the last figure, on which all comparisons depend.
 func TestSameSeedSameRun(t *testing.T) {
 	series := func(seed uint64) []float64 {
 		s := baseSpec(15*sec, Fault{Kind: Silent, Zone: "nuernberg", At: 5 * sec, Duration: 5 * sec})
@@ -155,7 +155,7 @@
 	}
 }
 
-// TestJudgeDetectsEachViolation guards the judge: each rule that it watches can be broken in front of it.
+// TestJudgeDetectsEachViolation violates each invariant that the judge checks.
 func TestJudgeDetectsEachViolation(t *testing.T) {
 	f := newFleet(Spec{Zones: threeZones, Hosts: 3, Groups: 1, Gateways: 1, Rate: 0.001, Load: 0.1, Length: sec}, 1)
 	g, h := f.gateways[0], f.hosts[1]
@@ -188,7 +188,7 @@
 	}
 }
 
-// TestExperiments runs the short form of two experiments and holds the claims that one seed can show.
+// TestExperiments runs the short form of three experiments and checks the claims that one seed can show.
 func TestExperiments(t *testing.T) {
 	for _, name := range []string{"zone-loss-silent", "zone-loss-reset", "zone-return"} {
 		e, err := Find(name)
