--- a/internal/experiment/defect.go
+++ b/internal/experiment/defect.go
@@ -19,7 +19,13 @@
 )
 
 // Defects maps names of the command line to defects.
-var Defects = map[string]Defect{"": NoDefect, "cold-room": DefectSlowStartBudget, "no-drains": DefectIgnoreDraining, "old-reads": DefectStaleReads, "two-runs": DefectRepeatWrites}
+var Defects = map[string]Defect{
+	"":          NoDefect,
+	"cold-room": DefectSlowStartBudget,
+	"no-drains": DefectIgnoreDraining,
+	"old-reads": DefectStaleReads,
+	"two-runs":  DefectRepeatWrites,
+}
 
 // apply introduces the defect into the configuration of the decision module.
 func (d Defect) apply(c *routing.Config) {
--- a/internal/experiment/fleetscenarios.go
+++ b/internal/experiment/fleetscenarios.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"runtime"
-	"time"
 
 	"cranegate/routing"
 )
@@ -17,6 +16,7 @@
 	faults               []Fault
 }
 
+// fleetScenarios are the fleet scenarios by the second part of their names.
 var fleetScenarios = map[string]struct {
 	about string
 	fleetScenario
@@ -73,19 +73,23 @@
 	runs                                     float64
 }
 
+// add adds the results of one run.
 func (t *fleetTotals) add(f *fleet, scenario *fleetScenario) {
 	judge, end := f.judge, epoch+f.Length
-	at := func(x float64) time.Duration { return epoch + time.Duration(x*float64(sec)) }
-	requested, earned, achievable := judge.weights(at(scenario.faultStart), end-2*sec)
+	requested, earned, achievable := judge.weights(secondsIn(scenario.faultStart), end-2*sec)
 	t.requested, t.earned, t.achievable = t.requested+requested, t.earned+earned, t.achievable+achievable
-	_, requested, earned = judge.earnedWeight(at(2), at(min(scenario.faultStart, 6)))
+	_, requested, earned = judge.earnedWeight(secondsIn(2), secondsIn(min(scenario.faultStart, 6)))
 	t.earnedBefore += earned / requested
 	_, requested, earned = judge.earnedWeight(end-7*sec, end-2*sec)
 	t.earnedAfter += earned / requested
-	t.connects, t.rejectedConnects, t.healthChecks = t.connects+float64(judge.connects), t.rejectedConnects+float64(judge.rejectedConnects), t.healthChecks+float64(judge.healthChecks)
+	t.connects += float64(judge.connects)
+	t.rejectedConnects += float64(judge.rejectedConnects)
+	t.healthChecks += float64(judge.healthChecks)
 	for _, attempt := range judge.attempts {
-		if t.attempts++; attempt.first {
-			if t.firstAttempts++; !attempt.replica {
+		t.attempts++
+		if attempt.first {
+			t.firstAttempts++
+			if !attempt.replica {
 				t.primaryAttempts++
 			}
 		}
--- a/internal/experiment/host.go
+++ b/internal/experiment/host.go
@@ -124,28 +124,37 @@
 	if !h.up {
 		return
 	}
-	c := attempt.request.class
+	consistency, onPrimary := attempt.request.class.Consistency, h.group.primary == h
+	checksStaleness := h.f.StaleReads != routing.StaleReadServed
+	needsPrimary := consistency == routing.ConsistencyWrite || consistency == routing.ConsistencyStrong && checksStaleness
 	switch {
-	case c.Consistency == routing.ConsistencyWrite && h.group.primary != h, c.Consistency == routing.ConsistencyStrong && h.group.primary != h && h.f.StaleReads != routing.StaleReadServed:
+	case needsPrimary && !onPrimary:
 		h.reply(attempt, routing.ResultMissed, 0)
 	case len(h.waiting) >= queueCapacity:
 		h.reply(attempt, routing.ResultOverCapacity, 0)
-	case h.f.StaleReads != routing.StaleReadServed && h.position < attempt.requiredPosition:
-		incarnation := h.incarnation
-		h.f.after(catchUpTimeout, func() {
-			if h.incarnation != incarnation {
-				return
-			} else if h.position < attempt.requiredPosition {
+	case checksStaleness && h.position < attempt.requiredPosition:
+		h.f.after(catchUpTimeout, h.ifAlive(func() {
+			if h.position < attempt.requiredPosition {
 				h.reply(attempt, routing.ResultMissed, 0)
 			} else {
 				h.enqueue(attempt, work)
 			}
-		})
+		}))
 	default:
 		h.enqueue(attempt, work)
 	}
 }
 
+// ifAlive returns a function that calls call, unless the host's process has ended since.
+func (h *host) ifAlive(call func()) func() {
+	incarnation := h.incarnation
+	return func() {
+		if h.incarnation == incarnation {
+			call()
+		}
+	}
+}
+
 // enqueue queues an attempt and dispatches it if a core is free.
 func (h *host) enqueue(a *attempt, work time.Duration) {
 	h.waiting = append(h.waiting, &job{a, work, h.incarnation})
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -2,8 +2,10 @@
 
 import (
 	"embed"
+	"errors"
 	"fmt"
 	"path"
+	"slices"
 	"strings"
 	"time"
 
@@ -123,21 +125,20 @@
 func mustReadScenarios() []*membershipScenario {
 	files, err := scenarioFiles.ReadDir("scenarios")
 	if err != nil {
-		panic(err) // they are part of the program
+		panic(err)
 	}
 	var scenarios []*membershipScenario
-	for _, f := range files {
-		text, err := scenarioFiles.ReadFile("scenarios/" + f.Name())
-		if err == nil {
-			var scenario *membershipScenario
-			if scenario, err = parseScenario(string(text)); err == nil {
-				scenario.name = strings.TrimSuffix(f.Name(), path.Ext(f.Name()))
-				scenarios = append(scenarios, scenario)
-			}
+	for _, file := range files {
+		text, err := scenarioFiles.ReadFile("scenarios/" + file.Name())
+		if err != nil {
+			panic(err)
 		}
+		scenario, err := parseScenario(string(text))
 		if err != nil {
-			panic(fmt.Sprintf("%s: %v", f.Name(), err))
+			panic(fmt.Sprintf("%s: %v", file.Name(), err))
 		}
+		scenario.name = strings.TrimSuffix(file.Name(), path.Ext(file.Name()))
+		scenarios = append(scenarios, scenario)
 	}
 	return scenarios
 }
@@ -155,24 +156,43 @@
 	if scenario.About == "" || scenario.Duration <= 0 || len(scenario.LossRates) == 0 {
 		return nil, fmt.Errorf("about, length_s and losses are needed")
 	}
-	for i, f := range scenario.Faults {
-		link := f.Kind == faultPartition || f.Kind == faultNoise || f.Kind == faultStall || f.Kind == faultBandwidth
-		switch {
-		case !link && f.Kind != faultPause && f.Kind != faultKill && f.Kind != faultLeave:
-			return nil, fmt.Errorf("fault %d: there is no kind %q", i, f.Kind)
-		case f.Members.matches == nil || link != (f.Peers.matches != nil) || f.Bidirectional && !link:
-			return nil, fmt.Errorf("fault %d: who, and to where messages are concerned, are needed", i)
-		case f.At < 0 || f.Duration < 0 || f.At+f.Duration > scenario.Duration:
-			return nil, fmt.Errorf("fault %d: it lies outside the day", i)
-		case f.Kind == faultBandwidth && f.BytesPerSecond <= 0:
-			return nil, fmt.Errorf("fault %d: bytes_s is needed", i)
-		case max(f.LossRate, f.DuplicateRate, f.CorruptRate, f.DelayRate) > 1 || min(f.LossRate, f.DuplicateRate, f.CorruptRate, f.DelayRate) < 0 || f.MaxDelayMS < 0:
-			return nil, fmt.Errorf("fault %d: shares lie between 0 and 1", i)
+	for i, fault := range scenario.Faults {
+		if err := fault.validate(scenario); err != nil {
+			return nil, fmt.Errorf("fault %d: %w", i, err)
 		}
 	}
 	return scenario, nil
 }
 
+// validate checks a fault of a scenario.
+func (f *membershipFault) validate(scenario *membershipScenario) error {
+	ofLinks := f.Kind.ofLinks()
+	rates := []float64{f.LossRate, f.DuplicateRate, f.CorruptRate, f.DelayRate}
+	switch {
+	case !ofLinks && !f.Kind.ofProcesses():
+		return fmt.Errorf("there is no kind %q", f.Kind)
+	case f.Members.matches == nil || ofLinks != (f.Peers.matches != nil) || f.Bidirectional && !ofLinks:
+		return errors.New("who, and to where messages are concerned, are needed")
+	case f.At < 0 || f.Duration < 0 || f.At+f.Duration > scenario.Duration:
+		return errors.New("it lies outside the day")
+	case f.Kind == faultBandwidth && f.BytesPerSecond <= 0:
+		return errors.New("bytes_s is needed")
+	case slices.Max(rates) > 1 || slices.Min(rates) < 0 || f.MaxDelayMS < 0:
+		return errors.New("shares lie between 0 and 1")
+	}
+	return nil
+}
+
+// ofLinks reports whether faults of this kind affect messages.
+func (k membershipFaultKind) ofLinks() bool {
+	return k == faultPartition || k == faultNoise || k == faultStall || k == faultBandwidth
+}
+
+// ofProcesses reports whether faults of this kind affect processes.
+func (k membershipFaultKind) ofProcesses() bool {
+	return k == faultPause || k == faultKill || k == faultLeave
+}
+
 // at returns when the fault starts within its scenario.
 func (f *membershipFault) at() time.Duration { return time.Duration(f.At) }
 
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -87,6 +87,7 @@
 	minWork, maxWork time.Duration // at a fleet's full load of 120 requests per second
 }
 
+// classes are the operators' request classes.
 var classes = []class{
 	{routing.Class{Name: "platzsuche", Consistency: routing.ConsistencyBounded, StalenessBound: 3 * time.Second, LatencyObjective: 600 * time.Millisecond,
 		Deadline: 2 * time.Second, PriorityWeight: 1}, 0.41, 87 * time.Millisecond, 150 * time.Millisecond},
--- a/internal/experiment/up.go
+++ b/internal/experiment/up.go
@@ -27,7 +27,16 @@
 // second. Several gateways form a fleet, which is partitioned in two while the zone is lost; the line then shows how
 // many members each sees. It returns ctx's error.
 func Up(ctx context.Context, o UpOptions) error {
-	spec := Spec{Zones: threeZones, Hosts: 9, Groups: 3, Gateways: max(1, o.Gateways), Rate: o.Rate, Load: 0.3, Length: o.Duration, StaleReads: routing.StaleReadDelayed}
+	spec := Spec{
+		Zones:      threeZones,
+		Hosts:      9,
+		Groups:     3,
+		Gateways:   max(1, o.Gateways),
+		Rate:       o.Rate,
+		Load:       0.3,
+		Length:     o.Duration,
+		StaleReads: routing.StaleReadDelayed,
+	}
 	if spec.Length <= 0 {
 		spec.Length = 24 * time.Hour
 	}
