--- a/internal/experiment/host.go
+++ b/internal/experiment/host.go
@@ -124,28 +124,37 @@
 	if !h.up {
 		return
 	}
-	c := attempt.request.class
+	consistency, onPrimary := attempt.request.class.Consistency, h.group.primary == h
+	checksStaleness := h.f.StaleReads != routing.StaleReadServed
+	needsPrimary := consistency == routing.ConsistencyWrite || consistency == routing.ConsistencyStrong && checksStaleness
 	switch {
-	case c.Consistency == routing.ConsistencyWrite && h.group.primary != h, c.Consistency == routing.ConsistencyStrong && h.group.primary != h && h.f.StaleReads != routing.StaleReadServed:
+	case needsPrimary && !onPrimary:
 		h.reply(attempt, routing.ResultMissed, 0)
 	case len(h.waiting) >= queueCapacity:
 		h.reply(attempt, routing.ResultOverCapacity, 0)
-	case h.f.StaleReads != routing.StaleReadServed && h.position < attempt.requiredPosition:
-		life := h.incarnation
-		h.f.after(catchUpTimeout, func() {
-			if h.incarnation != life {
-				return
-			} else if h.position < attempt.requiredPosition {
+	case checksStaleness && h.position < attempt.requiredPosition:
+		h.f.after(catchUpTimeout, h.ifAlive(func() {
+			if h.position < attempt.requiredPosition {
 				h.reply(attempt, routing.ResultMissed, 0)
 			} else {
 				h.enqueue(attempt, work)
 			}
-		})
+		}))
 	default:
 		h.enqueue(attempt, work)
 	}
 }
 
+// ifAlive returns a function that calls call, unless the host's process has ended since.
+func (h *host) ifAlive(call func()) func() {
+	incarnation := h.incarnation
+	return func() {
+		if h.incarnation == incarnation {
+			call()
+		}
+	}
+}
+
 // enqueue queues an attempt and dispatches it if a core is free.
 func (h *host) enqueue(a *attempt, work time.Duration) {
 	h.waiting = append(h.waiting, &job{a, work, h.incarnation})
@@ -197,9 +206,9 @@
 	if result == routing.ResultOK && attempt.request.class.Consistency == routing.ConsistencyWrite {
 		outcome.Position = position.Milliseconds() + 1
 	}
-	life := h.incarnation
+	incarnation := h.incarnation
 	h.f.after(attempt.gateway.networkDelay(h), func() {
-		if h.partitions == 0 && h.incarnation == life {
+		if h.partitions == 0 && h.incarnation == incarnation {
 			attempt.finish(outcome, position)
 		}
 	})
--- a/internal/experiment/up.go
+++ b/internal/experiment/up.go
@@ -27,7 +27,16 @@
 // second. Several gateways form a fleet, which is partitioned in two while the zone is lost; the line then shows how
 // many members each sees. It returns ctx's error.
 func Up(ctx context.Context, o UpOptions) error {
-	spec := Spec{Zones: threeZones, Hosts: 9, Groups: 3, Gateways: max(1, o.Gateways), Rate: o.Rate, Load: 0.3, Length: o.Duration, StaleReads: routing.StaleReadDelayed}
+	spec := Spec{
+		Zones:      threeZones,
+		Hosts:      9,
+		Groups:     3,
+		Gateways:   max(1, o.Gateways),
+		Rate:       o.Rate,
+		Load:       0.3,
+		Length:     o.Duration,
+		StaleReads: routing.StaleReadDelayed,
+	}
 	if spec.Length <= 0 {
 		spec.Length = 24 * time.Hour
 	}
@@ -98,14 +107,8 @@
 		text := "  gateways count"
 		for _, p := range h.processes {
 			seen := "?"
-			if v, err := h.fetchView(p); err == nil {
-				there := 1
-				for _, m := range v.Members {
-					if m.State == "alive" || m.State == "draining" {
-						there++
-					}
-				}
-				seen = fmt.Sprint(there)
+			if view, err := h.fetchView(p); err == nil {
+				seen = fmt.Sprint(view.known())
 			}
 			text += " " + seen
 		}
