--- a/cmd/cranelab/main.go
+++ b/cmd/cranelab/main.go
@@ -29,10 +29,10 @@
 
 var cli struct {
 	List   listCmd   `cmd:"" help:"List the experiments."`
-	Run    runCmd    `cmd:"" help:"Run an experiment and hold its claims against what happened."`
-	Up     upCmd     `cmd:"" help:"Start a stand-in fleet of three zones with a gateway and both fronts, and show it."`
+	Run    runCmd    `cmd:"" help:"Run an experiment and check its claims."`
+	Up     upCmd     `cmd:"" help:"Start fake database hosts in three zones with a gateway and both frontends, and show them."`
 	Logs   logsCmd   `cmd:"" help:"Sum the counters in the logs of many gateways, second by second."`
-	Soak   soakCmd   `cmd:"" help:"Play real processes under drawn troubles, and judge what they do."`
+	Soak   soakCmd   `cmd:"" help:"Run real processes under randomised faults, and check what they do."`
 	Report reportCmd `cmd:"" help:"Write tables and charts of the results in a folder."`
 }
 
@@ -75,18 +75,18 @@
 
 type runCmd struct {
 	Experiment    string  `arg:"" help:"Name of the experiment, or all: those of 300 gateways are run by name alone."`
-	Seed          uint64  `default:"1" help:"First seed; a day is drawn from its seed alone."`
-	Seeds         int     `default:"20" help:"How many days are played for each load."`
-	Short         bool    `help:"Three days, and the large fleet a fifth as large."`
+	Seed          uint64  `default:"1" help:"First seed; a scenario is drawn from its seed alone."`
+	Seeds         int     `default:"20" help:"How many scenarios are run for each load."`
+	Short         bool    `help:"Three scenarios, and the large fleet a fifth as large."`
 	Out           string  `help:"Folder for NAME/result.json." type:"path"`
 	JSON          bool    `name:"json" help:"Print the result as JSON instead of a table."`
 	Overprovision float64 `default:"0" help:"Factor by which the usable part of a tier is scaled; 0 for the default."`
 	Driver        string  `enum:"virtual,sockets,processes" default:"virtual" help:"virtual: the decision module, or the members, in virtual time. sockets: real gateways in real time. processes: days of members with real processes, and relays between them."`
-	Gateway       string  `type:"existingfile" help:"Program that is held against the one of this build, on sockets; this one without zones by default."`
+	Gateway       string  `type:"existingfile" help:"Program to compare with the one of this build, on sockets; this one without zones by default."`
 	Logs          string  `type:"path" help:"File for what the gateways write, on sockets."`
 	Break         string  `enum:",cold-room,no-drains,old-reads,two-runs" default:"" help:"A defect made on purpose, which the claims should show: cold-room, no-drains, old-reads or two-runs."`
-	Members       []int   `help:"Numbers of members that the days of members are played with; 10, 80, 300 and 1000 by default."`
-	DetectOnly    bool    `help:"Find lost zones, but share no reads out by tiers."`
+	Members       []int   `help:"Numbers of members to run the membership scenarios with; 10, 80, 300 and 1000 by default."`
+	DetectOnly    bool    `help:"Detect zone outages, but do not distribute reads among tiers."`
 }
 
 // Run runs one experiment, or all. It returns errClaims if a claim does not hold.
--- a/cmd/cranelab/soak.go
+++ b/cmd/cranelab/soak.go
@@ -11,12 +11,12 @@
 )
 
 type soakCmd struct {
-	Seed     uint64        `default:"1" help:"First seed; the troubles are drawn from it."`
-	Seeds    int           `default:"1" help:"How many seeds are played, one after the other."`
-	Short    bool          `help:"The form that CI plays."`
+	Seed     uint64        `default:"1" help:"First seed; the faults are drawn from it."`
+	Seeds    int           `default:"1" help:"How many seeds are run, one after the other."`
+	Short    bool          `help:"The short form, as CI runs it."`
 	Gateways int           `help:"Gateways of the fleet; 0 for those of the form."`
-	For      time.Duration `help:"How long troubles are drawn for; 0 for the form's time."`
-	Only     []string      `help:"Kinds of troubles that are drawn; all by default, and with a defect those under which it shows."`
+	For      time.Duration `help:"How long faults are drawn for; 0 for the form's time."`
+	Only     []string      `help:"Kinds of faults that are drawn; all by default, and with a defect those under which it shows."`
 	Keep     string        `type:"path" help:"Folder for the gateways' logs, at level debug."`
 	Defect   string        `help:"A defect put into the gateway on purpose, which the runs should find."`
 	Defects  bool          `help:"All defects, one at a time: the command fails unless each is found."`
--- a/cmd/cranelab/up.go
+++ b/cmd/cranelab/up.go
@@ -14,12 +14,12 @@
 )
 
 type upCmd struct {
-	For      time.Duration `help:"End by itself after so long; until Ctrl-C otherwise."`
-	Lose     time.Duration `default:"20s" help:"Lose a zone for 15 s after so long, and again every minute; 0 for never."`
+	For      time.Duration `help:"End after this time; at Ctrl-C otherwise."`
+	Lose     time.Duration `default:"20s" help:"Take a zone down for 15 s after this time, and again every minute; 0 for never."`
 	Rate     float64       `default:"60" help:"Requests a second."`
 	Logs     string        `type:"path" help:"File for what the gateway writes."`
-	Gateways int           `default:"1" help:"How many gateways; several know each other, and are cut in two while a zone is lost."`
-	Seed     uint64        `default:"1" help:"What the day is drawn from."`
+	Gateways int           `default:"1" help:"Number of gateways; several form a fleet, and are partitioned while a zone is down."`
+	Seed     uint64        `default:"1" help:"Seed of the scenario."`
 }
 
 // Run runs a fleet on sockets and prints a status line every second.
