--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -13,24 +13,24 @@
 // maxNameBytes bounds the names and addresses that gateways send each other.
 const maxNameBytes = 64
 
-// maxJoin bounds the addresses to join: every gateway of the largest fleet.
+// maxJoin bounds the addresses to join. It allows for every gateway of the largest fleet.
 const maxJoin = membership.DefaultMaxMembers
 
-// defaultFleet is the name of a fleet that is not given one.
+// defaultFleet is the name of a fleet for which none is configured.
 const defaultFleet = "cranegate"
 
-// Fleet configures how this gateway and the others find each other.
+// Fleet configures how this gateway and the other gateways find each other.
 type Fleet struct {
 	Fleet     string   `toml:"fleet"`     // gateways of other fleets are not accepted; empty for "cranegate"
 	Name      string   `toml:"name"`      // of this gateway, unique in the fleet
 	Listen    string   `toml:"listen"`    // address and port, for datagrams and streams
-	Advertise string   `toml:"advertise"` // where the others reach it; empty for Listen
-	Join      []string `toml:"join"`      // addresses and ports of some others
+	Advertise string   `toml:"advertise"` // the address at which the other gateways reach this one; empty for Listen
+	Join      []string `toml:"join"`      // addresses and ports of some other gateways
 	KeyFile   string   `toml:"key_file"`  // see gossip.ReadKeys; required outside loopback
-	Zone      string   `toml:"zone"`      // empty for that of the settings
+	Zone      string   `toml:"zone"`      // empty for the zone in the settings
 
 	Keys     gossip.Keys `toml:"-"` // as read from KeyFile
-	Gateways int         `toml:"-"` // the expected number, from the settings
+	Gateways int         `toml:"-"` // the expected number of gateways, from the settings
 }
 
 // Options returns the options of the gossip transport.
@@ -51,10 +51,10 @@
 
 // Error implements the error interface.
 func (e JoinLimitError) Error() string {
-	return fmt.Sprintf("join has %d addresses, %d are the most; leave some out: any gateway that is reached tells of all others", e.Listed, maxJoin)
+	return fmt.Sprintf("join has %d addresses, at most %d are allowed; leave some out: any reachable gateway reports all others", e.Listed, maxJoin)
 }
 
-// check sets defaults, reads the keys and returns an error that names the first fault.
+// check sets defaults, reads the keys and returns an error that describes the first fault.
 func (f *Fleet) check(s *Settings) error {
 	f.setDefaults(s)
 	if f.Name == "" {
@@ -74,7 +74,7 @@
 	}
 	if f.KeyFile == "" {
 		if !onLoopback {
-			return errors.New("outside loopback key_file is needed: whoever can send datagrams here could take part")
+			return errors.New("outside loopback key_file is needed: without it, anyone who can send datagrams here could join the fleet")
 		}
 		return nil
 	}
@@ -99,8 +99,8 @@
 		if err != nil || address.Port() == 0 {
 			return false, fmt.Errorf("%q is no address and port", text)
 		}
-		if address.Addr().IsUnspecified() && i > 0 { // only Listen may be
-			return false, fmt.Errorf("nobody can be reached at %q: advertise and join name addresses", text)
+		if address.Addr().IsUnspecified() && i > 0 { // only Listen may be unspecified
+			return false, fmt.Errorf("nobody can be reached at %q: advertise and join need specific addresses", text)
 		}
 		onLoopback = onLoopback && address.Addr().IsLoopback()
 	}
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// TestFleetTable reads the tables fleet and admin, and checks that errors name the fault.
+// TestFleetTable reads the tables fleet and admin, and checks that errors describe the fault.
 func TestFleetTable(t *testing.T) {
 	dir := t.TempDir()
 	path, key := filepath.Join(dir, "operator.toml"), filepath.Join(dir, "key")
@@ -44,7 +44,7 @@
 	}
 }
 
-// writeFleetFile writes an operator's file whose fleet joins so many gateways, and returns its path.
+// writeFleetFile writes an operator's file with a number of addresses to join, and returns its path.
 func writeFleetFile(t *testing.T, joins int) string {
 	t.Helper()
 	var text strings.Builder
@@ -60,7 +60,7 @@
 	return path
 }
 
-// TestJoinLimit reads 1,024 addresses to join. One more is a JoinLimitError, which says what an operator can do.
+// TestJoinLimit reads 1,024 addresses to join. One more address gives a JoinLimitError, which says what an operator can do.
 func TestJoinLimit(t *testing.T) {
 	o, err := LoadOperator(writeFleetFile(t, 1024), nil)
 	if err != nil || len(o.Fleet.Join) != 1024 || len(o.Fleet.Options(1).Members.Join) != 1024 {
--- a/internal/config/format_test.go
+++ b/internal/config/format_test.go
@@ -10,7 +10,7 @@
 	"cranegate/internal/discovery"
 )
 
-// goldenOperator names every table and key of the operator's file but those of [settings].
+// goldenOperator has every table and key of the operator's file except [settings].
 const goldenOperator = `
 [agent_check]
 listen = "127.0.0.1:1"
--- a/internal/config/mysql.go
+++ b/internal/config/mysql.go
@@ -24,7 +24,7 @@
 // "prepare_aim_ms" the latency objective of a client's prepare.
 type MySQL struct {
 	Listen             string             `toml:"listen"`
-	Discovery          string             `toml:"discovery"` // as the platform's; empty if Hosts are given
+	Discovery          string             `toml:"discovery"` // the address of discovery, as in the platform's configuration; may be empty if Hosts are given
 	Hosts              []discovery.Target `toml:"host"`
 	User               string             `toml:"user"`
 	Database           string             `toml:"database"`
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,18 +9,18 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Operator is the operator's own file: what the platform's configuration does not have.
+// Operator is the content of the operator's file, which adds to the platform's configuration.
 type Operator struct {
 	MySQL      *MySQL   `toml:"mysql"`
 	AgentCheck Listener `toml:"agent_check"` // for HAProxy's agent-check
 	Health     Listener `toml:"health"`      // for health checks over HTTP
 	Limits     Limits   `toml:"limits"`      // where the platform gives none
-	Zones      *Zones   `toml:"zones"`       // nil if zones are not judged
-	Fleet      *Fleet   `toml:"fleet"`       // nil if the other gateways are not known
-	Admin      Listener `toml:"admin"`       // for cranegate members; only on loopback
+	Zones      *Zones   `toml:"zones"`       // nil if zone outages are not detected
+	Fleet      *Fleet   `toml:"fleet"`       // nil if the gateway does not join the other gateways
+	Admin      Listener `toml:"admin"`       // for the command "cranegate members"; only on loopback
 
 	RawSettings map[string]any `toml:"settings"`
-	Settings    *Settings      `toml:"-"` // RawSettings or, if there are none, the platform's; nil if there are neither
+	Settings    *Settings      `toml:"-"` // from RawSettings or, if that is nil, from the platform; nil if neither has settings
 	Seed        uint64         `toml:"-"` // random
 }
 
@@ -29,11 +29,11 @@
 	Listen string `toml:"listen"`
 }
 
-// settingsTable is the table of the operator's file that may have keys that are not known.
+// settingsTable is the table of the operator's file in which unknown keys are allowed.
 const settingsTable = "settings"
 
-// LoadOperator reads the operator's file. Its settings have the names of the platform's; the file may leave them out if
-// platform is not nil.
+// LoadOperator reads the operator's file. Its settings have the same names as the platform's. The file may omit them if platform is
+// not nil.
 func LoadOperator(path string, platform *Settings) (*Operator, error) {
 	operator := &Operator{Settings: platform}
 	meta, err := toml.DecodeFile(path, operator)
@@ -62,7 +62,7 @@
 	return operator, operator.MySQL.check(operator.Settings)
 }
 
-// check checks all tables but that of MySQL, and sets their defaults.
+// check checks all tables except MySQL's, and sets their defaults.
 func (o *Operator) check() error {
 	if o.Zones != nil {
 		if err := o.Zones.Options("").Check(); err != nil {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestInvalidFiles checks that incomplete files are errors.
+// TestInvalidFiles checks that incomplete and malformed files are errors.
 func TestInvalidFiles(t *testing.T) {
 	for _, text := range []string{"", "{}", `{"seed":"x"}`, `{"seed":"1","settings":{"balancers":1}}`} {
 		if _, err := parse([]byte(text), noEnv); err == nil {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,5 +1,5 @@
-// Package config reads the gateway's configuration: the platform's, in JSON, and the operator's file, in TOML. The names there are
-// interfaces; where they differ from the gateway's terms, the type that a table is read into says what each of them is.
+// Package config reads the gateway's configuration: the platform's, in JSON, and the operator's file, in TOML. The keys of both are
+// external interfaces. Where a key differs from the gateway's term, the type that its table is read into says what the key means.
 package config
 
 import (
@@ -22,7 +22,7 @@
 	discoveryVariable = "PROXY_DISCOVERY"
 )
 
-// Limits are the platform's limits on this gateway; 0 for none.
+// Limits are the platform's limits on this gateway. 0 means no limit.
 type Limits struct {
 	Cores    float64 `json:"cores" toml:"cores"`
 	MemoryMB int     `json:"memory_mb" toml:"memory_mb"`
@@ -32,14 +32,14 @@
 // Platform is the platform's configuration. Its key "known" holds Endpoints, the list of database hosts to start with.
 type Platform struct {
 	Name, Listen, Discovery string
-	Admin                   string // the address for calls of staff, empty for none
+	Admin                   string // the address to listen on for calls of staff, empty for none
 	Seed                    uint64
 	Limits                  Limits
 	Endpoints               discovery.Snapshot
 	Settings                Settings
 }
 
-// Load reads the platform's configuration. Name, Listen, Admin and Discovery are taken from the environment where they are set there.
+// Load reads the platform's configuration. For Name, Listen, Admin and Discovery the environment takes precedence over the file.
 func Load(path string) (*Platform, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return parse(text, os.Getenv)
 }
 
-// Reload reads a platform's configuration that was replaced while the program runs. Its discovery address takes precedence over that of
-// the environment, which still is what it was at the start.
+// Reload reads a platform's configuration that was replaced while the program runs. Its discovery address takes precedence over the
+// environment's, which is still the one from the start.
 func Reload(path string) (*Platform, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return reparse(text, os.Getenv)
 }
 
-// reparse is parse for Reload.
+// reparse parses a reloaded configuration, in which a discovery address takes precedence over the environment's.
 func reparse(text []byte, env func(string) string) (*Platform, error) {
 	p, err := parse(text, func(name string) string {
 		if name == discoveryVariable {
@@ -107,7 +107,7 @@
 	return platform, nil
 }
 
-// orEnv returns the environment's value where there is one, else the file's.
+// orEnv returns the environment's value or, if that is empty, the file's.
 func orEnv(file, environment string) string {
 	if environment != "" {
 		return environment
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -15,7 +15,7 @@
 // noEnv is an empty environment.
 func noEnv(string) string { return "" }
 
-// TestExamplesLoad reads the configurations of examples and deploy.
+// TestExamplesLoad reads the configuration files in the folders examples and deploy.
 func TestExamplesLoad(t *testing.T) {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestReloadOverridesEnvironment checks that a reloaded file's discovery address takes precedence over the environment, which still has the
-// address of the start. A file without one leaves the environment's in force.
+// TestReloadOverridesEnvironment checks that a reloaded file's discovery address takes precedence over the environment, which still has
+// the address from the start. If the file has no address, the environment's applies.
 func TestReloadOverridesEnvironment(t *testing.T) {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestOutOfRangeNumbers checks that timeouts and limits out of range are errors, those of settings with a type of their own.
+// TestOutOfRangeNumbers checks that timeouts and limits out of range are errors. For a setting the error is a simwire.SettingError.
 func TestOutOfRangeNumbers(t *testing.T) {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,22 +10,22 @@
 	"cranegate/routing"
 )
 
-// Settings are the router's configuration and what else the settings have for a gateway on sockets.
+// Settings are the router's configuration and the other settings that a gateway on sockets uses.
 //
-// Of the settings' names, "policyLimits.connectTimeoutS" is ConnectTimeout, "policyLimits.idleCloseS" is HostIdleTimeout and
-// "rules.answerSlackS" is AnswerSlack, all in seconds. Package simwire maps those of the router's configuration.
+// The setting "policyLimits.connectTimeoutS" is ConnectTimeout, "policyLimits.idleCloseS" is HostIdleTimeout and
+// "rules.answerSlackS" is AnswerSlack, all in seconds. Package simwire maps the settings of the router's configuration.
 type Settings struct {
 	Routing         routing.Config
 	ConnectTimeout  time.Duration
-	HostIdleTimeout time.Duration // after which database hosts close idle connections at the latest
-	AnswerSlack     time.Duration // by which a final answer may come after the client's deadline
+	HostIdleTimeout time.Duration // the time after which database hosts close idle connections at the latest
+	AnswerSlack     time.Duration // how long after the client's deadline a final answer may still come
 }
 
 // maxTimeoutSeconds bounds the timeouts of Settings.
 const maxTimeoutSeconds = 3600.0
 
-// ReadSettings reads the nested object of settings, whose names are those of the simulator's protocol. It returns a *simwire.SettingError
-// for a setting that is missing or out of range.
+// ReadSettings reads the nested object of settings, which has the same names as in the simulator's protocol. It returns a
+// *simwire.SettingError for a setting that is missing or out of range.
 func ReadSettings(object map[string]any) (Settings, error) {
 	values := map[string]string{}
 	flatten(values, "", object)
@@ -59,8 +59,8 @@
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// flatten turns nested settings into values by path, as the simulator's protocol has them: lists of plain
-// values are joined with commas, lists of objects have their length under .count.
+// flatten stores nested settings by their paths, in the form of the simulator's protocol. The elements of a list of plain values are
+// joined with commas. The length of a list of objects is stored under the list's path with the suffix .count.
 func flatten(values map[string]string, path string, node any) {
 	switch node := node.(type) {
 	case map[string]any:
@@ -81,7 +81,7 @@
 	}
 }
 
-// flattenList is flatten for a list.
+// flattenList stores a list as flatten does. Commas in plain values become underscores.
 func flattenList(values map[string]string, path string, list []any) {
 	countPath := path + ".count"
 	var plain []string
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -6,17 +6,17 @@
 	"cranegate/internal/zones"
 )
 
-// Zones configures how zones are judged and how reads are distributed among them. Of its keys, "hold_ms" is the recovery delay and
-// "ramp_ms" the recovery ramp, both in milliseconds.
+// Zones configures how zone outages are detected and how reads are distributed among zones. Of its keys, "hold_ms" is the recovery
+// delay and "ramp_ms" the recovery ramp, both in milliseconds.
 type Zones struct {
-	Tiers           [][]string `toml:"tiers"`         // the most preferred first; if empty, the own zone and then by round-trip time
+	Tiers           [][]string `toml:"tiers"`         // the most preferred first; if empty, the own zone, then others by round-trip time
 	Overprovision   float64    `toml:"overprovision"` // 0 for zones.DefaultOverprovision
 	RecoveryDelayMS int        `toml:"hold_ms"`
 	RecoveryRampMS  int        `toml:"ramp_ms"`
 	DetectOnly      bool       `toml:"detect_only"`
 }
 
-// Options returns the options of a gateway in the zone own, or nil for a nil Zones.
+// Options returns the options for a gateway in the zone own, or nil if z is nil.
 func (z *Zones) Options(own string) *zones.Options {
 	if z == nil {
 		return nil
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -9,8 +9,8 @@
 // errConnectionClosed reports that discovery closed the connection after a complete answer, as HTTP allows. It is not a failure.
 var errConnectionClosed = errors.New("discovery closed the connection")
 
-// TimeoutError reports that discovery gave no complete answer in time. The endpoint list known so far stays in use, and the call
-// is repeated. Check that discovery's agent runs at Address.
+// TimeoutError reports that discovery sent no complete answer within Timeout. The known endpoint list stays in use, and the call is
+// repeated. Check that discovery's agent runs at Address.
 type TimeoutError struct {
 	Address string
 	Timeout time.Duration
@@ -21,20 +21,20 @@
 	return fmt.Sprintf("no complete answer from %s within %v; check that discovery's agent runs there", e.Address, e.Timeout)
 }
 
-// AnswerTooLongError reports that an answer is longer than an endpoint list may be. Check that discovery is what answers at
-// Address; a list that really is so long needs fewer entries, or shorter ones.
+// AnswerTooLongError reports that an answer is longer than an endpoint list may be. Check that the service at Address is discovery.
+// If it is, its list needs fewer or shorter entries.
 type AnswerTooLongError struct{ Address string }
 
 // Error implements the error interface.
 func (e AnswerTooLongError) Error() string {
-	return fmt.Sprintf("the answer of %s is over %d bytes; check that it is discovery, and how long its list is", e.Address, maxAnswerBytes)
+	return fmt.Sprintf("the answer from %s is over %d bytes; check that discovery serves there, and how long its list is", e.Address, maxAnswerBytes)
 }
 
-// rejectedError reports that discovery rejected a call because it has too many of them.
+// rejectedError reports that discovery rejected a call because it has too many calls.
 type rejectedError struct {
 	code       string
 	retryAfter time.Duration // the value of the Retry-After header, 0 if there is none
-	elapsed    time.Duration // since the call, with its connect, was begun
+	elapsed    time.Duration // since the call began, including its connect
 }
 
 func (e rejectedError) Error() string {
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -18,7 +18,7 @@
 	"cranegate/internal/metrics"
 )
 
-// The seed of rapid is fixed, so that CI's verdict does not vary. The flags still override it.
+// init fixes rapid's seed, so that the result does not vary between CI runs. Flags on the command line override it.
 func init() {
 	flag.Set("rapid.seed", "20261201")
 	flag.Set("rapid.nofailfile", "true")
@@ -26,18 +26,19 @@
 
 // Times within which a change has to be notified, from docs/standing.md.
 const (
-	silentTimeout        = 6 * time.Second // after the watch went silent
+	silentTimeout        = 6 * time.Second // after the watch stopped being answered
 	reachedTimeout       = 6 * time.Second // after discovery had the change and could be reached; this takes precedence over the others
-	waitTimeout          = 2 * time.Second // after the wait of a call
+	waitTimeout          = 2 * time.Second // after the wait that a call asks for has passed
 	addressChangeTimeout = 4 * time.Second // after SIGHUP
 )
 
-// testTimeout bounds what must happen on real sockets, also on a busy machine.
+// testTimeout bounds the waits on real sockets. It allows for a busy machine.
 const testTimeout = 20 * time.Second
 
-// fakeAgent is discovery's agent. Each connection takes the next of its behaviours, the last one again and again:
+// fakeAgent stands for discovery's agent. Each connection gets the next behaviour of the list; once only one is left, all further
+// connections get it. The behaviours are:
 //
-//	live         every call is answered, watches too
+//	live         every call is answered, watch calls when there is a change or their wait has passed
 //	deaf         nothing is read
 //	silent       calls are read and not answered
 //	header       the answer stops within the header
@@ -49,9 +50,9 @@
 //	reject-late  calls are rejected after 2 s
 //	retry-after  calls are rejected at once with a Retry-After of 30 s
 //	cut          the connection ends within the answer
-//	closing      every call is answered, and the connection ends behind each answer
-//	late ...     the first call is answered, and the second treated as the behaviour says
-//	slow ...     the connection is established just within dialTimeout
+//	closing      every call is answered, and the connection is closed after each answer
+//	late ...     the first call is answered, and the behaviour applies from the second call on
+//	slow ...     the behaviour applies, and the connection is established just within dialTimeout
 type fakeAgent struct {
 	mu         sync.Mutex
 	behaviours []string
@@ -61,7 +62,7 @@
 	done       chan struct{} // closed at a test's end; nil with synctest, where waiting for a minute takes no time
 }
 
-// reset sets the revision, and the behaviours of the connections from now on.
+// reset sets the revision, and the behaviours of all later connections.
 func (a *fakeAgent) reset(rev int64, behaviours ...string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -98,7 +99,7 @@
 	return behaviour
 }
 
-// dial stands in for a Watcher's dial function.
+// dial replaces a Watcher's dial function.
 func (a *fakeAgent) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	behaviour, slow := strings.CutPrefix(a.nextBehaviour(), "slow ")
 	if slow {
@@ -142,7 +143,7 @@
 	}
 }
 
-// answer is the answer to a call: at once or, if wait is set, when there is a change or the call's wait has passed.
+// answer returns the answer to a call, at once or, if wait is set, when there is a change or the call's wait has passed.
 func (a *fakeAgent) answer(query string, wait bool) string {
 	var after, waitMS int64 = -1, 0
 	fmt.Sscanf(query, "?after=%d&wait_ms=%d", &after, &waitMS)
@@ -160,7 +161,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// respond treats one call as a behaviour says. It reports whether the connection takes another call.
+// respond handles one call according to a behaviour. It reports whether the connection stays open for another call.
 func (a *fakeAgent) respond(c net.Conn, behaviour, query string) bool {
 	answer := a.answer(query, behaviour == "live" || behaviour == "closing")
 	switch behaviour {
@@ -195,15 +196,15 @@
 			time.Sleep(time.Second)
 		}
 	}
-	select { // no more comes
+	select { // nothing more is sent
 	case <-time.After(time.Minute):
 	case <-a.done:
 	}
 	return false
 }
 
-// runWatcher runs a Watcher against a fake agent for some time, with synctest's clock. It returns when each member was first notified, as
-// the time since the start. The function during, if not nil, runs beside the Watcher.
+// runWatcher runs a Watcher against a fake agent for a duration of synctest's clock. It returns the time from the start to the first
+// notification of each member. If during is not nil, it runs concurrently with the Watcher.
 func runWatcher(t *testing.T, a *fakeAgent, known int64, seed uint64, duration time.Duration, during func(*Watcher)) map[string]time.Duration {
 	t.Helper()
 	var mu sync.Mutex
@@ -234,9 +235,9 @@
 	return notifiedAt
 }
 
-// pieceServer returns a dial function whose connections give answers as they are, one for each call, cut into pieces that come some time
-// apart.
-func pieceServer(answer func(query string) string, piece int, interval time.Duration) func(context.Context, string, string) (net.Conn, error) {
+// dialInPieces returns a dial function. Its connections answer each call with the text that answer returns, in pieces of a given size,
+// with an interval after each.
+func dialInPieces(answer func(query string) string, piece int, interval time.Duration) func(context.Context, string, string) (net.Conn, error) {
 	return func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go func() {
@@ -258,7 +259,7 @@
 	}
 }
 
-// firstAnswerOnly gives an answer to a call without a revision, and an error to all calls behind it.
+// firstAnswerOnly returns a function that answers a call without a revision with answer, and any other call with an error.
 func firstAnswerOnly(answer string) func(query string) string {
 	return func(query string) string {
 		if strings.Contains(query, "after") {
@@ -268,12 +269,12 @@
 	}
 }
 
-// sizedResponse is a response whose body has a Content-Length.
+// sizedResponse returns a response with a Content-Length.
 func sizedResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// chunkedResponse is a response whose body comes in chunks of a size.
+// chunkedResponse returns a response whose body is sent in chunks of a given size.
 func chunkedResponse(body string, size int) string {
 	var s strings.Builder
 	s.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -15,7 +15,7 @@
 // maxAnswerBytes bounds the body of an answer: 2 KiB for each of 1,024 hosts. The buffer grows as the bytes arrive.
 const maxAnswerBytes = 2 << 20
 
-// maxRetryAfterSeconds bounds the Retry-After value that is passed on.
+// maxRetryAfterSeconds bounds the Retry-After value that is passed to the backoff.
 const maxRetryAfterSeconds = 3600
 
 const (
@@ -24,20 +24,20 @@
 	codeUnavailable     = "503"
 )
 
-// responseHead is what matters of a response's status line and header.
+// responseHead holds the values that are used of a response's status line and header.
 type responseHead struct {
 	code          string
 	contentLength int // -1 if not given
 	chunked       bool
 	retryAfter    int  // in seconds, 0 if not given
-	reusable      bool // the connection stays open behind the body
+	reusable      bool // the connection stays open after the body
 }
 
 // get makes one HTTP/1.1 GET request. The body is valid until the connection's next read; reusable reports whether the
 // connection can carry another call.
 //
-// A body may have neither a length nor chunks. It then ends with the connection, if that is closed in order: a reset, or a close before
-// the body has begun, is an error. A rejected call gives a rejectedError, an answer over maxAnswerBytes an AnswerTooLongError.
+// A body with neither a length nor chunks ends where the peer closes the connection. A reset is an error, and so is a close before the
+// first byte of the body. A rejected call returns a rejectedError, an answer over maxAnswerBytes an AnswerTooLongError.
 func get(conn *framebuf.Conn, host, target string) (body []byte, reusable bool, err error) {
 	if _, err := conn.Write([]byte("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")); err != nil {
 		return nil, false, err
@@ -60,7 +60,7 @@
 		seconds := min(max(head.retryAfter, 0), maxRetryAfterSeconds)
 		return nil, false, rejectedError{code: head.code, retryAfter: time.Duration(seconds) * time.Second}
 	default:
-		return nil, false, fmt.Errorf("status %q", head.code)
+		return nil, false, fmt.Errorf("unexpected status %q", head.code)
 	}
 }
 
@@ -87,7 +87,7 @@
 	}
 }
 
-// parseField takes one header line.
+// parseField parses one header line and stores its value.
 func (h *responseHead) parseField(line, host string) (err error) {
 	name, value, _ := strings.Cut(line, ":")
 	value = strings.ToLower(strings.TrimSpace(value))
@@ -95,7 +95,7 @@
 	case "content-length":
 		h.contentLength, err = strconv.Atoi(value)
 		if err != nil || h.contentLength < 0 {
-			return fmt.Errorf("content-length %q", value)
+			return fmt.Errorf("invalid content-length %q", value)
 		}
 		if h.contentLength > maxAnswerBytes {
 			return AnswerTooLongError{host}
@@ -103,7 +103,7 @@
 	case "transfer-encoding":
 		h.chunked = value == "chunked"
 		if !h.chunked {
-			return fmt.Errorf("transfer-encoding %q", value)
+			return fmt.Errorf("unsupported transfer-encoding %q", value)
 		}
 	case "retry-after":
 		h.retryAfter, _ = strconv.Atoi(value) // a date is ignored: the gateway's own backoff applies
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// readBody reads the body that belongs to the header. Where the connection's end ends the body, reusable becomes false.
+// readBody reads the body that the header announces. It clears reusable if the body ends only with the connection.
 func (h *responseHead) readBody(c *framebuf.Conn) ([]byte, error) {
 	switch {
 	case h.chunked:
@@ -128,7 +128,7 @@
 		c.Skip(h.contentLength)
 		return body[:h.contentLength], nil
 	case h.code != codeOK:
-		h.reusable = false // whatever follows is not a list, and is not read
+		h.reusable = false // the body of an error has no list, and without a length it is not read
 		return nil, nil
 	default:
 		h.reusable = false
@@ -155,7 +155,7 @@
 	}
 }
 
-// readChunked reads a chunked body with its trailers.
+// readChunked reads a chunked body and skips its trailers.
 func readChunked(c *framebuf.Conn) ([]byte, error) {
 	var body []byte
 	for {
@@ -180,7 +180,7 @@
 			return nil, err
 		}
 		if end != "" {
-			return nil, errors.New("chunk without an end")
+			return nil, errors.New("a chunk is not followed by a line break")
 		}
 	}
 }
@@ -194,7 +194,7 @@
 	digits, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 	if err != nil {
-		return 0, fmt.Errorf("chunk: %w", err)
+		return 0, fmt.Errorf("parsing a chunk's size: %w", err)
 	}
 	return int(size), nil
 }
--- a/internal/discovery/request_test.go
+++ b/internal/discovery/request_test.go
@@ -14,8 +14,8 @@
 	"cranegate/internal/framebuf"
 )
 
-// TestAnyFraming checks that an answer reads the same however it is framed and cut into reads, and that the next answer on the
-// connection is read from its beginning.
+// TestAnyFraming checks that the body that is read does not depend on an answer's framing or on how it is split into reads, and that
+// the next answer on the connection is read from its beginning.
 func TestAnyFraming(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream strings.Builder
@@ -55,7 +55,8 @@
 	})
 }
 
-// TestMalformedAnswers guards against taking a wrong length, or no length, for a body.
+// TestMalformedAnswers checks that malformed answers and error statuses are errors. It guards against returning a body whose length
+// is wrong or missing.
 func TestMalformedAnswers(t *testing.T) {
 	for _, answer := range []string{"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
@@ -68,7 +69,7 @@
 			far.Close()
 		}()
 		if body, _, err := get(framebuf.New(near, maxAnswerBytes), "x", "/"); err == nil {
-			t.Errorf("%q: read %q", answer, body)
+			t.Errorf("%q: no error, and the body %q", answer, body)
 		}
 		near.Close()
 	}
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -15,8 +15,8 @@
 	"cranegate/routing"
 )
 
-// longSnapshot is a list of n hosts whose ids and endpoints are as long as any may be: ids of 256 bytes of which JSON escapes a third
-// with six bytes each, and the longest host name with a port.
+// longSnapshot returns a list of n hosts whose ids and endpoints have the maximum length: ids of 256 bytes, a third of which JSON
+// escapes with six bytes each, and the longest host name with a port.
 func longSnapshot(n int) Snapshot {
 	s := Snapshot{Rev: 7, All: true}
 	for i := range n {
@@ -26,8 +26,8 @@
 	return s
 }
 
-// TestListOfMaxHosts takes lists of 1,024 and 1,025 hosts, with a length and in chunks, compact and indented: hosts are bounded by the
-// bytes of their list alone. The Watcher's snapshot then has all of them.
+// TestListOfMaxHosts reads lists of 1,024 and 1,025 hosts, with a length and in chunks, compact and indented, and checks that the
+// Watcher's snapshot has all hosts. Only the bytes of a list are bounded, not the number of its hosts.
 func TestListOfMaxHosts(t *testing.T) {
 	for _, n := range []int{1024, 1025} {
 		compact, err := json.Marshal(longSnapshot(n))
@@ -43,9 +43,9 @@
 				synctest.Test(t, func(t *testing.T) {
 					var notified core.EndpointList
 					w := NewWatcher("agent:1", Snapshot{Rev: -1}, func(list core.EndpointList) { notified = list }, backoff.New(1, 1), &metrics.Counters{})
-					w.dial = pieceServer(firstAnswerOnly(response), len(response)/4, 100*time.Millisecond)
+					w.dial = dialInPieces(firstAnswerOnly(response), len(response)/4, 100*time.Millisecond)
 					err := w.follow(t.Context(), "agent:1", true)
-					time.Sleep(10 * time.Second) // the agent sees the end
+					time.Sleep(10 * time.Second) // until the agent has seen the end of the connection
 					snapshot := w.Snapshot()
 					if notified.Kind != routing.EndpointListComplete || len(notified.Hosts) != n || len(snapshot.Targets) != n || snapshot.Rev != 7 {
 						t.Errorf("%d hosts, %s, %s, %d bytes: notified of %d, snapshot of %d, %v", n, name, form, len(body), len(notified.Hosts),
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestLongIndentedList reads a list of 300 hosts that is indented up to maxAnswerBytes, with a length and chunked, from an agent that takes
-// a second for each quarter. A list longer by a byte is an AnswerTooLongError, whatever its header says.
+// TestLongIndentedList reads a list of 300 hosts that is padded with white space up to maxAnswerBytes, with a length and chunked, from
+// an agent that sends a quarter each second. A list that is longer by a byte is an AnswerTooLongError in both forms.
 func TestLongIndentedList(t *testing.T) {
 	s := Snapshot{Rev: 7, All: true}
 	for i := range 300 {
@@ -75,9 +75,9 @@
 				notified := 0
 				w := NewWatcher("agent:1", Snapshot{Rev: -1}, func(list core.EndpointList) { notified = len(list.Hosts) }, backoff.New(1, 1),
 					&metrics.Counters{})
-				w.dial = pieceServer(firstAnswerOnly(response), len(response)/4, time.Second)
+				w.dial = dialInPieces(firstAnswerOnly(response), len(response)/4, time.Second)
 				err := w.follow(t.Context(), "agent:1", true)
-				time.Sleep(10 * time.Second) // the agent sees the end
+				time.Sleep(10 * time.Second) // until the agent has seen the end of the connection
 				var tooLong AnswerTooLongError
 				if errors.As(err, &tooLong) != (excess > 0) || (notified == 300) != (excess == 0) {
 					t.Errorf("%s, %d bytes over: notified of %d hosts, %v", form, excess, notified, err)
--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -8,10 +8,10 @@
 	"cranegate/routing"
 )
 
-// Snapshot is the endpoint list, or a change of it, as discovery sends it and as the settings give it.
+// Snapshot is a complete endpoint list or a patch to one, in the format of discovery's answers and of the configuration.
 //
-// Snapshot and Target are where discovery's names are mapped to the gateway's. Discovery's "rev" is the list's revision, "all"
-// tells a complete list from a patch, and "targets" are the endpoints. Of a target, "uid" is the member's ID, "az" its zone,
+// Snapshot and Target map discovery's names to the gateway's terms. Discovery's "rev" is the list's revision, "all" is true for a
+// complete list and false for a patch, and "targets" are the endpoints. In a target, "uid" is the member's ID, "az" its zone,
 // "pod_group" its group, "state" its phase, "capacity_hint" its capacity, "boot_ms" the time at which it started, and
 // "replication" is "primary" for a primary.
 type Snapshot struct {
@@ -41,8 +41,8 @@
 	stateDeleted: routing.PhaseRemoved,
 }
 
-// EndpointList converts a snapshot to the core's form. A target with an unknown state is taken as draining: no new request may go to
-// a host that may not accept it.
+// EndpointList converts a snapshot to the core's type. A target with an unknown state counts as draining, so that no new request is
+// sent to a host that may not accept it.
 func (s Snapshot) EndpointList(kind routing.EndpointListKind) core.EndpointList {
 	list := core.EndpointList{Kind: kind}
 	for _, target := range s.Targets {
--- a/internal/discovery/snapshot_test.go
+++ b/internal/discovery/snapshot_test.go
@@ -7,7 +7,7 @@
 	"cranegate/routing"
 )
 
-// TestEndpointList guards the mapping of targets: with an unknown state a host must not get new requests.
+// TestEndpointList checks how targets are mapped to endpoints. A host with an unknown state must not get new requests.
 func TestEndpointList(t *testing.T) {
 	list := Snapshot{Targets: []Target{{UID: "a", State: "SERVING", Replication: "primary", BootMS: 1767225600123},
 		{UID: "b", State: "DRAINING"}, {UID: "c", State: "DELETED"}, {UID: "d", State: "RESTING"}}}.EndpointList(routing.EndpointListPatch)
--- a/internal/discovery/socket_test.go
+++ b/internal/discovery/socket_test.go
@@ -21,7 +21,7 @@
 	net.Conn
 	mu       sync.Mutex
 	read     int
-	progress chan struct{} // has room for one value
+	progress chan struct{} // signals a read; has a capacity of one
 }
 
 func (c *countingConn) Read(b []byte) (int, error) {
@@ -76,7 +76,7 @@
 	})
 }
 
-// acceptCall accepts a connection and reads a call from it, whose request line it returns.
+// acceptCall accepts a connection, reads a call from it and returns the call's request line.
 func acceptCall(t *testing.T, l net.Listener) (c *net.TCPConn, requestLine string) {
 	t.Helper()
 	accepted, err := l.Accept()
@@ -92,9 +92,9 @@
 	return accepted.(*net.TCPConn), requestLine
 }
 
-// TestAnswerEnd gives an answer in one way on the first connection of a watch, on real sockets, and a complete one with a length on the
-// second. Where the first has ended in order it is applied at once. A reset is no end, even if it comes once the last byte
-// has been read, nor is a close within the answer: nothing of it is applied, and the next call has the same query as before.
+// TestAnswerEnd ends the first answer of a watch in different ways, on real sockets, and checks the revision in the next call. A
+// complete answer is applied before that call. A reset does not complete an answer without a length, even if the last byte has been
+// read. An incomplete answer is not applied at all, and the next call has the same revision as before.
 func TestAnswerEnd(t *testing.T) {
 	const body = `{"rev":2,"all":false,"targets":[{"uid":"r2","state":"DRAINING"}]}`
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)
@@ -136,7 +136,7 @@
 // answerEndTest is a case of TestAnswerEnd.
 type answerEndTest struct {
 	answer  string
-	reset   bool // the connection is reset behind the answer, not closed
+	reset   bool // the connection is reset after the answer, not closed
 	applied bool
 }
 
@@ -169,7 +169,7 @@
 		c.SetLinger(0)
 	}
 	c.Close()
-	c, requestLine := acceptCall(t, l) // what the first answer has is applied before the next call
+	c, requestLine := acceptCall(t, l) // the first answer is applied before the next call
 	defer c.Close()
 	if applied := len(notified) > 0; applied != test.applied {
 		t.Errorf("applied: %t, want %t", applied, test.applied)
@@ -209,8 +209,8 @@
 	return l.Addr().String()
 }
 
-// TestTwoFailuresOnSockets has a watch fail on real sockets right after its first answer, the call after it fail too, and a change come
-// with the first failure: it is notified in time. A busy machine may add half a second.
+// TestTwoFailuresOnSockets has two consecutive calls fail on real sockets, mostly right after the first answer, and makes a change at
+// the first failure. The change must be notified within reachedTimeout. A busy machine may add half a second.
 func TestTwoFailuresOnSockets(t *testing.T) {
 	for _, behaviours := range [][]string{{"late silent", "silent"}, {"late body", "header"}, {"late silent", "reject"}, {"late reject", "silent"},
 		{"retry-after", "silent"}, {"late cut", "reject-late"}} {
@@ -232,7 +232,7 @@
 			}
 			for deadline := time.Now().Add(testTimeout); a.calls() < callsBeforeFailure; time.Sleep(time.Millisecond) {
 				if time.Now().After(deadline) {
-					t.Fatal("no call came")
+					t.Fatal("the Watcher did not make the call that fails")
 				}
 			}
 			a.setRev(3)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package discovery follows the endpoint list of the discovery service. A Watcher keeps one long-polling call open all the time and
-// passes each list, or change of it, to the core.
+// Package discovery follows the endpoint list of the discovery service. A Watcher makes one long-polling call after another and passes
+// each complete list and each patch to the core.
 package discovery
 
 import (
@@ -23,29 +23,29 @@
 	"cranegate/routing"
 )
 
-// A change has to be known 6 s after discovery had it and could be reached, whatever became of the calls before. With these
-// times any two calls in a row may fail, in whatever way, and the third still comes in time; docs/standing.md has the sums.
+// A change must be known within 6 s after discovery has it and can be reached, regardless of the calls before. With these times any
+// two consecutive calls may fail, in any way, and the third is still made early enough; docs/standing.md has the sums.
 const (
-	watchWait        = 1500 * time.Millisecond // of one watch call; the agent answers sooner when there is a change
-	answerGrace      = 600 * time.Millisecond  // on top of watchWait, before the call is given up for one on a new connection
-	firstWatchWait   = 50 * time.Millisecond   // of the first call on a connection, which shows that the agent answers
-	firstAnswerGrace = 2150 * time.Millisecond // on top of firstWatchWait: a service with too many calls takes up to 2 s to reject one
-	firstListTimeout = 4500 * time.Millisecond // for the first list: while none is known no request is sent anywhere
+	watchWait        = 1500 * time.Millisecond // the wait that a watch call asks for; the agent answers sooner when there is a change
+	answerGrace      = 600 * time.Millisecond  // added to watchWait before the call is abandoned and repeated on a new connection
+	firstWatchWait   = 50 * time.Millisecond   // the wait of a first call, which is short to show soon that the agent answers
+	firstAnswerGrace = 2150 * time.Millisecond // added to firstWatchWait: a service with too many calls takes up to 2 s to reject one
+	firstListTimeout = 4500 * time.Millisecond // for the first list; no request can be sent until a list is known
 	dialTimeout      = 400 * time.Millisecond  // the agent runs on this machine
 )
 
 // failureLogInterval is the least time between two log lines about failed calls.
 const failureLogInterval = time.Second
 
-// Watcher is the actor that follows the endpoint list. Run's goroutine makes all calls; the other methods may be called from any
-// goroutine, SetAddress from one at a time.
+// Watcher follows the endpoint list. Run makes all calls. The other methods may be called from any goroutine, SetAddress from one
+// goroutine at a time.
 type Watcher struct {
 	address   string
 	rev       int64
 	notify    func(core.EndpointList)
 	counters  *metrics.Counters
 	backoff   *backoff.Backoff
-	addresses chan string // the mailbox of SetAddress: a newer address replaces an older one
+	addresses chan string // from SetAddress to Run; a newer address replaces an unread one
 	dial      func(ctx context.Context, network, address string) (net.Conn, error)
 
 	failureLoggedAt time.Time
@@ -53,12 +53,13 @@
 	firstCallOnce   sync.Once
 
 	mu         sync.Mutex
-	entries    map[string]Target // the list as last notified, by UID; only Run's goroutine changes it
+	entries    map[string]Target // the list as last notified, by UID; after NewWatcher only Run changes it
 	entriesRev int64
 }
 
-// NewWatcher makes a Watcher that starts from the list in known, which may be empty with revision -1. The watch begins with Run. With an
-// empty address there is nothing to follow until SetAddress gives one. Run calls notify with each list and each change.
+// NewWatcher returns a Watcher that starts from the list in known. If no list is known, known is empty and has the revision -1. Run
+// makes the calls and passes each complete list and each patch to notify. With an empty address it makes no call until SetAddress sets
+// one.
 func NewWatcher(address string, known Snapshot, notify func(core.EndpointList), b *backoff.Backoff, counters *metrics.Counters) *Watcher {
 	w := &Watcher{
 		address:       address,
@@ -74,8 +75,7 @@
 	return w
 }
 
-// Snapshot returns the complete list as last notified, with its revision and sorted by UID. It has no targets where no list is
-// known yet.
+// Snapshot returns the complete list as last notified, with its revision and sorted by UID. It has no targets until a list is known.
 func (w *Watcher) Snapshot() Snapshot {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -103,16 +103,16 @@
 	}
 }
 
-// FirstCallDone returns a channel that is closed once the first call has ended, with an answer or without: what discovery had at
-// the start has then been notified, or can't be had. It is closed as well where there is no address to follow.
+// FirstCallDone returns a channel that is closed once the first call has ended. If it was answered, the changes that discovery had at
+// the start have been notified; if it failed, they are not available. Run also closes the channel if the address is empty.
 func (w *Watcher) FirstCallDone() <-chan struct{} { return w.firstCallDone }
 
 func (w *Watcher) markFirstCallDone() {
 	w.firstCallOnce.Do(func() { close(w.firstCallDone) })
 }
 
-// SetAddress continues the watch at another address at once. The list known so far and its revision stay, so the new address
-// sends only what has changed since. One goroutine at a time may call it. It never blocks.
+// SetAddress makes Run continue at another address at once. The known list and its revision are kept, so the new address sends only
+// later changes. One goroutine at a time may call it. It never blocks.
 func (w *Watcher) SetAddress(address string) {
 	select {
 	case <-w.addresses:
@@ -121,14 +121,14 @@
 	w.addresses <- address
 }
 
-// Run follows the list until the context ends, and returns nil then. While discovery does not answer, the list known so far stays.
+// Run follows the list until the context ends, and then returns nil. While discovery does not answer, the known list stays in use.
 func (w *Watcher) Run(ctx context.Context) error {
-	delay := time.Duration(0) // a change that discovery already has is binding: the first call is made at once
+	delay := time.Duration(0) // the gateway must follow changes that discovery already has, so the first call is made at once
 	firstCall := true
 	for ctx.Err() == nil {
 		select {
 		case <-time.After(delay):
-		case address := <-w.addresses: // no call has failed there yet, so the delay does not apply
+		case address := <-w.addresses: // no call to this address has failed yet, so the delay does not apply
 			w.changeAddress(address)
 			firstCall = true
 		case <-ctx.Done():
@@ -140,7 +140,7 @@
 			return nil
 		case addressChanged:
 			delay, firstCall = 0, true
-		case errors.Is(err, errConnectionClosed): // the list is current up to that answer: the watch just goes on
+		case errors.Is(err, errConnectionClosed): // not a failure: the list is current up to the last answer
 			delay, firstCall = backoff.MaxFailureDelay(1), false
 		default:
 			w.recordFailure(err)
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// followAddress follows the list at the present address until a call fails or SetAddress has given another address.
+// followAddress follows the list at the current address until a call fails or SetAddress sets another address.
 func (w *Watcher) followAddress(ctx context.Context, firstCall bool) (addressChanged bool, err error) {
 	followCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -167,7 +167,7 @@
 	}
 }
 
-// changeAddress continues at another address, without the backoff of the old one.
+// changeAddress switches to another address and resets the backoff, which applies to the old one.
 func (w *Watcher) changeAddress(address string) {
 	w.address = address
 	w.backoff.Succeeded()
@@ -193,8 +193,8 @@
 	return w.backoff.Failed()
 }
 
-// follow connects to an address and makes calls, each at once after the last answer, until one fails. If firstCall is set, the first
-// one waits for firstWatchWait only. It never returns nil but for an empty address, once ctx has ended.
+// follow connects to an address and makes calls until one fails, each immediately after the answer to the one before. If firstCall is
+// set, the first call waits for firstWatchWait only. It returns nil only for an empty address, when ctx ends.
 func (w *Watcher) follow(ctx context.Context, address string, firstCall bool) error {
 	defer w.markFirstCallDone()
 	if address == "" {
@@ -252,7 +252,7 @@
 	return s, reusable, nil
 }
 
-// query returns the query of the next call, and the time within which its complete answer has to come.
+// query returns the query string of the next call, and the timeout for its complete answer.
 func (w *Watcher) query(firstCall bool) (query string, timeout time.Duration) {
 	if w.rev < 0 {
 		if len(w.entries) == 0 {
@@ -268,7 +268,7 @@
 	return query, wait + grace
 }
 
-// apply takes an answer: it records the snapshot and notifies the core where something has changed.
+// apply records the snapshot of an answer and notifies the core of a complete list or of a patch that has targets.
 func (w *Watcher) apply(s Snapshot) {
 	w.record(s)
 	w.rev = s.Rev
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -12,9 +12,9 @@
 	"cranegate/internal/metrics"
 )
 
-// TestSilentWatchReconnects has a watch go silent in each way right after its first answer, which is the worst moment, and a change
-// come at once. The change must be notified within 6 s of the beginning of the silence, also where the first call on a new connection
-// fails to connect.
+// TestSilentWatchReconnects has a watch stop being answered in each way, from its first call on or right after its first answer, which
+// is the worst moment, and makes a change at once. The change must be notified within 6 s after the silence began, even if the first
+// attempt to connect again fails.
 func TestSilentWatchReconnects(t *testing.T) {
 	for _, silence := range []string{"late silent", "late header", "late body", "late trickle", "deaf", "silent", "header", "body",
 		"trickle", "hang", "refuse"} {
@@ -33,11 +33,11 @@
 	}
 }
 
-// failures are all ways in which a call may fail. With the prefix "late" they are the ways in which a watch may fail.
+// failures are all ways in which a call may fail. With the prefix "late" the first call is answered, and the watch call after it fails.
 var failures = []string{"deaf", "silent", "header", "body", "trickle", "hang", "refuse", "reject", "reject-late", "retry-after", "cut", "slow silent", "slow reject-late"}
 
-// TestAnyTwoFailures has a change come right after an answer or a first call, and the next two calls fail, each in every way. The
-// change, which the agent had and could be asked for all the time, must still be notified in time.
+// TestAnyTwoFailures makes a change right after an answer or at the first call, and has the next two calls fail, each in every way. The
+// agent has the change and counts as reachable all the time, so the change must still be notified within reachedTimeout.
 func TestAnyTwoFailures(t *testing.T) {
 	first := slices.Clone(failures)
 	for _, failure := range failures {
@@ -69,9 +69,9 @@
 	t.Logf("the worst order takes %v: %s", worst, order)
 }
 
-// TestRecoveryAfterOutage has an agent fail in each way for a long time, and recover at each moment of a call and of the delay behind it.
-// A change is notified within 6 s of the recovery, also where the first call after it goes silent or is rejected: the delay does not
-// grow with the number of failures before.
+// TestRecoveryAfterOutage has an agent fail in each way for a long time, and recover at different moments of a call and of the delay
+// after it. A change must be notified within 6 s after the recovery, even if the first call after it is not answered or is rejected:
+// the delay must not keep growing with the number of failures before.
 func TestRecoveryAfterOutage(t *testing.T) {
 	for _, failure := range failures {
 		for _, then := range []string{"live", "silent", "reject-late", "retry-after"} {
@@ -87,7 +87,7 @@
 					limit = reachedTimeout - 2*time.Second
 				}
 				if at, ok := notifiedAt["r2"]; !ok || at < outage || at > outage+limit {
-					t.Fatalf("%s, then %s, seed %d: notified %t after %v of %v", failure, then, seed, ok, at, outage)
+					t.Fatalf("%s, then %s, seed %d: notified %t after %v, with an outage of %v", failure, then, seed, ok, at, outage)
 				}
 				for i := 1; i < len(a.dialTimes); i++ {
 					if gap := a.dialTimes[i].Sub(a.dialTimes[i-1]); gap < 100*time.Millisecond && a.dialTimes[i].Sub(a.dialTimes[0]) < outage {
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestConnectionCloseIsNoFailure has the connection end behind each answer. That is no failure: the next call waits for a change as it
-// would on the old connection, and discovery is not called more often.
+// TestConnectionCloseIsNoFailure has the agent close the connection after each answer. That is not a failure: the next call waits for
+// a change as it would on the old connection, and discovery is not called more often.
 func TestConnectionCloseIsNoFailure(t *testing.T) {
 	a := &fakeAgent{behaviours: []string{"closing"}, rev: 2}
 	const duration, changeAt = 10 * time.Second, 5 * time.Second
@@ -121,17 +121,18 @@
 	}
 }
 
-// TestRejectionBackoff tells a rejection from the other failures: the delay after it grows with the number of gateways.
+// TestRejectionBackoff checks that a rejection is distinguished from other failures: the delay after it grows with the number of
+// gateways.
 func TestRejectionBackoff(t *testing.T) {
 	a := &fakeAgent{behaviours: []string{"reject"}, rev: 2}
 	runWatcher(t, a, 1, 1, 10*time.Second, nil)
 	if len(a.dialTimes) < 2 || a.dialTimes[1].Sub(a.dialTimes[0]) < 2*time.Second {
-		t.Errorf("one of 300 that was rejected called at %v", a.dialTimes)
+		t.Errorf("one of 300 gateways was rejected and did not wait for 2 s: its calls are at %v", a.dialTimes)
 	}
 }
 
-// TestAddressChange changes the address of a Watcher whose call waits or has gone silent. The first connection to the new address may go
-// silent too; what is there must be notified within 4 s.
+// TestAddressChange changes the address of a Watcher whose call waits or fails. The first connection to the new address may fail too;
+// the change at the new address must be notified within 4 s.
 func TestAddressChange(t *testing.T) {
 	for _, old := range []string{"live", "silent", "hang", "refuse", "trickle", "reject"} {
 		for _, next := range []string{"live", "deaf", "silent", "header", "body", "trickle", "hang", "refuse"} {
@@ -151,8 +152,8 @@
 	}
 }
 
-// TestFirstCall checks the first call of a process that knows a list from its settings: it is made at once and waits for firstWatchWait
-// only, and FirstCallDone is closed when it ends, in time also where discovery does not answer.
+// TestFirstCall checks the first call of a process that knows a list from its configuration. The call is made at once and waits for
+// firstWatchWait only. FirstCallDone is closed when it ends, within a limit even if discovery does not answer.
 func TestFirstCall(t *testing.T) {
 	for behaviour, limit := range map[string]time.Duration{"live": 100 * time.Millisecond, "refuse": 0, "hang": dialTimeout, "reject": 0,
 		"reject-late": 2 * time.Second, "cut": 0, "silent": firstWatchWait + firstAnswerGrace} {
@@ -179,10 +180,10 @@
 	<-w.FirstCallDone()
 }
 
-// TestTimeoutsFitDeadline checks the constants against the times that docs/standing.md gives: one call, and each order in which two
-// calls fail and the third is answered at once, whatever the seeds.
+// TestTimeoutsFitDeadline checks the constants against the times that docs/standing.md gives, for one call and for each order in which
+// two calls fail and the third is answered at once. The sums hold for any seed.
 func TestTimeoutsFitDeadline(t *testing.T) {
-	const firstDelay = 100 * time.Millisecond // of backoff, once a call was answered
+	const firstDelay = 100 * time.Millisecond // of package backoff, after one failed call
 	first, later := backoff.MaxFailureDelay(1), backoff.MaxFailureDelay(1000)
 	second, firstCall, watch := backoff.MaxFailureDelay(2), firstWatchWait+firstAnswerGrace, watchWait+answerGrace
 	if first != firstDelay {
--- a/internal/simwire/config.go
+++ b/internal/simwire/config.go
@@ -11,9 +11,9 @@
 	"cranegate/routing"
 )
 
-// Config maps settings, by their paths in the simulator's protocol, to the router's configuration. This is where their names are
-// mapped to the gateway's terms: the words of settings by the tables below, the paths in config, class and tenants. A gateway on sockets
-// finds the same settings in its configuration file. The error is a *SettingError for the first setting that can't be used.
+// Config maps settings, by their paths in the simulator's protocol, to the router's configuration. The tables below map the words of
+// settings to the gateway's terms; the methods config, class and tenants map the paths. A gateway on sockets reads the same settings
+// from its configuration file. The error is a *SettingError for the first setting that is missing or invalid.
 func Config(values map[string]string) (routing.Config, error) {
 	return (&settings{values: values}).config()
 }
@@ -51,7 +51,7 @@
 
 var subscribeByWord = map[string]bool{"": false, "automatic": false, "subscribe": true}
 
-// Paths that more than one function names.
+// Paths that occur more than once.
 const (
 	pathConsistencies     = "domain.needsByClass"
 	pathStalenessBounds   = "domain.classBoundS"
@@ -89,7 +89,7 @@
 		UseRemovedMembers: s.flag("rules.onlyDrainingBinds"),
 	}
 	if !s.flag("policyLimits.retryAfter") {
-		config.MaxRetryAfter = 0 // a Retry-After does not reach clients
+		config.MaxRetryAfter = 0 // clients then get no Retry-After
 	}
 	config.Classes = s.classes()
 	if config.SlowStartDuration > 0 {
@@ -124,7 +124,7 @@
 	return classes
 }
 
-// class reads the class with an index. The word of its consistency and the staleness bounds stand in lists with a value for each class.
+// class reads the class with index i. The word of its consistency and its staleness bound come from lists with a value for each class.
 func (s *settings) class(i int, consistency string, stalenessBounds []string) routing.Class {
 	prefix := fmt.Sprintf("classes.%d.", i)
 	s.required(prefix + "points")
@@ -156,7 +156,7 @@
 	return class
 }
 
-// stalenessBound returns the bound of the class with an index, in seconds. It reports false if it is missing or out of range.
+// stalenessBound returns the bound of the class with index i, in seconds. It reports false if the bound is missing or out of range.
 func stalenessBound(i int, bounds []string) (bound float64, ok bool) {
 	if i >= len(bounds) {
 		return 0, false
@@ -168,7 +168,7 @@
 	return bound, bound >= 0 && bound <= maxSeconds
 }
 
-// tenants reads the tenants: a list of objects with a count, or names alone.
+// tenants reads the tenants, which are a list of objects with a count or a list of names.
 func (s *settings) tenants() []routing.Tenant {
 	var tenants []routing.Tenant
 	if !s.has(pathTenantCount) {
--- a/internal/simwire/config_test.go
+++ b/internal/simwire/config_test.go
@@ -27,8 +27,8 @@
 		"rules.coldS": "16", "rules.tipMultiple": "2.5", "rules.fallS": "1.5", "rules.askWithinS": "10"}
 }
 
-// TestInvalidSettings checks that each invalid value gives a SettingError, which says what the setting has to be, and that settings which
-// may be left out have a default.
+// TestInvalidSettings checks that each invalid or missing value gives a SettingError, which says what the setting has to be, and that
+// further valid values, such as 0 where it is allowed, are accepted.
 func TestInvalidSettings(t *testing.T) {
 	if _, err := Config(validSettings()); err != nil {
 		t.Fatal(err)
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestRandomSettings replaces settings at random, by odd values and by each other's. A router with settings that are accepted has to
-// work: no panic, no NaN, and a bounded number of actions for each request.
+// TestRandomSettings replaces settings at random, by unusual values and by values of other settings. A router with settings that are
+// accepted has to work: no panic, no NaN, and a bounded number of actions for each request.
 func TestRandomSettings(t *testing.T) {
 	values := []string{"", "-", "0", "1", "-1", "0.2", "1e-9", "0.000001", "3", "1e300", "NaN", "-Inf", "true", "read", "once", "by_key", "none", "late",
 		"refuse", "subscribe", "remembered", "write,any", "any,fresh", "session,bounded", "0,0", "86400", "999999999"}
@@ -103,11 +103,12 @@
 		}
 	}
 	if accepted < 300 {
-		t.Errorf("only %d settings were accepted", accepted)
+		t.Errorf("only %d sets of settings were accepted", accepted)
 	}
 }
 
-// runRouter runs a router for a second of requests, and ten more without any. It returns its actions, and the number of requests.
+// runRouter runs a router for a second with requests and ten seconds without. It returns the router's actions as text, and the number of
+// requests.
 func runRouter(t *testing.T, config routing.Config, seed uint64) (reply string, requests int) {
 	t.Helper()
 	var out bytes.Buffer
@@ -115,7 +116,7 @@
 	now := 100 * time.Second
 	router, err := routing.New(now, config, seed, &Actions{Writer: w, Instance: "gateway/0"})
 	if err != nil {
-		t.Fatalf("seed %d: settings are accepted, and then %v", seed, err)
+		t.Fatalf("seed %d: the settings are accepted, but the router returns %v", seed, err)
 	}
 	router.UpdateEndpoints(now, routing.EndpointList{Kind: routing.EndpointListStale, Endpoints: []routing.Endpoint{
 		{Member: "a:1", Group: 1, StartedAt: 99 * time.Second}, {Member: "b:1", Group: 1, Capacity: 1}}})
--- a/internal/simwire/endpoints.go
+++ b/internal/simwire/endpoints.go
@@ -43,7 +43,7 @@
 		return routing.Endpoint{}, fmt.Errorf("unknown phase")
 	}
 	endpoint := routing.Endpoint{Phase: phase, Zone: f.word()}
-	f.word() // the kind of the machine is not used
+	f.word() // the machine's type is not used
 	endpoint.Capacity = f.number()
 	endpoint.Primary = f.number() == 1
 	endpoint.StartedAt = f.seconds()
@@ -52,7 +52,7 @@
 	return endpoint, f.err
 }
 
-// endpointListEvent decodes the event of a list, or a change of it, that was read before.
+// endpointListEvent decodes the event that refers by its number to an endpoint list, or a patch, that was read before.
 func (r *Reader) endpointListEvent(f *fields) (routing.EndpointList, error) {
 	word := f.word()
 	kind, ok := listKindByWord[word]
@@ -60,7 +60,7 @@
 		return routing.EndpointList{}, fmt.Errorf("unknown kind of list %q", word)
 	}
 	list := routing.EndpointList{Kind: kind}
-	f.word() // the revision is not used: changes come in order
+	f.word() // the revision is not used: changes arrive in order
 	if kind == routing.EndpointListFailed {
 		return list, nil
 	}
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -11,8 +11,8 @@
 	"cranegate/routing"
 )
 
-// fields are the values of a line, which its methods take one by one. They keep the first error in err and return zero values for what
-// is absent or malformed.
+// fields are the values of a line. Each method reads the next value. The first error is stored in err. An absent value is read as the
+// zero value.
 type fields struct {
 	remaining []string
 	err       error
@@ -20,7 +20,7 @@
 
 func splitFields(line string) *fields { return &fields{remaining: strings.Split(line, " ")} }
 
-// fail keeps the first error.
+// fail stores an error in err unless there already is one.
 func (f *fields) fail(err error) {
 	if f.err == nil {
 		f.err = err
@@ -88,7 +88,7 @@
 // seconds returns an optional time.
 func (f *fields) seconds() time.Duration { return seconds(f.number()) }
 
-// result returns the result of an attempt or health check. Its numbers are those of package routing.
+// result returns the result of an attempt or health check. The protocol uses the numbers of routing.Result.
 func (f *fields) result() routing.Result {
 	n := f.integer()
 	if n < int(routing.ResultError) || n > int(routing.ResultMissed) {
--- a/internal/simwire/protocol.go
+++ b/internal/simwire/protocol.go
@@ -1,5 +1,5 @@
-// Package simwire reads and writes the simulator's text protocol. It maps the protocol's words to the types of package routing and takes no
-// decisions.
+// Package simwire reads and writes the simulator's text protocol. It maps the protocol's words to the types of package routing and makes
+// no decisions.
 package simwire
 
 import (
@@ -8,9 +8,9 @@
 	"cranegate/routing"
 )
 
-// The messages that the simulator sends. This is where their names are mapped to the gateway's terms: each batch is a "tick" with its
-// clock time, then one event a line, then "over_to_you". A "list" is an endpoint list with a number, of an "entry" for each endpoint,
-// which events refer to.
+// The messages that the simulator sends. The constants map their names to the gateway's terms. A batch consists of a "tick" with its
+// clock time, one event on each line, and "over_to_you". A "list" is an endpoint list with an "entry" for each endpoint. It has a number,
+// by which events refer to it.
 const (
 	messageBatchStart = "tick"
 	messageBatchEnd   = "over_to_you"
@@ -30,7 +30,7 @@
 	messageDatagram           = "datagram"
 )
 
-// The messages of a reply, one for each call of routing.Gateway, and "next" at its end.
+// The messages of a reply: one for each method of routing.Gateway, "bug" for a failure of the decision code, and "next" at the end.
 const (
 	messageSend           = "try"
 	messageCancel         = "drop_attempt"
@@ -46,7 +46,7 @@
 	messageReplyEnd       = "next"
 )
 
-// absent stands for a value that is not there.
+// absent is written in place of a value that is missing.
 const absent = "-"
 
 var phaseByWord = map[string]routing.Phase{
@@ -62,13 +62,13 @@
 	"broken":     routing.EndpointListFailed,
 }
 
-// The columns of a load report that matter, by their names in the settings.
+// The columns of a load report that are used, by their names in the settings.
 const (
 	columnPosition = "x0" // in seconds
 	columnPrimary  = "x1" // 1 for a primary, 0 for a replica
 )
 
-// The bits of a request's last value.
+// The bits of the last value of a request message.
 const (
 	flagWorkKnown = 1
 	flagRetry     = 2
@@ -108,7 +108,7 @@
 	Payload []byte
 }
 
-// Batch is all that happened at one clock time.
+// Batch holds the events of one clock time.
 type Batch struct {
 	Now    time.Duration
 	Events []Event
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -11,10 +11,10 @@
 	"cranegate/routing"
 )
 
-// maxQuotedLine bounds what an error quotes of a line, in bytes.
+// maxQuotedLine bounds the part of a line that an error quotes, in bytes.
 const maxQuotedLine = 120
 
-// vocabulary are the names that one instance's settings define.
+// vocabulary holds the names that one instance's settings define.
 type vocabulary struct {
 	classIndex    map[string]int
 	tenantIndex   map[string]int
@@ -47,8 +47,8 @@
 	return strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r"), nil
 }
 
-// Batch reads one batch. It returns io.EOF if the input ends between batches, and io.ErrUnexpectedEOF if it ends within one. Errors in a
-// line have its number.
+// Batch reads one batch. It returns io.EOF if the input ends between batches, and io.ErrUnexpectedEOF if it ends within one. An error in
+// a line includes the line's number.
 func (r *Reader) Batch() (*Batch, error) {
 	line, err := r.readLine()
 	if err != nil {
@@ -91,7 +91,7 @@
 	return fmt.Errorf("line %d %q: %w", r.line, line, err)
 }
 
-// event decodes one line. An endpoint list, whose entries it reads too, is no event.
+// event decodes one line. For an endpoint list, which is not an event, it reads the entries too and returns nil.
 func (r *Reader) event(line string) (*Event, error) {
 	f := splitFields(line)
 	name := f.word()
@@ -113,7 +113,7 @@
 	return event, nil
 }
 
-// payload decodes what follows an event's name and instance.
+// payload decodes the values after an event's name and instance.
 func (r *Reader) payload(name, instance string, f *fields) (any, error) {
 	switch name {
 	case messageOpenInstance:
@@ -147,7 +147,7 @@
 	return nil, fmt.Errorf("unknown message %q", name)
 }
 
-// openInstance decodes an instance's seed and settings.
+// openInstance decodes an instance's seed and settings, and stores its vocabulary.
 func (r *Reader) openInstance(instance string, f *fields) (InstanceOpened, error) {
 	seed, err := parseSeed(f.required())
 	if err != nil {
@@ -185,7 +185,7 @@
 	return uint64(signed), nil
 }
 
-// datagram decodes a message of another instance.
+// datagram decodes a message from another instance.
 func datagram(f *fields) (Datagram, error) {
 	d := Datagram{From: f.integer()}
 	var err error
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -38,7 +38,7 @@
 	opened := batch.Events[0].Payload.(InstanceOpened)
 	config := opened.Config
 	if batch.Now != 8500*time.Millisecond || opened.Seed != 42 || config.Gateways != 2 || !config.Subscribe || !config.LocalSessions {
-		t.Fatalf("batch %v, open %+v", batch.Now, opened)
+		t.Fatalf("batch at %v, instance opened with %+v", batch.Now, opened)
 	}
 	if config.StaleReads != routing.StaleReadDelayed || config.RoleSource != routing.RoleSourceDelayed || config.PositionEpoch != 100500*time.Millisecond {
 		t.Errorf("domain settings: %+v", config)
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestEvents checks each event, and that a list's number can be used again for another list.
+// TestEvents checks each event, and that the number of an endpoint list can be reused for another list.
 func TestEvents(t *testing.T) {
 	r := NewReader(strings.NewReader(openingBatch + `tick 9
 list 3 1
--- a/internal/simwire/requests.go
+++ b/internal/simwire/requests.go
@@ -35,7 +35,7 @@
 	return request, nil
 }
 
-// outcome decodes the end of an attempt.
+// outcome decodes the outcome of an attempt.
 func (v *vocabulary) outcome(f *fields) (routing.Outcome, error) {
 	outcome := routing.Outcome{Request: f.id()}
 	positionAndRole := int64(f.number()) // four times the position, plus the role
@@ -69,7 +69,7 @@
 	return result, err
 }
 
-// report decodes a load report, whose columns the settings name.
+// report decodes a load report. The settings name its columns.
 func (v *vocabulary) report(text string) (routing.Report, error) {
 	var report routing.Report
 	if text == "" {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// settings are the raw values of an instance by their paths. They keep the first error in err.
+// settings are the raw settings of an instance by their paths. The first error is stored in err.
 type settings struct {
 	values map[string]string
 	err    error
@@ -29,9 +29,9 @@
 	return s, nil
 }
 
-// SettingError reports a setting that can't be used, and what an operator can do.
+// SettingError reports a setting that is missing or invalid, and what an operator can do.
 type SettingError struct {
-	Path  string // as in the simulator's protocol; the names of nested objects are joined by dots
+	Path  string // as in the simulator's protocol, where the names of nested objects are joined by dots
 	Value string // as it was given; empty if it is missing
 	Needs string // what it has to be
 }
@@ -45,15 +45,15 @@
 	return fmt.Sprintf("setting %s %s: it has to be %s; correct it where the settings stand and start again", e.Path, given, e.Needs)
 }
 
-// Bounds of settings: values beyond them are taken for mistakes.
+// Bounds of settings. Values beyond them are rejected as mistakes.
 const (
 	maxSeconds             = 24 * 60 * 60.0
 	maxCount               = 1e6
 	maxNumber              = 1e9
-	maxPositionZeroSeconds = 4e9 // Unix time is well within
+	maxPositionZeroSeconds = 4e9 // the current Unix time is well below it
 )
 
-// fail keeps the first error.
+// fail stores an error in err unless there already is one.
 func (s *settings) fail(path, needs string) {
 	if s.err == nil {
 		s.err = &SettingError{Path: path, Value: s.values[path], Needs: needs}
@@ -134,7 +134,7 @@
 	return strings.Split(s.values[path], ",")
 }
 
-// word returns the value that a setting's word stands for. The empty word stands for a setting that is not given.
+// word returns the value for a setting's word. The empty word is the word of a setting that is not given.
 func word[T any](s *settings, path string, valueByWord map[string]T) T {
 	value, ok := valueByWord[s.values[path]]
 	if !ok {
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -11,7 +11,7 @@
 	"cranegate/routing"
 )
 
-// Writer writes replies. Errors are kept until End.
+// Writer writes replies. Only End returns an error.
 type Writer struct{ out *bufio.Writer }
 
 // NewWriter returns a Writer to out.
@@ -50,40 +50,40 @@
 	a.Writer.line(message, a.Instance, values...)
 }
 
-// Send writes the beginning of an attempt. In this protocol an attempt begins at once.
+// Send writes the start of an attempt. In this protocol an attempt starts at once.
 func (a *Actions) Send(request uint64, member string, abandonAt, _ time.Duration) {
 	a.write(messageSend, formatID(request), formatSeconds(abandonAt), member)
 }
 
-// Cancel writes the end of an attempt.
+// Cancel writes the cancellation of an attempt.
 func (a *Actions) Cancel(request uint64, attempt int) {
 	a.write(messageCancel, formatID(request), strconv.Itoa(attempt))
 }
 
-// Reject writes a final answer that promises that nothing ran.
+// Reject writes a final answer which guarantees that the request did not run.
 func (a *Actions) Reject(request uint64, retryAfter time.Duration, _ routing.Reason) {
 	a.write(messageReject, formatID(request), formatSeconds(retryAfter))
 }
 
-// Fail writes a final answer that promises nothing.
+// Fail writes a final answer that does not say whether the request ran.
 func (a *Actions) Fail(request uint64, _ routing.Reason) {
 	a.write(messageFail, formatID(request))
 }
 
-// CloseIdle writes that idle connections to a member are closed.
+// CloseIdle writes that the idle connections to a member are closed.
 func (a *Actions) CloseIdle(member string) { a.write(messageCloseIdle, member) }
 
-// CheckHealth writes a health check.
+// CheckHealth writes the start of a health check.
 func (a *Actions) CheckHealth(member string, _ routing.ConnPolicy) {
 	a.write(messageCheckHealth, member)
 }
 
-// SetTimer writes a timer.
+// SetTimer writes the start of a timer.
 func (a *Actions) SetTimer(after time.Duration, name string) {
 	a.write(messageSetTimer, formatSeconds(after), name)
 }
 
-// Subscribe writes whether changes of the endpoint list are wanted.
+// Subscribe writes whether the instance subscribes to changes of the endpoint list.
 func (a *Actions) Subscribe(on bool) {
 	value := "0"
 	if on {
@@ -92,7 +92,7 @@
 	a.write(messageSubscribe, value)
 }
 
-// FetchEndpoints writes that the endpoint list is wanted once.
+// FetchEndpoints writes a request for the endpoint list.
 func (a *Actions) FetchEndpoints() { a.write(messageFetchEndpoints) }
 
 // ZoneChanged writes a zone's change as a line of the log.
