--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,7 +1,7 @@
-// Package admin is the HTTP/1.1 server by which staff, their tools and load balancers ask whether the gateway is ready, detach and
+// Package admin is the HTTP/1.1 server with which staff, their tools and load balancers check whether the gateway is ready, detach and
 // attach database hosts, and drain its clients.
 //
-// A call is answered with 2xx once what it asks for holds, else with 4xx or 5xx and a line that says what can be done.
+// A call is answered with 2xx once its action has taken effect, otherwise with 4xx or 5xx and a line that says what can be done.
 package admin
 
 import (
@@ -16,18 +16,18 @@
 )
 
 const (
-	callTimeout    = 2 * time.Second        // to read a request, and from its header on to write the answer
+	callTimeout    = 2 * time.Second        // to read a request; also to write the answer, from the end of the header on
 	actionTimeout  = 800 * time.Millisecond // for an action to take effect; callers wait for 1 s
-	lingerTimeout  = 100 * time.Millisecond // for the rest of a request's body behind the answer
+	lingerTimeout  = 100 * time.Millisecond // to receive the rest of a request's body after the answer
 	maxHeaderBytes = 8 << 10                // net/http reads up to 4 KiB more
 )
 
-// Control is what the calls act on. Each method returns once what it asks for holds; an error means that it does not. A
-// method that takes a context returns soon after that ends, and may then leave it open whether its action holds.
+// Control is the part of the gateway that the calls act on. Each method returns nil once its action has taken effect, and an error if it
+// has not. A method with a context returns soon after the context ends. It may then be unknown whether its action has taken effect.
 type Control interface {
 	// Ready returns an error if this process can't serve. It does not block.
 	Ready() error
-	// Detach takes a database host out of use, Attach lets it serve again. The id is valid UTF-8 of 1 to 256 bytes.
+	// Detach takes a database host out of use. Attach lets it serve again. The id is valid UTF-8 of 1 to 256 bytes.
 	Detach(ctx context.Context, id string) error
 	Attach(ctx context.Context, id string) error
 	// Lameduck drains the clients, or accepts clients again.
@@ -44,8 +44,8 @@
 	http     http.Server
 }
 
-// New returns a server for the calls and for pages, by their paths. Servers of the same control share its serializer. The server
-// serves maxConns connections at once, and may hold one more that waits for a slot.
+// New returns a server for the calls on c and for pages, which are given by their paths. Servers with the same Control share a
+// serializer. The server serves maxConns connections at once, and may hold one more that waits for a slot.
 func New(c Control, serializer *Serializer, pages map[string]Page, maxConns int) *Server {
 	lameduck := func(on bool) route {
 		key := func(string) string { return "lameduck" }
@@ -64,8 +64,8 @@
 	return newServer(routes, maxConns)
 }
 
-// NewHealth returns a server for load balancers: the page health, which gives a line and an error while clients should go elsewhere,
-// under /health and /, and the counters as text under /counters.
+// NewHealth returns a server for load balancers. It serves the page health under /health and /, and the counters as text under
+// /counters. The page health returns an error while clients should connect to another gateway.
 func NewHealth(health, counters Page, maxConns int) *Server {
 	const methods = "GET, HEAD, OPTIONS"
 	return newServer(map[string]route{
@@ -88,11 +88,11 @@
 			return context.WithValue(ctx, slotKey{}, c)
 		},
 	}
-	s.http.SetKeepAlivesEnabled(false) // one call to a connection
+	s.http.SetKeepAlivesEnabled(false) // one call per connection
 	return s
 }
 
-// Run answers calls until the context ends, and closes the listener. Calls that are being answered then are cut off.
+// Run answers calls until the context ends, and closes the listener. Calls that are in progress then are aborted.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
 	defer context.AfterFunc(ctx, func() { s.http.Close() })()
 	err := s.http.Serve(newLimiter(ctx, l, s.maxConns))
@@ -102,7 +102,7 @@
 	return err
 }
 
-// errorLogWriter logs the HTTP server's own errors. It is not slog.NewLogLogger, which would put the server's text in place of the
+// errorLogWriter logs the HTTP server's own errors. slog.NewLogLogger can't be used, because it would log the server's text as the
 // event's name.
 type errorLogWriter struct{}
 
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeControl records calls.
+// fakeControl is a Control that records calls.
 type fakeControl struct {
 	mu    sync.Mutex
 	calls []string
@@ -137,7 +137,8 @@
 		calls := strings.Join(control.calls, ",")
 		if r.StatusCode != c.status || calls != c.calls || !r.Close || !strings.Contains(text, c.body) ||
 			(r.StatusCode == 405) != (r.Header.Get("Allow") != "") {
-			t.Errorf("%s %s: %d %q after %q, want %d after %q, and the connection's end", c.method, c.path, r.StatusCode, text, calls, c.status, c.calls)
+			t.Errorf("%s %s: status %d, body %q, recorded calls %q; want %d, recorded calls %q and a closed connection", c.method, c.path,
+				r.StatusCode, text, calls, c.status, c.calls)
 		}
 	}
 }
@@ -177,7 +178,7 @@
 	}
 }
 
-// TestConcurrentContradictions makes calls that contradict each other at once: the state is that of the call which was answered last.
+// TestConcurrentContradictions makes two contradictory calls at once. The call that was answered last must be in effect.
 func TestConcurrentContradictions(t *testing.T) {
 	var mu sync.Mutex
 	state := map[string]string{} // the last action, by host
@@ -210,14 +211,14 @@
 		}
 		interval := answeredAt[1].Sub(answeredAt[0]).Abs()
 		if state[host] != want && interval > 50*time.Millisecond {
-			t.Errorf("%s holds; %s was answered %v later", state[host], want, interval)
+			t.Errorf("%s is in effect, but %s was answered %v later", state[host], want, interval)
 		}
 		mu.Unlock()
 	}
 }
 
-// TestActionTimeout has an action go on beyond its time: its caller gets ErrTimeout, as does the next on the same host until the action
-// has ended, and a call on another host is answered at once.
+// TestActionTimeout has an action exceed its timeout. Its caller gets ErrTimeout, and so does the next caller for the same host until the
+// action has ended. A call for another host is answered at once.
 func TestActionTimeout(t *testing.T) {
 	resume := make(chan struct{})
 	address := startServer(t, &fakeControl{act: func(_ context.Context, call string) error {
@@ -246,8 +247,8 @@
 	}
 }
 
-// TestInnerTimeoutError has an action fail in time, by a shorter timeout of its own: the caller gets that error's text, which tells what can be done, and not
-// ErrTimeout.
+// TestInnerTimeoutError has an action fail by a shorter timeout of its own. The caller must get that error's text, which says what can
+// be done, and not ErrTimeout.
 func TestInnerTimeoutError(t *testing.T) {
 	inner := fmt.Errorf("the lock is held: %w", context.DeadlineExceeded)
 	address := startServer(t, &fakeControl{err: inner})
--- a/internal/admin/errors.go
+++ b/internal/admin/errors.go
@@ -10,8 +10,8 @@
 	"cranegate/internal/override"
 )
 
-// TimeoutError reports that an action did not take effect in the time it had. It may or may not hold, now or soon. The caller can
-// repeat the call: all calls are idempotent.
+// TimeoutError reports that an action did not take effect within its timeout. It may have taken effect since, or may still do so. The
+// caller can repeat the call, because all calls are idempotent.
 type TimeoutError struct{ Waited time.Duration }
 
 // ErrTimeout is the TimeoutError that callers get.
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("not done within %v: it may or may not hold; ask again, the call may be made twice", e.Waited)
 }
 
-// InvalidIDError reports that an id in a path can't be one of a database host. It must be UTF-8, escaped for a URL.
+// InvalidIDError reports that an id in a path can't be the id of a database host. An id must be UTF-8, escaped for a URL.
 type InvalidIDError struct{ ID string }
 
 // Error implements the error interface.
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("the id %.*q is not valid UTF-8; give it as discovery's list has it, escaped for a URL", maxIDBytes, e.ID)
 }
 
-// NotFoundError reports that there is no route at a path. Calls are the paths that there are.
+// NotFoundError reports that there is no route for a path. Calls lists the paths that have one.
 type NotFoundError struct{ Calls []string }
 
 // Error implements the error interface.
@@ -38,7 +38,7 @@
 	return "no such call; there are " + strings.Join(e.Calls, ", ")
 }
 
-// MethodError reports that a call does not allow the request's method. Allow has the methods that it does.
+// MethodError reports that a call does not allow the request's method. Allow lists the methods that are allowed.
 type MethodError struct{ Allow string }
 
 // Error implements the error interface.
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -15,9 +15,9 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	connSlot, ok := r.Context().Value(slotKey{}).(*slot)
 	if !ok || !connSlot.setPhase(phaseActing) {
-		panic(http.ErrAbortHandler) // the connection was evicted meanwhile: nothing is done
+		panic(http.ErrAbortHandler) // the connection was evicted before: nothing is done
 	}
-	// The action does not end with its caller, who may have closed its side.
+	// The context is not the request's: the action continues after the caller has closed its side of the connection.
 	ctx, cancel := context.WithTimeout(connSlot.limiter.ctx, actionTimeout)
 	defer cancel()
 	found, id, err := s.findRoute(r)
@@ -27,7 +27,7 @@
 		text, release, err = found.handle(ctx, id)
 		defer release()
 	}
-	// The text of a shorter wait within the action, if that is what ended it, says more than ErrTimeout.
+	// The error of a shorter timeout within the action is not replaced: its text says more than ErrTimeout.
 	if err == context.DeadlineExceeded || ctx.Err() != nil && errors.Is(err, context.DeadlineExceeded) {
 		err = ErrTimeout
 	}
--- a/internal/admin/limiter.go
+++ b/internal/admin/limiter.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// limiter is a listener that holds a bounded number of connections. While it is full, new ones wait in the system's
-// queue. They are accepted as calls end, or as callers that don't finish are evicted, the one whose grace period ended first.
+// limiter is a listener with a bounded number of connections. While all slots are in use, new connections wait in the system's queue.
+// They are accepted when calls end, or when callers that don't finish their call are evicted. The caller whose grace period ended first
+// is evicted first.
 type limiter struct {
 	net.Listener
 	ctx      context.Context // of all actions
 	maxSlots int
-	freed    chan struct{} // has room for one value: a slot was released
+	freed    chan struct{} // signals that a slot was released; has a capacity of one
 
 	mu    sync.Mutex
 	slots map[*slot]struct{}
@@ -48,7 +49,7 @@
 	}
 }
 
-// tryAcquire gives a connection a slot. Where all are taken it evicts a connection, which the caller has to close; if none may be
+// tryAcquire gives a connection a slot. If all are in use, it evicts a connection, which the caller has to close. If none may be
 // evicted yet, it returns how long to wait before the next try.
 func (l *limiter) tryAcquire(s *slot, now time.Time) (evicted *slot, wait time.Duration) {
 	l.mu.Lock()
@@ -56,7 +57,7 @@
 	if len(l.slots) >= l.maxSlots {
 		candidate, at := l.evictionCandidate(now)
 		if candidate == nil {
-			return nil, readGrace // or until one is freed
+			return nil, readGrace // or until a slot is released
 		}
 		if at.After(now) {
 			return nil, at.Sub(now)
@@ -70,8 +71,9 @@
 	return evicted, 0
 }
 
-// evictionCandidate returns the connection that may be evicted first, and from when on. While a caller delays the end of its answer, those
-// whose header has not come get contentionGrace more: a caller that has its answer is evicted before them.
+// evictionCandidate returns the connection that may be evicted first, and the time from which on it may be. While a caller delays the
+// end of its answer, connections without a complete header get contentionGrace more, so that a caller which has its answer is evicted
+// before them.
 func (l *limiter) evictionCandidate(now time.Time) (candidate *slot, at time.Time) {
 	consider := func(s *slot, evictableAt time.Time) {
 		if candidate == nil || evictableAt.Before(at) {
@@ -95,7 +97,7 @@
 	return candidate, at
 }
 
-// release takes back the slot of a closed connection.
+// release frees the slot of a closed connection.
 func (l *limiter) release(s *slot) {
 	l.mu.Lock()
 	s.phase = phaseClosed
--- a/internal/admin/route.go
+++ b/internal/admin/route.go
@@ -14,11 +14,11 @@
 // maxIDBytes bounds a database host's id.
 const maxIDBytes = 256
 
-// route is what answers the requests to one path.
+// route answers the requests to one path.
 type route struct {
 	methods string // as in an Allow header
-	takesID bool   // the path ends with an id behind the route's own
-	// handle acts and returns the text of a successful answer. The caller calls release once the answer is on its way.
+	takesID bool   // an id follows the route's path
+	// handle performs the call and returns the text of a successful answer. The caller calls release once it has written the answer.
 	handle func(ctx context.Context, id string) (text string, release func(), err error)
 }
 
@@ -30,7 +30,7 @@
 	}}
 }
 
-// actionRoute returns the route of an action. Actions with the same key follow each other.
+// actionRoute returns the route of an action. Actions with the same key run one at a time.
 func actionRoute(serializer *Serializer, key func(id string) string, action func(ctx context.Context, id string) error) route {
 	return route{methods: "POST", handle: func(ctx context.Context, id string) (string, func(), error) {
 		release, err := serializer.do(ctx, key(id), func() error { return action(ctx, id) })
@@ -38,7 +38,7 @@
 	}}
 }
 
-// hostRoute returns the route of an action on a database host, whose id ends the path.
+// hostRoute returns the route of an action on a database host. The path ends with the host's id.
 func hostRoute(serializer *Serializer, action func(ctx context.Context, id string) error) route {
 	r := actionRoute(serializer, func(id string) string { return "host " + id }, action)
 	r.takesID = true
--- a/internal/admin/serializer.go
+++ b/internal/admin/serializer.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// maxActions bounds the actions at once, with those that outlast their calls.
+// maxActions bounds the actions that run or wait at once, including those that outlast their calls.
 const maxActions = 64
 
-// Serializer runs actions with the same key one after the other, so that of two successful actions the one that was answered later is the
-// one that holds. Servers with the same Control share one. The zero value is ready to use.
+// Serializer runs actions with the same key one at a time. Of two successful actions, the one that was answered later is therefore in
+// effect. Servers with the same Control share a Serializer. The zero value is ready to use.
 type Serializer struct {
 	mu      sync.Mutex
 	actions int
@@ -18,13 +18,13 @@
 
 // keyLock is the lock of one key. It exists while an action runs or waits.
 type keyLock struct {
-	held  chan struct{} // has room for one value, which is in it while the lock is held
+	held  chan struct{} // has a capacity of one, and is full while the lock is held
 	users int           // actions that run or wait
 }
 
 // do runs an action under the lock of its key. It returns ErrTimeout if the context ends first, or if there are maxActions already.
-// Otherwise the lock is held until the caller calls release, behind its answer. An action that goes on beyond the context's end
-// holds the lock until it returns.
+// Otherwise the lock is held until the caller calls release, after its answer. An action that outlasts the context holds the lock until
+// it returns.
 func (s *Serializer) do(ctx context.Context, key string, action func() error) (release func(), err error) {
 	unlock, ok := s.acquire(ctx, key)
 	if !ok {
@@ -82,7 +82,7 @@
 	return lock, true
 }
 
-// unregister ends what register began.
+// unregister reverts register, and removes a lock without users.
 func (s *Serializer) unregister(key string, lock *keyLock) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/admin/slot.go
+++ b/internal/admin/slot.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Grace periods, for which a caller is sure of its slot. After them it is evicted if another needs the slot. A caller whose action runs
-// is not evicted.
+// Grace periods during which a caller can't be evicted. After them it is evicted if another caller needs the slot. A caller whose action
+// is running is not evicted.
 const (
-	readGrace       = 20 * time.Millisecond  // to send the request's header, and the rest of the body behind the answer
-	unreadGrace     = 500 * time.Millisecond // for the header, while this process, on part of a core, has not yet read what has come
-	contentionGrace = 250 * time.Millisecond // for the header, on top, while other callers delay the end of their answers
-	writeGrace      = 30 * time.Millisecond  // to take what of its answer the system's buffers do not
+	readGrace       = 20 * time.Millisecond  // to send the request's header; also to send the rest of the body after the answer
+	unreadGrace     = 500 * time.Millisecond // for the header, while bytes have arrived that this process, on part of a core, has not read yet
+	contentionGrace = 250 * time.Millisecond // added for the header while other callers delay the end of their answers
+	writeGrace      = 30 * time.Millisecond  // to read the part of the answer that the system's buffers can't hold
 )
 
-// socketBufferBytes is what a socket takes without its peer reading: the send buffer of one on which nothing was sent is larger.
+// socketBufferBytes is a number of bytes that a new socket accepts before its peer reads any. The send buffer of such a socket is larger.
 const socketBufferBytes = 8 << 10
 
-// slotPhase is how far the call on a connection is.
+// slotPhase is the phase of the call on a connection.
 type slotPhase int
 
 const (
@@ -44,8 +44,8 @@
 	writingSince atomic.Int64 // when a long Write began, in Unix ns; 0 if none runs
 }
 
-// Read marks the slot while the server waits for the caller. A read of one byte is net/http's own, by which it watches for the caller's
-// end once the header is complete, a little before the handler runs.
+// Read marks the slot while the server waits for the caller. It does not mark it for a read of one byte: with such a read net/http
+// detects that the caller disconnects. The read begins once the header is complete, shortly before the handler runs.
 func (s *slot) Read(b []byte) (int, error) {
 	if len(b) > 1 {
 		s.reading.Store(true)
@@ -54,7 +54,7 @@
 	return s.Conn.Read(b)
 }
 
-// Write marks the slot likewise, where the system's buffers may not take b at once.
+// Write marks the slot while it writes more than the system's buffers may accept at once.
 func (s *slot) Write(b []byte) (int, error) {
 	if len(b) > socketBufferBytes {
 		s.writingSince.Store(time.Now().UnixNano())
@@ -63,7 +63,7 @@
 	return s.Conn.Write(b)
 }
 
-// setPhase goes on to a phase. It reports false if the connection is closed or was evicted.
+// setPhase changes the slot's phase. It reports false if the connection is closed or was evicted.
 func (s *slot) setPhase(phase slotPhase) bool {
 	s.limiter.mu.Lock()
 	defer s.limiter.mu.Unlock()
@@ -82,7 +82,7 @@
 	return err
 }
 
-// CloseWrite ends this side's stream, after which net/http discards what the other side has still sent.
+// CloseWrite closes the sending side of the connection. net/http then discards what the caller still sends.
 func (s *slot) CloseWrite() error {
 	if c, ok := s.Conn.(interface{ CloseWrite() error }); ok {
 		return c.CloseWrite()
@@ -90,8 +90,8 @@
 	return net.ErrClosed
 }
 
-// evictableAt returns from when on the connection may be evicted. It is zero while it is this process that is waited for. The caller
-// holds limiter.mu.
+// evictableAt returns the time from which on the connection may be evicted. It is zero while the call waits for this process and not for
+// the caller. limiter.mu must be held.
 func (s *slot) evictableAt(now time.Time) time.Time {
 	switch s.phase {
 	case phaseReading:
@@ -113,7 +113,7 @@
 	return time.Time{}
 }
 
-// hasUnread reports whether bytes have come that this process has not read.
+// hasUnread reports whether bytes have arrived that this process has not read.
 func (s *slot) hasUnread() (unread bool) {
 	c, ok := s.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/admin/stalled_test.go
+++ b/internal/admin/stalled_test.go
@@ -12,7 +12,7 @@
 
 const (
 	stalledCallers = 50                      // at once
-	maxAnswerTime  = 1900 * time.Millisecond // without evictions it is callTimeout or more
+	maxAnswerTime  = 1900 * time.Millisecond // without evictions an answer takes callTimeout or more
 	actionDuration = 300 * time.Millisecond
 )
 
@@ -50,8 +50,8 @@
 	}
 }
 
-// stall connects and sends the beginning of a call, and one byte at a time behind it if trickle is set. When its connection ends it connects
-// again, until the context ends.
+// stall connects and sends the beginning of a call. If trickle is set, it then sends one byte at a time. When its connection ends, it
+// connects again, until the context ends.
 func stall(ctx context.Context, address, beginning string, trickle bool) {
 	for ctx.Err() == nil {
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestStalledCallers has more callers than there are slots connect and not finish their calls, again and again: other callers still get
-// their answers in time.
+// TestStalledCallers has more callers than there are slots connect again and again without finishing their calls. Other callers must
+// still be answered within maxAnswerTime.
 func TestStalledCallers(t *testing.T) {
 	for _, c := range []struct {
 		name, beginning string
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestFlood has many more callers than there are slots make calls while an action runs: all calls succeed.
+// TestFlood has many more callers than there are slots make calls while an action runs. All calls must succeed within maxAnswerTime.
 func TestFlood(t *testing.T) {
 	address := startServer(t, &fakeControl{act: func(_ context.Context, call string) error {
 		if call == "lameduck true" {
