--- a/internal/agentcheck/agentcheck.go
+++ b/internal/agentcheck/agentcheck.go
@@ -1,5 +1,5 @@
-// Package agentcheck tells load balancers the state of this gateway, by a line for health checks and by HAProxy's agent-check protocol
-// over TCP.
+// Package agentcheck reports the state of this gateway to load balancers, as a line for health checks and by HAProxy's agent-check
+// protocol over TCP.
 package agentcheck
 
 import (
@@ -17,7 +17,7 @@
 const (
 	checkTimeout        = time.Second
 	lingerTimeout       = checkTimeout / 10
-	maxLingerReads      = 64 // of what a balancer still sends
+	maxLingerReads      = 64 // reads of what a load balancer still sends
 	maxConcurrentChecks = 11 // one more connection may wait for its check to begin
 	acceptRetryDelay    = 10 * time.Millisecond
 )
@@ -32,7 +32,7 @@
 	Draining // no new clients; those that are connected are still served
 )
 
-// NotReadyError reports that clients should go elsewhere: the gateway has not started yet, or has begun to stop.
+// NotReadyError reports that clients should connect to another gateway: this one has not started yet, or has begun to stop.
 type NotReadyError struct{ State State }
 
 // Error implements the error interface.
@@ -46,7 +46,8 @@
 // Status is the state, shared by all checks. All methods may be called from any goroutine.
 type Status struct {
 	state atomic.Int32
-	// Free returns the share of client connections that is still free, 0 to 1. If it is nil all are. Set it before the first check.
+	// Free returns the share of client connections that is still free, 0 to 1. If Free is nil, all are free. Set it before the first
+	// check.
 	Free func() float64
 }
 
@@ -71,7 +72,7 @@
 	return "down\n"
 }
 
-// Health returns a line for a health check, or a NotReadyError while clients should go elsewhere.
+// Health returns a line for a health check, or a NotReadyError while clients should connect to another gateway.
 func (s *Status) Health() (string, error) {
 	if state := s.State(); state != Ready {
 		return "", NotReadyError{state}
@@ -79,7 +80,7 @@
 	return "ready\n", nil
 }
 
-// ServeAgent answers agent-checks until the context ends, and closes the listener. It ignores what the balancer sends.
+// ServeAgent answers agent-checks until the context ends, and closes the listener. It ignores what a load balancer sends.
 func ServeAgent(ctx context.Context, l net.Listener, s *Status) error {
 	defer context.AfterFunc(ctx, func() { l.Close() })()
 	var group errgroup.Group
@@ -111,7 +112,7 @@
 	linger(conn)
 }
 
-// linger reads what the balancer has still sent: a close with unread bytes would reset the connection and lose the answer.
+// linger reads what the load balancer still sends: a close with unread bytes would reset the connection and lose the answer.
 func linger(conn net.Conn) {
 	halfCloser, ok := conn.(interface{ CloseWrite() error })
 	if !ok || halfCloser.CloseWrite() != nil {
--- a/internal/agentcheck/agentcheck_test.go
+++ b/internal/agentcheck/agentcheck_test.go
@@ -30,7 +30,7 @@
 
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// TestAgentLineByState checks the line that HAProxy gets in each state, whatever it sends, and the line for health checks.
+// TestAgentLineByState checks the line that HAProxy gets in each state, with and without input from it, and the line for health checks.
 func TestAgentLineByState(t *testing.T) {
 	free := 0.42
 	s := &Status{Free: func() float64 { return free }}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,9 +1,9 @@
 // Package invariant checks at run time the rules that no path of the gateway may break, and counts violations.
 //
 // There is one check for each rule: Send for an attempt's first byte, Repeat for further attempts of one request, Close for the
-// end of a client's connection, Start for listeners and hosts that have just started. A check runs where the gateway acts.
-// It gets the state at that instant as arguments, keeps a record of its own, and shares no state with the code that enforces the rule. It
-// changes nothing: a violation is counted and logged with the request's id and the reason, and the gateway goes on.
+// end of a client's connection, Start for listeners and hosts that have just started. A check runs at the place where the gateway acts.
+// It gets the state at that instant as arguments, keeps its own record, and shares no state with the code that enforces the rule. It
+// does not change what the gateway does: a violation is only counted, and logged with the request's id and the reason.
 package invariant
 
 import (
@@ -25,17 +25,17 @@
 	Start  Rule = "start"  // no client is served before an endpoint list is known, no host in slow start gets more than its budget
 )
 
-// Reason says what was violated.
+// Reason says how a rule was violated.
 type Reason string
 
-// The reasons, by rule. None stands for no violation. Their values are those that the operators' pages name.
+// The reasons, by rule. None means that no rule was violated. The values are the names in the operators' pages.
 const (
 	None Reason = ""
 
 	// Reasons of Send.
-	HostWithdrawn      Reason = "host_withdrawn" // the host has been draining or removed for longer than Grace
-	RequestEnded       Reason = "request_ended"  // the request has had its final answer
-	ClientDisconnected Reason = "client_gone"    // the client disconnected longer ago than RemovedGrace
+	HostWithdrawn      Reason = "host_withdrawn" // the host has been draining or removed for longer than DrainGrace
+	RequestEnded       Reason = "request_ended"  // the request already has its final answer
+	ClientDisconnected Reason = "client_gone"    // the client disconnected longer ago than DisconnectGrace
 	PastDeadline       Reason = "past_deadline"  // the client's deadline has passed
 	PastLatestStart    Reason = "past_latest"    // the attempt should have begun earlier, or not at all
 
@@ -56,9 +56,9 @@
 
 // The tolerances of the rules.
 const (
-	Grace        = 250 * time.Millisecond // after a drain was notified
-	RemovedGrace = 100 * time.Millisecond // after a client closed its connection
-	Stall        = 150 * time.Millisecond // for which the process may be suspended between reading its clock and writing
+	DrainGrace      = 250 * time.Millisecond // for attempts after their host was notified to be draining or removed
+	DisconnectGrace = 100 * time.Millisecond // for attempts after their client closed its connection
+	SuspensionGrace = 150 * time.Millisecond // for a suspension of the process between reading its clock and writing
 )
 
 // Violation is one violation of a rule.
@@ -67,7 +67,7 @@
 	Reason  Reason
 	Request string        // the client's id of the request, empty if there is none
 	Host    string        // empty if no host is concerned
-	By      time.Duration // by how much, where the rule is about time
+	By      time.Duration // by how much a time limit was exceeded; 0 if the reason is not a time limit
 }
 
 // Monitor counts and logs violations. A nil Monitor does nothing. It is safe for use by several goroutines at once.
@@ -75,7 +75,7 @@
 	Counters *metrics.Counters
 }
 
-// Report counts and logs a violation. One with the reason None is ignored.
+// Report counts and logs a violation. It ignores a violation with the reason None.
 func (m *Monitor) Report(v Violation) {
 	if m == nil || v.Reason == None {
 		return
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -10,10 +10,10 @@
 
 const ms = time.Millisecond
 
-// written reports that an attempt was written.
+// written is a write function for Ledger.Begin that reports that an attempt was written.
 func written() bool { return true }
 
-// TestCheckSend checks each bound just kept and just exceeded.
+// TestCheckSend checks each time limit when it is just met and when it is just exceeded.
 func TestCheckSend(t *testing.T) {
 	const now = 10 * time.Second
 	for name, c := range map[string]struct {
@@ -22,13 +22,13 @@
 	}{
 		"in order":                     {Attempt{Now: now, Deadline: now}, None},
 		"answered":                     {Attempt{Now: now, Deadline: now, Answered: true}, RequestEnded},
-		"drained just now":             {Attempt{Now: now, Deadline: now, WithdrawnAt: now - Grace}, None},
-		"drained":                      {Attempt{Now: now, Deadline: now, WithdrawnAt: now - Grace - ms}, HostWithdrawn},
-		"client disconnected just now": {Attempt{Now: now, Deadline: now, DisconnectedAt: now - RemovedGrace}, None},
-		"client disconnected":          {Attempt{Now: now, Deadline: now, DisconnectedAt: now - RemovedGrace - ms}, ClientDisconnected},
-		"suspended":                    {Attempt{Now: now, Deadline: now - Stall, LatestStart: now - Stall}, None},
-		"past its latest start":        {Attempt{Now: now, Deadline: now, LatestStart: now - Stall - ms}, PastLatestStart},
-		"past its deadline":            {Attempt{Now: now, Deadline: now - Stall - ms}, PastDeadline},
+		"drained just now":             {Attempt{Now: now, Deadline: now, WithdrawnAt: now - DrainGrace}, None},
+		"drained":                      {Attempt{Now: now, Deadline: now, WithdrawnAt: now - DrainGrace - ms}, HostWithdrawn},
+		"client disconnected just now": {Attempt{Now: now, Deadline: now, DisconnectedAt: now - DisconnectGrace}, None},
+		"client disconnected":          {Attempt{Now: now, Deadline: now, DisconnectedAt: now - DisconnectGrace - ms}, ClientDisconnected},
+		"suspended":                    {Attempt{Now: now, Deadline: now - SuspensionGrace, LatestStart: now - SuspensionGrace}, None},
+		"past its latest start":        {Attempt{Now: now, Deadline: now, LatestStart: now - SuspensionGrace - ms}, PastLatestStart},
+		"past its deadline":            {Attempt{Now: now, Deadline: now - SuspensionGrace - ms}, PastDeadline},
 	} {
 		if got, _ := CheckSend(c.a); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
@@ -53,8 +53,8 @@
 		{"once, reset", routing.NonIdempotent, false, true, routing.ResultReset, ms, DuplicateRun},
 		{"once, timed out", routing.NonIdempotent, true, true, routing.ResultTimeout, ms, DuplicateRun},
 		{"once, in flight", routing.NonIdempotent, true, false, 0, ms, DuplicateRun},
-		{"keyed, within its TTL", routing.IdempotentByKey, false, true, routing.ResultReset, ttl + Stall, None},
-		{"keyed, past its TTL", routing.IdempotentByKey, false, true, routing.ResultReset, ttl + Stall + ms, IdempotencyExpired},
+		{"keyed, within its TTL", routing.IdempotentByKey, false, true, routing.ResultReset, ttl + SuspensionGrace, None},
+		{"keyed, past its TTL", routing.IdempotentByKey, false, true, routing.ResultReset, ttl + SuspensionGrace + ms, IdempotencyExpired},
 		{"keyed, missed before", routing.IdempotentByKey, false, true, routing.ResultMissed, 9 * ttl, None},
 		{"read, reset", routing.Idempotent, false, true, routing.ResultReset, 9 * ttl, None},
 		{"read, hedged", routing.Idempotent, true, false, 0, ms, None},
@@ -63,7 +63,7 @@
 		var l Ledger
 		limits := Limits{Effect: c.effect, IdempotencyTTL: ttl, AllowHedging: c.hedging, MaxAttempts: 2}
 		if got, _ := l.Begin(0, 0, limits, written); got != None {
-			t.Errorf("%s: the first: %q", c.name, got)
+			t.Errorf("%s: the first attempt violates %q", c.name, got)
 		}
 		if c.ends {
 			l.End(0, c.result)
@@ -74,12 +74,12 @@
 	}
 	var l Ledger
 	if _, written := l.Begin(7, 0, Limits{MaxAttempts: 1}, func() bool { return false }); written {
-		t.Error("recorded, though it was not written")
+		t.Error("an attempt that was not written is reported as written")
 	}
 	l.Begin(0, 0, Limits{MaxAttempts: 1}, written)
 	l.End(0, routing.ResultOverCapacity)
 	if got, _ := l.Begin(1, ms, Limits{MaxAttempts: 1}, written); got != TooManyAttempts {
-		t.Errorf("a second attempt of one allowed: %q", got)
+		t.Errorf("a second attempt where one is allowed: %q", got)
 	}
 }
 
--- a/internal/invariant/ledger.go
+++ b/internal/invariant/ledger.go
@@ -7,10 +7,10 @@
 	"cranegate/routing"
 )
 
-// Limits are what a request's class and the settings allow of further attempts.
+// Limits are the limits on further attempts of a request, from its class and the settings.
 type Limits struct {
 	Effect         routing.Effect
-	IdempotencyTTL time.Duration // for which hosts recognise an idempotency key, from the first attempt that may have run
+	IdempotencyTTL time.Duration // how long hosts recognise an idempotency key, from the first attempt that may have run
 	AllowHedging   bool          // several attempts may be in flight at once
 	MaxAttempts    int
 }
@@ -22,16 +22,16 @@
 	attempts []writtenAttempt
 }
 
-// writtenAttempt is one attempt.
+// writtenAttempt is the record of one attempt.
 type writtenAttempt struct {
 	number    int
 	startedAt time.Duration
 	inFlight  bool
-	harmless  bool // it ended, and is proven not to have run
+	notRun    bool // it has ended and provably did not run
 }
 
-// Begin calls write and records the attempt that it reports to be written from now on. It returns what the attempt violates. If write
-// reports false, nothing is recorded. An End of the attempt blocks until it is recorded.
+// Begin calls write and, if that reports true, records the attempt as written. It returns the reason why the attempt violates the rule
+// Repeat, or None. If write reports false, nothing is recorded. A concurrent End of the attempt blocks until the attempt is recorded.
 func (l *Ledger) Begin(number int, now time.Duration, limits Limits, write func() bool) (reason Reason, written bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,14 +43,14 @@
 	return reason, true
 }
 
-// check returns what one more attempt violates. The caller holds l.mu.
+// check returns the reason why one more attempt violates the rule Repeat, or None. l.mu must be held.
 func (l *Ledger) check(now time.Duration, limits Limits) Reason {
 	for _, earlier := range l.attempts {
 		switch {
-		case earlier.harmless:
+		case earlier.notRun:
 		case limits.Effect == routing.NonIdempotent:
 			return DuplicateRun
-		case limits.Effect == routing.IdempotentByKey && now-earlier.startedAt > limits.IdempotencyTTL+Stall:
+		case limits.Effect == routing.IdempotentByKey && now-earlier.startedAt > limits.IdempotencyTTL+SuspensionGrace:
 			return IdempotencyExpired
 		case earlier.inFlight && !limits.AllowHedging:
 			return AttemptsInFlight
@@ -69,13 +69,13 @@
 	for i := range l.attempts {
 		if l.attempts[i].number == number {
 			l.attempts[i].inFlight = false
-			l.attempts[i].harmless = Harmless(result)
+			l.attempts[i].notRun = ProvablyNotRun(result)
 		}
 	}
 }
 
-// Harmless reports whether an attempt with this result is proven not to have run.
-func Harmless(result routing.Result) bool {
+// ProvablyNotRun reports whether an attempt with this result provably did not run.
+func ProvablyNotRun(result routing.Result) bool {
 	switch result {
 	case routing.ResultOverCapacity, routing.ResultMissed, routing.ResultInvalidStatement, routing.ResultConnectFailed, routing.ResultNotSent:
 		return true
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
 // Package logging sets up the structured log: a line of key=value text for each record, with the event's name under the key "event".
 //
-// The level is Info, or what LevelVariable names: debug adds a line for each request, attempt and closed connection.
+// The level is Info unless LevelVariable names another one. Level debug adds a line for each request, attempt and closed connection.
 package logging
 
 import (
@@ -32,14 +32,14 @@
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level, ReplaceAttr: replaceAttr}))
 }
 
-// Use makes l the program's default logger. The caller may call undo to restore the one before.
+// Use makes l the program's default logger. The caller may call undo to restore the previous one.
 func Use(l *slog.Logger) (undo func()) {
 	previous := slog.Default()
 	slog.SetDefault(l)
 	return func() { slog.SetDefault(previous) }
 }
 
-// Debugs reports whether records of level Debug are logged. Callers check it before they gather attributes at some cost.
+// Debugs reports whether records of level Debug are logged. Callers check it before they compute attributes that take time.
 func Debugs() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
 
 // replaceAttr sets the key of messages and the layout of times.
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -24,7 +24,7 @@
 		t.Errorf("%q", out.String())
 	}
 	if Debugs() {
-		t.Error("debug lines by default")
+		t.Error("debug lines are logged by default")
 	}
 	for name, level := range map[string]slog.Level{"": slog.LevelInfo, "debug": slog.LevelDebug, "WARN": slog.LevelWarn, "loud": slog.LevelInfo} {
 		if got := Level(name); got != level {
@@ -33,7 +33,7 @@
 	}
 }
 
-// pausableWriter is a reader of the log that can stop.
+// pausableWriter is a writer whose writes block while it is paused, as if the reader of the log had stopped.
 type pausableWriter struct {
 	mu      sync.Mutex
 	resumed *sync.Cond
@@ -69,12 +69,13 @@
 	return w.out.String()
 }
 
-// TestSinkNeverBlocks stops the reader: writes don't block, all lines up to the bounds are kept in order, and those beyond are counted. Once
-// it reads again a line reports how many are missing. Flush waits no longer than its timeout.
+// TestSinkNeverBlocks pauses the underlying writer. Writes to the Sink must not block, lines up to the bounds are kept in order, and
+// further lines are counted as dropped. Once the writer resumes, a line reports how many were dropped. Flush waits no longer than its
+// timeout.
 func TestSinkNeverBlocks(t *testing.T) {
 	for name, c := range map[string]struct {
 		line  string
-		lines int // that fit
+		lines int // that fit into the queue
 	}{
 		"many lines":   {"short\n", maxLines},
 		"larger lines": {strings.Repeat("x", 1023) + "\n", maxBytes >> 10},
@@ -93,7 +94,7 @@
 				s.Write([]byte(c.line))
 			}
 			dropped := counters.Get(droppedCounter)
-			if dropped < 6 || dropped > 7 { // the first line may have been written by then or not
+			if dropped < 6 || dropped > 7 { // the first line may still be in the queue
 				t.Errorf("%d dropped", dropped)
 			}
 			out.setPaused(false)
--- a/internal/logging/sink.go
+++ b/internal/logging/sink.go
@@ -12,18 +12,18 @@
 	"cranegate/internal/metrics"
 )
 
-// Bounds of a Sink's queue. Beyond them lines are dropped and counted: callers that log may hold locks and must never wait for the
-// reader of the log.
+// Bounds of a Sink's queue. Lines beyond them are dropped and counted, because callers that log may hold locks and must never wait for
+// the reader of the log.
 const (
 	maxLines = 4096
 	maxBytes = 256 << 10
 )
 
-// droppedCounter is the counter, and the log event, of dropped lines.
+// droppedCounter is the name of the counter, and of the log event, for dropped lines.
 const droppedCounter = "log_lines_dropped"
 
-// Sink is a writer that never blocks. A goroutine of its own forwards what is written, in order. Where the other end does not accept
-// it, lines are queued up to a bound and dropped beyond that; once it does again, a line reports how many are missing.
+// Sink is a writer that never blocks. A separate goroutine forwards lines to the underlying writer in order. While that blocks, lines
+// are queued up to a bound, and further lines are dropped. Once it accepts lines again, a line reports how many were dropped.
 type Sink struct {
 	out io.Writer
 
@@ -33,22 +33,22 @@
 	dropped     int64 // since the last line that reported it
 	counters    *metrics.Counters
 	writing     bool          // the goroutine may be writing a line
-	wake        chan struct{} // has room for one value: there is something to write
-	idle        chan struct{} // closed once all is written; nil while no Flush waits
+	wake        chan struct{} // signals that lines are queued; has a capacity of one
+	idle        chan struct{} // closed once all lines are written; nil while no Flush waits
 }
 
-// NewSink returns a Sink that forwards to out. Its goroutine lives as long as the program.
+// NewSink returns a Sink that forwards to out. Its goroutine runs until the program ends.
 func NewSink(out io.Writer) *Sink {
 	s := &Sink{out: out, wake: make(chan struct{}, 1)}
 	go s.run()
 	return s
 }
 
-// IgnoreSIGPIPE keeps the process alive when the log is written to a pipe that nobody reads any more: the write fails instead. Call it at
-// the program's start.
+// IgnoreSIGPIPE ignores SIGPIPE, which would end the process when the log is written to a pipe that has no reader any more. The write
+// fails instead. Call it at the program's start.
 func IgnoreSIGPIPE() { signal.Ignore(syscall.SIGPIPE) }
 
-// Count sets the counters that count dropped lines from now on.
+// Count sets the counters in which later dropped lines are counted.
 func (s *Sink) Count(c *metrics.Counters) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +73,7 @@
 	return len(line), nil
 }
 
-// Flush waits until all that was written has been forwarded, or until the timeout.
+// Flush waits until all queued lines have been forwarded, or until the timeout.
 func (s *Sink) Flush(timeout time.Duration) {
 	idle := s.idleChannel()
 	if idle == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// idleChannel returns a channel that is closed once all is written, or nil if it is already.
+// idleChannel returns a channel that is closed once all lines are written, or nil if they already are.
 func (s *Sink) idleChannel() chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	return s.idle
 }
 
-// run forwards lines.
+// run forwards queued lines to the underlying writer.
 func (s *Sink) run() {
 	for range s.wake {
 		for line := s.nextLine(); line != nil; line = s.nextLine() {
@@ -107,8 +107,8 @@
 	}
 }
 
-// nextLine takes the oldest line from the queue. Behind the last it returns a line that reports how many were dropped, if any were, and then
-// nil.
+// nextLine removes the oldest line from the queue and returns it. If the queue is empty, it returns a line that reports how many lines
+// were dropped, if any were, and then nil.
 func (s *Sink) nextLine() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics has the gateway's counters, by name, and writes them as text and as a line of the log.
+// Package metrics holds the gateway's counters by name, and writes them as text and as a line of the log.
 package metrics
 
 import (
