--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -26,10 +26,10 @@
 
 // Times within which a change has to be notified, from docs/standing.md.
 const (
-	silentTimeout        = 6 * time.Second // after the watch stopped being answered
-	reachedTimeout       = 6 * time.Second // after discovery had the change and could be reached; this takes precedence over the others
-	waitTimeout          = 2 * time.Second // after the wait that a call asks for has passed
-	addressChangeTimeout = 4 * time.Second // after SIGHUP
+	silenceBound       = 6 * time.Second // after the watch stopped being answered
+	reachableBound     = 6 * time.Second // after discovery had the change and could be reached; this takes precedence over the others
+	answerBound        = 2 * time.Second // after the wait that a call asks for has passed
+	addressChangeBound = 4 * time.Second // after SIGHUP, with which an operator reloads the configuration
 )
 
 // testTimeout bounds the waits on real sockets. It allows for a busy machine.
--- a/internal/discovery/socket_test.go
+++ b/internal/discovery/socket_test.go
@@ -210,7 +210,7 @@
 }
 
 // TestTwoFailuresOnSockets has two consecutive calls fail on real sockets, mostly right after the first answer, and makes a change at
-// the first failure. The change must be notified within reachedTimeout. A busy machine may add half a second.
+// the first failure. The change must be notified within reachableBound. A busy machine may add half a second.
 func TestTwoFailuresOnSockets(t *testing.T) {
 	for _, behaviours := range [][]string{{"late silent", "silent"}, {"late body", "header"}, {"late silent", "reject"}, {"late reject", "silent"},
 		{"retry-after", "silent"}, {"late cut", "reject-late"}} {
@@ -239,7 +239,7 @@
 			changedAt := time.Now()
 			select {
 			case <-notified:
-				if took := time.Since(changedAt); took > reachedTimeout+500*time.Millisecond {
+				if took := time.Since(changedAt); took > reachableBound+500*time.Millisecond {
 					t.Errorf("notified after %v", took)
 				}
 			case <-time.After(testTimeout):
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -25,7 +25,7 @@
 					time.Sleep(firstWatchWait + time.Millisecond) // the second call has been made
 					a.setRev(3)
 				})
-				if at, ok := notifiedAt["r3"]; !ok || at > silentTimeout-100*time.Millisecond {
+				if at, ok := notifiedAt["r3"]; !ok || at > silenceBound-100*time.Millisecond {
 					t.Fatalf("%s, then %s, seed %d: notified %t after %v", silence, then, seed, ok, at)
 				}
 			}
@@ -37,7 +37,7 @@
 var failures = []string{"deaf", "silent", "header", "body", "trickle", "hang", "refuse", "reject", "reject-late", "retry-after", "cut", "slow silent", "slow reject-late"}
 
 // TestAnyTwoFailures makes a change right after an answer or at the first call, and has the next two calls fail, each in every way. The
-// agent has the change and counts as reachable all the time, so the change must still be notified within reachedTimeout.
+// agent has the change and counts as reachable all the time, so the change must still be notified within reachableBound.
 func TestAnyTwoFailures(t *testing.T) {
 	first := slices.Clone(failures)
 	for _, failure := range failures {
@@ -60,7 +60,7 @@
 				if at > worst {
 					worst, order = at, one+", then "+two
 				}
-				if !ok || at > reachedTimeout-100*time.Millisecond {
+				if !ok || at > reachableBound-100*time.Millisecond {
 					t.Fatalf("%s, then %s, seed %d: notified %t after %v", one, two, seed, ok, at)
 				}
 			}
@@ -82,9 +82,9 @@
 					time.Sleep(outage)
 					a.reset(2, then, "live")
 				})
-				limit := reachedTimeout - 100*time.Millisecond
+				limit := reachableBound - 100*time.Millisecond
 				if then == "live" && failure != "reject" && failure != "retry-after" && failure != "reject-late" {
-					limit = reachedTimeout - 2*time.Second
+					limit = reachableBound - 2*time.Second
 				}
 				if at, ok := notifiedAt["r2"]; !ok || at < outage || at > outage+limit {
 					t.Fatalf("%s, then %s, seed %d: notified %t after %v, with an outage of %v", failure, then, seed, ok, at, outage)
@@ -139,13 +139,13 @@
 			for seed := range uint64(5) {
 				const changeAt = 7 * time.Second
 				a := &fakeAgent{behaviours: []string{old}, rev: 2}
-				notifiedAt := runWatcher(t, a, 2, seed, changeAt+addressChangeTimeout, func(w *Watcher) {
+				notifiedAt := runWatcher(t, a, 2, seed, changeAt+addressChangeBound, func(w *Watcher) {
 					time.Sleep(changeAt)
 					a.reset(3, next, "live")
 					w.SetAddress("agent:2")
 				})
 				if _, ok := notifiedAt["r3"]; !ok {
-					t.Fatalf("from %s to %s, seed %d: not notified within %v", old, next, seed, addressChangeTimeout)
+					t.Fatalf("from %s to %s, seed %d: not notified within %v", old, next, seed, addressChangeBound)
 				}
 			}
 		}
@@ -189,7 +189,7 @@
 	if first != firstDelay {
 		t.Errorf("the first delay is %v", first)
 	}
-	if answerGrace > waitTimeout || firstCall > addressChangeTimeout-firstDelay-dialTimeout-second {
+	if answerGrace > answerBound || firstCall > addressChangeBound-firstDelay-dialTimeout-second {
 		t.Error("a call may be silent for longer than its wait and 2 s, or an address change take longer than 4 s")
 	}
 	const margin = 100 * time.Millisecond // for a busy machine
@@ -205,7 +205,7 @@
 		"a first list that goes silent":                              firstListTimeout + first + dialTimeout,
 	} {
 		t.Logf("%-60s %v", order, sum)
-		if sum > reachedTimeout-margin {
+		if sum > reachableBound-margin {
 			t.Errorf("%s: %v", order, sum)
 		}
 	}
