--- a/internal/backend/answer_test.go
+++ b/internal/backend/answer_test.go
@@ -12,9 +12,9 @@
 	"cranegate/internal/pgwire"
 )
 
-// TestHangsInTheRow has a host hang in the middle of the longest row that is buffered: its client gets an answer long before a
-// value that streams would be abandoned.
-func TestHangsInTheRow(t *testing.T) {
+// TestHostHangsInBufferedRow has a host hang in the middle of the longest row that is buffered. The client must get an answer long
+// before a streamed row would be abandoned.
+func TestHostHangsInBufferedRow(t *testing.T) {
 	const valueLength = 64 << 10
 	row := pgwire.Append(nil, 'T', "\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
 	head := len(row)
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -12,19 +12,20 @@
 // pooledConn is one open connection of a host's pool.
 type pooledConn struct {
 	conn     Conn
-	attempts chan *core.Attempt // holds one; the host gives the next only to an idle connection
+	attempts chan *core.Attempt // holds one at most; the host gives the next only to an idle connection
 	openedAt time.Time
 
 	// The host's actor alone uses these fields.
-	freedAt  time.Time // when it last came free; zero: it has been neither idle nor used
-	firstUse bool      // its attempt is the first, given to it as it was opened
+	freedAt  time.Time // when it last became free; zero: it has been neither idle nor used
+	firstUse bool      // its current attempt is its first, given to it as soon as it was open
 
 	// The connection's goroutine alone uses these fields.
 	uses       int
-	rejectedAt time.Time // when its first attempt was rejected; zero once another has followed
+	rejectedAt time.Time // when its first attempt was rejected; zero after another attempt
 }
 
-// openConn opens one connection and serves it until it ends. The connection belongs to the host, not to an attempt.
+// openConn opens one connection and runs attempts on it until it ends. The connection belongs to the host, not to the
+// attempt for which it is opened.
 func (h *host) openConn() {
 	ctx, cancel := context.WithTimeout(h.ctx, h.pool.options.ConnectTimeout)
 	defer cancel()
@@ -51,7 +52,7 @@
 	h.mailbox <- connClosed{c}
 }
 
-// connect opens a connection and makes it ready, all within the context.
+// connect opens a connection and runs the protocol's startup on it, both before the context ends.
 func (p *Pool) connect(ctx context.Context, address string) (Conn, error) {
 	raw, err := p.options.Connect(ctx, address)
 	if err != nil {
@@ -69,14 +70,14 @@
 	return conn, nil
 }
 
-// give hands an attempt over to the connection, which has none.
+// give hands an attempt to a connection that has none.
 func (c *pooledConn) give(a *core.Attempt) {
 	c.attempts <- a
 	c.conn.Wake()
 }
 
-// serve runs attempts until the connection ends, is closed by the host's actor, or has been idle for too long. An attempt
-// that is left in attempts then goes by another connection.
+// serve runs attempts until the connection ends, is closed by the host's actor, or has been idle for too long. The actor
+// gives an attempt that is still in c.attempts then to another connection.
 func (c *pooledConn) serve(h *host) {
 	defer func() {
 		if time.Since(c.rejectedAt) < reuseDelay {
@@ -110,7 +111,7 @@
 	outcome, inStep := c.conn.Exchange(a)
 	if !inStep && outcome.Result == routing.ResultNotSent {
 		if a.Waiting() {
-			c.attempts <- a // there is room: the host gives none to a connection that is not idle
+			c.attempts <- a // never blocks, as the host gives no attempt to a connection that is not idle
 		}
 		return false
 	}
@@ -122,13 +123,13 @@
 		a.Done(outcome)
 		return false
 	}
-	h.mailbox <- connFreed{c} // first, so that the core's next attempt finds it free
+	h.mailbox <- connFreed{c} // before Done, so that the core's next attempt finds the connection free
 	a.Done(outcome)
 	return true
 }
 
-// recordCapacity records whether the host had capacity for this connection, by the result of its first attempt. A host that
-// is short of connections rejects the attempt and closes the connection; one whose queue is full leaves it open.
+// recordCapacity records whether the host had capacity for this connection, as the result of its first attempt shows. A host
+// that is short of connections rejects the attempt and closes the connection; a host whose queue is full leaves it open.
 func (c *pooledConn) recordCapacity(h *host, result routing.Result) {
 	c.uses++
 	if c.uses == 1 && result == routing.ResultOverCapacity {
--- a/internal/backend/connect_test.go
+++ b/internal/backend/connect_test.go
@@ -16,10 +16,11 @@
 	"cranegate/internal/pgwire"
 )
 
-// connectControl lets a test decide on each connect of the pool.
+// connectControl lets a test decide on each connect of the pool. For each, the test gets a channel from connects: nil sent on
+// it lets the connect succeed, and an error fails it.
 type connectControl struct {
 	t        *testing.T
-	connects chan chan<- error // takes one for each connect; a nil sent to it lets the connect succeed, an error fails it
+	connects chan chan<- error
 }
 
 func newConnectControl(t *testing.T) *connectControl {
@@ -57,9 +58,9 @@
 	}()
 }
 
-// TestConnectFailsForAnother lets a request be served by a connection that comes free while its own is being opened; when that
-// one fails, the next request, whose own connection is being opened, does not fail with it.
-func TestConnectFailsForAnother(t *testing.T) {
+// TestFailedConnectOfServedRequest has a connection that becomes free take a request while another connection is being opened for
+// the request. If that connect then fails, the next request must not fail, as its own connection is still being opened.
+func TestFailedConnectOfServedRequest(t *testing.T) {
 	release := map[string]chan struct{}{"q0": make(chan struct{}), "q1": make(chan struct{})}
 	atHost := make(chan string, 10)
 	host := &fake.Host{Act: func(id, _ string, _ bool) fake.Act {
@@ -76,7 +77,7 @@
 	<-atHost
 	second := h.request("put", "q1")
 	failing := <-control.connects
-	time.Sleep(20 * time.Millisecond) // longer than newConnWait: now it takes any connection
+	time.Sleep(20 * time.Millisecond) // longer than newConnWait: now q1 takes any connection
 	close(release["q0"])
 	h.checkServed(h.wait(first), "q0")
 	<-atHost // q1, on the first connection
@@ -93,9 +94,9 @@
 	}
 }
 
-// TestOwnConnectIsOver lets a request's own connect fail while another's, whose client has disconnected, hangs: it must not wait
-// for that.
-func TestOwnConnectIsOver(t *testing.T) {
+// TestNoWaitForAnotherConnect has the connect for one request fail after the connect timeout, while the connect for another
+// request, whose client has disconnected, hangs. The first request must not wait for the second connect.
+func TestNoWaitForAnotherConnect(t *testing.T) {
 	control := newConnectControl(t)
 	h := newHarness(t, "postgres", &fake.Host{}, func(options *backend.Options) {
 		control.apply(options)
@@ -110,13 +111,13 @@
 	time.Sleep(300 * time.Millisecond)
 	failing <- errors.New("late")
 	waitFor(t, "it could not connect", func() bool { return h.counters.Get("attempts_not_connected") == 1 })
-	control.allowAll() // it is retried
+	control.allowAll() // the first request is retried
 	h.checkServed(h.wait(first), "q0")
 	hanging <- errors.New("late")
 }
 
-// TestLateConnect lets a connect succeed when the attempt that asked for it is over: nothing is written for that one, and
-// neither the connection nor its slot is lost.
+// TestLateConnect has a connect succeed after the end of the attempt for which it was started. Nothing must be written for
+// that attempt, and neither the connection nor its slot may be lost.
 func TestLateConnect(t *testing.T) {
 	control := newConnectControl(t)
 	h := newHarness(t, "postgres", &fake.Host{}, func(options *backend.Options) {
@@ -129,14 +130,14 @@
 	waitFor(t, "the client's disconnect is counted", func() bool { return h.counters.Get("clients_gone") == 1 })
 	late <- nil
 	waitFor(t, "the connection is open", func() bool { return h.counters.Get("server_connects") == 1 })
-	h.checkServes("put", "q1") // on that one, as there is no slot for another
+	h.checkServes("put", "q1") // on that connection, as there is no slot for another
 	if n := h.host.Ran("q0"); n != 0 || h.connCount() != 1 {
-		t.Errorf("the request that was over ran %d times, %d connections", n, h.connCount())
+		t.Errorf("the request whose client had disconnected ran %d times, %d connections", n, h.connCount())
 	}
 }
 
-// TestConnectAbandoned has a connect abandoned while it hangs, and succeed later all the same: the attempt never ran, the
-// connection is closed with nothing written for it, and its slot is free for the next.
+// TestConnectAbandoned has a connect hang past the connect timeout, and succeed later. The attempt must not run, the
+// connection must be closed without a write for the attempt, and its slot must be free for the next connection.
 func TestConnectAbandoned(t *testing.T) {
 	control := newConnectControl(t)
 	h := newHarness(t, "postgres", &fake.Host{}, func(options *backend.Options) {
@@ -153,12 +154,12 @@
 	control.allowAll()
 	h.checkServes("put", "q1")
 	if n := h.host.Ran("q0"); n != 0 {
-		t.Errorf("it ran %d times", n)
+		t.Errorf("q0 ran %d times", n)
 	}
 }
 
-// TestConnectFailsAtDeadline lets an attempt's deadline pass after its connect has failed and before the core has handled that: it
-// never ran, and its request is rejected.
+// TestConnectFailsAtDeadline has an attempt's deadline pass after its connect has failed and before the core has handled the
+// failure. The attempt never ran, so its request must be rejected.
 func TestConnectFailsAtDeadline(t *testing.T) {
 	control := newConnectControl(t)
 	h := newHarness(t, "postgres", &fake.Host{}, control.apply)
@@ -170,7 +171,7 @@
 		<-release
 	})
 	<-blocked
-	h.core.ClientDisconnected(&core.Request{}) // is handled before the outcome, and after the deadline
+	h.core.ClientDisconnected(&core.Request{}) // an event that the core handles after the deadline and before the outcome
 	failing <- errors.New("refused")
 	waitFor(t, "the connect has failed", func() bool { return h.counters.Get("server_connects_failed") == 1 })
 	time.Sleep(700 * time.Millisecond) // past its deadline
@@ -180,14 +181,14 @@
 	}
 }
 
-// TestHalfStart has a host hang, reject or break in the middle of a connection's start: the attempt never ran, within the connect
-// timeout.
-func TestHalfStart(t *testing.T) {
+// TestIncompleteStartup has a host hang, reject the connection or close it in the middle of the startup. The attempt must fail
+// within the connect timeout, as one that never ran.
+func TestIncompleteStartup(t *testing.T) {
 	hello := pgwire.Append(nil, 'R', "\x00\x00\x00\x00")
 	rejection := pgwire.AppendError(nil, "FATAL", "53300", "too many", "")
 	for name, c := range map[string]struct {
 		reply  []byte
-		closes bool // the host closes the connection then
+		closes bool // the host closes the connection after the reply
 		want   string
 	}{
 		"nothing, hangs":       {nil, false, "attempts_not_connected"},
--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -23,10 +23,10 @@
 	"cranegate/routing"
 )
 
-// testTimeout bounds what has to come about, on a busy machine too. Nothing is measured by it.
+// testTimeout limits the waits of the tests. It is long enough for a busy machine; nothing is measured by it.
 const testTimeout = 20 * time.Second
 
-// pastReuseDelay is longer than a connection stays idle before it is used again.
+// pastReuseDelay is longer than the time for which a connection stays idle before it is reused.
 const pastReuseDelay = 150 * time.Millisecond
 
 // protocols are the protocols of the tests: "prepared" is MySQL's with prepared statements.
@@ -40,10 +40,10 @@
 	listener net.Listener
 	core     *core.Core
 	counters *metrics.Counters
-	serve    func(net.Conn) // in place of the host; nil: the host
+	serve    func(net.Conn) // serves the host's connections in place of host; nil: host serves them
 
 	mu    sync.Mutex
-	conns []*net.TCPConn // the host's ends, in the order of their opening
+	conns []*net.TCPConn // the host's ends of the connections, in the order in which they were opened
 
 	prepared map[string]*mysqlwire.Statement // by class
 }
@@ -84,7 +84,7 @@
 		pool.Wait()
 		running.Wait()
 	})
-	h.core.UpdateEndpoints(h.list(routing.EndpointListComplete, routing.PhaseServing))
+	h.core.UpdateEndpoints(h.endpointList(routing.EndpointListComplete, routing.PhaseServing))
 	return h
 }
 
@@ -97,7 +97,8 @@
 	return options
 }
 
-// coreOptions are options with deadlines as long as a busy machine may need, except for those of class "brief".
+// coreOptions returns options with deadlines that are long enough for a busy machine, except for the short deadline of class
+// "brief".
 func (h *harness) coreOptions() core.Options {
 	classes := []routing.Class{
 		{Name: "put", Consistency: routing.ConsistencyWrite, LatencyObjective: testTimeout / 2, Deadline: testTimeout,
@@ -116,8 +117,8 @@
 	}
 }
 
-// list returns an endpoint list of the host.
-func (h *harness) list(kind routing.EndpointListKind, phase routing.Phase) core.EndpointList {
+// endpointList returns an endpoint list with the host in a phase.
+func (h *harness) endpointList(kind routing.EndpointListKind, phase routing.Phase) core.EndpointList {
 	return core.EndpointList{Kind: kind, Hosts: []core.Host{{Address: h.listener.Addr().String(),
 		Endpoint: routing.Endpoint{Member: "db-0", Group: 4, Primary: true, Capacity: 1, Phase: phase}}}}
 }
@@ -151,7 +152,7 @@
 	}
 }
 
-// hostConn returns the host's end of a connection, by the order of their opening.
+// hostConn returns the host's end of connection i, in the order in which they were opened.
 func (h *harness) hostConn(i int) *net.TCPConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -168,7 +169,7 @@
 // updateHost gives the core an endpoint list with the host in a phase, and returns once it has been applied.
 func (h *harness) updateHost(kind routing.EndpointListKind, phase routing.Phase) {
 	h.t.Helper()
-	h.core.UpdateEndpoints(h.list(kind, phase))
+	h.core.UpdateEndpoints(h.endpointList(kind, phase))
 	h.waitCore()
 }
 
@@ -239,7 +240,7 @@
 	h.checkServed(h.wait(h.request(class, id)), id)
 }
 
-// checkServed checks that an answer is the value that was made for a request, and that this ran once.
+// checkServed checks that an answer has the value for a request's id, and that the request ran once.
 func (h *harness) checkServed(a core.Answer, id string) {
 	h.t.Helper()
 	if n := h.host.Ran(id); a.Status != core.Served || !hasValue(a.Value, "value of "+id) || n != 1 {
@@ -263,12 +264,12 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: never", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// splitMessages splits an answer into its messages, or packets.
+// splitMessages splits an answer into its messages (PostgreSQL) or packets (MySQL).
 func splitMessages(protocol string, answer []byte) (messages [][]byte) {
 	for len(answer) > 0 {
 		n := 4 + int(answer[0]) + int(answer[1])<<8 + int(answer[2])<<16
@@ -280,7 +281,8 @@
 	return messages
 }
 
-// errorAfter returns an answer that a host's error cuts off after n messages. The code is a SQLSTATE code, or MySQL's own.
+// errorAfter returns an answer that a host's error cuts off after n messages. The code is a SQLSTATE code or a MySQL error
+// code.
 func errorAfter(protocol string, answer []byte, n int, code string) []byte {
 	begun := bytes.Join(splitMessages(protocol, answer)[:n], nil)
 	if protocol == "postgres" {
--- a/internal/backend/host.go
+++ b/internal/backend/host.go
@@ -12,35 +12,37 @@
 	"cranegate/routing"
 )
 
-// The bounds on the messages that may wait for one host's actor, and for those of all hosts together. The actors only sort, so
-// that they need no large mailboxes where there are hundreds. A message takes 16 bytes, allocated when the host is listed.
+// The bounds on the number of messages in one host's mailbox, and in the mailboxes of all hosts together. The total gives way
+// to minMailboxSize. An actor only passes messages on, so that a small mailbox is enough in a list of hundreds of hosts. Each
+// message takes 16 bytes, allocated when the host is listed.
 const (
 	maxMailboxSize   = 1024
 	minMailboxSize   = 128
 	totalMailboxSize = 128 << 10
 )
 
-// mailboxSize returns the size of a host's mailbox among so many hosts: 1,024 up to 128 hosts, 128 from 1,024 hosts on.
+// mailboxSize returns the size of each host's mailbox for a number of listed hosts: 1,024 up to 128 hosts, 128 from 1,024
+// hosts on.
 func mailboxSize(hosts int) int {
 	return min(maxMailboxSize, max(minMailboxSize, totalMailboxSize/max(1, hosts)))
 }
 
-// connectLogInterval is how often a host's failed connects are logged at most: an outage fails many.
+// connectLogInterval is the minimum time between two log lines on a host's failed connects: in an outage many fail.
 const connectLogInterval = time.Second
 
-// host is one database host's actor.
+// host is the actor of one database host.
 type host struct {
 	pool            *Pool
 	member, address string
-	mailbox         chan any        // takes *core.Attempt and the messages below
+	mailbox         chan any        // of *core.Attempt and the messages below
 	ctx             context.Context // ends when the host is removed from the list
 	retire          context.CancelFunc
 
 	idle       []*pooledConn // the most recently used at the end
 	waiting    []connRequest // the oldest first
 	open       int           // connections open or being opened
-	connecting int           // of those: being opened
-	demand     poolsize.Host // how often attempts come
+	connecting int           // the part of open that is still being opened
+	demand     poolsize.Host // how often attempts arrive
 	trimAt     time.Time     // when idle connections are trimmed next; zero: not scheduled
 
 	connectLogged time.Time // when a failed connect was logged last
@@ -52,11 +54,11 @@
 	since time.Time
 }
 
-// The messages of a host's mailbox, beside attempts.
+// The messages in a host's mailbox, besides attempts.
 type (
 	closeIdle     struct{}                   // close all idle connections
-	trimIdle      struct{}                   // close the idle connections whose time is over
-	evictOldest   struct{}                   // close the longest idle connection: another host's needs a slot
+	trimIdle      struct{}                   // close the idle connections whose idle time is over
+	evictOldest   struct{}                   // close the connection that has been idle longest: its slot is needed elsewhere
 	connOpened    struct{ conn *pooledConn } // a new connection is ready
 	connectFailed struct{ err error }        // a new connection failed
 	connFreed     struct{ conn *pooledConn } // a connection can take another attempt
@@ -73,7 +75,7 @@
 	}
 }
 
-// run is the actor's loop: until the host is retired and its last connection has ended.
+// run is the actor's loop. It ends once the host is retired and its last connection has ended.
 func (h *host) run() error {
 	retired := h.ctx.Done()
 	for retired != nil || h.open > 0 {
@@ -85,12 +87,12 @@
 			h.closeIdle(0)
 		}
 	}
-	h.failLeft()
+	h.failRemaining()
 	return nil
 }
 
-// failLeft fails the attempts that are left in the mailbox when the actor ends: they have not run.
-func (h *host) failLeft() {
+// failRemaining fails the attempts that remain in the mailbox when the actor ends. They have not run.
+func (h *host) failRemaining() {
 	for {
 		select {
 		case message := <-h.mailbox:
@@ -130,7 +132,7 @@
 	}
 }
 
-// assign gives an attempt an idle connection, or opens one and lets the attempt wait for it.
+// assign gives an attempt to an idle connection. If there is none for it, assign opens a connection and lets the attempt wait.
 func (h *host) assign(a *core.Attempt) {
 	if !a.Waiting() {
 		return
@@ -153,9 +155,9 @@
 	})
 }
 
-// reassign gives the attempt that was handed to a connection as that ended, and never began, another connection. If it was
-// the connection's first it fails: where each new connection ends like this it would try one after the other until its
-// deadline.
+// reassign gives the attempt that a connection received just before it ended, and did not begin, to another connection. It
+// fails the attempt instead if it was given to a new connection: if each new connection ended like this, the attempt would
+// go through new connections until its deadline.
 func (h *host) reassign(c *pooledConn) {
 	select {
 	case a := <-c.attempts:
@@ -168,7 +170,8 @@
 	}
 }
 
-// nextRequest removes and returns the oldest attempt that still waits, if it has waited for at least minWait; else nil.
+// nextRequest removes and returns the oldest attempt that still waits, if it has waited for at least minWait; otherwise it
+// returns nil.
 func (h *host) nextRequest(minWait time.Duration) *core.Attempt {
 	for len(h.waiting) > 0 {
 		request := h.waiting[0]
@@ -183,8 +186,8 @@
 	return nil
 }
 
-// handleConnectFailed handles a failed connect: the oldest attempt has waited for it, unless another connection is being
-// opened for that.
+// handleConnectFailed handles a failed connect. It fails the oldest waiting attempt, unless an idle connection can take it or
+// the connections that are still being opened are enough for all waiting attempts.
 func (h *host) handleConnectFailed(err error) {
 	result, delay := routing.ResultConnectFailed, time.Duration(0)
 	switch {
@@ -215,9 +218,9 @@
 	}
 }
 
-// connectsCoverWaiting reports whether each attempt that waits still has a connection being opened for it: others were
-// served by used connections, or have ended. An attempt that has waited for as long as its own connect may have taken
-// must not wait for another's.
+// connectsCoverWaiting reports whether at least as many connections are being opened as attempts wait. This can be so after
+// a failed connect because used connections took other attempts, or other attempts have ended. It returns false if the
+// oldest attempt has waited for the connect timeout: its own connect is over, and it must not wait for another attempt's.
 func (h *host) connectsCoverWaiting() bool {
 	h.waiting = slices.DeleteFunc(h.waiting, func(r connRequest) bool { return !r.Waiting() })
 	if len(h.waiting) > h.connecting {
@@ -226,9 +229,9 @@
 	return len(h.waiting) == 0 || time.Since(h.waiting[0].since) < h.pool.options.ConnectTimeout
 }
 
-// failAttempt ends an attempt that was never written, after a delay or as soon as it is abandoned. It does not begin: where
-// its deadline passes before the core handles the outcome, it still never ran. The outcome is reported from a goroutine of
-// its own, as this actor must not wait for the core, which may be calling it.
+// failAttempt ends an attempt of which nothing was written, after a delay or as soon as it is abandoned. It does not call
+// Begin, so that the attempt counts as never run even if its deadline passes before the core handles the outcome. A separate
+// goroutine reports the outcome: this actor must not wait for the core, which may be calling the pool.
 func (h *host) failAttempt(a *core.Attempt, result routing.Result, delay time.Duration) {
 	if !a.Waiting() {
 		return
@@ -245,11 +248,11 @@
 	})
 }
 
-// recordRejection records a new connection that the host rejected, or closed after it rejected the first attempt: the host
-// is short of capacity for connections.
+// recordRejection records that the host rejected a new connection, or rejected its first attempt and closed it. The host is
+// short of capacity for connections.
 func (h *host) recordRejection() {
 	h.pool.options.Counters.Add("server_connections_no_room", 1)
 	if h.pool.sizer.recordRejection() {
-		h.pool.broadcast(trimIdle{}) // idle connections to other hosts use up capacity there, too
+		h.pool.broadcast(trimIdle{}) // idle connections to the other hosts use up capacity there, too
 	}
 }
--- a/internal/backend/hoststatus.go
+++ b/internal/backend/hoststatus.go
@@ -10,30 +10,30 @@
 	"cranegate/routing"
 )
 
-// HostStatus is what a database host reports about itself beside an answer: in ParameterStatus messages, in tracked session
-// variables, or as the row of a health check.
+// HostStatus is what a database host reports about itself alongside an answer, in ParameterStatus messages or tracked session
+// variables, or in the row of a health check.
 type HostStatus struct {
 	Role     routing.Role
 	Position int64 // Unix time in milliseconds, 0 if not reported
 	Report   routing.Report
 }
 
-// Outcome returns an outcome with the status.
+// Outcome returns an outcome with a result and the status.
 func (s *HostStatus) Outcome(result routing.Result) core.Outcome {
 	return core.Outcome{Result: result, Role: s.Role, Position: s.Position, Report: s.Report}
 }
 
-// maxPositionLead is how far a position may be ahead of this clock, as commits are rounded up. One further ahead is
-// malformed, and must not make a member look fresh indefinitely.
+// maxPositionLead is how far a position may be ahead of this machine's clock, because commit times are rounded up. A position
+// further ahead is malformed and must not make a member look fresh indefinitely.
 const maxPositionLead = time.Second
 
-// parsePosition converts a Unix time in milliseconds, rounded down, and reports whether it is valid.
+// parsePosition converts a Unix time in milliseconds to a position, rounded down, and reports whether it is valid.
 func parsePosition(ms float64) (position int64, ok bool) {
 	latest := float64(time.Now().Add(maxPositionLead).UnixMilli())
 	return int64(math.Floor(ms + 1e-3)), ms > 0 && ms <= latest
 }
 
-// Set sets one value by its name. What can't be parsed is ignored.
+// Set sets one value by its name. An unknown name and a value that can't be parsed are ignored.
 func (s *HostStatus) Set(name, value string) {
 	switch name {
 	case "replication_role":
@@ -54,7 +54,7 @@
 	}
 }
 
-// The fields of a load report that are read; others are only checked for their form.
+// The fields of a load report that are used; the others are only validated.
 const (
 	reportPosition = "x0" // seconds of Unix time
 	reportPrimary  = "x1" // 1 at the primary, 0 elsewhere
@@ -63,7 +63,8 @@
 // maxReportBytes is the maximum length of a load report.
 const maxReportBytes = 256
 
-// SetRow sets the load report from a health check's row: one column with the whole report, or a column for each field.
+// SetRow sets the load report from a health check's row, which has one column with the complete report or one column for
+// each field.
 func (s *HostStatus) SetRow(names []string, values [][]byte) {
 	var pairs []string
 	for i, value := range values {
@@ -79,8 +80,8 @@
 	s.setReport(pairs)
 }
 
-// setReport sets the load report, completely or not at all: where one field can't be parsed the others are not to be
-// trusted. Positions there are in seconds and are rounded down: a member must not seem further ahead than it is.
+// setReport sets the load report, completely or not at all: if one field is invalid, the others can't be trusted either.
+// Positions in a load report are in seconds. They are rounded down, as a member must not seem further ahead than it is.
 func (s *HostStatus) setReport(pairs []string) {
 	report, ok := routing.Report{}, true
 	for _, pair := range pairs {
--- a/internal/backend/hoststatus_test.go
+++ b/internal/backend/hoststatus_test.go
@@ -8,8 +8,8 @@
 	"cranegate/routing"
 )
 
-// TestReportsAreCompleteOrIgnored protects the router against load reports and positions that were damaged on the way: one
-// that lies in the future would make its member look fresh indefinitely, and its claim to be primary the newest.
+// TestReportsAreCompleteOrIgnored checks that a load report that was damaged on the way is ignored. A position in the future
+// would make its member look fresh indefinitely, and the member's claim to be primary the newest.
 func TestReportsAreCompleteOrIgnored(t *testing.T) {
 	now := time.Now().UnixMilli()
 	good := fmt.Sprintf("x0=%d.250,x1=1,util=0.5,queue=3", now/1000-2)
@@ -27,7 +27,7 @@
 			if set(&status); ok && status.Report != want || !ok && status.Report.Position > now {
 				t.Errorf("%q: %+v", text, status.Report)
 			} else if !ok && text != "x"+good && status.Report != (routing.Report{}) {
-				t.Errorf("%q is taken: %+v", text, status.Report)
+				t.Errorf("%q is accepted: %+v", text, status.Report)
 			}
 		}
 	}
@@ -39,11 +39,11 @@
 	var status HostStatus
 	status.SetRow([]string{"x0", "x1"}, [][]byte{[]byte(fmt.Sprint(seconds)), []byte("0")})
 	if status.Report.Role != routing.RoleReplica || status.Report.Position != seconds*1000 {
-		t.Errorf("a column a field: %+v", status.Report)
+		t.Errorf("one column for each field: %+v", status.Report)
 	}
 }
 
-// TestPositionsAreChecked sets positions that can be, and others.
+// TestPositionsAreChecked checks that a position that is in the future, negative or not a number is ignored.
 func TestPositionsAreChecked(t *testing.T) {
 	now := time.Now().UnixMilli()
 	for value, ok := range map[string]bool{fmt.Sprint(now): true, fmt.Sprint(now + 60000): false, "-4": false, "17x": false} {
--- a/internal/backend/idle.go
+++ b/internal/backend/idle.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	reuseDelay        = 100 * time.Millisecond // a connection is not reused before: surplus bytes may follow an answer
-	maxConnsForDelay  = 12                     // with as many connections open to a host the delay is not observed
-	trimRetryInterval = 50 * time.Millisecond  // after a full mailbox
-	newConnWait       = 10 * time.Millisecond  // an attempt that has waited so long for a new connection takes any
+	reuseDelay        = 100 * time.Millisecond // idle time before a connection is reused: surplus bytes may follow an answer
+	maxConnsForDelay  = 12                     // with this many connections open to a host, reuseDelay does not apply
+	trimRetryInterval = 50 * time.Millisecond  // until a trim is posted again to a mailbox that was full
+	newConnWait       = 10 * time.Millisecond  // after this wait for a new connection an attempt takes a used one, too
 )
 
-// takeIdle removes and returns the idle connection that an attempt may go by; nil: it needs a new one.
-func (h *host) takeIdle(by routing.ConnPolicy) *pooledConn {
+// takeIdle removes and returns an idle connection that a policy allows an attempt to use, or returns nil if the attempt
+// needs a new connection.
+func (h *host) takeIdle(policy routing.ConnPolicy) *pooledConn {
 	switch {
-	case by == routing.ConnNew:
+	case policy == routing.ConnNew:
 		return nil
-	case by == routing.ConnOldest && len(h.idle) > 0:
+	case policy == routing.ConnOldest && len(h.idle) > 0:
 		oldest := slices.MinFunc(h.idle, func(a, b *pooledConn) int { return a.openedAt.Compare(b.openedAt) })
 		h.removeIdle(oldest)
 		return oldest
@@ -28,8 +29,9 @@
 	return h.takeRecent()
 }
 
-// takeRecent removes and returns the most recently used connection of those idle for reuseDelay, so that surplus ones age;
-// where many are open and none has been, the one that has been idle longest.
+// takeRecent removes and returns the most recently used connection that has been idle for reuseDelay, so that surplus
+// connections stay idle until they are closed. If there is none and connections are scarce, it takes the one that has been
+// idle longest. Before that it closes the connections that have been idle for too long.
 func (h *host) takeRecent() *pooledConn {
 	limit := h.pool.idleTimeout.estimate(h.pool.options.IdleTimeout)
 	for len(h.idle) > 0 && time.Since(h.idle[0].freedAt) >= limit {
@@ -45,11 +47,11 @@
 	return nil
 }
 
-// connsScarce reports whether there are too many connections to open another only to observe the reuse delay.
+// connsScarce reports whether so many connections are open that no other is to be opened only because of reuseDelay.
 func (h *host) connsScarce() bool { return h.open >= maxConnsForDelay || h.pool.full() }
 
-// putConn returns a connection to the idle ones, unless an attempt waits: a new connection serves that at once, a used one
-// only if the attempt has waited for newConnWait.
+// putConn gives a free connection to a waiting attempt, or else adds it to the idle ones. A used connection takes only an
+// attempt that has waited for newConnWait, unless connections are scarce; a new one takes any.
 func (h *host) putConn(c *pooledConn) {
 	isNew := c.freedAt.IsZero()
 	minWait := newConnWait
@@ -70,8 +72,8 @@
 	}
 }
 
-// trimIdle closes the idle connections whose time is over, and schedules the next trim. The least recently used have the
-// least time left.
+// trimIdle closes the idle connections whose idle time is over, and schedules the next trim. The least recently used ones
+// have the least time left.
 func (h *host) trimIdle() {
 	now := time.Now()
 	for len(h.idle) > 0 {
@@ -84,7 +86,7 @@
 	for i, c := range h.idle {
 		next = min(next, h.pool.sizer.idleTimeLeft(&h.demand, c.freedAt, now, len(h.idle)-1-i))
 	}
-	if len(h.idle) == 0 || next >= h.pool.options.IdleTimeout { // the connections themselves observe IdleTimeout
+	if len(h.idle) == 0 || next >= h.pool.options.IdleTimeout { // each connection's goroutine applies IdleTimeout itself
 		return
 	}
 	if at := now.Add(next); h.trimAt.IsZero() || at.Before(h.trimAt) {
@@ -93,8 +95,7 @@
 	}
 }
 
-// scheduleTrim has idle connections trimmed after a delay. Where the mailbox is full then it tries again, as no other trim
-// is scheduled.
+// scheduleTrim posts a trimIdle after a delay. If the mailbox is full then, it tries again, as no other trim is scheduled.
 func (h *host) scheduleTrim(delay time.Duration) {
 	time.AfterFunc(delay, func() {
 		if !h.post(trimIdle{}) && h.ctx.Err() == nil {
@@ -103,7 +104,7 @@
 	})
 }
 
-// closeIdle closes idle connections except for a number of them. The least recently used go first.
+// closeIdle closes the least recently used idle connections until at most keep are left.
 func (h *host) closeIdle(keep int) {
 	for len(h.idle) > keep {
 		c := h.idle[0]
--- a/internal/backend/idle_test.go
+++ b/internal/backend/idle_test.go
@@ -10,8 +10,8 @@
 	"cranegate/internal/poolsize"
 )
 
-// TestTrimSurvivesFullMailbox has a host's mailbox be full at the moment that its idle connections are due: they are trimmed
-// once there is room.
+// TestTrimSurvivesFullMailbox has a host's mailbox full when a trim of its idle connections is scheduled. The trim must be
+// posted once the mailbox has room.
 func TestTrimSurvivesFullMailbox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pool := &Pool{options: Options{IdleTimeout: 20 * time.Second},
@@ -29,10 +29,10 @@
 		select {
 		case message := <-h.mailbox:
 			if _, ok := message.(trimIdle); !ok {
-				t.Errorf("%T came", message)
+				t.Errorf("the message is a %T", message)
 			}
 		default:
-			t.Error("the trim is lost: connections stay idle until an attempt comes")
+			t.Error("the trim is lost: connections stay idle until an attempt arrives")
 		}
 	})
 }
--- a/internal/backend/idletimeout.go
+++ b/internal/backend/idletimeout.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	idleClasses         = 9                      // of idle times: under 0.2 s, under 0.4 s, and so on
-	firstIdleClass      = 200 * time.Millisecond // the first class's upper bound
-	minBreaks           = 4.0                    // fewer breaks are no evidence
-	breakShareMargin    = 0.1                    // share of breaks over that of the first class that is significant
-	breakDeviations     = 2.0                    // standard deviations of the breaks by chance, on top of that
-	breakCountsHalfLife = 30 * time.Second       // older observations count half
-	immediateBreak      = 50 * time.Millisecond  // a break within this after the write was there before it
+	idleBuckets         = 9                      // of idle times: under 0.2 s, under 0.4 s, and so on
+	firstIdleBucket     = 200 * time.Millisecond // the first bucket's upper bound
+	minBreaks           = 4.0                    // in a bucket; fewer are no evidence
+	breakShareMargin    = 0.1                    // by which a bucket's share of breaks has to exceed the first bucket's
+	breakDeviations     = 2.0                    // standard deviations of the breaks by chance, on top of the margin
+	breakCountsHalfLife = 30 * time.Second       // an observation of this age counts half
+	immediateBreak      = 50 * time.Millisecond  // a connection that breaks this soon after a write was broken before it
 )
 
-// idleTimeoutEstimator learns how long idle connections stay usable. Hosts, or middleboxes before them, may drop idle
-// connections without a close, so that the next request on one breaks, and may have run for all that the gateway knows.
+// idleTimeoutEstimator estimates how long idle connections stay usable. A host, or a middlebox in front of it, may drop idle
+// connections without a close. The next request on such a connection breaks, and the gateway can't know whether it has run.
 type idleTimeoutEstimator struct {
 	mu      sync.Mutex
-	uses    [idleClasses]float64
-	breaks  [idleClasses]float64
+	uses    [idleBuckets]float64
+	breaks  [idleBuckets]float64
 	decayed time.Time // when the counts were halved last
 }
 
-// idleClass returns the class of an idle time.
-func idleClass(idle time.Duration) int {
-	class := 0
-	for end := firstIdleClass; idle >= end && class < idleClasses-1; end *= 2 {
-		class++
+// idleBucket returns the bucket of an idle time.
+func idleBucket(idle time.Duration) int {
+	bucket := 0
+	for end := firstIdleBucket; idle >= end && bucket < idleBuckets-1; end *= 2 {
+		bucket++
 	}
-	return class
+	return bucket
 }
 
 // recordUse records the first use of a connection after some time idle, and whether it broke at once.
@@ -39,37 +39,37 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.decay(time.Now())
-	class := idleClass(idle)
-	e.uses[class]++
+	bucket := idleBucket(idle)
+	e.uses[bucket]++
 	if broke {
-		e.breaks[class]++
+		e.breaks[bucket]++
 	}
 }
 
-// decay reduces the weight of old observations, so that a limit is tried again. The caller holds e.mu.
+// decay reduces the weight of old observations, so that longer idle times are tried again. The caller holds e.mu.
 func (e *idleTimeoutEstimator) decay(now time.Time) {
 	if e.decayed.IsZero() {
 		e.decayed = now
 	}
 	for ; now.Sub(e.decayed) >= breakCountsHalfLife; e.decayed = e.decayed.Add(breakCountsHalfLife) {
-		for class := range e.uses {
-			e.uses[class] /= 2
-			e.breaks[class] /= 2
+		for bucket := range e.uses {
+			e.uses[bucket] /= 2
+			e.breaks[bucket] /= 2
 		}
 	}
 }
 
-// estimate returns how long a connection may be idle and be used again, and limit at most.
+// estimate returns how long a connection may be idle and still be reused, limit at most.
 func (e *idleTimeoutEstimator) estimate(limit time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.decay(time.Now())
 	baseline := e.breaks[0] / max(1, e.uses[0]) // share of breaks among connections that were hardly idle
-	end := firstIdleClass
-	for class := 1; class < idleClasses && end < limit; class++ {
-		deviation := math.Sqrt(e.uses[class] * baseline * (1 - baseline))
-		significant := (baseline+breakShareMargin)*e.uses[class] + breakDeviations*deviation
-		if e.breaks[class] >= minBreaks && e.breaks[class] > significant {
+	end := firstIdleBucket
+	for bucket := 1; bucket < idleBuckets && end < limit; bucket++ {
+		deviation := math.Sqrt(e.uses[bucket] * baseline * (1 - baseline))
+		significant := (baseline+breakShareMargin)*e.uses[bucket] + breakDeviations*deviation
+		if e.breaks[bucket] >= minBreaks && e.breaks[bucket] > significant {
 			return end
 		}
 		end *= 2
--- a/internal/backend/idletimeout_test.go
+++ b/internal/backend/idletimeout_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestIdleTimeoutEstimate protects requests against connections that were dropped without a close: where those idle for
-// longer break more often than those just used, the shorter time is estimated; breaks that hit all alike change nothing;
-// and a limit is tried again later.
+// TestIdleTimeoutEstimate checks the estimate that protects requests against connections that were dropped without a close.
+// If connections with a longer idle time break more often than those just used, the estimate must be shorter than that time.
+// Breaks that are equally frequent at all idle times must not change it. Later, longer idle times must be tried again.
 func TestIdleTimeoutEstimate(t *testing.T) {
 	const limit = 20 * time.Second
 	for name, c := range map[string]struct {
@@ -41,7 +41,7 @@
 			}
 			time.Sleep(10 * time.Minute)
 			if got := e.estimate(limit); got != limit {
-				t.Errorf("%s: estimates %v long after", name, got)
+				t.Errorf("%s: still estimates %v after ten minutes", name, got)
 			}
 		})
 	}
--- a/internal/backend/localfault_test.go
+++ b/internal/backend/localfault_test.go
@@ -14,9 +14,10 @@
 	"cranegate/internal/fake"
 )
 
-// TestLocalFaultIsNotTheHosts has connects fail for want of something on this machine: no attempt tells the router that the host
-// could not be reached, requests are rejected rightly, and the next ones are served as soon as there is enough again.
-func TestLocalFaultIsNotTheHosts(t *testing.T) {
+// TestLocalFaultIsNotHostFault has connects fail because this machine lacks a resource. No attempt may report to the router
+// that the host could not be reached. The requests must be rejected without having run, and later requests must be served as
+// soon as the resource is available again.
+func TestLocalFaultIsNotHostFault(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 		syscall.EAGAIN, syscall.ENETUNREACH} {
 		t.Run(fault.Error(), func(t *testing.T) {
@@ -37,7 +38,7 @@
 				}
 			}
 			if n := h.counters.Get("attempts_not_connected"); n != 0 {
-				t.Errorf("%d attempts told the router that the host could not be reached", n)
+				t.Errorf("%d attempts reported to the router that the host could not be reached", n)
 			}
 			faulty.Store(false)
 			h.checkServes("put", "after")
--- a/internal/backend/mysql/handshake.go
+++ b/internal/backend/mysql/handshake.go
@@ -10,7 +10,7 @@
 	"cranegate/internal/mysqlwire"
 )
 
-// The capabilities that the gateway offers, and those that a host must have.
+// The capabilities that the gateway offers to a host, and the ones that it requires of a host.
 const (
 	offeredCaps = mysqlwire.CapProtocol41 | mysqlwire.CapTransactions | mysqlwire.CapSecure | mysqlwire.CapPluginAuth |
 		mysqlwire.CapConnectWithDB | mysqlwire.CapSessionTrack | mysqlwire.CapDeprecateEOF |
@@ -18,12 +18,12 @@
 	requiredCaps = mysqlwire.CapProtocol41
 )
 
-// errPasswordInClear is the error of a host that accepts a password only in the clear.
-var errPasswordInClear = errors.New("the host wants the password in the clear")
+// errPasswordInClear is the error of a host that accepts a password only in clear text.
+var errPasswordInClear = errors.New("the host requires the password in clear text")
 
-// Start answers the handshake of a fresh connection and makes it ready for a command. It is a backend.Starter.
-func (d Account) Start(raw net.Conn) (backend.Conn, error) {
-	c := &Conn{Conn: framebuf.New(raw, mysqlwire.MaxPacket+4), account: d,
+// Start runs the handshake and the login on a new connection, which then can take a command. It is a backend.Starter.
+func (a Account) Start(raw net.Conn) (backend.Conn, error) {
+	c := &Conn{Conn: framebuf.New(raw, mysqlwire.MaxPacket+4), account: a,
 		statements: map[*mysqlwire.Statement]prepared{}}
 	if err := c.login(); err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 	}
 	plugin := handshake.AuthPlugin
 	if plugin != mysqlwire.CachingSHA2Password {
-		plugin = mysqlwire.NativePassword // a server that wants another one asks for the switch
+		plugin = mysqlwire.NativePassword // a server that requires another plugin requests a switch to it
 	}
 	c.w.Reset(seq + 1)
 	c.w.Login(mysqlwire.Login{Caps: c.caps, User: c.account.User, Database: c.account.Database, Plugin: plugin,
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// authenticate writes the buffered response and continues until the host accepts the login.
+// authenticate writes the buffered response, and answers the host's further requests until the host accepts the login.
 func (c *Conn) authenticate() error {
 	for {
 		if _, err := c.Write(c.w.B); err != nil {
@@ -91,7 +91,8 @@
 	}
 }
 
-// startError returns the error of a host that ended the handshake with one.
+// startError converts the ERR packet with which a host ended the handshake. It returns backend.ErrRejected if the host has no
+// capacity for the connection.
 func startError(packet []byte) error {
 	serverError, err := mysqlwire.ParseErr(packet)
 	if err == nil && (capacityErrors[serverError.Code] || serverError.State == backend.StateTooManyConnections) {
--- a/internal/backend/mysql/mysql.go
+++ b/internal/backend/mysql/mysql.go
@@ -1,7 +1,8 @@
-// Package mysql speaks the MySQL protocol to database hosts: text queries and prepared statements.
+// Package mysql is the client side of the MySQL protocol, for connections to database hosts. It runs text queries and
+// prepared statements.
 //
-// A statement that a client has prepared is mapped to a statement of each connection's own, prepared there
-// again when it is first needed. A prepare has no effect, so an execute's attempt begins only after it.
+// Each connection maps a statement that a client has prepared to a statement of its own, which it prepares when it first
+// needs it. A prepare has no effect, so an attempt to execute the statement begins only after it.
 package mysql
 
 import (
@@ -15,12 +16,12 @@
 	"cranegate/routing"
 )
 
-// Account is how the gateway logs in to database hosts, and how it checks their health.
+// Account holds the gateway's login at the database hosts, and the settings of its health checks and prepares there.
 type Account struct {
 	User, Database string
 	Password       string
 	HealthCheck    string        // the statement of a health check
-	PrepareTimeout time.Duration // a prepare within an attempt takes no longer than a connect may
+	PrepareTimeout time.Duration // of a prepare within an attempt, which may take as long as a connect
 }
 
 // Conn is one connection to a database host.
@@ -30,11 +31,11 @@
 	caps       uint32 // the capabilities of both sides
 	w          mysqlwire.Writer
 	statements map[*mysqlwire.Statement]prepared
-	order      []*mysqlwire.Statement // of statements, the oldest first
-	seq        byte                   // of the answer's next packet
+	order      []*mysqlwire.Statement // the keys of statements, the oldest first
+	seq        byte                   // the sequence number of the answer's next packet
 }
 
-// Exchange runs an attempt, as backend.Conn has it.
+// Exchange implements backend.Conn.
 func (c *Conn) Exchange(a *core.Attempt) (core.Outcome, bool) {
 	c.w.Reset(0)
 	c.closeDropped()
@@ -52,10 +53,11 @@
 	return c.query(a, attributes(command, wait), command.Meta.Append(nil, wait))
 }
 
-// deadlineAttribute is the query attribute with the time that the client waits, in milliseconds.
+// deadlineAttribute is the name of the query attribute with the time that the client waits, in milliseconds.
 const deadlineAttribute = "d"
 
-// attributes returns the query attributes that the client sent, with the time that this gateway waits.
+// attributes returns the query attributes that the client sent, with deadlineAttribute set to the time that this gateway
+// waits.
 func attributes(command *mysqlwire.Command, wait time.Duration) []mysqlwire.Param {
 	roundedUp := int64((wait + time.Millisecond - 1) / time.Millisecond)
 	ms := strconv.FormatInt(max(1, roundedUp), 10)
@@ -88,14 +90,15 @@
 	return c.outcome(a, response, serverError, err), stop() && err == nil && c.Buffered() == 0
 }
 
-// discard drops what was buffered for an attempt that did not begin, and writes the first n bytes, which were buffered
-// before it.
+// discard drops the bytes that were buffered for an attempt that did not begin. It writes the first n bytes, which do not
+// belong to the attempt.
 func (c *Conn) discard(n int) (core.Outcome, bool) {
 	c.w.B = c.w.B[:n]
 	return backend.NotSent, c.flush() == nil
 }
 
-// flush writes what is buffered. It returns no error if all was written, whatever the write returns: the host may have it.
+// flush writes the buffered bytes. It returns no error if all bytes were written, whatever the write returns, as the host
+// may have received them.
 func (c *Conn) flush() error {
 	defer c.w.Reset(0)
 	if len(c.w.B) == 0 {
--- a/internal/backend/mysql/prepared.go
+++ b/internal/backend/mysql/prepared.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	maxStatements    = 256         // prepared on one connection; the oldest is closed for another
+	maxStatements    = 256         // prepared on one connection; the oldest is closed to prepare another
 	latePrepareGrace = time.Second // how long after its deadline a prepare may still be answered
 )
 
-// errUnknownStatement is the error of a host that has forgotten the statement. It proves that nothing ran.
+// errUnknownStatement is the error code of a host that does not know the prepared statement any more. It proves that nothing
+// ran.
 const errUnknownStatement = 1243
 
 // prepared is a statement as it was prepared on one connection.
@@ -24,8 +25,9 @@
 	definitions *mysqlwire.Definitions
 }
 
-// prepareOnly runs a client's prepare. Its connection is not closed when it is abandoned: its answer, if it still comes, is
-// read so that the connection stays in step, and a statement whose client has disconnected meanwhile is closed.
+// prepareOnly runs a client's prepare. The connection is not closed when the attempt is abandoned. Instead the answer, if it
+// still arrives, is read, so that the connection stays in step. The statement is closed if its client has disconnected
+// meanwhile.
 func (c *Conn) prepareOnly(a *core.Attempt, statement *mysqlwire.Statement) (core.Outcome, bool) {
 	if !c.Alive() {
 		return backend.NotSent, false
@@ -47,8 +49,8 @@
 	return core.Outcome{Result: routing.ResultOK, Value: definitions}, inStep
 }
 
-// execute runs a prepared statement, which it prepares on this connection first if need be. Where the host has forgotten
-// a statement that was prepared before, it is prepared again, once.
+// execute runs a prepared statement. It prepares the statement on this connection first if necessary, and prepares it again,
+// once, if the host does not know it any more.
 func (c *Conn) execute(a *core.Attempt, command *mysqlwire.Command) (core.Outcome, bool) {
 	begun, stop := false, func() bool { return true }
 	for {
@@ -71,10 +73,10 @@
 		buffered := len(c.w.B)
 		c.appendExecute(statement.id, command, time.Until(a.Deadline))
 		if !c.Alive() {
-			if wasPrepared { // what came did so while the connection was idle
+			if wasPrepared { // the bytes or the close arrived while the connection was idle
 				return backend.NotSent, false
 			}
-			return core.Outcome{Result: routing.ResultConnectFailed}, false // it came behind the prepare's answer
+			return core.Outcome{Result: routing.ResultConnectFailed}, false // they arrived after the prepare's answer
 		}
 		if !begun {
 			if !a.Begin() {
@@ -96,7 +98,7 @@
 	}
 }
 
-// appendExecute buffers an execute, with the long data of its parameters before it.
+// appendExecute buffers an execute, preceded by the long data of its parameters.
 func (c *Conn) appendExecute(id uint32, command *mysqlwire.Command, wait time.Duration) {
 	for param, data := range command.Long {
 		c.w.Seq = 0
@@ -111,8 +113,8 @@
 	c.w.Execute(id, command.Params, attributes(command, wait), c.caps)
 }
 
-// prepare prepares a statement on this connection. The connection is in step after an error of the host, and is not after
-// any other.
+// prepare prepares a statement on this connection. After an error of the host (the first result) the connection is in step;
+// after any other error it is not.
 func (c *Conn) prepare(statement *mysqlwire.Statement, timeout time.Duration) (*mysqlwire.Error, error) {
 	for len(c.order) >= maxStatements {
 		c.closeStatement(c.order[0])
@@ -160,7 +162,7 @@
 	return nil
 }
 
-// closeDropped closes, with the next write, the statements whose clients closed them or disconnected.
+// closeDropped closes, with the next write, each statement that its client has closed or whose client has disconnected.
 func (c *Conn) closeDropped() {
 	for _, statement := range slices.Clone(c.order) {
 		if statement.Dropped() {
@@ -169,7 +171,7 @@
 	}
 }
 
-// closeStatement closes one statement with the next write; the host gives no answer.
+// closeStatement closes one statement with the next write. The host does not answer it.
 func (c *Conn) closeStatement(statement *mysqlwire.Statement) {
 	c.w.Seq = 0
 	c.w.Begin()
@@ -179,7 +181,7 @@
 	c.forget(statement)
 }
 
-// forget removes a statement from those prepared on this connection.
+// forget removes a statement from the ones recorded as prepared on this connection.
 func (c *Conn) forget(statement *mysqlwire.Statement) {
 	delete(c.statements, statement)
 	if i := slices.Index(c.order, statement); i >= 0 {
--- a/internal/backend/mysql/response.go
+++ b/internal/backend/mysql/response.go
@@ -17,13 +17,13 @@
 	maxColumns       = 4096
 )
 
-// The first bytes of a packet, or of a value, with a meaning of their own.
+// The first bytes of a packet, or of a value, with a special meaning.
 const (
-	headLocalInfile = 0xfb // asks for a local file
+	headLocalInfile = 0xfb // a request for a local file
 	headNull        = 0xfb // a null in place of a value
 )
 
-// The host's error codes that prove that nothing ran, beside the SQLSTATE codes of package backend.
+// The host's error codes that prove that nothing ran, in addition to the SQLSTATE codes of package backend.
 var (
 	readOnlyErrors = map[uint16]bool{ // a write, and the host is not the primary
 		1290: true, // the server runs with an option that prevents the statement (--read-only)
@@ -37,8 +37,8 @@
 	}
 )
 
-// readPacket reads an answer's next packet. One out of sequence is noise, or belongs to another answer: its length is not
-// to be trusted, and nothing more is read.
+// readPacket reads an answer's next packet. A packet out of sequence is noise or belongs to another answer. Its length can't
+// be trusted, so nothing more is read.
 func (c *Conn) readPacket() ([]byte, error) {
 	head, err := c.Need(4)
 	if err != nil {
@@ -55,8 +55,8 @@
 	return packet, err
 }
 
-// readDefinitions reads n definitions and copies them: they outlive the buffer. It reduces bytesLeft by their length, and
-// returns framebuf.ErrTooLarge if that falls below zero.
+// readDefinitions reads n definitions and copies them, as they outlive the connection's buffer. It reduces bytesLeft by their
+// length, and returns framebuf.ErrTooLarge if bytesLeft falls below zero.
 func (c *Conn) readDefinitions(n int, bytesLeft *int) (definitions [][]byte, err error) {
 	for range n {
 		packet, err := c.readPacket()
@@ -78,15 +78,15 @@
 	return definitions, nil
 }
 
-// readResponse reads the response to a statement: an OK, an error, or rows. With an error beside a result the statement
-// had begun, and the host broke off its rows.
+// readResponse reads the response to a statement: an OK, an error, or rows. If it returns both a result and an error of the
+// host, the statement had begun and the host cut its rows off.
 func (c *Conn) readResponse(binary bool) (*mysqlwire.Result, *mysqlwire.Error, error) {
 	c.seq = 1
 	packet, err := c.readPacket()
 	if err != nil {
 		return nil, nil, err
 	}
-	if len(packet) == 0 || packet[0] == headLocalInfile { // the capability was not offered
+	if len(packet) == 0 || packet[0] == headLocalInfile { // the capability for local files was not offered
 		return nil, nil, mysqlwire.ErrMalformed
 	}
 	switch packet[0] {
@@ -143,13 +143,13 @@
 		response.OK, err = mysqlwire.ParseOK(packet, c.caps)
 	}
 	if response.OK.Status&mysqlwire.StatusMoreResults != 0 {
-		err = errors.Join(err, mysqlwire.ErrMalformed) // several results were not asked for
+		err = errors.Join(err, mysqlwire.ErrMalformed) // the capability for several results was not offered
 	}
 	return err
 }
 
 // resultOf returns the result of an attempt that ended with an error of the host, with another error, or without any. An
-// error proves that nothing ran only where it is listed above, or in package backend.
+// error of the host proves that nothing ran only if its code is listed above or in package backend.
 func resultOf(serverError *mysqlwire.Error, err error) routing.Result {
 	switch {
 	case err != nil && backend.IsMalformed(err, mysqlwire.ErrMalformed):
@@ -172,7 +172,7 @@
 // outcome returns the outcome of an attempt, with what the host reported about itself.
 func (c *Conn) outcome(a *core.Attempt, response *mysqlwire.Result, serverError *mysqlwire.Error, err error) core.Outcome {
 	result := resultOf(serverError, err)
-	if err == nil && serverError != nil && response != nil { // the statement had begun, whatever the code
+	if err == nil && serverError != nil && response != nil { // the statement had begun, whatever the error's code
 		result = routing.ResultError
 	}
 	if result != routing.ResultOK {
--- a/internal/backend/mysql/response_test.go
+++ b/internal/backend/mysql/response_test.go
@@ -12,7 +12,8 @@
 	"cranegate/routing"
 )
 
-// TestResultOfServerErrors checks which errors of a host prove that nothing ran. A code's proof wins over its SQLSTATE's.
+// TestResultOfServerErrors checks which errors of a host prove that nothing ran. If the code and the SQLSTATE imply different
+// results, ResultMissed comes first, and a code for lack of capacity before any other SQLSTATE.
 func TestResultOfServerErrors(t *testing.T) {
 	for _, c := range []struct {
 		code  uint16
@@ -40,8 +41,8 @@
 	}
 }
 
-// TestResultOfBreaks checks the results of answers that can't be read, and of connections that broke: none proves that nothing
-// ran.
+// TestResultOfBreaks checks the results of answers that can't be read and of connections that broke. Neither proves that
+// nothing ran.
 func TestResultOfBreaks(t *testing.T) {
 	full := &mysqlwire.Error{Code: 1040, State: "08004"}
 	for _, c := range []struct {
--- a/internal/backend/options_test.go
+++ b/internal/backend/options_test.go
@@ -13,9 +13,9 @@
 	"cranegate/internal/fake"
 )
 
-// TestAbsurdTimes gives the pool times that no operator means: nothing panics or loops, and where a connection can be opened
-// at all requests are served.
-func TestAbsurdTimes(t *testing.T) {
+// TestExtremeTimeouts gives the pool timeouts that no operator sets on purpose. Nothing must panic or loop, and requests must be
+// served if a connection can be opened at all.
+func TestExtremeTimeouts(t *testing.T) {
 	for _, idle := range []time.Duration{math.MinInt64, -time.Second, 0, 1, math.MaxInt64} {
 		h := newHarness(t, "postgres", &fake.Host{}, func(options *backend.Options) {
 			options.IdleTimeout = idle
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestNoDelay reads the options of a socket to a host as the pool opens it: small writes must not be held back, as a close may
-// follow.
+// TestNoDelay checks that the pool's connections to a host have TCP_NODELAY set: small writes must not be delayed, as a close
+// may follow.
 func TestNoDelay(t *testing.T) {
 	var noDelay atomic.Int64
 	h := newHarness(t, "postgres", &fake.Host{}, func(options *backend.Options) {
--- a/internal/backend/outcome_test.go
+++ b/internal/backend/outcome_test.go
@@ -11,15 +11,15 @@
 	"cranegate/internal/fake"
 )
 
-// errorCase is an error that a host gives once.
+// errorCase is an error with which a host answers once.
 type errorCase struct {
 	protocol, code string
-	after          int    // messages of the good answer
-	tail           string // "noise" in place of Ready, or a "break" behind the error
+	after          int    // number of messages of the correct answer before the error
+	tail           string // "noise" in place of Ready, or a "break" of the connection after the error
 	want           core.Status
 }
 
-// errorCases are errors that mean that nothing has run, alone and behind a part of a result.
+// errorCases returns errors that mean that nothing has run, both alone and after a part of a result.
 func errorCases() []errorCase {
 	var cases []errorCase
 	add := func(protocol, code string, partial ...int) {
@@ -42,9 +42,10 @@
 		errorCase{"postgres", "53300", 0, "break", core.Served})
 }
 
-// TestNeverRanOnlyWhereCertain gives errors that mean that nothing has run: where they stand alone a statement that may run
-// once is retried, and where they follow a part of a result it had begun, so it is not.
-func TestNeverRanOnlyWhereCertain(t *testing.T) {
+// TestRetriesOnlyWhatNeverRan has a host answer with errors that mean that nothing has run. After such an error alone, a
+// statement that may run only once must be retried. After a part of a result the statement had begun, and after noise in place
+// of Ready the error can't be trusted: the statement must not be retried.
+func TestRetriesOnlyWhatNeverRan(t *testing.T) {
 	for _, c := range errorCases() {
 		t.Run(fmt.Sprint(c.protocol, c.code, "after", c.after, c.tail), func(t *testing.T) {
 			var sent atomic.Int32
@@ -62,14 +63,14 @@
 	}
 }
 
-// host returns a host that gives the error once, and counts the answers that it gives.
+// host returns a host that answers with the error once, and counts its answers in sent.
 func (c errorCase) host(sent *atomic.Int32) *fake.Host {
 	host := &fake.Host{}
 	host.Malform = func(_ string, answer []byte) fake.Malformed {
 		if sent.Add(1) > 1 {
 			return fake.Malformed{Answer: answer}
 		}
-		if c.tail == "break" { // the error alone, and then the connection's end
+		if c.tail == "break" { // the error alone, and then a close of the connection
 			return fake.Malformed{Answer: splitMessages(c.protocol, answer)[0]}
 		}
 		answer = errorAfter(c.protocol, answer, c.after, c.code)
@@ -89,9 +90,9 @@
 	return host
 }
 
-// TestUnknownPreparedBehindRows has a host report in the middle of a result that a prepared statement is not known: that is no
-// reason to run it again. Where the error stands alone it is.
-func TestUnknownPreparedBehindRows(t *testing.T) {
+// TestUnknownStatementAfterRows has a host report that it does not know a prepared statement. In the middle of a result, the
+// error must not cause the statement to run again. Alone, it must.
+func TestUnknownStatementAfterRows(t *testing.T) {
 	for after, want := range map[int]core.Status{0: core.Served, 3: core.Failed} {
 		host := &fake.Host{}
 		var sent atomic.Int32
@@ -103,7 +104,7 @@
 		}
 		h := newHarness(t, "prepared", host, nil)
 		h.checkServes("put", "q1")
-		time.Sleep(pastReuseDelay) // the same connection: it has the statement
+		time.Sleep(pastReuseDelay) // q2 goes by the same connection, on which the statement is prepared
 		a := h.wait(h.request("put", "q2"))
 		if n, _ := host.Statements(); a.Status != want || h.connCount() != 1 || (sent.Load() == 2) != (want == core.Served) {
 			t.Errorf("after %d: status %d, sent %d times, %d connections, %d statements", after, a.Status, sent.Load(), h.connCount(), n)
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -19,24 +19,26 @@
 	Connect        func(ctx context.Context, address string) (net.Conn, error) // nil for TCP
 	Start          Starter
 	ConnectTimeout time.Duration
-	IdleTimeout    time.Duration // an idle connection is closed after this, well before the host would
+	IdleTimeout    time.Duration // an idle connection is closed after this time, well before the host would close it
 	MaxOpen        int           // connections to all hosts together
-	Gateways       int           // in the fleet, this one included; the number of idle connections to keep follows from it
+	Gateways       int           // in the fleet, this one included; determines how many idle connections to keep
 	Counters       *metrics.Counters
 }
 
-// The bounds of Options.IdleTimeout: a new connection must get its attempt before it ends, and no clock may overflow.
+// The bounds of Options.IdleTimeout. The minimum gives a new connection the time to get its attempt before it is closed. The
+// maximum keeps computed times from overflowing.
 const (
 	minIdleTimeout = 50 * time.Millisecond
 	maxIdleTimeout = time.Hour
 )
 
-// Pool holds the hosts. It implements core.Backend; the core's actor alone calls those methods.
+// Pool holds the listed hosts and the connection slots that they share. It implements core.Backend, whose methods only the
+// core's actor calls.
 type Pool struct {
 	options     Options
 	mu          sync.Mutex
 	hosts       map[string]*host // by member
-	slots       chan struct{}    // holds one for each open connection and each reserved descriptor
+	slots       chan struct{}    // holds one element for each open connection and each reserved descriptor
 	reserve     descriptorReserve
 	idleTimeout idleTimeoutEstimator
 	sizer       sharedSizer
@@ -44,7 +46,7 @@
 	ctx         context.Context
 }
 
-// New makes a pool whose actors live until the context ends.
+// New returns a pool that runs until the context ends.
 func New(ctx context.Context, options Options) *Pool {
 	if options.Connect == nil {
 		options.Connect = func(ctx context.Context, address string) (net.Conn, error) {
@@ -64,7 +66,7 @@
 	}
 }
 
-// Wait returns once the actors have ended, after the context has.
+// Wait returns once all goroutines of the pool have ended, which they do after the context has ended.
 func (p *Pool) Wait() error { return p.group.Wait() }
 
 // SetGateways sets the number of gateways in the fleet, this one included. It never blocks.
@@ -74,7 +76,8 @@
 	}
 }
 
-// Update applies an endpoint list: a new address means new connections, and a host that was removed is retired.
+// Update applies an endpoint list. It retires each host that was removed. A host with a new address is retired as well, and
+// replaced by one with new connections.
 func (p *Pool) Update(list core.EndpointList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +123,7 @@
 	}
 }
 
-// host returns a listed host, or nil.
+// host returns the listed host of a member, or nil.
 func (p *Pool) host(member string) *host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,11 +133,11 @@
 // full reports whether there is no slot for another connection.
 func (p *Pool) full() bool { return len(p.slots) == cap(p.slots) }
 
-// evictIdle has each host close the connection that has been idle longest: idle ones to some hosts must not keep
-// requests from others.
+// evictIdle has each host close the connection that has been idle longest, so that idle connections to some hosts do not
+// block connects to other hosts.
 func (p *Pool) evictIdle() { p.broadcast(evictOldest{}) }
 
-// broadcast puts a message into all hosts' mailboxes that have room.
+// broadcast puts a message into the mailbox of each host, except where the mailbox is full.
 func (p *Pool) broadcast(message any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,7 +152,7 @@
 	return h != nil && h.post(a)
 }
 
-// CloseIdle closes idle connections to a host.
+// CloseIdle closes the idle connections to a host. It does nothing if the host's mailbox is full.
 func (p *Pool) CloseIdle(member string) {
 	if h := p.host(member); h != nil {
 		h.post(closeIdle{})
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -10,8 +10,8 @@
 	"cranegate/routing"
 )
 
-// TestAThousandHosts lists 1,024 hosts: each has its actor, and their mailboxes together take no more than those of 128 do; no
-// connection is opened, and the slots stay those of the limit. All end with the context.
+// TestAThousandHosts lists up to 3,000 hosts. Each has its actor, and the mailboxes of 1,024 hosts together take no more than
+// the mailboxes of 128 do. No connection is opened, and the number of slots stays MaxOpen. All actors end with the context.
 func TestAThousandHosts(t *testing.T) {
 	for _, c := range []struct{ hosts, mailboxSize int }{
 		{1, maxMailboxSize},
--- a/internal/backend/postgres/postgres.go
+++ b/internal/backend/postgres/postgres.go
@@ -1,4 +1,4 @@
-// Package postgres speaks PostgreSQL's wire protocol to database hosts.
+// Package postgres is the client side of PostgreSQL's wire protocol, for connections to database hosts.
 package postgres
 
 import (
@@ -21,11 +21,11 @@
 	userName         = "svc"
 	databaseName     = "main"
 
-	maxKeptBuffer = 16 << 10 // bytes of a connection's write buffer that are kept for the next statement
+	maxIdleBuffer = 16 << 10 // capacity in bytes up to which a connection keeps its write buffer for the next statement
 )
 
-// errPasswordRequired is the error of a host that asks for a password, which the gateway has not.
-var errPasswordRequired = errors.New("the host wants a password")
+// errPasswordRequired is the error of a host that requires a password, which the gateway does not have.
+var errPasswordRequired = errors.New("the host requires a password")
 
 // Conn is one connection to a database host.
 type Conn struct {
@@ -33,7 +33,7 @@
 	out []byte // the statement to write; the buffer is reused
 }
 
-// Start makes a fresh connection ready for a query. It is a backend.Starter.
+// Start runs the protocol's startup on a new connection, which then can take a query. It is a backend.Starter.
 func Start(raw net.Conn) (backend.Conn, error) {
 	c := &Conn{Conn: framebuf.New(raw, pgwire.MaxMessage)}
 	return c, c.start()
@@ -66,12 +66,12 @@
 	}
 }
 
-// Exchange runs an attempt, as backend.Conn has it. A break before the last byte is written means that nothing ran; after
-// it, that it may have.
+// Exchange implements backend.Conn. If the connection breaks before the statement's last byte is written, the statement has
+// not run; if it breaks later, the statement may have run.
 func (c *Conn) Exchange(a *core.Attempt) (core.Outcome, bool) {
 	c.setStatement(a)
 	c.SetWriteDeadline(time.Now().Add(backend.WriteTimeout))
-	c.SetReadDeadline(time.Time{}) // the core abandons attempts in time
+	c.SetReadDeadline(time.Time{}) // none: the core abandons the attempt at its deadline
 	if !c.Alive() {
 		return backend.NotSent, false
 	}
@@ -81,7 +81,7 @@
 	stop := backend.CloseOnAbandon(a, c)
 	n, err := c.Write(c.out)
 	complete := n == len(c.out)
-	if cap(c.out) > maxKeptBuffer {
+	if cap(c.out) > maxIdleBuffer {
 		c.out = nil
 	}
 	if err != nil && !complete {
@@ -100,7 +100,7 @@
 	return r.outcome(), stop() && c.Buffered() == 0
 }
 
-// setStatement sets the message to write: an attempt's statement, or that of a health check.
+// setStatement sets c.out to the message with an attempt's statement or with the health check's.
 func (c *Conn) setStatement(a *core.Attempt) {
 	text := healthCheckQuery
 	if a.Request != nil {
@@ -110,14 +110,14 @@
 	c.out = pgwire.Append(c.out[:0], messageQuery, text, "\x00")
 }
 
-// streamError is an error of an answer that streams to its client.
+// streamError is an error of an answer that is streamed to its client.
 type streamError struct{ error }
 
 // Unwrap returns the underlying error.
 func (e streamError) Unwrap() error { return e.error }
 
-// readReply reads an answer up to ReadyForQuery. A long row streams to the client; a streamError means that it did not
-// reach it complete.
+// readReply reads an answer up to ReadyForQuery. A long row is streamed to the client; a streamError means that the row did
+// not reach the client completely.
 func (c *Conn) readReply(a *core.Attempt, r *reply) error {
 	for r.state != replyEnded {
 		size, isLong, err := c.longRow()
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// maxMessageBytes bounds the messages of an answer by their kinds. Other kinds have no place there, and whatever begins
-// like one is noise: its length is not to be trusted.
+// maxMessageBytes is the maximum length of an answer's messages, by kind. A message of another kind is noise, and its length
+// can't be trusted.
 var maxMessageBytes = map[byte]int{
 	messageRowDescription:  4 << 10,
 	messageDataRow:         pgwire.MaxMessage,
--- a/internal/backend/postgres/reply.go
+++ b/internal/backend/postgres/reply.go
@@ -12,7 +12,7 @@
 	"cranegate/routing"
 )
 
-// The kinds of message, as PostgreSQL's protocol numbers them.
+// The message kinds of PostgreSQL's protocol.
 const (
 	messageAuthentication  = 'R'
 	messageCommandComplete = 'C'
@@ -27,21 +27,21 @@
 
 const (
 	authenticationOK = 0   // in an authentication message
-	errorFieldCode   = 'C' // of an error message: its SQLSTATE code
+	errorFieldCode   = 'C' // the field of an error message with its SQLSTATE code
 	stateLength      = 5   // bytes of a SQLSTATE code
 )
 
-// The SQLSTATE codes with a result, beside those of package backend.
+// The SQLSTATE codes that determine an attempt's result, in addition to the codes of package backend.
 const (
 	stateCannotConnectNow  = "57P03" // from a health check: the host is over its capacity
-	stateProtocolViolation = "08P01" // the statement can't be used, at this host or another
+	stateProtocolViolation = "08P01" // no host can execute the statement
 )
 
 // maxValueBytes is the maximum length of a value: 64 KiB, in hexadecimal digits.
 const maxValueBytes = 128 << 10
 
-// replyState is how far an answer has come: a description, a row, its completion, Ready; or an error and Ready. Notices and
-// parameters may come at any time.
+// replyState is how much of an answer has been read. An answer consists of a description, a row, its completion and Ready, or
+// of an error and Ready. Notices and parameters may come at any time.
 type replyState int
 
 // The states, in their order.
@@ -56,30 +56,30 @@
 type reply struct {
 	healthCheck bool
 	state       replyState
-	value       []byte // the messages of the answer, copied: they outlive the buffer
+	value       []byte // the messages of the answer, copied, as they outlive the connection's buffer
 	status      backend.HostStatus
 	rows        int
 	names       []string // of the columns
 	complete    bool
 	errorCode   string
 	partial     bool        // the error came after a part of a result
-	streamed    bool        // its row was forwarded to the client
-	tail        chan []byte // streamed: takes what follows the row
+	streamed    bool        // the client takes its row as a stream
+	tail        chan []byte // of a streamed answer: takes the messages that follow the row
 }
 
-// close notifies the client whose answer streams that nothing follows any more.
+// close closes the tail of a streamed answer, so that its client does not wait for more.
 func (r *reply) close() {
 	if r.tail != nil {
 		close(r.tail)
 	}
 }
 
-// add adds a message to the answer. It returns pgwire.ErrMalformed if the message has no place there.
+// add adds a message to the answer. It returns pgwire.ErrMalformed if the message is invalid or must not come at this point.
 func (r *reply) add(kind byte, body []byte) error {
 	switch {
 	case kind == messageNotice:
 		return nil
-	case kind == messageParameter: // one that can't be parsed is ignored: the answer is good without it
+	case kind == messageParameter: // ignored if it can't be parsed, as the answer is valid without it
 		if name, value, err := pgwire.Parameter(body); err == nil {
 			r.status.Set(string(name), string(value))
 		}
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// outcome returns the outcome of an attempt whose answer is as complete as it gets. After a part of a result the
-// statement had begun, whatever the error's code.
+// outcome returns the outcome of an attempt by the part of the answer that was read. If an error came after a part of a
+// result, the statement had begun, whatever the error's code.
 func (r *reply) outcome() core.Outcome {
 	outcome := r.status.Outcome(r.result())
 	if outcome.Result == routing.ResultOK {
@@ -171,7 +171,7 @@
 	case r.complete && r.rows == 1:
 		return routing.ResultOK
 	case r.complete:
-		return routing.ResultError // no row is no answer, though it ran
+		return routing.ResultError // the statement ran, but a result without a row is no answer
 	}
 	return routing.ResultReset
 }
@@ -184,7 +184,7 @@
 	}
 	unreadable := errors.Is(err, pgwire.ErrMalformed) || errors.Is(err, framebuf.ErrTooLarge)
 	if r.errorCode != "" && !unreadable {
-		return r.outcome() // a fatal error needs no Ready
+		return r.outcome() // no Ready follows a fatal error
 	}
 	if backend.IsMalformed(err, pgwire.ErrMalformed) {
 		return core.Outcome{Result: routing.ResultMalformed}
--- a/internal/backend/postgres/stream.go
+++ b/internal/backend/postgres/stream.go
@@ -15,37 +15,38 @@
 )
 
 const (
-	// maxBufferedRow is the size in bytes of a row's message that is buffered until the answer is complete. Longer ones stream.
+	// maxBufferedRow is the maximum size in bytes of a row that is buffered until the answer is complete. Longer rows are
+	// streamed.
 	maxBufferedRow     = 64<<10 + 64
-	maxRow             = 32 << 20         // bytes of a row that streams
+	maxRow             = 32 << 20         // bytes of a streamed row
 	messageHeadLength  = 5                // kind and length
-	rowHeadLength      = 5 + 2 + 4        // a message's head, the number of columns, and the length of the only one
+	rowHeadLength      = 5 + 2 + 4        // a message's head, the number of columns, and the length of the only column
 	valueOffset        = 2 + 4            // of the only value, in a row's body
 	streamBufferSize   = 32 << 10         // bytes
-	streamStallTimeout = 10 * time.Second // a host that sends nothing for so long in the middle of a row has broken
+	streamStallTimeout = 10 * time.Second // a host that sends nothing for this time in the middle of a row has failed
 	streamStartTimeout = 2 * time.Second  // a client that is still connected begins to take its answer at once
 )
 
-// ErrAnswerCut is the error of a host that broke off an answer that had begun to reach its client. The request can't be
-// retried: the client gets an incomplete answer.
+// ErrAnswerCut reports that the host cut an answer off after a part of it had been forwarded to the client. The request can't
+// be retried: the client gets an incomplete answer.
 var ErrAnswerCut = errors.New("the database host broke the answer off")
 
-// ErrClientDisconnected is the error of a client that had disconnected before its answer began.
+// ErrClientDisconnected reports that the client had disconnected before its answer began.
 var ErrClientDisconnected = errors.New("the client had disconnected")
 
-// Stream is an answer whose row is too long to be buffered. Its head is buffered; the rest is forwarded from the host's
-// connection to the client as it comes. It is written once.
+// Stream is an answer whose row is too long to be buffered. Only its head is buffered; the rest is forwarded from the host's
+// connection to the client as it arrives. It can be written only once.
 type Stream struct {
 	conn  *Conn
-	head  []byte // what comes before the row, and the row's head
-	left  int    // bytes of the row, still to come
-	taken atomic.Bool
-	begun chan struct{} // closed when the client takes it
-	done  chan error    // takes the result of the row; the host's connection then reads on
-	tail  chan []byte   // what follows the row, once that is known; closed where nothing will
+	head  []byte        // the messages before the row, and the row's head
+	left  int           // bytes of the row that are still to be forwarded
+	taken atomic.Bool   // by the client's session or, to withdraw the stream, by waitTaken
+	begun chan struct{} // closed when the client's session takes the stream
+	done  chan error    // takes the result of forwarding the row; the host's connection then reads the rest of the answer
+	tail  chan []byte   // takes the messages that follow the row; closed without them if the answer was cut off
 }
 
-// longRow reports whether the next message is a row that has to stream, and the length of its body in bytes.
+// longRow reports whether the next message is a row that has to be streamed, and the length of its body in bytes.
 func (c *Conn) longRow() (size int, ok bool, err error) {
 	head, err := c.Need(1)
 	if err != nil || head[0] != messageDataRow {
@@ -58,8 +59,8 @@
 	return int(n), n > maxBufferedRow && n <= maxRow, nil
 }
 
-// stream offers a long row to the client, and returns once it has been forwarded. What follows the row is to be added to
-// the reply.
+// stream offers a long row to the client, and returns once the row has been forwarded. The caller adds the messages that
+// follow the row to the reply.
 func (c *Conn) stream(a *core.Attempt, r *reply, size int) error {
 	head, err := c.Need(rowHeadLength)
 	if err != nil {
@@ -94,7 +95,8 @@
 	return err
 }
 
-// waitTaken waits until the client begins to take the answer, and returns false if it does not in time; it can't any more then.
+// waitTaken waits until the client's session takes the stream. If that does not happen within streamStartTimeout, waitTaken
+// withdraws the stream and returns false.
 func (s *Stream) waitTaken() bool {
 	timeout := time.NewTimer(streamStartTimeout)
 	defer timeout.Stop()
@@ -106,9 +108,9 @@
 	}
 }
 
-// WriteTo forwards the answer, except for Ready. It is called once, by the client's own goroutine, which owns the reading
-// side of the host's connection meanwhile. It returns ErrClientDisconnected if it was called too late, ErrAnswerCut if the
-// host broke the answer off, or the writer's error.
+// WriteTo forwards the answer, except for Ready. It is called once, by the goroutine of the client's session, which owns the
+// reading side of the host's connection meanwhile. It returns ErrClientDisconnected if it is called too late, ErrAnswerCut if
+// the host cut the answer off, or the writer's error.
 func (s *Stream) WriteTo(w io.Writer) (n int64, err error) {
 	if !s.taken.CompareAndSwap(false, true) {
 		return 0, ErrClientDisconnected
@@ -156,8 +158,8 @@
 	return n, nil
 }
 
-// cutOutcome returns the outcome of an attempt whose answer did not reach the client complete. Where the host did not break
-// it off, the client did.
+// cutOutcome returns the outcome of an attempt whose answer did not reach the client completely. If the host did not cut it
+// off, the client did.
 func (r *reply) cutOutcome(err error) core.Outcome {
 	switch {
 	case errors.Is(err, ErrClientDisconnected) || !errors.Is(err, ErrAnswerCut):
--- a/internal/backend/race_test.go
+++ b/internal/backend/race_test.go
@@ -13,7 +13,7 @@
 	"cranegate/routing"
 )
 
-// connStep is a step of a connection's use that a test can stop at.
+// connStep is a step of a connection's use at which a test can intervene.
 type connStep string
 
 const (
@@ -27,7 +27,7 @@
 type steppedConn struct {
 	backend.Conn
 	onStep func(step connStep, conn *steppedConn)
-	woken  chan struct{} // takes one when an attempt has been handed over
+	woken  chan struct{} // receives a value when an attempt has been handed to the connection
 }
 
 func (c *steppedConn) Park(until time.Time, woken func() bool) error {
@@ -63,8 +63,9 @@
 	}
 }
 
-// TestDrainDuringAttempt has a host begin to drain, or leave the list, as an attempt is about to be written, while it is out,
-// and as its answer has come: in the first case nothing is written, in the others the answer counts.
+// TestDrainDuringAttempt has a host begin to drain, or leave the endpoint list, right before an attempt is written, while the
+// attempt is at the host, and right after the answer has been read. In the first case nothing must be written; in the others
+// the answer counts.
 func TestDrainDuringAttempt(t *testing.T) {
 	const atHost connStep = "at the host"
 	for _, protocol := range protocols {
@@ -95,9 +96,9 @@
 	}
 }
 
-// TestDisconnectAsTheAnswerCame has a client disconnect as its answer has been read: the request has no second outcome, and the
-// connection is in step for the next.
-func TestDisconnectAsTheAnswerCame(t *testing.T) {
+// TestDisconnectAfterAnswer has a client disconnect right after its answer has been read from the host. The request must
+// not have a second outcome, and the connection must be in step for the next request.
+func TestDisconnectAfterAnswer(t *testing.T) {
 	for _, protocol := range protocols {
 		var h *harness
 		var request atomic.Pointer[core.Request]
--- a/internal/backend/reserve.go
+++ b/internal/backend/reserve.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// descriptorReserve is the number of slots that are left unused, as another process of the same gateway uses their
-// descriptors.
+// descriptorReserve counts the slots that connections leave unused because another process of the same gateway uses that
+// many file descriptors.
 type descriptorReserve struct {
 	mu        sync.Mutex
 	wanted    int
-	held      int
-	adjusting bool // a goroutine brings held to wanted
+	reserved  int
+	adjusting bool // a goroutine is bringing reserved to wanted
 }
 
-// reserveRetryInterval is how often idle connections are evicted while too many are open for the reserve.
+// reserveRetryInterval is the time between two evictions of idle connections while too many are open for the reserve.
 const reserveRetryInterval = 50 * time.Millisecond
 
-// ReserveDescriptors leaves n of the slots for connections unused, as soon as that few are open. Idle connections are
-// evicted for it; at least one slot stays in use. It never blocks.
+// ReserveDescriptors keeps n of the slots for connections unused, as soon as few enough connections are open. It evicts idle
+// connections to that end. At least one slot stays available for connections. It never blocks.
 func (p *Pool) ReserveDescriptors(n int) {
 	r := &p.reserve
 	r.mu.Lock()
@@ -33,14 +33,14 @@
 	}
 }
 
-// adjustReserve takes or releases slots until as many are held as are wanted.
+// adjustReserve takes or releases slots until as many are reserved as wanted.
 func (p *Pool) adjustReserve() {
 	r := &p.reserve
 	for !p.releaseReserve() {
 		select {
 		case p.slots <- struct{}{}:
 			r.mu.Lock()
-			r.held++
+			r.reserved++
 			r.mu.Unlock()
 		case <-time.After(reserveRetryInterval):
 			p.evictIdle()
@@ -49,17 +49,17 @@
 	}
 }
 
-// releaseReserve releases the slots that are held and no longer wanted. It returns true, and ends the adjustment, if as many
-// are held as are wanted, or the pool has ended.
+// releaseReserve releases the reserved slots that are no longer wanted. It returns true, and ends the adjustment, if as many
+// are reserved as wanted, or the pool has ended.
 func (p *Pool) releaseReserve() bool {
 	r := &p.reserve
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.held > r.wanted {
+	for r.reserved > r.wanted {
 		<-p.slots
-		r.held--
+		r.reserved--
 	}
-	if r.held != r.wanted && p.ctx.Err() == nil {
+	if r.reserved != r.wanted && p.ctx.Err() == nil {
 		return false
 	}
 	r.adjusting = false
--- a/internal/backend/sizer.go
+++ b/internal/backend/sizer.go
@@ -7,7 +7,7 @@
 	"cranegate/internal/poolsize"
 )
 
-// sharedSizer is the pool's sizer, shared by the hosts' actors and the connections. It is safe for concurrent use.
+// sharedSizer makes the pool's Sizer safe for concurrent use by the hosts' actors and the connections' goroutines.
 type sharedSizer struct {
 	mu    sync.Mutex
 	sizer *poolsize.Sizer
@@ -21,7 +21,7 @@
 	s.hosts = hosts
 }
 
-// setGateways sets the number of gateways, and returns whether fewer idle connections may be kept from now on.
+// setGateways sets the number of gateways, and returns whether fewer idle connections may be kept than before.
 func (s *sharedSizer) setGateways(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,17 +43,17 @@
 }
 
 // recordRejection records that a host rejected a new connection, and returns whether fewer idle connections may be kept
-// from now on.
+// than before.
 func (s *sharedSizer) recordRejection() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sizer.RecordRejection(time.Now())
 }
 
-// idleTimeLeft returns how long a connection that came free at freedAt may still be idle; later is how many of its host's
-// idle connections were used after it.
-func (s *sharedSizer) idleTimeLeft(h *poolsize.Host, freedAt, now time.Time, later int) time.Duration {
+// idleTimeLeft returns how much longer a connection that became free at freedAt may stay idle. usedLater is the number of
+// its host's idle connections that were used after it.
+func (s *sharedSizer) idleTimeLeft(h *poolsize.Host, freedAt, now time.Time, usedLater int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sizer.IdleTimeout(now, h, later) - now.Sub(freedAt)
+	return s.sizer.IdleTimeout(now, h, usedLater) - now.Sub(freedAt)
 }
--- a/internal/backend/sqlstate.go
+++ b/internal/backend/sqlstate.go
@@ -12,7 +12,7 @@
 	StateBehind             = "72000" // a read, and the host lags too far behind
 	StateTooManyConnections = "53300" // the host is over its capacity
 
-	// stateClassInvalid is the class of the codes of a statement that can't be used, at this host or another.
+	// stateClassInvalid is the SQLSTATE class of the errors of a statement that no host can execute.
 	stateClassInvalid = "42"
 )
 
--- a/internal/backend/unsolicited_test.go
+++ b/internal/backend/unsolicited_test.go
@@ -17,17 +17,17 @@
 	"cranegate/internal/pgwire"
 )
 
-// waitArrived waits until what the host has done to a connection can be seen on it.
+// waitArrived waits until the bytes or the close that the host has sent can be seen on a connection.
 func waitArrived(t *testing.T, conn backend.Conn) {
 	for end := time.Now().Add(testTimeout); conn.Alive(); time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
-			t.Error("it never arrives")
+			t.Error("timed out waiting for the bytes or the close of the host")
 			return
 		}
 	}
 }
 
-// unsolicited is what a host may do to an idle connection, by name. answer is its last answer there.
+// unsolicited maps names to what a host may do to an idle connection. answer is the host's last answer on it.
 var unsolicited = map[string]func(protocol string, answer []byte, conn *net.TCPConn){
 	"the answer again": func(_ string, answer []byte, conn *net.TCPConn) { conn.Write(answer) },
 	"a rejection":      func(protocol string, _ []byte, conn *net.TCPConn) { conn.Write(rejection(protocol)) },
@@ -40,7 +40,7 @@
 	},
 }
 
-// rejection is the message of a host that is over its capacity.
+// rejection returns the message with which a host over its capacity rejects a statement.
 func rejection(protocol string) []byte {
 	if protocol == "postgres" {
 		return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", "53300", "no room", ""))
@@ -51,9 +51,9 @@
 	return w.B
 }
 
-// TestUnsolicitedAtEachStep has bytes or an end arrive on an idle connection at each step of its return and of its being taken,
-// up to the moment in which its next attempt is to be written: a statement that may run once goes by another connection then,
-// runs once, and gets its own answer.
+// TestUnsolicitedAtEachStep has bytes or a close arrive on an idle connection at each step of its return to the pool and of
+// its reuse, up to the moment before its next attempt is written. A statement that may run only once must then go by another
+// connection, run once, and get its own answer.
 func TestUnsolicitedAtEachStep(t *testing.T) {
 	for _, protocol := range protocols {
 		for event, send := range unsolicited {
@@ -74,7 +74,7 @@
 		answer.CompareAndSwap(nil, &copied)
 		return fake.Malformed{Answer: b}
 	}}
-	nth := 2 // the first time belongs to the first request
+	nth := 2 // the first occurrence of a step belongs to the first request
 	if when == afterExchange {
 		nth = 1
 	}
@@ -90,7 +90,7 @@
 		if times++; times != nth {
 			return
 		}
-		if step == beforePark { // let it be taken first
+		if step == beforePark { // both requests' attempts have to be handed to the connection first
 			for range 2 {
 				<-conn.woken
 			}
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestSurplusFromTheStart has each new connection be followed by a byte that nobody asked for. An attempt must not try one after
-// the other until its deadline; it never ran.
-func TestSurplusFromTheStart(t *testing.T) {
+// TestUnsolicitedByteAfterStartup has a host send an unsolicited byte after the startup of each connection. An attempt must not go
+// through new connections until its deadline, and it never ran.
+func TestUnsolicitedByteAfterStartup(t *testing.T) {
 	h := newHarness(t, "postgres", &fake.Host{}, nil, func(conn net.Conn) {
 		buffered := framebuf.New(conn, pgwire.MaxMessage)
 		if _, _, err := pgwire.ReadStartup(buffered); err == nil {
@@ -124,7 +124,7 @@
 	}
 }
 
-// duplicatingConn is the host's end of a connection that writes twice, in one piece, what it writes next.
+// duplicatingConn is the host's end of a connection. If next is set, its next write writes the bytes twice, in one piece.
 type duplicatingConn struct {
 	net.Conn
 	next *atomic.Bool
@@ -138,8 +138,8 @@
 	return c.Conn.Write(b)
 }
 
-// TestSurplusBehindAPrepare has the answer to a prepare come twice: the second must not be taken for that of the execute.
-func TestSurplusBehindAPrepare(t *testing.T) {
+// TestDuplicatePrepareAnswer has a host answer a prepare twice. The second answer must not be taken for the execute's answer.
+func TestDuplicatePrepareAnswer(t *testing.T) {
 	var next atomic.Bool
 	first := true
 	host := &fake.Host{Act: func(_, _ string, prepare bool) fake.Act {
--- a/internal/backend/write_test.go
+++ b/internal/backend/write_test.go
@@ -15,7 +15,7 @@
 	"cranegate/internal/fake"
 )
 
-// breakingConn is a connection to a host whose first write of request q1 is replaced.
+// breakingConn is a connection to a host on which write replaces the first write of request q1.
 type breakingConn struct {
 	*net.TCPConn
 	write func(conn *net.TCPConn, b []byte) (int, error)
@@ -36,7 +36,8 @@
 	return c.TCPConn.Write(b)
 }
 
-// withBreakingConns has the pool open connections of which one replaces its first write of request q1.
+// withBreakingConns has the pool open connections on which write replaces the first write of request q1, once for all of them
+// together.
 func withBreakingConns(write func(conn *net.TCPConn, b []byte) (int, error)) func(*backend.Options) {
 	var once sync.Once
 	return func(options *backend.Options) {
@@ -50,8 +51,8 @@
 	}
 }
 
-// TestWriteBreaks breaks the write of a request: up to its last byte that never ran and is retried; with the last byte written
-// it may have run, whatever the write returns, and isn't.
+// TestWriteBreaks breaks the write of a request. If its last byte was not written, the request never ran and must be retried.
+// If the last byte was written, whatever the write returns, the request may have run and must not be retried.
 func TestWriteBreaks(t *testing.T) {
 	errBroken := errors.New("broken")
 	writeNothing := func(*net.TCPConn, []byte) (int, error) { return 0, errBroken }
@@ -90,8 +91,8 @@
 	}
 }
 
-// TestWriteHangs blocks a write indefinitely, as a host's full window does: the request is answered when its time is up, and its
-// connection closed with it.
+// TestWriteHangs blocks a write indefinitely, as a host with a full receive window does. At its deadline the request must be
+// answered and its connection closed.
 func TestWriteHangs(t *testing.T) {
 	closed := make(chan struct{})
 	h := newHarness(t, "postgres", &fake.Host{}, withBreakingConns(func(conn *net.TCPConn, _ []byte) (int, error) {
@@ -113,7 +114,7 @@
 	}
 }
 
-// resettingConn is the host's end of a connection that is reset in the middle of what it writes next.
+// resettingConn is the host's end of a connection. If next is set, the connection is reset in the middle of its next write.
 type resettingConn struct {
 	net.Conn
 	next *atomic.Bool
@@ -129,7 +130,7 @@
 	return n, net.ErrClosed
 }
 
-// TestResetInTheAnswer resets the connection in the middle of an answer: the statement may have run, and isn't retried.
+// TestResetInTheAnswer resets the connection in the middle of an answer. The statement may have run and must not be retried.
 func TestResetInTheAnswer(t *testing.T) {
 	for _, protocol := range protocols {
 		var next atomic.Bool
