--- a/internal/framebuf/arrivals.go
+++ b/internal/framebuf/arrivals.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// maxArrivals bounds the reads that a connection remembers while their bytes are unread. Beyond it the two reads that lie closest
-// together are merged into one with the time of the earlier. Bytes that arrived over some time are then taken for older than they are by an
-// eighth of it at most, and never for younger.
+// maxArrivals bounds the reads that a connection records while their bytes are unread. Beyond it, the two reads that are
+// closest in time are merged into one with the earlier time. A byte then seems older than it is, by an eighth of the time over
+// which the unread bytes arrived at most, but never younger.
 const maxArrivals = 32
 
-// maxIdleArrivals is the capacity that is kept while nothing is unread: most connections have one read at a time.
+// maxIdleArrivals is the number of reads for which memory is kept while no bytes are unread: most connections have the bytes
+// of one read at a time.
 const maxIdleArrivals = 4
 
-// arrival is one read.
+// arrival is one read from a connection.
 type arrival struct {
-	unread int // bytes that it brought and that are not consumed yet
+	unread int // bytes of the read that are not consumed yet
 	at     time.Time
 }
 
-// arrivals are the reads that brought a connection's unread bytes, in order.
+// arrivals records the reads that returned a connection's unread bytes, in order.
 type arrivals struct {
 	reads        []arrival
 	lastConsumed time.Time // when the last byte that was consumed arrived
@@ -33,7 +34,7 @@
 	a.reads = append(a.reads, arrival{bytes, at})
 }
 
-// mergeClosest merges the two reads that lie closest together.
+// mergeClosest merges the two reads that are closest in time.
 func (a *arrivals) mergeClosest() {
 	gap := func(i int) time.Duration { return a.reads[i+1].at.Sub(a.reads[i].at) }
 	closest := 0
--- a/internal/framebuf/arrivals_test.go
+++ b/internal/framebuf/arrivals_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestArrivedAtPerMessage sends messages of four bytes while none is consumed: each has the time of the read that brought its last byte,
-// also where that read brought others, and where a message came in two reads.
+// TestArrivedAtPerMessage sends messages of four bytes while none is consumed. Each must have the time of the read that returned
+// its last byte, also if that read returned other messages or if the message took two reads.
 func TestArrivedAtPerMessage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -40,7 +40,7 @@
 			}
 		}
 		if len(c.arrivals.reads) != 0 {
-			t.Errorf("%d reads are kept with nothing unread", len(c.arrivals.reads))
+			t.Errorf("%d reads are recorded, though no bytes are unread", len(c.arrivals.reads))
 		}
 		go far.Write([]byte("f"))
 		if _, err := c.Need(1); err != nil {
@@ -53,8 +53,8 @@
 	})
 }
 
-// TestArrivalsAreBounded has the bytes of a thousand reads unread: the reads that are remembered are bounded, no byte is taken for younger
-// than it is, and none for older by more than an eighth of the time over which they came.
+// TestArrivalsAreBounded has the bytes of a thousand reads unread. The number of recorded reads must be bounded, no byte may seem
+// younger than it is, and none may seem older by more than an eighth of the time over which the bytes arrived.
 func TestArrivalsAreBounded(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 50 {
@@ -70,14 +70,14 @@
 			}
 			a.add(n, now)
 			if len(a.reads) > maxArrivals {
-				t.Fatalf("%d reads are kept", len(a.reads))
+				t.Fatalf("%d reads are recorded", len(a.reads))
 			}
 		}
 		maxAge := now.Sub(start) / 8
 		for i, at := range arrivedAt {
 			a.consume(1)
 			if age := at.Sub(a.lastConsumed); age < 0 || age > maxAge {
-				t.Fatalf("byte %d is taken for older by %v; 0 to %v allowed", i, age, maxAge)
+				t.Fatalf("byte %d seems older by %v; 0 to %v allowed", i, age, maxAge)
 			}
 		}
 		if len(a.reads) != 0 {
--- a/internal/framebuf/budget.go
+++ b/internal/framebuf/budget.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// Budget bounds the memory that the buffers of many connections take together. A nil Budget bounds nothing. All methods are safe for
-// use by several goroutines at once.
+// Budget bounds the memory that the buffers of many connections take together. A nil Budget bounds nothing. All methods are
+// safe for concurrent use.
 type Budget struct{ remaining atomic.Int64 }
 
 // NewBudget returns a budget of n bytes.
--- a/internal/framebuf/framebuf.go
+++ b/internal/framebuf/framebuf.go
@@ -1,5 +1,5 @@
-// Package framebuf reads framed messages from a connection into one buffer that grows up to a limit. It lets
-// the goroutine that owns the connection wait for its peer and for a signal from other goroutines at once.
+// Package framebuf reads framed messages from a connection into one buffer that grows up to a limit. It lets the goroutine
+// that owns the connection wait for bytes from the peer and for a signal from other goroutines at the same time.
 package framebuf
 
 import (
@@ -30,13 +30,13 @@
 // pastDeadline is a deadline that ends a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// Conn is a connection with a read buffer. One goroutine owns it and reads; Wake and Close may be called from any.
+// Conn is a connection with a read buffer. One goroutine owns it and reads; any goroutine may call Wake and Close.
 type Conn struct {
 	net.Conn
 	buf               []byte // the unread bytes are buf[readPos:writePos]
 	readPos, writePos int
 	limit             int
-	budget            *Budget // pays for buf beyond initialSize
+	budget            *Budget // charged for the part of buf beyond initialSize
 	reserved          int     // bytes, from budget
 	peerClosed        atomic.Bool
 	arrivals          arrivals
@@ -49,10 +49,11 @@
 // New wraps a connection whose messages have at most limit bytes.
 func New(c net.Conn, limit int) *Conn { return &Conn{Conn: c, limit: limit} }
 
-// Charge sets the budget that the buffer's growth is charged to. Release ends that and discards what is unread.
+// Charge sets the budget that the buffer's growth is charged to. Release returns the charged bytes and discards unread ones.
 func (c *Conn) Charge(b *Budget) { c.budget = b }
 
-// Release frees the buffer and returns what it has reserved. The connection must not be read any more.
+// Release frees the buffer, with any unread bytes, and returns its reserved bytes to the budget. Callers outside this package
+// must not read from the connection afterwards.
 func (c *Conn) Release() {
 	c.budget.Release(c.reserved)
 	c.arrivals.reads = nil
@@ -62,9 +63,9 @@
 // Buffered returns the number of unread bytes in the buffer.
 func (c *Conn) Buffered() int { return c.writePos - c.readPos }
 
-// Need returns the unread bytes, at least n of them, without consuming any. The slice is valid until the next
-// call. An error leaves what was read in the buffer, so a read that a deadline ended can go on later. It returns ErrTooLarge if n is
-// over the connection's limit, and ErrBudgetExhausted.
+// Need returns the unread bytes, at least n of them, without consuming any. The slice is valid until the next call. On an
+// error, the bytes that were read stay in the buffer, so that a read that was ended by a deadline can be continued later. It
+// returns ErrTooLarge if n is over the connection's limit, and ErrBudgetExhausted if the budget has no memory for the bytes.
 func (c *Conn) Need(n int) ([]byte, error) {
 	if n > c.limit {
 		return nil, fmt.Errorf("%d bytes: %w", n, ErrTooLarge)
@@ -103,11 +104,12 @@
 	c.arrivals.consume(n)
 }
 
-// ArrivedAt returns when the last byte that Skip consumed arrived: a message behind others arrives before it is read. The message may
-// be taken for a little older than it is, never for younger than the read that brought it. The time is zero before the first Skip.
+// ArrivedAt returns when the last byte that Skip consumed arrived. A message that waits behind others arrives long before it is
+// consumed. The time may be a little too early, but is never later than the read that returned the byte. It is zero before the
+// first Skip.
 func (c *Conn) ArrivedAt() time.Time { return c.arrivals.lastConsumed }
 
-// fill reads once, after making room for n unread bytes in all.
+// fill makes room for n unread bytes in total and reads once.
 func (c *Conn) fill(n int) error {
 	if c.readPos == c.writePos {
 		c.readPos, c.writePos = 0, 0
@@ -131,7 +133,8 @@
 	return err
 }
 
-// ensureCapacity moves the unread bytes to the beginning of a buffer that takes n bytes, where the present one does not take them behind readPos.
+// ensureCapacity makes room for n unread bytes. If they do not fit behind readPos, it moves the unread bytes to the beginning
+// of the buffer or, if n is larger than the buffer, of a larger one.
 func (c *Conn) ensureCapacity(n int) error {
 	if c.readPos+n <= len(c.buf) {
 		return nil
@@ -151,9 +154,9 @@
 	return nil
 }
 
-// Park waits until the peer sends, Wake is called, or woken returns true. It returns nil then, and the caller has to look which it
-// was. It returns an error if the peer has closed or the deadline has passed; a zero deadline never does. What woken
-// reports must be set before Wake is called.
+// Park waits until the peer sends bytes or Wake is called, and does not wait if woken returns true. It then returns nil, and
+// the caller has to check which of these it was. Park returns an error if the peer has closed the connection or the deadline
+// has passed; a zero deadline never passes. The state that woken reports must be set before Wake is called.
 func (c *Conn) Park(deadline time.Time, woken func() bool) error {
 	c.mu.Lock()
 	c.parked, c.woke = true, false
@@ -164,9 +167,9 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.parked = false // a Wake that comes from now on must not end a later read
+	c.parked = false // from here on, a Wake must not end a later read
 	if errors.Is(err, os.ErrDeadlineExceeded) && c.woke {
-		return nil // a caller that waits for two things would take an error for the end of the other
+		return nil // an error would mean that the connection has ended or that the caller's own deadline has passed
 	}
 	return err
 }
@@ -177,12 +180,12 @@
 	defer c.mu.Unlock()
 	if c.parked {
 		c.woke = true
-		c.SetReadDeadline(pastDeadline) // fails only on a closed connection, whose Park has ended
+		c.SetReadDeadline(pastDeadline) // fails only on a closed connection, whose Park has ended anyway
 	}
 }
 
-// Alive reports whether the peer has neither closed nor sent anything since the last read. It guards against
-// writing to a connection whose close has come but was not read yet.
+// Alive reports whether the peer has neither closed the connection nor sent bytes that are still unread. It guards against
+// writing to a connection whose close has arrived but has not been read.
 func (c *Conn) Alive() bool {
 	if c.Buffered() > 0 {
 		return false
--- a/internal/framebuf/peer.go
+++ b/internal/framebuf/peer.go
@@ -13,9 +13,9 @@
 	tcpCloseWait   = 8 // the peer has closed its side
 )
 
-// PeerClosed reports whether the peer has closed its connection, or reset it, as far as that shows without blocking and without reading
-// any bytes: what the peer sent before may hide its close from a read. A half close shows like a close. Once PeerClosed has reported true
-// it always does, as the system reports a reset only once. Any goroutine may call it.
+// PeerClosed reports whether the peer has closed or reset the connection, as far as this can be seen without blocking and
+// without reading any bytes. Bytes that the peer sent before may hide its close from a read. A half close looks like a close.
+// Once PeerClosed has reported true it always does, as the system reports a reset only once. Any goroutine may call it.
 func (c *Conn) PeerClosed() bool {
 	if c.peerClosed.Load() {
 		return true
@@ -34,7 +34,8 @@
 	return closed || !ok
 }
 
-// Established reports whether the system has the connection as open both ways, and whether it gives its state at all.
+// Established reports whether the system's state of the connection is open in both directions, and whether the system gives a
+// state at all. A connection that was closed on this side is known not to be established.
 func (c *Conn) Established() (established, known bool) {
 	ok := c.control(func(fd int) {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -44,8 +45,8 @@
 	return established && ok, known || !ok
 }
 
-// ReadAvailable reads what the peer has sent by now, and reports whether it has closed its connection behind that. It doesn't block. Only
-// the goroutine that owns the connection may call it.
+// ReadAvailable reads the bytes that the peer has sent so far, and reports whether the peer has closed the connection after
+// them. It does not block. Only the goroutine that owns the connection may call it.
 func (c *Conn) ReadAvailable() (closed bool) {
 	for {
 		closed, more := false, false
@@ -56,14 +57,15 @@
 		if !more {
 			return closed
 		}
-		c.SetReadDeadline(time.Time{}) // a deadline that has passed would hide what has come; Park sets its own
-		if c.fill(0) != nil {          // there is no memory for it, or the connection is broken
+		c.SetReadDeadline(time.Time{}) // a passed deadline would keep the bytes from being read; Park sets its own
+		if c.fill(0) != nil {          // there is no memory for the bytes, or the connection is broken
 			return c.PeerClosed()
 		}
 	}
 }
 
-// control runs f on the connection's socket. It reports false if that is closed. On a connection without a socket f does not run.
+// control runs f on the connection's socket. It reports false if the socket is closed. On a connection without a socket, f does
+// not run.
 func (c *Conn) control(f func(fd int)) bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -73,24 +75,24 @@
 	return err == nil && raw.Control(func(fd uintptr) { f(int(fd)) }) == nil
 }
 
-// peekSocket reports whether a socket's next read would return the peer's close or an error, or whether it would return bytes.
+// peekSocket reports whether a socket's next read would return the peer's close or an error (closed), or bytes (more).
 func peekSocket(fd int) (closed, more bool) {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch err {
 	case nil:
 		return n == 0, n > 0
-	case syscall.EAGAIN, syscall.EINTR: // nothing has come
+	case syscall.EAGAIN, syscall.EINTR: // nothing has arrived
 		return false, false
-	case syscall.ENOSYS, syscall.EOPNOTSUPP, syscall.EINVAL, syscall.ENOMEM, syscall.ENOBUFS: // nothing is known
+	case syscall.ENOSYS, syscall.EOPNOTSUPP, syscall.EINVAL, syscall.ENOMEM, syscall.ENOBUFS: // no evidence about the peer
 		return false, false
 	}
 	return true, false
 }
 
-// closedBehindUnread asks the system for a close behind bytes that were not read yet. Only the unambiguous counts: the end
-// of the peer's stream, and an error of the connection. Where the system gives no state, the peer is taken to be there. A close
-// does not show while the receive buffer is full, as the system can't accept it then; a reset does.
+// closedBehindUnread reports whether the system has received a close behind bytes that are still unread. Only unambiguous
+// evidence counts: the end of the peer's stream, or an error of the connection. If the system gives no state, the peer counts
+// as connected. While the receive buffer is full the system can't accept a close, which is then not reported; a reset is.
 func closedBehindUnread(fd int) bool {
 	if errno, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR); err == nil && errno != 0 {
 		return true
--- a/internal/framebuf/peer_test.go
+++ b/internal/framebuf/peer_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestPeerClosed has a peer stay, and close in each way, with unread bytes before that and without: PeerClosed reports it once the close
-// has come and from then on, also where the system reports a reset only once.
+// TestPeerClosed has a peer stay connected, and close the connection in each way, with and without unread bytes before the close.
+// PeerClosed must report a close once it has arrived and from then on, although the system reports a reset only once.
 func TestPeerClosed(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"stays":      nil,
@@ -38,18 +38,18 @@
 				c := New(raw, 1<<10)
 				peer.Write([]byte(unread))
 				if c.PeerClosed() {
-					t.Fatal("closed, though the peer is there")
+					t.Fatal("closed, though the peer is connected")
 				}
 				if end == nil {
 					if c.ReadAvailable() || c.Buffered() != len(unread) {
-						t.Errorf("closed, though the peer is there, with %d bytes", c.Buffered())
+						t.Errorf("closed, though the peer is connected, or %d bytes", c.Buffered())
 					}
 					return
 				}
 				end(peer.(*net.TCPConn))
 				for deadline := time.Now().Add(10 * time.Second); !c.PeerClosed(); time.Sleep(time.Millisecond) {
 					if time.Now().After(deadline) {
-						t.Fatal("the close does not show")
+						t.Fatal("the close is not reported")
 					}
 				}
 				if !c.PeerClosed() || !c.ReadAvailable() {
