--- a/internal/mysqlwire/auth.go
+++ b/internal/mysqlwire/auth.go
@@ -13,15 +13,15 @@
 	CachingSHA2Password = "caching_sha2_password"
 )
 
-// MoreAuth is the first byte of a packet with more data of a login. FastAuth and FullAuth are values of its second byte.
+// MoreAuth is the first byte of a server's packet that continues a login. FastAuth and FullAuth are values of its second byte.
 const (
 	MoreAuth = 0x01
 	FastAuth = 0x03 // the password was right
-	FullAuth = 0x04 // it is required in plain text, which needs an encrypted connection
+	FullAuth = 0x04 // the password is required in plain text, which needs an encrypted connection
 )
 
-// Scramble returns the response to a server's challenge, which proves knowledge of the password. It returns nil for an empty password
-// and for a plugin that is not supported.
+// Scramble returns the response to a server's challenge, which proves knowledge of the password. It returns nil for an empty
+// password and for a plugin that is not supported.
 func Scramble(plugin, password string, nonce []byte) []byte {
 	if password == "" {
 		return nil
@@ -62,7 +62,7 @@
 	w.End()
 }
 
-// ParseSwitchAuth parses such a request.
+// ParseSwitchAuth parses a server's request for another authentication plugin.
 func ParseSwitchAuth(payload []byte) (plugin string, nonce []byte, err error) {
 	c := Cursor{B: payload}
 	c.Byte()
--- a/internal/mysqlwire/command.go
+++ b/internal/mysqlwire/command.go
@@ -10,7 +10,7 @@
 // its own, until it is dropped.
 type Statement struct {
 	Text    string
-	Meta    *sqlcomment.Statement // from its comment
+	Meta    *sqlcomment.Statement // parsed from the comment in Text
 	Params  int
 	dropped atomic.Bool
 }
@@ -27,6 +27,6 @@
 	Meta       *sqlcomment.Statement // of this execution
 	Statement  *Statement            // of a prepare or execute
 	Params     []Param               // of an execute
-	Long       map[int][]byte        // of an execute: the values that were sent ahead, by the parameter's index
-	Attributes []Param               // forwarded, but for the deadline
+	Long       map[int][]byte        // of an execute: the values that were sent ahead as long data, by the parameter's index
+	Attributes []Param               // forwarded, except for the deadline
 }
--- a/internal/mysqlwire/cursor.go
+++ b/internal/mysqlwire/cursor.go
@@ -1,12 +1,12 @@
 package mysqlwire
 
-// Cursor parses a payload from its beginning. Err keeps the first error; reads after it return zero values.
+// Cursor parses a payload from its beginning. Err is set from the first error on; reads after it return zero values.
 type Cursor struct {
-	B   []byte // what is left
+	B   []byte // the bytes that are not parsed yet
 	Err error
 }
 
-// fail keeps an error and drops what is left.
+// fail sets an error and drops the bytes that are not parsed yet.
 func (c *Cursor) fail(err error) {
 	c.B = nil
 	c.Err = err
@@ -67,7 +67,7 @@
 	return c.Take(int(length))
 }
 
-// Zero returns a string that ends with a zero byte, without it.
+// Zero returns the next zero-terminated string, without the zero byte.
 func (c *Cursor) Zero() []byte {
 	for i, b := range c.B {
 		if b == 0 {
--- a/internal/mysqlwire/handshake.go
+++ b/internal/mysqlwire/handshake.go
@@ -6,11 +6,11 @@
 	protocolVersion  = 10
 	charsetUTF8MB4   = 45
 	nonceFirstBytes  = 8  // the first part of the challenge
-	nonceSecondBytes = 12 // the second part, without the zero byte behind it
+	nonceSecondBytes = 12 // the second part, without the zero byte after it
 	minSecondPart    = nonceSecondBytes + 1
 )
 
-// Nonce is the challenge that Handshake writes. It is fixed: the frontend requires no password.
+// Nonce is the challenge that Handshake writes. It can be fixed because the frontend requires no password.
 const Nonce = "cranegategatecranega"
 
 // Handshake is the first packet of a server.
@@ -94,7 +94,8 @@
 	w.End()
 }
 
-// ParseLogin parses a client's response. One of before version 4.1, as an old health check sends it, has only flags and a user.
+// ParseLogin parses a client's response. A response in the format before version 4.1, as an old health check sends it, has only
+// flags and a user.
 func ParseLogin(payload []byte) (Login, error) {
 	cursor := Cursor{B: payload}
 	login := Login{Caps: uint32(cursor.U16())}
--- a/internal/mysqlwire/mysqlwire_test.go
+++ b/internal/mysqlwire/mysqlwire_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The seed of rapid is fixed, so that CI's verdict does not vary. The flags still override it.
+// The seed of rapid is fixed, so that results in CI do not vary. The flags still override it.
 func init() {
 	flag.Set("rapid.seed", "20261201")
 	flag.Set("rapid.nofailfile", "true")
@@ -18,7 +18,7 @@
 // fixedSizes are the sizes of values, by type, in bytes.
 var fixedSizes = map[byte]int{TypeTiny: 1, TypeShort: 2, TypeLong: 4, TypeLongLong: 8, TypeDouble: 8, TypeFloat: 4}
 
-// paramsGenerator generates parameters of all kinds of types.
+// paramsGenerator generates parameters of various types.
 var paramsGenerator = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Param {
 	kind := rapid.SampledFrom([]byte{TypeTiny, TypeShort, TypeLong, TypeLongLong, TypeDouble, TypeFloat, TypeDatetime,
 		TypeVarString, TypeBlob, TypeNull}).Draw(t, "type")
@@ -38,8 +38,8 @@
 	return p
 }), 0, 20)
 
-// TestExecuteRoundTrip checks that parameters and attributes are parsed as they were written, and that a payload
-// that is cut short or changed is never read past its end.
+// TestExecuteRoundTrip checks that parameters and attributes are parsed as they were written, and that parsing a payload that
+// is cut short or changed never reads past its end.
 func TestExecuteRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in, attributes := paramsGenerator.Draw(t, "params"), paramsGenerator.Draw(t, "attributes")
@@ -68,7 +68,7 @@
 	})
 }
 
-// TestRandomPayloads checks that no parser of a peer's bytes panics, whatever they are.
+// TestRandomPayloads checks that no parser panics on random bytes of a peer.
 func TestRandomPayloads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, 80).Draw(t, "payload")
@@ -93,7 +93,8 @@
 	}
 }
 
-// TestHandshakeRoundTrip checks that a handshake is parsed as it was written, and a login of before version 4.1.
+// TestHandshakeRoundTrip checks that a handshake is parsed as it was written, and that a login in the format before version 4.1
+// is parsed.
 func TestHandshakeRoundTrip(t *testing.T) {
 	var w Writer
 	w.Handshake("8.0.0", 1, CapProtocol41|CapSecure|CapPluginAuth|CapSessionTrack)
@@ -101,13 +102,13 @@
 	if err != nil || h.Version != "8.0.0" || h.Caps&CapSessionTrack == 0 || h.AuthPlugin != "mysql_native_password" {
 		t.Errorf("%+v, %v", h, err)
 	}
-	old := []byte{0, 0, 0, 0, 1, 'h', 'a', 0, 0} // a health check of before version 4.1
+	old := []byte{0, 0, 0, 0, 1, 'h', 'a', 0, 0} // a health check's login in the format before version 4.1
 	if l, err := ParseLogin(old); err != nil || l.User != "ha" {
 		t.Errorf("%+v, %v", l, err)
 	}
 }
 
-// TestScramble compares with values computed elsewhere from the published formulas.
+// TestScramble compares Scramble's results with values that were computed independently from the published formulas.
 func TestScramble(t *testing.T) {
 	for plugin, want := range map[string]string{
 		NativePassword:      "cc3fe733cea1f98cf83c2326c9e9218ce96719c8",
--- a/internal/mysqlwire/packet.go
+++ b/internal/mysqlwire/packet.go
@@ -1,6 +1,6 @@
-// Package mysqlwire frames and parses the MySQL client/server protocol as far as the gateway needs it: the
-// handshake of version 10, text queries, prepared statements, query attributes and session tracking. Payloads are slices of the
-// connection's buffer and are valid until its next read.
+// Package mysqlwire reads and writes the MySQL client/server protocol as far as the gateway needs it: the handshake of version
+// 10, text queries, prepared statements, query attributes and session tracking. Payloads are slices of the connection's buffer
+// and are valid until its next read.
 package mysqlwire
 
 import (
@@ -16,7 +16,7 @@
 // headerBytes is the size of a packet's header: a length of 3 bytes and the sequence number.
 const headerBytes = 4
 
-// ErrMalformed reports that the peer broke the protocol. The connection can't be used any more.
+// ErrMalformed reports that the peer violated the protocol. The connection can't be used any more.
 var ErrMalformed = errors.New("malformed packet")
 
 // Capability flags.
--- a/internal/mysqlwire/params.go
+++ b/internal/mysqlwire/params.go
@@ -25,7 +25,7 @@
 	TypeVarString = 0xfd
 )
 
-// flagUnsigned is the flag in a parameter's type of an unsigned number.
+// flagUnsigned is the flag in a parameter's type that marks an unsigned number.
 const flagUnsigned = 0x8000
 
 // maxParams bounds the parameters and attributes of a statement together.
@@ -44,7 +44,7 @@
 	return Param{Type: TypeVarString, Name: name, Value: appendString(nil, value)}
 }
 
-// Text returns the value as text: strings as they are, numbers in decimal, and nothing for null and for dates and times.
+// Text returns the value as text: strings as they are, numbers in decimal, and "" for null, dates and times.
 func (p Param) Text() string {
 	c := Cursor{B: p.Value}
 	if p.Null {
@@ -68,7 +68,7 @@
 	return string(c.String())
 }
 
-// value returns the next value as it is encoded.
+// value returns the next value in its encoding on the wire.
 func (c *Cursor) value(kind uint16) []byte {
 	before := c.B
 	switch byte(kind) {
@@ -90,9 +90,9 @@
 	return before[:len(before)-len(c.B)]
 }
 
-// Params parses count parameters and attributes. Where the client sends no types, those that it has bound before apply. A
-// parameter whose value was sent ahead as long data has none here.
-func (c *Cursor) Params(count int, named bool, bound []uint16, long map[int][]byte) []Param {
+// Params parses count parameters and attributes. If the client sends no types, boundTypes has the types that it sent before. A
+// parameter whose value was sent ahead as long data, and is in long, has no value here.
+func (c *Cursor) Params(count int, named bool, boundTypes []uint16, long map[int][]byte) []Param {
 	if count < 0 || count > maxParams {
 		c.fail(fmt.Errorf("%d parameters: %w", count, ErrMalformed))
 		return nil
@@ -102,7 +102,7 @@
 	}
 	nulls := c.Take((count + 7) / 8)
 	hasTypes := c.Byte() == 1
-	if c.Err == nil && !hasTypes && len(bound) != count {
+	if c.Err == nil && !hasTypes && len(boundTypes) != count {
 		c.Err = fmt.Errorf("parameters without types: %w", ErrMalformed)
 	}
 	if c.Err != nil { // guards against a payload that is cut short
@@ -111,7 +111,7 @@
 	params := make([]Param, count)
 	for i := range params {
 		if !hasTypes {
-			params[i].Type = bound[i]
+			params[i].Type = boundTypes[i]
 			continue
 		}
 		params[i].Type = c.U16()
@@ -158,7 +158,7 @@
 	}
 }
 
-// Query parses what follows the command byte of a text query: its attributes and its text.
+// Query parses a text query after the command byte: its attributes and its text.
 func (c *Cursor) Query(caps uint32) (attributes []Param, text []byte) {
 	if caps&CapQueryAttributes != 0 {
 		count := c.Int()
@@ -181,11 +181,11 @@
 	w.End()
 }
 
-// flagParamCount is the flag of an execute with which the number of parameters follows.
+// flagParamCount is the flag of an execute which means that the number of parameters follows.
 const flagParamCount = 0x08
 
-// Execute parses what follows the statement's id in an execute: the statement's parameters, then attributes.
-func (c *Cursor) Execute(caps uint32, params int, bound []uint16, long map[int][]byte) (all []Param) {
+// Execute parses an execute after the statement's id: the statement's parameters, then attributes.
+func (c *Cursor) Execute(caps uint32, params int, boundTypes []uint16, long map[int][]byte) (all []Param) {
 	flags := c.Byte()
 	c.U32() // iterations: always one
 	named := caps&CapQueryAttributes != 0
@@ -202,7 +202,7 @@
 	if c.Err != nil {
 		return nil
 	}
-	return c.Params(count, named, bound, long)
+	return c.Params(count, named, boundTypes, long)
 }
 
 // Execute writes an execute of the prepared statement with an id.
--- a/internal/mysqlwire/response.go
+++ b/internal/mysqlwire/response.go
@@ -31,7 +31,7 @@
 	w.End()
 }
 
-// trackSystemVariable is the kind of a change of session state that is a system variable's.
+// trackSystemVariable is the kind of a session state change for the change of a system variable.
 const trackSystemVariable = 0
 
 // encodeSession encodes changed session variables.
@@ -46,7 +46,7 @@
 	return changes
 }
 
-// ParseOK parses an OK packet, or the one that ends rows.
+// ParseOK parses an OK packet, or the packet that ends rows.
 func ParseOK(payload []byte, caps uint32) (OK, error) {
 	cursor := Cursor{B: payload}
 	cursor.Byte()
@@ -83,8 +83,8 @@
 	return variables
 }
 
-// RowFits reports whether the lengths in a row agree with its packet's. Of a binary row, whose values have lengths by their
-// types, it checks only the header.
+// RowFits reports whether the lengths of a row's values add up to the length of its packet. Of a binary row, in which the
+// lengths depend on the types of the columns, it checks only the header.
 func RowFits(row []byte, columns int, binary bool) bool {
 	if binary {
 		return len(row) >= 1+(columns+9)/8 && row[0] == HeadOK
@@ -113,7 +113,7 @@
 const (
 	sqlStateMarker = '#'
 	sqlStateBytes  = 5
-	maxErrorText   = 512 // bytes that ParseErr keeps
+	maxErrorText   = 512 // bytes of the text that ParseErr returns
 )
 
 // Err writes an ERR packet.
@@ -150,7 +150,7 @@
 	w.End()
 }
 
-// Lengths that tell a packet that ends rows from a row that begins with the same byte.
+// Lengths that distinguish a packet that ends rows from a row that begins with the same byte.
 const (
 	maxEOFPacket  = 9
 	maxPacketSize = 1<<24 - 1
@@ -190,8 +190,8 @@
 	OK            OK
 }
 
-// Result writes a statement's result. Session variables that the host tracked are part of it: they tell a client the
-// position at which its write was committed.
+// Result writes a statement's result. The result includes the session variables that the host tracked, as they have the
+// position at which the client's write was committed.
 func (w *Writer) Result(r *Result, caps uint32) {
 	if len(r.Columns) == 0 {
 		w.OK(HeadOK, OK{Affected: r.OK.Affected, LastID: r.OK.LastID, Warnings: r.OK.Warnings, Session: r.OK.Session}, caps)
--- a/internal/mysqlwire/writer.go
+++ b/internal/mysqlwire/writer.go
@@ -5,11 +5,11 @@
 // maxIdleBuffer is the capacity up to which Reset keeps a Writer's buffer, in bytes.
 const maxIdleBuffer = 16 << 10
 
-// Writer builds packets with rising sequence numbers.
+// Writer builds packets with ascending sequence numbers.
 type Writer struct {
 	B     []byte // the packets
 	Seq   byte   // of the next packet
-	start int    // of the open packet in B
+	start int    // the offset of the open packet in B
 }
 
 // Reset empties the writer. The next packet has the sequence number seq.
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -1,5 +1,6 @@
-// Package pgwire frames the messages of PostgreSQL's frontend/backend protocol, version 3, as far as the gateway needs
-// it: no password, simple queries. Bodies are slices of the connection's buffer and are valid until its next read.
+// Package pgwire reads and writes the messages of PostgreSQL's frontend/backend protocol, version 3, as far as the gateway
+// needs it: no passwords, and only simple queries. Message bodies are slices of the connection's buffer and are valid until
+// its next read.
 package pgwire
 
 import (
@@ -17,7 +18,7 @@
 	MaxMessage = 192 << 10 // a value of 64 KiB, in hex digits or escaped, and the statement around it
 )
 
-// ProtocolVersion is the code of a startup message. The other codes stand in its place in messages that request something else.
+// ProtocolVersion is the code in a startup message. A message that requests something else has one of the other codes instead.
 const (
 	ProtocolVersion = 3 << 16
 	CancelRequest   = 80877102
@@ -31,11 +32,11 @@
 	startupHeaderBytes = lengthBytes + 4 // the length and the code
 	messageHeaderBytes = kindBytes + lengthBytes
 	columnCountBytes   = 2
-	columnTypeBytes    = 18 // what a RowDescription has of a column behind its name
+	columnTypeBytes    = 18 // the fields of a column after its name in a RowDescription
 	nullColumnLength   = -1
 )
 
-// ErrMalformed reports that the peer broke the protocol's framing. The connection can't be used any more.
+// ErrMalformed reports that the peer violated the protocol. The connection can't be used any more.
 var ErrMalformed = errors.New("malformed message")
 
 // ReadStartup reads the message that opens a connection. It returns ErrMalformed for one over MaxStartup.
@@ -75,7 +76,7 @@
 	return b[0], b[messageHeaderBytes:length], nil
 }
 
-// Text returns a string that ends with a zero byte, and what follows it.
+// Text returns the zero-terminated string at the start of b, without the zero byte, and the bytes after it.
 func Text(b []byte) (text, rest []byte, err error) {
 	i := bytes.IndexByte(b, 0)
 	if i < 0 {
@@ -84,7 +85,7 @@
 	return b[:i], b[i+1:], nil
 }
 
-// Parameter parses a ParameterStatus.
+// Parameter parses the body of a ParameterStatus message.
 func Parameter(body []byte) (name, value []byte, err error) {
 	name, rest, err := Text(body)
 	if err != nil {
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// Columns parses a DataRow. A null column is nil.
+// Columns returns the values of a DataRow's columns. A null value is nil.
 func Columns(body []byte) ([][]byte, error) {
 	if len(body) < columnCountBytes {
 		return nil, fmt.Errorf("row: %w", ErrMalformed)
@@ -201,5 +202,5 @@
 	return Append(b, 'E', append(parts, "\x00\x00")...)
 }
 
-// AppendReady appends a ReadyForQuery, outside a transaction.
+// AppendReady appends a ReadyForQuery with the status of a connection outside a transaction.
 func AppendReady(b []byte) []byte { return Append(b, 'Z', "I") }
--- a/internal/sqlcomment/sqlcomment.go
+++ b/internal/sqlcomment/sqlcomment.go
@@ -2,7 +2,7 @@
 //
 //	/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT v FROM records WHERE k = '7f3a'
 //
-// Both database protocols use it. It knows neither of them.
+// Both database protocols use the package. It depends on neither of them.
 package sqlcomment
 
 import (
@@ -20,7 +20,7 @@
 // ErrNoComment reports that a statement does not open with a comment.
 var ErrNoComment = errors.New("statement does not open with a comment of names and values")
 
-// The names of the comment's fields, which query attributes have as well.
+// The names of the comment's fields. Query attributes have the same names.
 const (
 	fieldID          = "id"
 	fieldClass       = "c"
@@ -30,24 +30,24 @@
 	fieldRetry       = "r" // "1" for a retry
 )
 
-// Statement is one request as its text describes it. Its strings are copies.
+// Statement is one request, as its comment and its text describe it. Its strings are copies.
 //
 // Of the comment's fields, "id" is ID, "c" is Class, "d" is Timeout, "cluster" is Group, "after" is MinPosition and "r" is Retry.
 type Statement struct {
 	ID          string
 	Class       string
-	Timeout     time.Duration // for which the client waits
+	Timeout     time.Duration // how long the client waits
 	HasTimeout  bool
 	Group       int
-	MinPosition int64  // Unix time in milliseconds that a read has to see, 0 for none
+	MinPosition int64  // position that a read has to see, in milliseconds of Unix time; 0 for none
 	Retry       bool   // the client marked it as a retry
-	Key         string // the first quoted text behind the comment: the key, in every statement of the platform
+	Key         string // the first quoted text after the comment, which is the key in every statement of the platform
 
 	beforeTimeout, afterTimeout string // the text before and after the value of Timeout's field
 }
 
-// Parse parses a statement. The caller may reuse text afterwards. Fields that Parse does not know are ignored, and stay in the text. It
-// returns ErrNoComment, or an error for a comment that is too long or malformed.
+// Parse parses a statement. The caller may reuse text afterwards. Unknown fields are ignored and stay in the text. Parse returns
+// ErrNoComment, or an error for a comment that is too long or malformed.
 func Parse(text []byte) (*Statement, error) {
 	trimmed := bytes.TrimLeft(text, " \t\r\n")
 	if !bytes.HasPrefix(trimmed, []byte("/*")) {
@@ -73,7 +73,7 @@
 	return s, nil
 }
 
-// parseField takes the field full[start:end].
+// parseField parses and sets the field full[start:end].
 func (s *Statement) parseField(full string, start, end int) error {
 	name, value, ok := strings.Cut(full[start:end], "=")
 	if !ok {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// Set sets one field by its name, as the comment or a query attribute has it. Unknown names are ignored.
+// Set sets one field by its name in a comment or query attribute. Unknown names are ignored.
 func (s *Statement) Set(name, value string) (err error) {
 	switch name {
 	case fieldID:
@@ -123,8 +123,8 @@
 	return time.Duration(ms) * time.Millisecond, err
 }
 
-// Append appends the statement's text to b, with the time that this gateway will wait in place of the client's timeout, rounded up to
-// milliseconds.
+// Append appends the statement's text to b. In place of the client's timeout it has the time that this gateway will wait, rounded
+// up to milliseconds.
 func (s *Statement) Append(b []byte, wait time.Duration) []byte {
 	b = append(b, s.beforeTimeout...)
 	if s.HasTimeout && s.afterTimeout != "" {
@@ -134,10 +134,10 @@
 	return append(b, s.afterTimeout...)
 }
 
-// timeoutDigits is the room for the digits of a timeout.
+// timeoutDigits is the number of bytes that Len allows for the digits of a timeout.
 const timeoutDigits = 12
 
-// Len returns about the length of the text that Append appends, in bytes: enough to size a buffer.
+// Len returns the approximate length of the text that Append appends, in bytes. It is enough to size a buffer.
 func (s *Statement) Len() int { return len(s.beforeTimeout) + len(s.afterTimeout) + timeoutDigits }
 
 // firstQuoted returns the first text in single quotes, or "" if there is none.
--- a/internal/sqlcomment/sqlcomment_test.go
+++ b/internal/sqlcomment/sqlcomment_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// The seed of rapid is fixed, so that CI's verdict does not vary. The flags still override it.
+// The seed of rapid is fixed, so that results in CI do not vary. The flags still override it.
 func init() {
 	flag.Set("rapid.seed", "20261201")
 	flag.Set("rapid.nofailfile", "true")
 }
 
-// TestForwardedUnchanged checks that a statement is forwarded as it came but for its timeout: a database host rejects
-// anything else.
+// TestForwardedUnchanged checks that a statement is forwarded unchanged except for its timeout. A database host rejects any
+// other change.
 func TestForwardedUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fields := rapid.Permutation([]string{"id=9b1f", "c=basket", "d=480", "cluster=2", "after=1767225600123", "r=1"}).Draw(t, "fields")
