--- a/internal/mysqlwire/auth.go
+++ b/internal/mysqlwire/auth.go
@@ -66,6 +66,6 @@
 func ParseSwitchAuth(payload []byte) (plugin string, nonce []byte, err error) {
 	c := Cursor{B: payload}
 	c.Byte()
-	plugin = string(c.Zero())
+	plugin = string(c.ZeroTerminated())
 	return plugin, bytes.Clone(bytes.TrimSuffix(c.B, []byte{0})), c.Err
 }
--- a/internal/mysqlwire/cursor.go
+++ b/internal/mysqlwire/cursor.go
@@ -67,8 +67,8 @@
 	return c.Take(int(length))
 }
 
-// Zero returns the next zero-terminated string, without the zero byte.
-func (c *Cursor) Zero() []byte {
+// ZeroTerminated returns the next zero-terminated string, without the zero byte.
+func (c *Cursor) ZeroTerminated() []byte {
 	for i, b := range c.B {
 		if b == 0 {
 			return c.Take(i + 1)[:i]
--- a/internal/mysqlwire/handshake.go
+++ b/internal/mysqlwire/handshake.go
@@ -46,7 +46,7 @@
 	if version := cursor.Byte(); version != protocolVersion {
 		return handshake, fmt.Errorf("handshake of version %d: %w", version, ErrMalformed)
 	}
-	handshake.Version = string(cursor.Zero())
+	handshake.Version = string(cursor.ZeroTerminated())
 	cursor.Take(4) // the connection's id
 	handshake.Nonce = append(handshake.Nonce, cursor.Take(nonceFirstBytes)...)
 	cursor.Take(1)
@@ -62,7 +62,7 @@
 		}
 	}
 	if handshake.Caps&CapPluginAuth != 0 && cursor.Err == nil {
-		handshake.AuthPlugin = string(cursor.Zero())
+		handshake.AuthPlugin = string(cursor.ZeroTerminated())
 	}
 	return handshake, cursor.Err
 }
@@ -101,7 +101,7 @@
 	login := Login{Caps: uint32(cursor.U16())}
 	if login.Caps&CapProtocol41 == 0 {
 		cursor.Take(3) // the largest packet
-		login.User = string(cursor.Zero())
+		login.User = string(cursor.ZeroTerminated())
 		return login, cursor.Err
 	}
 	login.Caps |= uint32(cursor.U16()) << 16
@@ -109,17 +109,17 @@
 	if len(cursor.B) == 0 && login.Caps&CapSSL != 0 {
 		return login, fmt.Errorf("encryption was not offered: %w", ErrMalformed)
 	}
-	login.User = string(cursor.Zero())
+	login.User = string(cursor.ZeroTerminated())
 	switch {
 	case login.Caps&CapLenencAuth != 0:
 		login.Auth = append(login.Auth, cursor.String()...)
 	case login.Caps&CapSecure != 0:
 		login.Auth = append(login.Auth, cursor.Take(int(cursor.Byte()))...)
 	default:
-		cursor.Zero()
+		cursor.ZeroTerminated()
 	}
 	if login.Caps&CapConnectWithDB != 0 && len(cursor.B) > 0 {
-		login.Database = string(cursor.Zero())
+		login.Database = string(cursor.ZeroTerminated())
 	}
 	return login, cursor.Err
 }
