--- a/internal/mysqlwire/handshake.go
+++ b/internal/mysqlwire/handshake.go
@@ -6,11 +6,11 @@
 	protocolVersion  = 10
 	charsetUTF8MB4   = 45
 	nonceFirstBytes  = 8  // the first part of the challenge
-	nonceSecondBytes = 12 // the second part, without the zero byte behind it
+	nonceSecondBytes = 12 // the second part, without the zero byte after it
 	minSecondPart    = nonceSecondBytes + 1
 )
 
-// Nonce is the challenge that Handshake writes. It is fixed: the frontend requires no password.
+// Nonce is the challenge that Handshake writes. It can be fixed because the frontend requires no password.
 const Nonce = "cranegategatecranega"
 
 // Handshake is the first packet of a server.
@@ -46,7 +46,7 @@
 	if version := cursor.Byte(); version != protocolVersion {
 		return handshake, fmt.Errorf("handshake of version %d: %w", version, ErrMalformed)
 	}
-	handshake.Version = string(cursor.Zero())
+	handshake.Version = string(cursor.ZeroTerminated())
 	cursor.Take(4) // the connection's id
 	handshake.Nonce = append(handshake.Nonce, cursor.Take(nonceFirstBytes)...)
 	cursor.Take(1)
@@ -62,7 +62,7 @@
 		}
 	}
 	if handshake.Caps&CapPluginAuth != 0 && cursor.Err == nil {
-		handshake.AuthPlugin = string(cursor.Zero())
+		handshake.AuthPlugin = string(cursor.ZeroTerminated())
 	}
 	return handshake, cursor.Err
 }
@@ -94,13 +94,14 @@
 	w.End()
 }
 
-// ParseLogin parses a client's response. One of before version 4.1, as an old health check sends it, has only flags and a user.
+// ParseLogin parses a client's response. A response in the format before version 4.1, as an old health check sends it, has only
+// flags and a user.
 func ParseLogin(payload []byte) (Login, error) {
 	cursor := Cursor{B: payload}
 	login := Login{Caps: uint32(cursor.U16())}
 	if login.Caps&CapProtocol41 == 0 {
 		cursor.Take(3) // the largest packet
-		login.User = string(cursor.Zero())
+		login.User = string(cursor.ZeroTerminated())
 		return login, cursor.Err
 	}
 	login.Caps |= uint32(cursor.U16()) << 16
@@ -108,17 +109,17 @@
 	if len(cursor.B) == 0 && login.Caps&CapSSL != 0 {
 		return login, fmt.Errorf("encryption was not offered: %w", ErrMalformed)
 	}
-	login.User = string(cursor.Zero())
+	login.User = string(cursor.ZeroTerminated())
 	switch {
 	case login.Caps&CapLenencAuth != 0:
 		login.Auth = append(login.Auth, cursor.String()...)
 	case login.Caps&CapSecure != 0:
 		login.Auth = append(login.Auth, cursor.Take(int(cursor.Byte()))...)
 	default:
-		cursor.Zero()
+		cursor.ZeroTerminated()
 	}
 	if login.Caps&CapConnectWithDB != 0 && len(cursor.B) > 0 {
-		login.Database = string(cursor.Zero())
+		login.Database = string(cursor.ZeroTerminated())
 	}
 	return login, cursor.Err
 }
