--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -21,16 +21,16 @@
 	stateUnsent                      // it is over without a byte written
 )
 
-// String returns the state as the log names it.
+// String returns the state's name in log lines.
 func (s attemptState) String() string { return [...]string{"waiting", "written", "unsent"}[s] }
 
-// Attempt is one attempt of a request at a database host, or a health check where Request is nil. The host's connection
+// Attempt is one attempt of a request at a database host, or a health check if Request is nil. The host's connection
 // calls Begin before the first byte and Done at the end.
 type Attempt struct {
 	Request  *Request
 	Member   string
 	Deadline time.Time          // when the gateway stops waiting for it
-	Conn     routing.ConnPolicy // the connection that a health check goes by
+	Conn     routing.ConnPolicy // which connection a health check uses
 
 	core   *Core
 	number int // within the request, from 0
@@ -39,13 +39,13 @@
 	cancel context.CancelFunc
 	state  atomic.Int32 // an attemptState; transition alone changes it
 
-	startDeadline time.Duration // it has to begin before this, on the core's clock; 0: no bound
+	startDeadline time.Duration // it must begin before this time of the core's clock; 0: no bound
 
 	// The actor alone uses the fields below.
-	settled          bool // it has its outcome
+	settled          bool // its outcome is known
 	timeoutTimer     *timer
 	startTimer       *timer        // withdraws it at startDeadline; nil: no bound
-	firstByteLatency time.Duration // where the answer streams
+	firstByteLatency time.Duration // set when an answer starts to stream; 0 for other answers
 }
 
 // Outcome is how an attempt ended, as the host's connection observed it.
@@ -77,13 +77,13 @@
 	}
 }
 
-// Context ends when the attempt is abandoned: its connection must then close.
+// Context returns a context that ends with the attempt. A connection that still works on the attempt must then close.
 func (a *Attempt) Context() context.Context { return a.ctx }
 
-// Begin is the last check before the first byte. It returns false if the attempt is over and must not be written. While
-// the attempt waited for a connection, its host may have begun to drain, its request may have ended, the window for a
-// retry may have passed, or the host's data may have become too old for a read; and its client may have disconnected,
-// which the actor, or even the client's session, may not know yet.
+// Begin makes the last check before the first byte is written. It returns false if the attempt is over and must not be
+// written. While the attempt waited for a connection, its host may have begun to drain, its request may have ended, the
+// window for a retry may have passed, or the host's data may have become too old for a read. Its client may also have
+// disconnected without the actor, or even the client's session, having noticed yet.
 func (a *Attempt) Begin() bool {
 	if a.startDeadline > 0 && a.core.clock.now() >= a.startDeadline {
 		a.transition(stateUnsent, "start_deadline")
@@ -97,12 +97,12 @@
 	return a.currentState() == stateWaiting && !a.Request.isDisconnected()
 }
 
-// Done reports the outcome. Only the first call counts, and none after the core has abandoned the attempt.
+// Done reports the outcome. Only the first call has an effect, and none has one after the core has abandoned the attempt.
 func (a *Attempt) Done(outcome Outcome) { a.core.post(attemptEnded{a, outcome}) }
 
-// Stream offers an answer that is forwarded to the client while the host sends it, and returns whether the client takes
-// it. If so, the attempt has no timeout of its own any more and the request has its final answer; Done reports how the
-// stream ended.
+// Stream offers an answer that is forwarded to the client while the host sends it, and returns whether the request
+// accepts it. If it does, the request has its final answer and the attempt's own timeout is cancelled; Done reports how
+// the stream ended.
 func (a *Attempt) Stream(value any) bool {
 	accepted := make(chan bool, 1)
 	if !a.core.post(streamOffered{a, value, accepted}) {
@@ -116,12 +116,12 @@
 	}
 }
 
-// transition takes the attempt out of stateWaiting, and returns whether this call did. It is the only function that changes
-// the state, and checks the invariants on sends and retries.
+// transition moves the attempt from stateWaiting to another state, and returns whether this call did so. It is the only
+// function that changes the state, and it checks the invariants on sends and retries.
 func (a *Attempt) transition(to attemptState, reason string) bool {
 	change := func() bool { return a.state.CompareAndSwap(int32(stateWaiting), int32(to)) }
 	changed := false
-	if to == stateWritten && a.Request != nil { // a health check runs no statement of a client's
+	if to == stateWritten && a.Request != nil { // a health check runs no client statement
 		changed = a.checkedWrite(change)
 	} else {
 		changed = change()
@@ -140,20 +140,20 @@
 	return a.transition(stateUnsent, reason) || a.currentState() == stateUnsent
 }
 
-// setStartDeadline sets the time before which the attempt has to begin.
+// setStartDeadline sets the time before which the attempt must begin, and withdraws it then if it still waits.
 func (a *Attempt) setStartDeadline(deadline time.Duration) {
 	a.startDeadline = deadline
 	a.startTimer = a.core.timers.add(deadline, func() { a.withdraw(routing.ResultNotSent, "start_deadline") })
 }
 
-// withdraw ends an attempt that waits for a connection; it does nothing to one that was written.
+// withdraw ends an attempt that waits for a connection. It does nothing to an attempt that was written.
 func (a *Attempt) withdraw(result routing.Result, reason string) {
 	if !a.settled && a.markUnsent(reason) {
 		a.settle(Outcome{Result: result})
 	}
 }
 
-// abandon ends an attempt whatever its state. Where no byte was written the outcome is that it was not sent.
+// abandon ends an attempt in any state. If no byte was written, the outcome is ResultNotSent.
 func (a *Attempt) abandon(result routing.Result) {
 	if a.settled {
 		return
@@ -164,7 +164,7 @@
 	a.settle(Outcome{Result: result})
 }
 
-// handleStream gives the request its final answer, which streams, and returns whether it still needed one.
+// handleStream gives the request a streamed final answer, and returns whether the request still needed one.
 func (a *Attempt) handleStream(value any) bool {
 	request, c := a.Request, a.core
 	if a.settled || request == nil || request.ended {
@@ -178,9 +178,10 @@
 	return true
 }
 
-// handleOutcome takes the outcome that the host's connection observed. One that is unsent has not run, whatever its
-// connection reports, which may come before the timer fires. One that did not begin because its client had disconnected
-// has no outcome of its own: it ends the request, if the notice of the disconnect is still on its way.
+// handleOutcome handles the outcome that the host's connection reported. An attempt in stateUnsent has not run, whichever
+// outcome is reported; the report may precede the timer that withdraws the attempt. An attempt that did not begin because
+// its client had disconnected has no outcome to report: it ends its request, unless the actor has handled the disconnect
+// before.
 func (a *Attempt) handleOutcome(outcome Outcome) {
 	if a.currentState() == stateUnsent {
 		outcome = Outcome{Result: routing.ResultNotSent}
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// clock is the core's clock: Unix time, anchored once and monotonic from then on. Positions, starts of hosts
-// and deadlines are all converted on it, so a step of the system's clock can't set them against each other.
+// clock is the core's clock. It reads the Unix time once and is monotonic from then on. Positions, start times of hosts
+// and deadlines are all converted with it, so that a step of the system's clock can't make them inconsistent.
 type clock struct{ base time.Time }
 
 func newClock() clock { return clock{time.Now()} }
@@ -23,7 +23,7 @@
 	return c.base.Add(d - time.Duration(c.base.UnixNano()))
 }
 
-// timer is a function call at a time. One that was cancelled stays in the heap until then, without its function.
+// timer is a scheduled function call. A cancelled timer stays in the heap until its time, without its function.
 type timer struct {
 	at   time.Duration
 	fire func()
@@ -63,8 +63,9 @@
 	return added
 }
 
-// due removes the earliest timer whose time has come and returns its function; cancelled ones are removed on the way.
-func (t *timers) due(now time.Duration) (func(), bool) {
+// popExpired removes the earliest timer that has expired and returns its function, or false if there is none. It also
+// removes the cancelled timers that expired before.
+func (t *timers) popExpired(now time.Duration) (func(), bool) {
 	for len(*t) > 0 && (*t)[0].at <= now {
 		if fire := heap.Pop(t).(*timer).fire; fire != nil {
 			return fire, true
@@ -76,7 +77,7 @@
 // idleWake is how long the actor sleeps at most when no timer is set.
 const idleWake = time.Hour
 
-// next returns the time until the earliest timer.
+// next returns the time until the earliest timer, or idleWake if there is none.
 func (t *timers) next(now time.Duration) time.Duration {
 	if len(*t) == 0 {
 		return idleWake
--- a/internal/core/control.go
+++ b/internal/core/control.go
@@ -18,30 +18,31 @@
 
 // The overrides.
 const (
-	Detach         Override = iota // take the host out of use; an unknown one is an error
+	Detach         Override = iota // take the host out of use; an unknown host is an error
 	DetachUnlisted                 // take the host out of use even if it is not known yet
 	Attach                         // return the host to use
 )
 
-// SetOverride takes a host out of use or returns it to use. It returns once the change holds in the router: after a nil
-// error no attempt begins at a host that is out. It returns ErrStopped, the context's error, or that of the override.
-func (c *Core) SetOverride(ctx context.Context, id string, way Override) error {
-	var failed error
+// SetOverride takes a host out of use or returns it to use. It returns once the router has applied the change: after
+// a nil error no attempt begins at a detached host. It returns ErrStopped, the context's error, or an error of package
+// override.
+func (c *Core) SetOverride(ctx context.Context, id string, override Override) error {
+	var overrideErr error
 	err := c.call(ctx, func() {
-		set := []func(time.Duration, string) ([]routing.Endpoint, error){
+		apply := []func(time.Duration, string) ([]routing.Endpoint, error){
 			Detach:         c.overrides.Detach,
 			DetachUnlisted: c.overrides.DetachUnlisted,
 			Attach:         c.overrides.Attach,
-		}[way]
+		}[override]
 		var changed []routing.Endpoint
-		if changed, failed = set(c.now, id); len(changed) > 0 {
+		if changed, overrideErr = apply(c.now, id); len(changed) > 0 {
 			c.applyEndpoints(routing.EndpointList{Kind: routing.EndpointListPatch, Endpoints: changed})
 		}
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return overrideErr
 }
 
 // call runs a function on the actor's goroutine and returns once it has run. It returns ErrStopped or the context's error
@@ -69,7 +70,7 @@
 	}
 }
 
-// Known reports whether a host with this id is known, in the endpoint list or otherwise.
+// Known reports whether a host with this id is in the endpoint list, was removed from it recently, or is detached.
 func (c *Core) Known(ctx context.Context, id string) (bool, error) {
 	known := false // may be written after a return with an error, and is read only after one without
 	if err := c.call(ctx, func() { known = c.overrides.Known(c.now, id) }); err != nil {
@@ -101,12 +102,14 @@
 	return learned, nil
 }
 
-// Learn gives the router what that of the previous process had observed. It must come after the first endpoint list.
+// Learn restores in the router what the router of the previous process had observed. It must be called after the first
+// endpoint list.
 func (c *Core) Learn(learned routing.Snapshot) {
 	c.post(actorCall(func() { c.router.Restore(learned) }))
 }
 
-// SetStartTimes sets the start times of hosts that another process knew. It must come before the first endpoint list.
+// SetStartTimes sets start times of hosts that another process has recorded. It must be called before the first endpoint
+// list.
 func (c *Core) SetStartTimes(ctx context.Context, starts map[string]time.Time) error {
 	return c.call(ctx, func() {
 		for id, at := range starts {
@@ -115,8 +118,8 @@
 	})
 }
 
-// ConfigureZones replaces how zones are judged and how reads are distributed among them. The options must be valid. Where
-// the core was started without zones nothing changes.
+// ConfigureZones replaces the options by which the health of zones is determined and reads are distributed among them. The
+// options must be valid. If the core was started without zones nothing changes.
 func (c *Core) ConfigureZones(options zones.Options) {
 	c.post(actorCall(func() {
 		if z := c.router.Zones(); z == nil {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -2,8 +2,9 @@
 // database protocols.
 //
 // One goroutine, the actor, runs Core.Run. It owns the router, its clock and timers, and the table of open requests, and
-// it is the only place where a request gets its final answer, exactly once. It never waits for another actor: it starts
-// work at the database hosts through calls that may decline, and it replies to clients through calls that must not block.
+// it is the only place where a request gets its final answer, exactly once. It never waits for another actor: the calls
+// that start work at the database hosts return at once and may decline it, and the calls that reply to clients must not
+// block.
 package core
 
 import (
@@ -31,22 +32,22 @@
 
 // Backend runs attempts at database hosts. None of its calls may block.
 type Backend interface {
-	// Update takes an update of the endpoint list, before the router does.
+	// Update applies an update of the endpoint list. It is called before the router gets the update.
 	Update(EndpointList)
-	// Start hands an attempt to a host. It returns false if the host can't take it; the attempt has then not run.
+	// Start gives an attempt to a host to run. It returns false if the host declines it; the attempt has then not run.
 	Start(*Attempt) bool
 	// CloseIdle closes idle connections to a host.
 	CloseIdle(member string)
 }
 
-// Options are the settings of a Core beside the router's own.
+// Options are the settings of a Core and, in Routing, of its router.
 type Options struct {
 	Routing            routing.Config
 	Seed               uint64
-	AnswerSlack        time.Duration // how long after the client's deadline a final answer may come
+	AnswerSlack        time.Duration // how long after the client's deadline a final answer may still be given
 	HealthCheckTimeout time.Duration
 	Counters           *metrics.Counters
-	Monitor            *invariant.Monitor // takes violations of the invariants; nil: they are not counted
+	Monitor            *invariant.Monitor // receives violations of the invariants; nil: they are not counted
 }
 
 // mailboxSize is the capacity of the actor's mailbox in events. Senders wait while it is full.
@@ -58,7 +59,7 @@
 	classIndex map[string]int // class name to index in the router's configuration
 	mailbox    chan event
 	done       chan struct{} // closed when the actor has ended
-	ready      chan struct{} // closed when the first endpoint list has come
+	ready      chan struct{} // closed when the first endpoint list has arrived
 
 	// The actor alone uses the fields below, except for clock and withdrawals.
 	backend         Backend
@@ -67,9 +68,9 @@
 	now             time.Duration
 	timers          timers
 	requests        map[uint64]*Request
-	unwritten       map[string][]*Attempt // by member: attempts of which no byte may have been written
+	unwritten       map[string][]*Attempt // by member: attempts that may still wait for a connection, with no byte written
 	withdrawals     withdrawals
-	pendingOutcomes []attemptEnded // for the router, after the current event
+	pendingOutcomes []attemptEnded // to be reported to the router after the current event
 	lastRequestID   uint64
 	nextZoneCount   time.Duration
 	ctx             context.Context // parent of all attempts' contexts; ends with the actor
@@ -121,13 +122,13 @@
 	return request.Timeout
 }
 
-// Submit gives a request to the actor. It returns false if the actor has ended, and no answer will come.
+// Submit gives a request to the actor. It returns false if the actor has ended; no answer then follows.
 func (c *Core) Submit(request *Request) bool {
 	return c.post(requestSubmitted{request})
 }
 
-// ClientDisconnected marks the request's client as disconnected: no answer is due. No attempt of the request begins after
-// the call, however long the actor takes to handle the event.
+// ClientDisconnected marks the request's client as disconnected, so that the request gets no answer. No attempt of the
+// request begins after the call, however long the actor takes to handle the event.
 func (c *Core) ClientDisconnected(request *Request) {
 	request.markDisconnected(c)
 	c.post(clientDisconnected{request})
@@ -155,7 +156,7 @@
 		}
 		c.deliverOutcomes()
 		c.countZoneReads()
-		for fire, ok := c.timers.due(c.now); ok; fire, ok = c.timers.due(c.now) {
+		for fire, ok := c.timers.popExpired(c.now); ok; fire, ok = c.timers.popExpired(c.now) {
 			fire()
 			c.deliverOutcomes()
 		}
@@ -163,8 +164,8 @@
 	}
 }
 
-// deliverOutcomes passes to the router the outcomes of attempts that ended during the current event: the router must not
-// be called from within one of its own actions.
+// deliverOutcomes passes to the router the outcomes of attempts that ended during the current event. They wait until then
+// because the router must not be called from within one of its own actions.
 func (c *Core) deliverOutcomes() {
 	for len(c.pendingOutcomes) > 0 {
 		ended := c.pendingOutcomes[0]
@@ -176,7 +177,7 @@
 // zoneCountInterval is how often the reads of each zone tier are added to the counters.
 const zoneCountInterval = time.Second
 
-// countZoneReads adds to the counters how many reads each zone tier got and how many it was to get by configuration.
+// countZoneReads adds to the counters how many reads each zone tier received, and how many it should have received.
 func (c *Core) countZoneReads() {
 	zones := c.router.Zones()
 	if zones == nil || c.now < c.nextZoneCount {
@@ -224,6 +225,6 @@
 		for _, a := range attempts {
 			a.withdraw(routing.ResultNotSent, "host_withdrawn")
 		}
-		delete(c.unwritten, member) // the member's id may never come again
+		delete(c.unwritten, member) // the member may never be listed again, which would leave its entry here
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -10,7 +10,8 @@
 	"cranegate/routing"
 )
 
-// runRequest runs one request against a core whose attempts are started as given.
+// runRequest runs one request through a core whose backend starts attempts with start. It returns the answers, the members
+// to which attempts were sent, and the time until the last answer.
 func runRequest(t *testing.T, request *Request, start func(*Attempt) bool) (answers []Answer, sent []string, took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		config := routing.Config{Gateways: 1, MaxAttempts: 6, Positions: true, RoleSource: routing.RoleSourceDelayed,
@@ -20,7 +21,7 @@
 				{Name: "put", Consistency: routing.ConsistencyWrite, LatencyObjective: 500 * time.Millisecond,
 					Deadline: time.Second, PriorityWeight: 1, LateShare: 0.5, Effect: routing.NonIdempotent}}}
 		h := newHarness(t, testOptions(config, 1), start)
-		h.list(1, 1)
+		h.setEndpoints(1, 1)
 		time.Sleep(50 * time.Millisecond)
 		began := time.Now()
 		request.Arrived = began
@@ -45,15 +46,15 @@
 				timersLeft++
 			}
 		}
-		if len(h.requests) > 0 || timersLeft > 1 { // the router's own timer
+		if len(h.requests) > 0 || timersLeft > 1 { // the router's own timer stays
 			t.Errorf("%d requests and %d timers are left", len(h.requests), timersLeft)
 		}
 	})
 	return answers, sent, took
 }
 
-// TestMinPositionAheadOfClock checks the conversion of a position: one a little ahead of the core's clock, as that of a
-// commit that was rounded up is, must not count as no write at all.
+// TestMinPositionAheadOfClock guards the conversion of a position. The position of a commit is rounded up and may be a
+// little ahead of the core's clock; it must not be treated as if the session had written nothing.
 func TestMinPositionAheadOfClock(t *testing.T) {
 	for after, want := range map[int64]string{3: "db-0", -100: "db-0", -5000: "db-1"} {
 		answers, sent, _ := runRequest(t, &Request{Class: "own", MinPosition: after}, serve)
@@ -63,8 +64,9 @@
 	}
 }
 
-// TestOneAnswerWhateverHostsDo checks that there is one final answer, in time, where hosts are silent, full, or break.
-func TestOneAnswerWhateverHostsDo(t *testing.T) {
+// TestOneAnswerPerRequest checks that a request gets exactly one final answer, by its deadline and the slack, if hosts are
+// silent, full, or break the connection.
+func TestOneAnswerPerRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		start func(*Attempt) bool
 		want  Status
@@ -88,8 +90,8 @@
 	}
 }
 
-// TestTablesDoNotGrow checks the tables over a long time: neither requests that end without an attempt nor what waited at
-// each host that was replaced may be left in them.
+// TestTablesDoNotGrow checks that the tables stay small over a long time: neither requests that end without an attempt nor
+// attempts that waited for a replaced host may be left in them.
 func TestTablesDoNotGrow(t *testing.T) {
 	if answers, sent, _ := runRequest(t, &Request{Class: "own", Group: 9}, serve); len(answers) != 1 || len(sent) > 0 {
 		t.Errorf("a group without members: %+v from %v", answers, sent)
@@ -98,7 +100,7 @@
 		config := routing.Config{Gateways: 1, MaxAttempts: 6, AllowHealthChecks: true, Classes: []routing.Class{
 			{Name: "any", LatencyObjective: 500 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}}}
 		h := newHarness(t, Options{Routing: config, HealthCheckTimeout: 250 * time.Millisecond}, serve)
-		for i := range 50 { // hosts are replaced one after the other, under new ids
+		for i := range 50 { // each round replaces the host by one with a new id
 			h.UpdateEndpoints(EndpointList{Kind: routing.EndpointListComplete, Hosts: []Host{
 				{Endpoint: routing.Endpoint{Member: fmt.Sprint("db-", i), Capacity: 1}}}})
 			time.Sleep(time.Second)
--- a/internal/core/disconnect_test.go
+++ b/internal/core/disconnect_test.go
@@ -8,20 +8,21 @@
 	"cranegate/routing"
 )
 
-// disconnectedClients is how many clients TestNothingBeginsAfterDisconnect has for each of its two kinds of request.
+// disconnectedClients is the number of clients of TestNothingBeginsAfterDisconnect for each of its two kinds of request.
 const disconnectedClients = 100
 
 // TestNothingBeginsAfterDisconnect stops attempts right before their first byte, keeps the actor busy and its mailbox full,
-// and has a hundred clients disconnect at once. None of the attempts begins, nor any of a request that was still in the
-// mailbox; each request ends once, as one whose client has disconnected, whatever the hosts' connections report.
+// and then has all clients disconnect: a hundred with such an attempt, and a hundred whose requests are still in the
+// mailbox. No attempt begins, and no request from the mailbox gets an attempt. Each request ends once and is counted as one
+// whose client has disconnected, whichever outcome the hosts' connections report.
 func TestNothingBeginsAfterDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var stopped []*Attempt // right before Begin
+		var waiting []*Attempt // stopped right before Begin
 		h := newHarness(t, testOptions(hedgingConfig(readClass), 0), func(a *Attempt) bool {
-			stopped = append(stopped, a)
+			waiting = append(waiting, a)
 			return true
 		})
-		h.list(0, 100)
+		h.setEndpoints(0, 100)
 		newRequest := func() *Request {
 			return &Request{Class: "any", Arrived: time.Now(), Reply: func(a Answer) { t.Errorf("answered: %+v", a) }}
 		}
@@ -29,8 +30,8 @@
 			h.Submit(newRequest())
 		}
 		synctest.Wait()
-		if len(stopped) != disconnectedClients {
-			t.Fatalf("%d attempts wait for their connection, want %d", len(stopped), disconnectedClients)
+		if len(waiting) != disconnectedClients {
+			t.Fatalf("%d attempts wait for their connection, want %d", len(waiting), disconnectedClients)
 		}
 		resume := make(chan struct{})
 		h.post(actorCall(func() { <-resume }))
@@ -43,7 +44,7 @@
 		for len(h.mailbox) < cap(h.mailbox) {
 			h.post(actorCall(func() {}))
 		}
-		for i, a := range stopped {
+		for i, a := range waiting {
 			h.checkDisconnectedAttempt(t, i, a)
 		}
 		for _, request := range queued {
@@ -51,8 +52,8 @@
 		}
 		close(resume)
 		synctest.Wait()
-		if len(stopped) != disconnectedClients {
-			t.Errorf("%d attempts were started for disconnected clients", len(stopped)-disconnectedClients)
+		if len(waiting) != disconnectedClients {
+			t.Errorf("%d attempts were started for disconnected clients", len(waiting)-disconnectedClients)
 		}
 		time.Sleep(5 * time.Second)
 		h.stop()
@@ -61,28 +62,29 @@
 	})
 }
 
-// disconnect has a request's client disconnect while there is no room in the mailbox: the notice waits there.
+// disconnect has a request's client disconnect. If the mailbox is full, the event waits for room in it.
 func (h *harness) disconnect(request *Request) {
 	go h.ClientDisconnected(request)
 	synctest.Wait()
 }
 
-// checkDisconnectedAttempt disconnects the client of an attempt that is right before its first byte, by turns before the
-// connection reports and after, and checks that it does not begin.
+// checkDisconnectedAttempt disconnects the client of an attempt that is about to write its first byte, and checks that the
+// attempt does not begin. For even i the event of the disconnect precedes the outcome that the host's connection reports;
+// for odd i it follows the outcome.
 func (h *harness) checkDisconnectedAttempt(t *testing.T, i int, a *Attempt) {
 	t.Helper()
 	if i%2 == 0 {
 		h.disconnect(a.Request)
-	} else { // as it is when ClientDisconnected has been called but its event is behind that of Done
+	} else { // ClientDisconnected does this first; its event then follows the event of Done
 		a.Request.markDisconnected(h.Core)
 	}
 	if a.Waiting() {
-		t.Errorf("attempt %d still wants a connection", i)
+		t.Errorf("attempt %d still waits for a connection after its client disconnected", i)
 	}
 	if a.Begin() {
-		t.Errorf("attempt %d begins", i)
+		t.Errorf("attempt %d begins after its client disconnected", i)
 	}
-	go a.Done(Outcome{}) // as a connection does whose attempt must not begin
+	go a.Done(Outcome{}) // what a connection reports if its attempt must not begin
 	synctest.Wait()
 	if i%2 == 1 {
 		h.disconnect(a.Request)
@@ -101,23 +103,23 @@
 	}
 }
 
-// disconnectCase is when a client disconnects, and what its first attempt does before and after.
+// disconnectCase describes what the first attempt of a request does before and after the request's client disconnects.
 type disconnectCase struct {
 	class  string
-	before func(*Attempt) // what the first attempt does before; nil: nothing
-	after  func(*Attempt) // what it does after; nil: nothing
-	held   bool           // there is no host yet, and no attempt
+	before func(*Attempt) // what the attempt does before; nil: nothing
+	after  func(*Attempt) // what the attempt does after; nil: nothing
+	noHost bool           // no host is listed yet, so there is no attempt
 }
 
-// TestNothingFollowsADisconnect has a client disconnect while its request is held for want of a member, waits for a retry
-// after a rejection, has an attempt out that ends in each way, or is about to be hedged, with the router's own decisions:
-// nothing more is sent, and nothing is left in the table.
-func TestNothingFollowsADisconnect(t *testing.T) {
+// TestNothingSentAfterDisconnect has a client disconnect while its request waits for a host to be listed, waits for a retry
+// after a rejection, has an attempt in flight that then ends in one of several ways, or is about to be hedged. The router
+// makes its own decisions. Nothing more is sent, and no request is left in the table.
+func TestNothingSentAfterDisconnect(t *testing.T) {
 	end := func(result routing.Result) func(*Attempt) {
 		return func(a *Attempt) { a.Done(Outcome{Result: result}) }
 	}
 	for name, c := range map[string]disconnectCase{
-		"held":          {class: "any", held: true},
+		"held":          {class: "any", noHost: true},
 		"retry delay":   {class: "put", before: end(routing.ResultOverCapacity)},
 		"reset":         {class: "any", after: end(routing.ResultReset)},
 		"over capacity": {class: "any", after: end(routing.ResultOverCapacity)},
@@ -138,8 +140,8 @@
 		return true
 	})
 	wantAttempts := int64(0)
-	if !c.held {
-		h.list(1, 9)
+	if !c.noHost {
+		h.setEndpoints(1, 9)
 		h.earnRetryTokens(c.class, started)
 		wantAttempts = 31
 	}
@@ -148,9 +150,9 @@
 	h.Submit(request)
 	synctest.Wait()
 	var first *Attempt
-	if !c.held {
+	if !c.noHost {
 		if first = <-started; !first.Begin() {
-			t.Fatal("the first attempt does not begin")
+			t.Fatal("the first attempt must begin")
 		}
 	}
 	if c.before != nil {
@@ -158,32 +160,32 @@
 		synctest.Wait()
 	}
 	if len(started) > 0 {
-		t.Fatal("a second attempt comes too early")
+		t.Fatal("a second attempt was started before the client disconnected")
 	}
 	h.ClientDisconnected(request)
 	synctest.Wait()
 	if c.after != nil {
 		c.after(first)
 	}
-	h.list(1, 9)
+	h.setEndpoints(1, 9)
 	time.Sleep(5 * time.Second)
 	h.stop()
 	if n := h.counters.Get("attempts"); n != wantAttempts || len(started) > 0 || h.counters.Get("clients_gone") != 1 {
-		t.Errorf("%d attempts: %s", n, h.counters)
+		t.Errorf("something was sent after the disconnect, or it was not counted once: %d attempts, counters %s", n, h.counters)
 	}
 	h.checkNoRequests(t)
 }
 
-// TestNoHedgeBesideAStream has an answer begin to stream while a hedged request is right before its first byte: that does
-// not begin, whether the client stays or disconnects while it receives the value.
-func TestNoHedgeBesideAStream(t *testing.T) {
+// TestNoHedgedRequestDuringStream has an answer begin to stream while a hedged request is about to write its first byte. The
+// hedged request must not begin, and nothing follows when the client disconnects while it receives the value.
+func TestNoHedgedRequestDuringStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := make(chan *Attempt, 100)
 		h := newHarness(t, testOptions(hedgingConfig(readClass), 0), func(a *Attempt) bool {
 			started <- a
 			return true
 		})
-		h.list(1, 9)
+		h.setEndpoints(1, 9)
 		h.earnRetryTokens("any", started)
 		answers := make(chan Answer, 2)
 		h.Submit(&Request{Class: "any", Arrived: time.Now(), Reply: func(a Answer) { answers <- a }})
@@ -194,7 +196,7 @@
 			t.Error("the answer does not stream")
 		}
 		if hedge.Begin() {
-			t.Error("the hedged request begins beside it")
+			t.Error("the hedged request begins during the stream")
 		}
 		first.Done(Outcome{Result: routing.ResultCancelled}) // the client disconnected while it received the value
 		time.Sleep(5 * time.Second)
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -14,7 +14,7 @@
 	streamOffered struct {
 		attempt  *Attempt
 		value    any
-		accepted chan<- bool // has room for the reply
+		accepted chan<- bool // buffered, so that the actor does not block
 	}
 	actorCall func() // runs on the actor's goroutine
 )
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -8,12 +8,12 @@
 	"cranegate/routing"
 )
 
-// gateway implements routing.Gateway, the router's actions. The router calls it during an event; the outcomes of attempts
-// that end at once are reported to the router only after that event.
+// gateway implements routing.Gateway, the router's actions. The router calls it while the actor handles an event. If an
+// attempt ends during such a call, its outcome is reported to the router only after the event.
 type gateway Core
 
 // Send starts the next attempt of a request.
-func (g *gateway) Send(id uint64, member string, abandonAt, beginBy time.Duration) {
+func (g *gateway) Send(id uint64, member string, abandonAt, startBy time.Duration) {
 	c := (*Core)(g)
 	request := c.requests[id]
 	if request == nil {
@@ -24,8 +24,8 @@
 		abandonAt = request.deadline
 	}
 	a := c.newAttempt(request, member, abandonAt)
-	if beginBy < abandonAt {
-		a.setStartDeadline(beginBy)
+	if startBy < abandonAt {
+		a.setStartDeadline(startBy)
 	}
 	a.number = request.attemptCount
 	request.attemptCount++
@@ -52,14 +52,14 @@
 	}
 }
 
-// Reject gives a final answer that promises that nothing ran.
+// Reject gives a final answer that guarantees that nothing ran.
 func (g *gateway) Reject(id uint64, retryAfter time.Duration, reason routing.Reason) {
 	if request := g.requests[id]; request != nil {
 		(*Core)(g).answerUnserved(request, Answer{Status: Rejected, RetryAfter: retryAfter}, reason)
 	}
 }
 
-// Fail gives a final answer that promises nothing.
+// Fail gives a final answer that guarantees nothing.
 func (g *gateway) Fail(id uint64, reason routing.Reason) {
 	if request := g.requests[id]; request != nil {
 		(*Core)(g).answerUnserved(request, Answer{Status: Failed}, reason)
@@ -70,23 +70,23 @@
 func (g *gateway) CloseIdle(member string) { g.backend.CloseIdle(member) }
 
 // CheckHealth starts a health check of a member, over a connection of the given kind.
-func (g *gateway) CheckHealth(member string, by routing.ConnPolicy) {
+func (g *gateway) CheckHealth(member string, conn routing.ConnPolicy) {
 	c := (*Core)(g)
 	c.options.Counters.Add("probes", 1)
 	a := c.newAttempt(nil, member, c.now+c.options.HealthCheckTimeout)
-	a.Conn = by
+	a.Conn = conn
 	c.startAttempt(a)
 }
 
-// SetTimer schedules a timer event.
+// SetTimer schedules a call of Router.Timer.
 func (g *gateway) SetTimer(after time.Duration, name string) {
 	g.timers.add(g.now+after, func() { g.router.Timer(g.now, name) })
 }
 
-// Subscribe does nothing: package discovery keeps a watch on the endpoint list at all times.
+// Subscribe does nothing, because package discovery watches the endpoint list at all times.
 func (g *gateway) Subscribe(bool) {}
 
-// FetchEndpoints does nothing, as Subscribe.
+// FetchEndpoints does nothing, for the same reason as Subscribe.
 func (g *gateway) FetchEndpoints() {}
 
 // ZoneChanged counts and logs a zone's change of state.
@@ -95,5 +95,5 @@
 	slog.Info("zone", "zone", change.Zone, "from", change.From, "to", change.To, "evidence", change.Reason)
 }
 
-// Log writes a line for people.
+// Log writes a log line for operators.
 func (g *gateway) Log(text string) { slog.Info("routing", "text", text) }
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -11,7 +11,7 @@
 	"cranegate/routing"
 )
 
-// fakeBackend records attempts and answers health checks. start decides what else happens to an attempt.
+// fakeBackend records attempts and answers health checks. The function start runs the attempts of requests.
 type fakeBackend struct {
 	mu    sync.Mutex
 	sent  []string // members, in the order of the attempts
@@ -59,13 +59,13 @@
 	return h
 }
 
-// testOptions are options with counters and a short slack for answers.
+// testOptions returns options with counters and a short answer slack.
 func testOptions(config routing.Config, seed uint64) Options {
 	return Options{Routing: config, Seed: seed, AnswerSlack: 20 * time.Millisecond, HealthCheckTimeout: 250 * time.Millisecond,
 		Counters: &metrics.Counters{}}
 }
 
-// hedgingConfig is a configuration that lets the router cancel attempts and hedge requests.
+// hedgingConfig returns a configuration that lets the router cancel attempts and hedge requests.
 func hedgingConfig(classes ...routing.Class) routing.Config {
 	return routing.Config{Gateways: 1, MaxAttempts: 6, AllowCancel: true, AllowHedging: true, Classes: classes}
 }
@@ -77,8 +77,9 @@
 		Deadline: 4 * time.Second, PriorityWeight: 1, LateShare: 0.5}
 )
 
-// list gives the core a complete endpoint list: db-0, the primary, and so many replicas, each with the same capacity.
-func (h *harness) list(replicas int, capacity float64) {
+// setEndpoints gives the core a complete endpoint list: db-0 as the primary, and the given number of entries for the replica
+// db-1, each with the same capacity.
+func (h *harness) setEndpoints(replicas int, capacity float64) {
 	hosts := []Host{{Endpoint: routing.Endpoint{Member: "db-0", Primary: true, Capacity: capacity}}}
 	for range replicas {
 		hosts = append(hosts, Host{Endpoint: routing.Endpoint{Member: "db-1", Capacity: capacity}})
@@ -100,7 +101,7 @@
 	}
 }
 
-// earnRetryTokens has requests of a class served, so that the router may spend retries and hedged requests.
+// earnRetryTokens has requests of a class served, so that the retry budget allows retries and hedged requests.
 func (h *harness) earnRetryTokens(class string, started chan *Attempt) {
 	for range 30 {
 		h.Submit(&Request{Class: class, Arrived: time.Now(), Reply: func(Answer) {}})
@@ -112,7 +113,7 @@
 	}
 }
 
-// serve has an attempt served.
+// serve begins an attempt and reports that the host has answered it.
 func serve(a *Attempt) bool {
 	go func() {
 		if a.Begin() {
--- a/internal/core/idempotency_test.go
+++ b/internal/core/idempotency_test.go
@@ -10,20 +10,20 @@
 	"cranegate/routing"
 )
 
-// idempotencyWindow is how long hosts drop repeats of a keyed write in TestNoRetryBeginsPastItsWindow.
+// idempotencyWindow is how long hosts drop repeats of a write with an idempotency key in TestNoRetryBeginsPastItsWindow.
 const idempotencyWindow = 300 * time.Millisecond
 
-// windowCase is when the connection of a retry comes up.
+// windowCase describes when the connection of a retry is established, and whether the retry may then begin.
 type windowCase struct {
-	connected time.Duration // after the first attempt; 0: never
-	begins    bool
-	busy      time.Duration // the actor is, from shortly before the window's end on: it withdraws no attempt
+	connectAfter time.Duration // from the start of the first attempt; 0: never
+	wantBegin    bool
+	actorBusy    time.Duration // how long the actor is busy from 50 ms before the window's end; it withdraws no attempt meanwhile
 }
 
-// TestNoRetryBeginsPastItsWindow has the first attempt of a write with an idempotency key reset, and its retry wait for a
-// connection that comes up just within the window, at its end, and later: it begins only within, and the client gets an
-// answer to match. The wait is ended at the window's end, also where no connection ever comes up; where the actor is busy
-// then, the last check before the first byte alone enforces the window.
+// TestNoRetryBeginsPastItsWindow resets the connection of the first attempt of a write with an idempotency key. The retry
+// waits for a connection that is established just within the window, at its end, or later. The retry begins only within
+// the window, and the client is served only then. The wait ends with the window, even if no connection is ever established.
+// If the actor is busy at that time, only the last check before the first byte enforces the window.
 func TestNoRetryBeginsPastItsWindow(t *testing.T) {
 	const window = idempotencyWindow
 	cases := []windowCase{
@@ -33,7 +33,7 @@
 		{2 * window, false, 0},
 		{0, false, 0},
 	}
-	for range 10 { // then both the timer and the connection's outcome wait for the actor, which takes either first
+	for range 10 { // the timer and the connection's outcome both wait for the busy actor, which may handle either first
 		cases = append(cases, windowCase{window, false, 100 * time.Millisecond},
 			windowCase{window + time.Millisecond, false, 100 * time.Millisecond})
 	}
@@ -42,19 +42,19 @@
 	}
 }
 
-// windowRun records what became of the attempts of a windowCase.
+// windowRun runs a windowCase and records what happened to its attempts.
 type windowRun struct {
 	windowCase
-	mu    sync.Mutex
-	first time.Time // when the first attempt was started
-	begun []bool    // what Begin returned to retries
-	ended time.Time // when the last retry was over
+	mu             sync.Mutex
+	firstStartedAt time.Time // when the first attempt was started
+	beginResults   []bool    // what Begin returned to retries
+	lastEndedAt    time.Time // when the last retry was over
 }
 
-// start resets the first attempt, and has a retry's connection come up as the case says.
+// start starts the first attempt, which is reset, or a retry, whose connection is established as the case specifies.
 func (r *windowRun) start(a *Attempt) bool {
-	if r.first.IsZero() {
-		r.first = time.Now()
+	if r.firstStartedAt.IsZero() {
+		r.firstStartedAt = time.Now()
 		r.startFirst(a)
 		return true
 	}
@@ -62,19 +62,19 @@
 		<-a.Context().Done()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.ended = time.Now()
+		r.lastEndedAt = time.Now()
 	}()
-	if r.connected > 0 {
+	if r.connectAfter > 0 {
 		go r.connect(a)
 	}
 	return true
 }
 
 func (r *windowRun) startFirst(a *Attempt) {
-	if r.busy > 0 {
+	if r.actorBusy > 0 {
 		go func() {
 			time.Sleep(idempotencyWindow - 50*time.Millisecond)
-			a.core.post(actorCall(func() { time.Sleep(r.busy) }))
+			a.core.post(actorCall(func() { time.Sleep(r.actorBusy) }))
 		}()
 	}
 	go func() {
@@ -84,17 +84,17 @@
 	}()
 }
 
-// connect begins a retry, if it may begin, as soon as its connection is up.
+// connect establishes the connection of a retry at the case's time, and begins the retry if it may.
 func (r *windowRun) connect(a *Attempt) {
-	time.Sleep(time.Until(r.first.Add(r.connected)))
+	time.Sleep(time.Until(r.firstStartedAt.Add(r.connectAfter)))
 	ok := a.Begin()
 	r.mu.Lock()
-	r.begun = append(r.begun, ok)
+	r.beginResults = append(r.beginResults, ok)
 	r.mu.Unlock()
 	if ok {
 		a.Done(Outcome{Result: routing.ResultOK, Value: "v"})
 	} else {
-		a.Done(Outcome{}) // as a connection does whose attempt must not begin
+		a.Done(Outcome{}) // what a connection reports if its attempt must not begin
 	}
 }
 
@@ -111,16 +111,16 @@
 	h.Submit(&Request{Class: "put", Arrived: time.Now(), Reply: func(a Answer) { answers = append(answers, a) }})
 	time.Sleep(5 * time.Second)
 	h.stop()
-	if slices.Contains(r.begun, true) != c.begins || len(answers) != 1 || (answers[0].Status == Served) != c.begins {
-		t.Errorf("connection after %v: begun %v, answers %+v", c.connected, r.begun, answers)
+	if slices.Contains(r.beginResults, true) != c.wantBegin || len(answers) != 1 || (answers[0].Status == Served) != c.wantBegin {
+		t.Errorf("connection after %v: Begin returned %v to the retries, answers %+v", c.connectAfter, r.beginResults, answers)
 	}
 	unsent, failed := h.counters.Get("attempts_never_sent"), h.counters.Get("attempts_error")
-	if !c.begins && (unsent != 1 || failed != 0) {
-		t.Errorf("connection after %v: %d attempts counted as never sent and %d as failed, want one and none",
-			c.connected, unsent, failed)
+	if !c.wantBegin && (unsent != 1 || failed != 0) {
+		t.Errorf("connection after %v: %d attempts counted as never sent and %d as failed, want 1 and 0",
+			c.connectAfter, unsent, failed)
 	}
-	if !c.begins && r.ended.Sub(r.first) > idempotencyWindow+c.busy+time.Millisecond {
+	if !c.wantBegin && r.lastEndedAt.Sub(r.firstStartedAt) > idempotencyWindow+c.actorBusy+time.Millisecond {
 		t.Errorf("connection after %v: the wait ended %v after the first attempt, want %v",
-			c.connected, r.ended.Sub(r.first), idempotencyWindow)
+			c.connectAfter, r.lastEndedAt.Sub(r.firstStartedAt), idempotencyWindow)
 	}
 }
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -17,16 +17,17 @@
 
 // hostStatus is a host's status by the last endpoint list.
 type hostStatus struct {
-	withdrawnAt time.Duration // since when it drains or is off the list; 0: it is usable
+	withdrawnAt time.Duration // when it began to drain or was removed from the list; 0: it is usable
 	listed      bool
 }
 
-// removedHostRetention is how long a host that is off the list is remembered. Nothing can be sent there after that.
+// removedHostRetention is how long the record of a host that is off the list is kept. Nothing can be sent to the host after
+// that.
 const removedHostRetention = time.Minute
 
-// update applies an endpoint list as the router gets it. With onlyDraining, a host that was removed without draining may
-// still be used.
-func (w *withdrawals) update(now time.Duration, list routing.EndpointList, onlyDraining bool) {
+// update applies an endpoint list, in the form that the router gets. If useRemoved is set, a host that was removed without
+// draining may still be used.
+func (w *withdrawals) update(now time.Duration, list routing.EndpointList, useRemoved bool) {
 	if list.Kind == routing.EndpointListFailed {
 		return
 	}
@@ -35,16 +36,16 @@
 	if w.hosts == nil {
 		w.hosts = map[string]hostStatus{}
 	}
-	named := map[string]bool{}
+	inList := map[string]bool{}
 	for _, endpoint := range list.Endpoints {
-		named[endpoint.Member] = true
+		inList[endpoint.Member] = true
 		removed := endpoint.Phase == routing.PhaseRemoved
-		usable := endpoint.Phase == routing.PhaseServing || removed && onlyDraining
+		usable := endpoint.Phase == routing.PhaseServing || removed && useRemoved
 		w.set(now, endpoint.Member, usable, !removed)
 	}
 	for member, status := range w.hosts {
-		if !named[member] && list.Kind != routing.EndpointListPatch && status.listed {
-			w.set(now, member, onlyDraining && status.withdrawnAt == 0, false)
+		if !inList[member] && list.Kind != routing.EndpointListPatch && status.listed {
+			w.set(now, member, useRemoved && status.withdrawnAt == 0, false)
 		} else if !status.listed && now-status.withdrawnAt > removedHostRetention {
 			delete(w.hosts, member)
 		}
@@ -71,12 +72,12 @@
 }
 
 // checkedWrite calls write, which takes an attempt of a request out of stateWaiting, and checks the invariants on sends and
-// on retries. It returns what write returned. The state to check is read before: if the request was answered by then, all
-// its attempts have ended and write returns false.
+// on retries. It returns what write returned. The state to check is read before write is called. If the request has its
+// answer by then, all its waiting attempts have been withdrawn, and write returns false.
 func (a *Attempt) checkedWrite(write func() bool) bool {
 	request, c := a.Request, a.core
 	now := c.clock.now()
-	send, by := invariant.CheckSend(invariant.Attempt{
+	sendReason, by := invariant.CheckSend(invariant.Attempt{
 		Now:            now,
 		Deadline:       request.deadline,
 		LatestStart:    a.startDeadline,
@@ -84,7 +85,7 @@
 		DisconnectedAt: time.Duration(request.disconnectedAt.Load()),
 		WithdrawnAt:    c.withdrawals.withdrawnAt(a.Member),
 	})
-	repeat, written := request.ledger.Begin(a.number, now, invariant.Limits{
+	repeatReason, written := request.ledger.Begin(a.number, now, invariant.Limits{
 		Effect:         request.class.Effect,
 		IdempotencyTTL: request.class.IdempotencyTTL,
 		AllowHedging:   c.options.Routing.AllowHedging,
@@ -93,12 +94,12 @@
 	if !written {
 		return false
 	}
-	c.options.Monitor.Report(invariant.Violation{Rule: invariant.Send, Reason: send, Request: request.ID, Host: a.Member, By: by})
-	c.options.Monitor.Report(invariant.Violation{Rule: invariant.Repeat, Reason: repeat, Request: request.ID, Host: a.Member})
+	c.options.Monitor.Report(invariant.Violation{Rule: invariant.Send, Reason: sendReason, Request: request.ID, Host: a.Member, By: by})
+	c.options.Monitor.Report(invariant.Violation{Rule: invariant.Repeat, Reason: repeatReason, Request: request.ID, Host: a.Member})
 	return true
 }
 
-// checkSlowStart checks how much a host in slow start has been sent, the current attempt included.
+// checkSlowStart checks that a host in slow start has not been sent more than its budget allows, the current attempt included.
 func (c *Core) checkSlowStart(member string) {
 	if c.router.Overdrawn(member) {
 		c.options.Monitor.Report(invariant.Violation{Rule: invariant.Start, Reason: invariant.BudgetOverdraw, Host: member})
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -15,12 +15,12 @@
 
 // The statuses.
 const (
-	Served   Status = iota // with a value that a database host made for it
+	Served   Status = iota // with a value that a database host returned
 	Rejected               // nothing has run, or a repeat is harmless
-	Failed                 // nothing is promised
+	Failed                 // without a guarantee: the request may have run
 )
 
-// String returns the status as counters and logs name it.
+// String returns the status's name in counters and log lines.
 func (s Status) String() string { return [...]string{"served", "refused", "failed"}[s] }
 
 // Answer is a request's final answer.
@@ -36,8 +36,8 @@
 	Group       int
 	Session     string
 	Arrived     time.Time     // when its last byte was read
-	Timeout     time.Duration // how long the client waits from Arrived on; 0 for the class's deadline, which is the maximum
-	MinPosition int64         // Unix time in milliseconds of the writes that a session's read has to see, 0 for none
+	Timeout     time.Duration // how long the client waits, counted from Arrived; 0 for the class's deadline, which is the maximum
+	MinPosition int64         // position that a session's read has to see, as Unix time in milliseconds; 0 for none
 	Retry       bool          // the client marked it as a retry
 	Payload     any           // the statement, in its protocol's form
 
@@ -48,7 +48,7 @@
 	// It may be nil; Core.ClientDisconnected is then the only notice.
 	Disconnected func() bool
 
-	// Reply takes the final answer. The actor calls it once, and it must not block.
+	// Reply receives the final answer. The actor calls it at most once, and it must not block.
 	Reply func(Answer)
 
 	disconnectedAt atomic.Int64 // on the core's clock; 0: the client is connected. Set once, by any goroutine
@@ -60,12 +60,12 @@
 	class        *routing.Class
 	deadline     time.Duration
 	ended        bool
-	attemptCount int        // attempts so far, those never sent included
+	attemptCount int        // attempts so far, including those that were never sent
 	attempts     []*Attempt // attempts without an outcome
 	overdueTimer *timer
 }
 
-// Effect returns what a repeat of the request does. It is known once the request is submitted.
+// Effect returns what running the request a second time does. It must not be called before the request has an attempt.
 func (r *Request) Effect() routing.Effect { return r.class.Effect }
 
 // isDisconnected reports whether the client is known to have disconnected. A health check has no client.
@@ -75,11 +75,12 @@
 func (r *Request) markDisconnected(c *Core) { r.disconnectedAt.CompareAndSwap(0, int64(c.clock.now())) }
 
 // disconnectCheckAge is the age from which on a request's client is checked right before an attempt begins. A younger
-// request's client was checked as it arrived; an attempt may begin up to 0.1 s after its client's close.
+// request needs no check: its client was checked when the request arrived, and an attempt may begin up to 0.1 s after its
+// client has disconnected.
 const disconnectCheckAge = 20 * time.Millisecond
 
-// checkDisconnected reports whether the client has disconnected. It asks the client's connection where the close may not
-// have been notified yet.
+// checkDisconnected reports whether the client has disconnected. It polls the client's connection if a disconnect
+// may not have been notified yet.
 func (r *Request) checkDisconnected(c *Core) bool {
 	if r == nil || r.Disconnected == nil || r.isDisconnected() {
 		return r.isDisconnected()
@@ -90,7 +91,7 @@
 	return r.isDisconnected()
 }
 
-// logID is the client's id of the request; that of a health check is "probe".
+// logID returns the client's id of the request, or "probe" for a health check.
 func (r *Request) logID() string {
 	if r == nil {
 		return "probe"
@@ -98,7 +99,8 @@
 	return r.ID
 }
 
-// handleRequest adds a request to the table, which holds it until its last attempt is over, and gives it to the router.
+// handleRequest adds a request to the table and gives it to the router. The request stays in the table until its last
+// attempt is over.
 func (c *Core) handleRequest(request *Request) {
 	class, ok := c.classIndex[request.Class]
 	if !ok || request.ended {
@@ -106,7 +108,7 @@
 		return
 	}
 	c.options.Counters.Add("requests", 1)
-	if request.isDisconnected() { // while it was in the mailbox: the router need not know of it
+	if request.isDisconnected() { // while the request was in the mailbox: the router does not need it
 		c.options.Counters.Add("clients_gone", 1)
 		request.ended = true
 		return
@@ -131,8 +133,8 @@
 	})
 }
 
-// sinceWrite returns the time since the commit that a session's read has to see, or zero for none. A commit is rounded up
-// and may lie a little ahead of this clock; zero would then mean that there is none.
+// sinceWrite returns the time since the commit that a session's read has to see, or zero for none. The position of a
+// commit is rounded up and may be a little ahead of this clock. The result is then 1 ns, as zero would mean no commit.
 func (c *Core) sinceWrite(request *Request) time.Duration {
 	if request.MinPosition <= 0 {
 		return 0
@@ -140,7 +142,8 @@
 	return max(1, c.now-time.Duration(request.MinPosition)*time.Millisecond)
 }
 
-// handleOverdue fails a request that has no answer in time. The router answers before, unless it has a fault.
+// handleOverdue fails a request that has no answer by half the answer slack after its deadline. The router has answered by
+// then unless it has a fault.
 func (c *Core) handleOverdue(request *Request) {
 	if request.ended {
 		return
@@ -165,7 +168,7 @@
 	c.removeIfDone(request)
 }
 
-// answer gives the final answer. It is the only function that does.
+// answer gives a request its final answer. It is the only function that answers a request in the table.
 func (c *Core) answer(request *Request, answer Answer) {
 	if request.ended {
 		return
@@ -195,7 +198,7 @@
 	c.answer(request, answer)
 }
 
-// closeRequest marks a request as ended. Its attempts that still wait for a connection never begin.
+// closeRequest marks a request as ended, and withdraws its attempts that still wait for a connection.
 func (c *Core) closeRequest(request *Request) {
 	request.ended = true
 	request.overdueTimer.cancel()
@@ -205,7 +208,8 @@
 	c.removeIfDone(request)
 }
 
-// removeIfDone removes a request from the table once it has ended with all its attempts. A request may end without any.
+// removeIfDone removes a request from the table if it has ended and so have all its attempts. A request may end without
+// any attempt.
 func (c *Core) removeIfDone(request *Request) {
 	if request.ended && len(request.attempts) == 0 {
 		delete(c.requests, request.id)
