--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,9 +1,9 @@
 // Package backoff computes the delays between calls to a service that all gateways of a fleet call. It does no I/O and reads no clock.
 //
-// A service that rejects calls because it has too many never catches up while each rejected gateway calls again at once. The delay
-// after a rejection therefore grows with the number of gateways and with the failures in a row, with jitter. The first call is not
-// delayed, and each delay is bounded: a change at discovery has to be known 6 s after discovery could be reached, whatever became of
-// the calls before.
+// A service that rejects calls because it gets too many never catches up if each rejected gateway calls again at once. The delay
+// after a rejection therefore grows with the number of gateways and with the failures in a row, and has jitter. The first call is not
+// delayed, and each delay is bounded, because a gateway must know of a change at discovery within 6 s of the time at which discovery
+// can be reached, however earlier calls ended.
 package backoff
 
 import (
@@ -14,20 +14,21 @@
 
 const (
 	minDelay                = 100 * time.Millisecond // also after a first failed call: a watch outlives its wait by 200 ms
-	rejectedDelayPerGateway = 50 * time.Millisecond  // of the delay after a first rejection
-	maxDoublings            = 2                      // of the delays, however many calls in a row have failed
+	rejectedDelayPerGateway = 50 * time.Millisecond  // the delay after a first rejection, for each gateway
+	maxDoublings            = 2                      // at most, of a delay after failures in a row
 
-	// MaxRejectedDelay bounds the time from the beginning of a rejected call to the next call, whatever the service asks for.
-	// A service that takes 60 ms for a call never catches up with 80 callers that each come more often than every 2.85 s.
+	// MaxRejectedDelay bounds the time from the beginning of a rejected call to the next call, for any Retry-After value.
+	// A service that takes 60 ms for a call never catches up with 80 callers that each call more often than every 2.85 s.
+	// Within the 6 s there is still time for a connect and a call that is not answered.
 	MaxRejectedDelay = 3000 * time.Millisecond
-	// maxTwoRejectionsInterval bounds the time from the beginning of a rejected call to the call after the next. With it, as with
-	// MaxRejectedDelay, a connect and a call that is not answered still fit into the 6 s.
+	// maxTwoRejectionsInterval bounds the time from the beginning of a rejected call to the call after the next, so
+	// that this call can still be answered within the 6 s.
 	maxTwoRejectionsInterval = 5800 * time.Millisecond
-	// maxRejectedJitter is the interval over which callers that reach MaxRejectedDelay are spread.
+	// maxRejectedJitter is the interval over which the calls of gateways that reach MaxRejectedDelay are spread.
 	maxRejectedJitter = 300 * time.Millisecond
 )
 
-// MaxFailureDelay returns the longest delay that Failed returns after so many failed calls in a row.
+// MaxFailureDelay returns the longest delay that Failed returns after the given number of failed calls in a row.
 func MaxFailureDelay(failures int) time.Duration {
 	return minDelay << min(max(failures, 1)-1, maxDoublings)
 }
@@ -37,10 +38,10 @@
 	gateways     atomic.Int64
 	rng          *rand.Rand
 	failures     int           // in a row
-	lastInterval time.Duration // from the last rejected call to the call after it; 0 if another kind of call came since
+	lastInterval time.Duration // from the last rejected call to the call after it; 0 if the last call was not rejected
 }
 
-// New makes the Backoff of one of so many gateways. The seed has to differ from gateway to gateway.
+// New makes the Backoff of one gateway of a fleet of the given size. Each gateway must have a different seed.
 func New(gateways int, seed uint64) *Backoff {
 	b := &Backoff{rng: rand.New(rand.NewPCG(seed, 1))}
 	b.SetGateways(gateways)
@@ -56,8 +57,8 @@
 	b.lastInterval = 0
 }
 
-// Failed records a call that was neither answered nor rejected, and returns the delay before the next. It does not depend on the
-// number of gateways: a service that is merely unreachable does not recover sooner for it.
+// Failed records a call that was neither answered nor rejected, and returns the delay before the next. The delay does not
+// depend on the number of gateways, because longer delays do not help a service that is merely unreachable.
 func (b *Backoff) Failed() time.Duration {
 	b.lastInterval = 0
 	b.failures++
@@ -68,8 +69,8 @@
 	return maxDelay/2 + b.random(maxDelay/2)
 }
 
-// Rejected records a call that the service rejected for lack of capacity, and returns the delay before the next. The call took
-// elapsed so far; retryAfter is the delay that the service asked for, 0 if none.
+// Rejected records a call that the service rejected for lack of capacity, and returns the delay before the next. The call
+// took elapsed; retryAfter is the delay that the service requested, 0 if none.
 func (b *Backoff) Rejected(elapsed, retryAfter time.Duration) time.Duration {
 	b.failures++
 	delay := b.rejectedBaseDelay()
@@ -86,7 +87,7 @@
 	return delay
 }
 
-// rejectedBaseDelay returns the delay after a rejection without jitter, which grows with the gateways and the failures in a row.
+// rejectedBaseDelay returns the delay after a rejection, without jitter. It grows with the number of gateways and the failures in a row.
 func (b *Backoff) rejectedBaseDelay() time.Duration {
 	gateways := min(b.gateways.Load(), int64(MaxRejectedDelay/rejectedDelayPerGateway))
 	first := max(minDelay, time.Duration(gateways)*rejectedDelayPerGateway)
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// busyService is a service with more callers than it can serve. It works on one call after the other, also on those whose caller
-// has given up, and rejects a call that has waited for longer than timeout.
+// busyService is a service with more callers than it can serve. It processes one call at a time, including calls whose callers have
+// given up. It rejects a call that is not answered within timeout, or at once if the queue is longer than twice the timeout.
 type busyService struct {
 	callDuration time.Duration
 	timeout      time.Duration
 	freeAt       time.Duration
 }
 
-// call takes a call that arrives at a time. It returns when the call ends, and whether it was answered.
+// call simulates a call that arrives at the given time. It returns when the call ends, and whether it was answered.
 func (s *busyService) call(arrival time.Duration) (end time.Duration, answered bool) {
 	wait := max(0, s.freeAt-arrival)
 	if wait > 2*s.timeout { // its queue is full
@@ -27,8 +27,8 @@
 	return arrival + wait + s.callDuration, true
 }
 
-// simulate has all gateways of a fleet call at once, and again after the delay that rejected returns, until all are answered or the time
-// is over. It returns how many were answered, and when the last of them was.
+// simulate has all gateways of a fleet call at once, and again after the delay that rejected returns, until all are answered or duration
+// has passed. It returns how many were answered, and when the last answer came.
 func simulate(gateways int, duration time.Duration, rejected func(gateway int, elapsed time.Duration) time.Duration) (answered int, last time.Duration) {
 	s := busyService{callDuration: 60 * time.Millisecond, timeout: 2 * time.Second}
 	nextCall := make([]time.Duration, gateways) // -1 once answered
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestFleetStartIsAnswered has 80 gateways start at once beside a service that takes 60 ms for a call: all are answered, with any seeds,
-// though no delay is over the bound.
+// TestFleetStartIsAnswered has 80 gateways start at once and call a service that takes 60 ms for a call. All are answered with each set
+// of seeds, although the delays are bounded.
 func TestFleetStartIsAnswered(t *testing.T) {
 	const gateways, duration = 80, 20 * time.Second
 	for round := range uint64(50) {
@@ -67,19 +67,20 @@
 			t.Errorf("round %d: %d of %d answered, the last after %v", round, answered, gateways, last)
 		}
 	}
-	// Without a backoff callers are not answered, as the service never catches up.
+	// Without a backoff many callers are not answered, as the service never catches up.
 	answered, _ := simulate(gateways, duration, func(int, time.Duration) time.Duration { return minDelay })
 	if answered > gateways*3/4 {
-		t.Errorf("%d of %d answered without a backoff: the service of this test is never overloaded", answered, gateways)
+		t.Errorf("%d of %d answered without a backoff: the simulated service is not overloaded", answered, gateways)
 	}
 }
 
-// TestDelaysGrowUpToMax checks all delays against docs/standing.md: from a rejected call to the next it is at most MaxRejectedDelay,
-// whatever the number of gateways, the failures and the Retry-After value. Up to there delays grow, and an answer resets them.
+// TestDelaysGrowUpToMax checks all delays against docs/standing.md: the time from a rejected call to the next is at most
+// MaxRejectedDelay for any number of gateways and failures and any Retry-After value. Below that bound delays grow with the failures,
+// and an answer resets them.
 func TestDelaysGrowUpToMax(t *testing.T) {
 	if MaxRejectedDelay > 3*time.Second || maxTwoRejectionsInterval > 5800*time.Millisecond {
-		t.Errorf("rejected calls are %v apart, and two %v: with a connect and a call that is not answered that is over 6 s", MaxRejectedDelay,
-			maxTwoRejectionsInterval)
+		t.Errorf("the next call comes up to %v after a rejected one, and the call after that up to %v: a change may then be known only after 6 s",
+			MaxRejectedDelay, maxTwoRejectionsInterval)
 	}
 	const s = time.Second
 	for _, gateways := range []int{1, 4, 20, 80, 300, 1 << 40} {
@@ -93,10 +94,10 @@
 	for i := range 20 {
 		delay, maxDelay := b.Failed(), MaxFailureDelay(i+1)
 		if delay > maxDelay || delay < maxDelay/2 || i == 0 && delay != minDelay || maxDelay > 400*time.Millisecond {
-			t.Errorf("failed call %d is repeated after %v", i+1, delay)
+			t.Errorf("failed call %d: the delay %v is out of bounds", i+1, delay)
 		}
 	}
-	sum := func(failures int) (sum time.Duration) {
+	totalDelay := func(failures int) (sum time.Duration) {
 		for seed := range uint64(100) {
 			b := New(8, seed)
 			for range failures - 1 {
@@ -106,8 +107,8 @@
 		}
 		return sum
 	}
-	if first, second, third := sum(1), sum(2), sum(3); second < first*3/2 || third < second*3/2 {
-		t.Errorf("a hundred delays grow from %v to %v and %v", first, second, third)
+	if first, second, third := totalDelay(1), totalDelay(2), totalDelay(3); second < first*3/2 || third < second*3/2 {
+		t.Errorf("the sums of a hundred delays grow from %v to only %v and %v", first, second, third)
 	}
 }
 
@@ -134,13 +135,13 @@
 	b.Succeeded()
 	if gateways == 4 && elapsed == 0 && retryAfter == 0 {
 		if delay := b.Rejected(0, 0); delay > 300*time.Millisecond {
-			t.Errorf("one of four, rejected after an answer, waits %v", delay)
+			t.Errorf("one of four gateways waits %v after its first rejection since an answer", delay)
 		}
 	}
 }
 
-// TestJitterSpreadsFleet has 300 gateways be rejected at one time, also with one Retry-After value: no tenth of a second sees more than two
-// fifths of them call again.
+// TestJitterSpreadsFleet has 300 gateways rejected at the same time, without or with the same Retry-After value. At most two fifths of them
+// may call again within the same tenth of a second.
 func TestJitterSpreadsFleet(t *testing.T) {
 	for _, elapsed := range []time.Duration{0, time.Second} {
 		for _, retryAfter := range []time.Duration{0, time.Second, time.Hour} {
@@ -150,7 +151,7 @@
 			}
 			low, high := slices.Min(delays), slices.Max(delays)
 			if span := high - low; span < maxRejectedJitter*9/10 {
-				t.Errorf("rejected after %v, Retry-After %v: all call within %v", elapsed, retryAfter, span)
+				t.Errorf("rejected after %v, Retry-After %v: all call again within %v", elapsed, retryAfter, span)
 			}
 			slices.Sort(delays)
 			for i, delay := range delays {
@@ -159,24 +160,24 @@
 					end++
 				}
 				if end-i > len(delays)*2/5 {
-					t.Fatalf("rejected after %v, Retry-After %v: %d of %d call within a tenth of a second", elapsed, retryAfter, end-i, len(delays))
+					t.Fatalf("rejected after %v, Retry-After %v: %d of %d call again within a tenth of a second", elapsed, retryAfter, end-i, len(delays))
 				}
 			}
 		}
 	}
 }
 
-// TestShortDelays checks that a service that is unreachable but not overloaded is called again soon by any fleet: a change has to be known
-// within seconds.
+// TestShortDelays checks that a small fleet soon calls a service again that has rejected its calls, and that a fleet of any size soon calls
+// a service again that is unreachable: changes have to be known within seconds.
 func TestShortDelays(t *testing.T) {
 	for seed := range uint64(100) {
 		few, many := New(4, seed), New(80, seed)
 		for range 20 {
 			if delay := few.Rejected(0, 0); delay > 1300*time.Millisecond {
-				t.Errorf("one of four waits %v after rejections", delay)
+				t.Errorf("one of four gateways waits %v after rejections", delay)
 			}
 			if delay := many.Failed(); delay > 700*time.Millisecond {
-				t.Errorf("one of eighty waits %v after failed calls", delay)
+				t.Errorf("one of eighty gateways waits %v after failed calls", delay)
 			}
 		}
 	}
--- a/internal/poolsize/poolsize.go
+++ b/internal/poolsize/poolsize.go
@@ -1,17 +1,18 @@
 // Package poolsize decides how many idle connections to a database host one gateway of a fleet keeps, and for how long.
 // It does no I/O and reads no clock.
 //
-// An idle connection saves a handshake if it is used again in time, and takes capacity at the host meanwhile. With few
-// gateways there is capacity for all that they may want. With hundreds, each of which meets a host once in ten seconds,
-// their idle connections fill the host, and a request that finds none there is rejected. A host's capacity is
-// therefore divided among the gateways: each may hold its share of it. Where that share is a whole number of
-// connections they may stay idle for as long as the host allows; where it has a fraction, one more is kept for
-// just so long that it exists for that fraction of the time. Requests to a host arrive at random, so a
-// connection that is kept for T after each of them, at a rate of l a second, exists for 1-exp(-l*T) of the time.
+// An idle connection saves a handshake if it is reused before it is closed, and takes capacity at the host meanwhile. A host
+// has enough capacity for all idle connections of a few gateways. With hundreds of gateways, each of which sends a request
+// to a given host once in ten seconds, idle connections use up the host's capacity, and requests that need a new connection
+// are rejected. A host's capacity is therefore divided among the gateways: each may hold its share of connections. The
+// connections of the integer part of the share may stay idle for as long as the host allows. If the share has a fractional
+// part, one more connection is kept after each use just long enough to exist for that fraction of the time. Requests to a
+// host arrive at random, so a connection that is kept for T after each of them, at a rate of l a second, exists for
+// 1-exp(-l*T) of the time.
 //
-// No source gives a host's capacity. It shows where a host ends new connections without serving anything on them;
-// the share is then halved at once. Without such rejections it grows slowly, past what is assumed at the start, as
-// each idle connection that a host accepts saves a handshake.
+// No source gives a host's capacity. A host that closes new connections without serving anything on them shows that it has
+// reached its capacity; the share is then halved at once. Without such rejections the share grows slowly, also beyond what
+// is assumed at the start, because each idle connection that a host accepts saves a handshake.
 package poolsize
 
 import (
@@ -23,26 +24,27 @@
 	// DefaultHostCapacity is the number of connections that the fleet assumes a host accepts until it sees fewer. The
 	// protocol's price for open connections counts them by so many a host, and gives no host's limit.
 	DefaultHostCapacity = 100.0
-	// MaxIdle is the number of idle connections to a host that any gateway keeps: a bound on its own descriptors.
+	// MaxIdle bounds the idle connections to a host that one gateway keeps, and so the gateway's file descriptors.
 	MaxIdle = 24
 
-	rateWindow      = 10 * time.Second // attempts are averaged over it: a gateway of many has few
-	halvingInterval = time.Second      // rejections within it count as one: they have the same cause
+	rateWindow      = 10 * time.Second // the attempt rate is averaged over it; each gateway of a large fleet has few attempts
+	halvingInterval = time.Second      // rejections within it count as one, as they have the same cause
 
-	// The share doubles after so many accepted connections, and so one rejection in about as many is tolerated.
+	// Numbers of accepted connections after which the share doubles. About one rejection in as many connections is therefore
+	// tolerated, as it halves the share.
 	connectsPerDoubling               = 50.0
 	connectsPerDoublingAfterRejection = 150.0 // a host's capacity hardly ever grows
 
-	maxShareFactor = 4.0        // beyond it, nearly all idle connections are used again anyway
-	minShareFactor = 1.0 / 64   // a host that rejects all is short of more than our connections
-	minHostRate    = 1.0 / 1000 // attempts a second, so that a host without any has a finite idle timeout
+	maxShareFactor = 4.0        // with more, nearly all idle connections are reused anyway
+	minShareFactor = 1.0 / 64   // a host that rejects every connection lacks more than what our idle connections use
+	minHostRate    = 1.0 / 1000 // attempts a second; keeps the idle timeout finite for a host without attempts
 )
 
-// Sizer decides for one gateway and all its hosts. It is not safe for use by several goroutines at once.
+// Sizer computes the idle timeouts of one gateway's connections to all its hosts. It is not safe for use by several goroutines at once.
 type Sizer struct {
 	gateways            float64
 	maxIdleTimeout      time.Duration
-	attempts            float64 // that wanted a connection, with exponential decay, as of attemptsAt
+	attempts            float64 // that needed a connection to any host, with exponential decay, as of attemptsAt
 	attemptsAt          time.Time
 	startedAt           time.Time
 	shareFactor         float64 // by which the assumed capacity is multiplied
@@ -50,7 +52,7 @@
 	connectsPerDoubling float64 // of shareFactor
 }
 
-// New makes the Sizer of one of so many gateways. No connection may be idle for longer than maxIdleTimeout.
+// New makes the Sizer of one gateway of a fleet of the given size. No connection may be idle for longer than maxIdleTimeout.
 func New(gateways int, maxIdleTimeout time.Duration, now time.Time) *Sizer {
 	return &Sizer{
 		gateways:            float64(max(1, gateways)),
@@ -71,14 +73,14 @@
 	return more
 }
 
-// Host is what a Sizer knows about one host. The zero value is a host that no attempt has gone to.
+// Host is a Sizer's record of one host. The zero value is the record of a host to which no attempt was sent.
 type Host struct {
 	attempts   float64 // with exponential decay, as of attemptsAt
 	attemptsAt time.Time
 	rate       float64 // attempts a second, as of attemptsAt
 }
 
-// RecordAttempt records an attempt that wants a connection to a host, which is one of so many in the endpoint list.
+// RecordAttempt records an attempt that needs a connection to a host. hosts is the number of hosts in the endpoint list.
 func (s *Sizer) RecordAttempt(now time.Time, h *Host, hosts int) {
 	s.attempts = s.attempts*decay(now.Sub(s.attemptsAt)) + 1
 	s.attemptsAt = now
@@ -87,14 +89,14 @@
 	}
 	h.attempts++
 	h.attemptsAt = now
-	// A gateway of many has met the host only once or twice within rateWindow, and never without the attempt that is being
-	// recorded. One more mean interval between the attempts to a host corrects for that.
+	// A gateway of a large fleet has sent the host only one or two attempts within rateWindow, and the count always includes
+	// the attempt that is being recorded. Adding one mean interval between the attempts to a host corrects for that bias.
 	meanRate := s.attemptRate(now) / float64(max(1, hosts))
 	h.rate = h.attempts / (rateWindow.Seconds()*(1-decay(now.Sub(s.startedAt))) + 1/meanRate)
 }
 
-// RecordConnect records that a host accepted a new connection. The share grows with these, not with time: an idle gateway
-// that sees nothing has no reason to keep more.
+// RecordConnect records that a host accepted a new connection. The share grows with these connections and not with time,
+// because an idle gateway learns nothing about the capacity and has no reason to keep more.
 func (s *Sizer) RecordConnect() {
 	s.shareFactor = min(maxShareFactor, s.shareFactor*math.Exp2(1/s.connectsPerDoubling))
 }
@@ -105,14 +107,16 @@
 	if now.Sub(s.halvedAt) < halvingInterval {
 		return false
 	}
-	// What has grown past the start goes at once: all gateways have grown alike, and each sees few rejections.
+	// Growth beyond the initial factor of 1 is lost at once: all gateways' factors have grown alike, and each gateway sees few
+	// of the rejections.
 	s.shareFactor = max(minShareFactor, min(1, s.shareFactor)/2)
 	s.halvedAt = now
 	s.connectsPerDoubling = connectsPerDoublingAfterRejection
 	return true
 }
 
-// IdleTimeout returns how long a connection to a host may be idle if so many other idle connections to it were used later.
+// IdleTimeout returns how long a connection to a host may be idle if usedLater other idle connections to the host were used
+// after it.
 func (s *Sizer) IdleTimeout(now time.Time, h *Host, usedLater int) time.Duration {
 	share := s.shareFactor * DefaultHostCapacity / s.gateways
 	whole := math.Floor(share)
@@ -127,11 +131,11 @@
 	}
 }
 
-// attemptRate returns the number of attempts a second that want a connection to any host.
+// attemptRate returns the number of attempts a second that need a connection to any host.
 func (s *Sizer) attemptRate(now time.Time) float64 {
-	observed := 1 - decay(now.Sub(s.startedAt)) // of rateWindow: less than 1 for a Sizer that has just started
+	observed := 1 - decay(now.Sub(s.startedAt)) // share of rateWindow that has been observed: less than 1 for a Sizer that has just started
 	return (s.attempts*decay(now.Sub(s.attemptsAt)) + 1) / (rateWindow.Seconds()*observed + 1)
 }
 
-// decay returns the weight of an observation of some age.
+// decay returns the weight of an observation of the given age.
 func decay(age time.Duration) float64 { return math.Exp(-age.Seconds() / rateWindow.Seconds()) }
--- a/internal/poolsize/poolsize_test.go
+++ b/internal/poolsize/poolsize_test.go
@@ -11,8 +11,8 @@
 
 const maxIdleTimeout = 20 * time.Second
 
-// TestIdleTimeoutByFleetSize checks the idle timeouts for fleets of all sizes: the maximum where a host has capacity for all, and a part of
-// the time where it does not.
+// TestIdleTimeoutByFleetSize checks the idle timeouts for fleets of different sizes: the maximum for the connections that fit into the
+// integer part of a gateway's share, and a shorter one for a connection of the fractional part.
 func TestIdleTimeoutByFleetSize(t *testing.T) {
 	for _, test := range []struct {
 		gateways int
@@ -21,13 +21,13 @@
 		{1, []time.Duration{maxIdleTimeout, maxIdleTimeout, maxIdleTimeout}},
 		{4, []time.Duration{maxIdleTimeout, maxIdleTimeout, maxIdleTimeout}},
 		{50, []time.Duration{maxIdleTimeout, maxIdleTimeout, 0}},
-		{80, []time.Duration{maxIdleTimeout, 2877 * time.Millisecond, 0}}, // a quarter of the time
-		{300, []time.Duration{4055 * time.Millisecond, 0, 0}},             // a third
+		{80, []time.Duration{maxIdleTimeout, 2877 * time.Millisecond, 0}}, // the second connection exists for a quarter of the time
+		{300, []time.Duration{4055 * time.Millisecond, 0, 0}},             // the first exists for a third of the time
 	} {
 		s := New(test.gateways, maxIdleTimeout, startTime)
 		now := startTime
 		hosts := make([]Host, 10)
-		for i := range 600 { // each of ten hosts once in ten seconds
+		for i := range 600 { // an attempt to each of ten hosts once in ten seconds
 			now = now.Add(time.Second)
 			s.RecordAttempt(now, &hosts[i%10], 10)
 		}
@@ -43,20 +43,21 @@
 	}
 }
 
-// fleetModel is a fleet of gateways before hosts that accept a number of connections, all idle but at the moment of a request.
+// fleetModel simulates a fleet of gateways and hosts that accept a limited number of connections. A request takes no time, so that all
+// connections are idle.
 type fleetModel struct {
 	rng          *rand.Rand
 	sizers       []*Sizer
 	rates        []float64 // requests a second, by gateway
-	hostShares   []float64 // of the requests, by host
-	known        [][]Host  // by gateway and host
+	hostShares   []float64 // share of the requests, by host
+	hosts        [][]Host  // by gateway and host
 	lastUse      [][]time.Time
 	hostCapacity int
 	now          time.Time
 
 	// Counters of one run.
 	attempts, rejected, reused int
-	maxConnected               int // gateways with a connection to the same host
+	maxConnected               int // most gateways with a connection to the same host
 }
 
 func newFleetModel(gateways, hosts, hostCapacity int, seed uint64) *fleetModel {
@@ -64,7 +65,7 @@
 	for range gateways {
 		f.sizers = append(f.sizers, New(gateways, maxIdleTimeout, startTime))
 		f.rates = append(f.rates, 2*math.Exp(0.7*f.rng.NormFloat64()))
-		f.known = append(f.known, make([]Host, hosts))
+		f.hosts = append(f.hosts, make([]Host, hosts))
 		f.lastUse = append(f.lastUse, make([]time.Time, hosts))
 	}
 	sum := 0.0
@@ -90,10 +91,10 @@
 
 func (f *fleetModel) hasIdle(gateway, host int) bool {
 	used := f.lastUse[gateway][host]
-	return !used.IsZero() && f.now.Sub(used) < f.sizers[gateway].IdleTimeout(f.now, &f.known[gateway][host], 0)
+	return !used.IsZero() && f.now.Sub(used) < f.sizers[gateway].IdleTimeout(f.now, &f.hosts[gateway][host], 0)
 }
 
-// run simulates some seconds, with the counters set to zero first.
+// run resets the counters and simulates the given number of seconds.
 func (f *fleetModel) run(seconds int) {
 	const step = 20 * time.Millisecond
 	f.attempts, f.rejected, f.reused, f.maxConnected = 0, 0, 0, 0
@@ -121,7 +122,7 @@
 func (f *fleetModel) request(gateway, host int) {
 	reused := f.hasIdle(gateway, host)
 	sizer := f.sizers[gateway]
-	sizer.RecordAttempt(f.now, &f.known[gateway][host], len(f.hostShares))
+	sizer.RecordAttempt(f.now, &f.hosts[gateway][host], len(f.hostShares))
 	f.attempts++
 	if reused {
 		f.reused++
@@ -138,9 +139,8 @@
 	f.lastUse[gateway][host] = f.now
 }
 
-// TestFleetSharesHostCapacity has 300 gateways of uneven load share hosts of uneven popularity. Their idle connections fit into
-// DefaultHostCapacity; where hosts accept fewer, the shares fall until hardly a request is rejected; and a good part of the requests reuses
-// a connection.
+// TestFleetSharesHostCapacity has 300 gateways of uneven load share hosts of uneven popularity. If the hosts accept fewer connections than
+// DefaultHostCapacity, the shares fall until few requests are rejected. In both cases many requests reuse a connection.
 func TestFleetSharesHostCapacity(t *testing.T) {
 	for _, test := range []struct {
 		hostCapacity     int
@@ -160,7 +160,8 @@
 	}
 }
 
-// TestShareFactorBounds bounds how far rejections push the share down, however many there are, and for how long it stays there.
+// TestShareFactorBounds checks that even many rejections do not reduce the share below its minimum, that it grows back to its maximum with
+// accepted connections, and that one more rejection halves it from its initial value.
 func TestShareFactorBounds(t *testing.T) {
 	s := New(300, maxIdleTimeout, startTime)
 	now := startTime
@@ -169,38 +170,38 @@
 		s.RecordRejection(now)
 	}
 	if s.shareFactor != minShareFactor {
-		t.Errorf("the factor is %.3f after a minute of rejections", s.shareFactor)
+		t.Errorf("the share factor is %.3f after a minute of rejections, want the minimum", s.shareFactor)
 	}
 	for range 100 {
 		s.RecordConnect()
 	}
 	if s.shareFactor > 2*minShareFactor {
-		t.Errorf("the factor is %.3f soon after", s.shareFactor)
+		t.Errorf("the share factor is %.3f after 100 accepted connections, want at most twice the minimum", s.shareFactor)
 	}
 	for range 2000 {
 		s.RecordConnect()
 	}
 	if s.shareFactor != maxShareFactor {
-		t.Errorf("the factor is %.3f long after", s.shareFactor)
+		t.Errorf("the share factor is %.3f after 2100 accepted connections, want the maximum", s.shareFactor)
 	}
 	now = now.Add(time.Minute)
 	if !s.RecordRejection(now) || s.shareFactor != 0.5 {
-		t.Errorf("the factor is %.3f after one more rejection", s.shareFactor)
+		t.Errorf("the share factor is %.3f after one more rejection, want 0.5", s.shareFactor)
 	}
 }
 
-// TestSetGateways changes the number of gateways: each keeps its share of the capacity from then on.
+// TestSetGateways checks that a gateway's share of the capacity follows a change of the number of gateways.
 func TestSetGateways(t *testing.T) {
 	now := time.Now()
 	s, host := New(10, 20*time.Second, now), Host{}
 	s.RecordAttempt(now, &host, 1)
 	if s.IdleTimeout(now, &host, 9) != 20*time.Second {
-		t.Fatal("each of ten gateways must keep ten connections")
+		t.Fatal("each of ten gateways must keep its tenth connection")
 	}
 	if !s.SetGateways(100) || s.IdleTimeout(now, &host, 9) != 0 || s.IdleTimeout(now, &host, 0) != 20*time.Second {
-		t.Error("each of a hundred gateways must keep one, and check the connections it has")
+		t.Error("each of a hundred gateways must keep one connection, and SetGateways must return true so that the others are closed")
 	}
 	if s.SetGateways(10) || s.IdleTimeout(now, &host, 9) != 20*time.Second {
-		t.Error("of fewer gateways each must keep more, with nothing to close")
+		t.Error("each of ten gateways must keep its tenth connection again, and SetGateways must return false as none is to be closed")
 	}
 }
