--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -1,9 +1,9 @@
 // Package override keeps the database hosts that staff have taken out of use (detached), on top of discovery's endpoint list. It does
 // no I/O and reads no clock: lists and times are arguments, and changes for the router are returned as endpoints.
 //
-// The router sees a detached host as draining, so that the checks that keep a drain keep this as well. A host that is attached
-// again counts as started at that moment, as staff restart hosts meanwhile: a host that is taken for less warmed up than it is only
-// gets a little less load.
+// The router sees a detached host as draining, so that the checks that enforce a drain also apply to a detached host. A host that is
+// attached again counts as started at that moment, because staff may have restarted it while it was detached. If they have not, it
+// only gets a little less load for a while than it could take.
 package override
 
 import (
@@ -16,10 +16,10 @@
 const (
 	maxIDBytes       = 256
 	maxDetached      = 4096             // hosts at once
-	removedRetention = 60 * time.Second // for which a host that was removed from the list may still be in use
+	removedRetention = 60 * time.Second // how long a host that was removed from the list may still be in use
 )
 
-// UnknownHostError reports that no database host has the id. Ids in discovery's list are compared as a whole.
+// UnknownHostError reports that no database host has the id. The id must equal one in discovery's list; a part of it is not enough.
 type UnknownHostError struct{ ID string }
 
 // Error implements the error interface.
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("no database host has the id %.*q; look it up in discovery's list", maxIDBytes, e.ID)
 }
 
-// LimitError reports that no more hosts can be detached at once. Some must be attached first.
+// LimitError reports that the maximum number of hosts is detached already. Some must be attached first.
 type LimitError struct{ Detached int }
 
 // Error implements the error interface.
@@ -35,11 +35,12 @@
 	return fmt.Sprintf("%d database hosts are out already; call some back first", e.Detached)
 }
 
-// Overrides is the state of all hosts. The zero value knows none. It is not safe for use by several goroutines at once.
+// Overrides holds the endpoints and overrides of all hosts. The zero value has no hosts. It is not safe for use by several goroutines
+// at once.
 type Overrides struct {
 	listed     map[string]host
 	detached   map[string]bool
-	attachedAt map[string]time.Duration // of hosts that were detached before
+	attachedAt map[string]time.Duration // when hosts were attached again, or started according to SetStarted
 }
 
 // host is a host as discovery listed it last.
@@ -60,7 +61,7 @@
 	return ids
 }
 
-// Known reports whether a host has this id: it is listed, was so within the last minute, or is detached.
+// Known reports whether a host with this id is listed, was listed within the last minute, or is detached.
 func (o *Overrides) Known(now time.Duration, id string) bool {
 	if o.detached[id] {
 		return true
@@ -69,7 +70,8 @@
 	return ok && (h.removedAt == 0 || h.recentlyRemoved(now))
 }
 
-// Detach takes a host out of use, and returns what changes for the router. It is idempotent. It returns an UnknownHostError or a LimitError.
+// Detach takes a host out of use, and returns its changed endpoint for the router, if any. It is idempotent. It returns an
+// UnknownHostError or a LimitError.
 func (o *Overrides) Detach(now time.Duration, id string) ([]routing.Endpoint, error) {
 	if !o.Known(now, id) || len(id) > maxIDBytes {
 		return nil, UnknownHostError{id}
@@ -77,7 +79,7 @@
 	return o.detach(id)
 }
 
-// DetachUnlisted is Detach for a host that may be listed only later, which an earlier process has detached.
+// DetachUnlisted takes a host out of use even if it is not listed yet, for example one that an earlier process has detached.
 func (o *Overrides) DetachUnlisted(_ time.Duration, id string) ([]routing.Endpoint, error) {
 	return o.detach(id)
 }
@@ -100,8 +102,8 @@
 	}
 }
 
-// Attach puts a detached host back to use, and returns what changes for the router. A host that is not detached is left as it is.
-// It returns an UnknownHostError for a host that is not known.
+// Attach returns a detached host to use, and returns its changed endpoint for the router, if any. It does nothing to a host that is not
+// detached, and returns an UnknownHostError for a host that is not known.
 func (o *Overrides) Attach(now time.Duration, id string) ([]routing.Endpoint, error) {
 	if !o.Known(now, id) {
 		return nil, UnknownHostError{id}
@@ -117,8 +119,8 @@
 	return o.current(id), nil
 }
 
-// SetStarted records that a host, which may be listed later, is known to have started at a time. A process that takes
-// over from another calls it before the first list.
+// SetStarted records when a host started. The host need not be listed yet. A process that takes over from another calls it
+// before the first list.
 func (o *Overrides) SetStarted(id string, at time.Duration) {
 	o.init()
 	if len(o.attachedAt) < maxDetached {
@@ -135,7 +137,7 @@
 	return []routing.Endpoint{o.overridden(h.Endpoint)}
 }
 
-// Apply takes a list, or a change of it, from discovery and turns its endpoints, in place, into what the router has to see.
+// Apply records an update of discovery's list, and replaces its endpoints, in place, by what the router has to see.
 func (o *Overrides) Apply(now time.Duration, l routing.EndpointList) routing.EndpointList {
 	if l.Kind == routing.EndpointListFailed {
 		return l
@@ -162,7 +164,8 @@
 	return l
 }
 
-// record keeps an endpoint as discovery lists it. An older list does not undo a drain: the endpoint serves again only with a later start.
+// record records an endpoint as discovery lists it, and returns it. An older list does not undo a drain: the endpoint serves again
+// only with a later start.
 func (o *Overrides) record(now time.Duration, endpoint routing.Endpoint) routing.Endpoint {
 	old, known := o.listed[endpoint.Member]
 	h := host{Endpoint: endpoint}
--- a/internal/zones/detection.go
+++ b/internal/zones/detection.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// How zone outages are detected. Silences are multiples of a member's expected latency.
+// Parameters of the detection of zone outages. Silences are multiples of a member's expected latency.
 const (
-	minSilence         = 1.5                    // from which a member counts as silent
+	minSilence         = 1.5                    // a member counts as silent from this silence on
 	maxSilence         = 5.0                    // the most that one member contributes to the joint silence
-	brokenSilence      = 4.5                    // silence that a broken or refused connection stands for
+	brokenSilence      = 4.5                    // a broken or refused connection counts as this silence
 	downThreshold      = 9.0                    // joint silence at which a zone is down: two broken members or three silent ones
-	silentMemberShare  = 0.6                    // share of the contacted members that must be silent
+	silentMemberShare  = 0.6                    // share of the pending members that must be silent
 	minExpectedLatency = 25 * time.Millisecond  // lower bound for the expected latency of a health check
-	recentlyHeardGrace = 250 * time.Millisecond // a zone heard from this recently is up: its other members' health checks were answered
-	flapMemory         = time.Minute            // outages within this time slow down the next recovery
+	recentlyHeardGrace = 250 * time.Millisecond // a zone that answered this recently is up: other members answered health checks
+	flapMemory         = time.Minute            // how long an outage slows down later recoveries
 )
 
 // fullyUsable is the share of a zone's capacity from which it counts as usable in full.
 const fullyUsable = 0.99
 
-// Observation is what is known of one member.
+// Observation is what the routing package has observed of one member.
 type Observation struct {
-	LastHeard       time.Duration // last sign of life: an answer to a request or a health check
-	Silence         float64       // longest silence of an attempt that is in flight or ended unanswered, in multiples of its expected latency; 0 for none
-	Pending         bool          // something is in flight, or ended unanswered or broken, since the member was heard
-	Broken          bool          // connections broke or were refused since the member was heard
-	UnansweredFor   time.Duration // how long health checks have gone unanswered without any sign of life
-	ExpectedLatency time.Duration // the shortest expected latency of a class, which bounds that of a health check
-	Unhealthy       bool          // the routing package's verdict on this member alone
-	UsableCapacity  float64       // capacity times slow-start weight; 0 where the member is unhealthy
+	LastHeard       time.Duration // when the member last answered a request or a health check
+	Silence         float64       // longest silence of an attempt in flight or ended unanswered, in expected latencies; 0 for none
+	Pending         bool          // an attempt is in flight, or has ended unanswered or broken since LastHeard
+	Broken          bool          // connections broke or were refused since LastHeard
+	UnansweredFor   time.Duration // how long health checks have gone unanswered, without an answer to a request meanwhile
+	ExpectedLatency time.Duration // the shortest expected latency of any class, an upper bound for a health check's
+	Unhealthy       bool          // the routing package considers the member unhealthy
+	UsableCapacity  float64       // capacity times slow-start weight; 0 if the member is unhealthy
 	Capacity        float64
 }
 
-// BeginRound starts a round of observations at a time. Observe is then called for each member, and EndRound at the end.
+// BeginRound starts a round of observations at the given time. Observe is then called for each member, and EndRound at the end.
 func (z *Zones) BeginRound(now time.Duration) {
 	z.now = now
 	for _, zone := range z.zones {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Observe adds one member of a zone to the present round.
+// Observe adds the observation of one member of a zone to the current round.
 func (z *Zones) Observe(zone *Zone, o Observation) {
 	r := &zone.round
 	r.members++
@@ -75,8 +75,8 @@
 	}
 }
 
-// EndRound ends a round and moves zones between states. If all zones look down at once, this gateway itself is cut off
-// or was suspended, and no zone is declared down.
+// EndRound ends a round and moves zones between states. If all zones look down at once, the gateway itself is assumed to
+// be cut off or to have been suspended, and no zone is declared down.
 func (z *Zones) EndRound() {
 	alive := 0
 	for _, zone := range z.zones {
@@ -94,8 +94,8 @@
 	}
 }
 
-// isDown reports whether the present round shows a zone outage: joint silence of at least two members, counted only
-// since the zone's last sign of life.
+// isDown reports whether the current round shows a zone outage: a joint silence of at least two members that reaches
+// downThreshold. Silence counts only since the last answer from any member of the zone.
 func (z *Zone) isDown(now time.Duration) bool {
 	r := &z.round
 	if z.Name == "" || r.silent < 2 || now-r.lastHeard < recentlyHeardGrace {
@@ -108,17 +108,17 @@
 	return min(r.jointSilence, float64(r.silent)*sinceHeard) >= downThreshold
 }
 
-// Doubtful reports whether a member of the zone has gone silent or broken and nothing has been heard of the zone since.
-// Health checks of the other members then tell whether the member or the zone is down. It is false on a nil zone.
+// Doubtful reports whether a member of the zone is silent or its connections have broken, while the zone is not declared
+// down. Health checks of the other members then show whether the member or the zone is down. It is false on a nil zone.
 func (z *Zone) Doubtful() bool { return z != nil && z.doubtful }
 
-// MemberDown reports whether a member is down together with its zone: the zone is down, or recovers, and the member has
-// not been heard since the outage began. It is false on a nil zone.
+// MemberDown reports whether a member is down together with its zone: the zone is down or recovering, and the member has
+// not answered since the zone was declared down. heard is the time of its last answer. It is false on a nil zone.
 func (z *Zone) MemberDown(heard time.Duration) bool {
 	return z != nil && (z.state == Down || z.state == Recovering) && heard <= z.downAt
 }
 
-// advance moves one zone to its next state. othersUp is false where every zone looks down.
+// advance moves one zone to its next state. othersUp is false if every zone looks down.
 func (z *Zones) advance(zone *Zone, othersUp bool) {
 	switch {
 	case zone.round.members == 0:
@@ -142,8 +142,8 @@
 
 // markDown declares a zone down.
 func (z *Zones) markDown(zone *Zone) {
-	zone.losses = slices.DeleteFunc(zone.losses, func(at time.Duration) bool { return z.now-at > flapMemory })
-	zone.losses = append(zone.losses, z.now)
+	zone.outages = slices.DeleteFunc(zone.outages, func(at time.Duration) bool { return z.now-at > flapMemory })
+	zone.outages = append(zone.outages, z.now)
 	zone.downAt, zone.recoveringSince = z.now, 0
 	z.setState(zone, Down, fmt.Sprintf("silent=%d asked=%d joint=%.1f last_heard_ms=%d", zone.round.silent, zone.round.pending, zone.round.jointSilence,
 		(z.now-zone.round.lastHeard).Milliseconds()))
--- a/internal/zones/options.go
+++ b/internal/zones/options.go
@@ -17,14 +17,14 @@
 	OwnZone string // the gateway's own zone; empty if unknown
 
 	// Tiers orders zones by preference, the best first. Zones of one tier are equal; zones that are not listed share a
-	// last tier. If it is empty, the own zone comes first, followed by the others in order of round trip.
+	// last tier. If Tiers is empty, the own zone comes first, followed by the others in order of their round-trip times.
 	Tiers [][]string
 
 	// Overprovision is the factor by which the usable share of a tier is scaled up before reads spill over to the next
 	// tier: with 1.4 a tier takes all reads while 72% of it is usable. Between 1 and 10; 0 means DefaultOverprovision.
 	Overprovision float64
 
-	// RecoveryDelay is how long a zone that was down must answer before reads return; it doubles with each further
+	// RecoveryDelay is how long a zone that was down must answer before reads return. It doubles with each further
 	// outage within a minute. At most a minute; 0 means DefaultRecoveryDelay. The setting is hold_ms.
 	RecoveryDelay time.Duration
 
--- a/internal/zones/recovery.go
+++ b/internal/zones/recovery.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// How reads return to a zone after an outage.
+// Parameters of the return of reads to a zone after an outage.
 const (
-	recoveredMemberShare = 0.5             // share of the members that must answer for a recovery without fewRecoveredDelay
-	fewRecoveredDelay    = 2 * time.Second // how long fewer members must have answered
-	maxRecoveryDelay     = 8 * time.Second // bound of the recovery delay, however often a zone flaps
-	minRampShare         = 0.05            // share of reads with which a recovery begins
-	maxFlapDoublings     = 4               // bound of the doublings of the recovery delay
+	recoveredMemberShare = 0.5             // share of the members that must answer for a recovery before fewRecoveredDelay
+	fewRecoveredDelay    = 2 * time.Second // how long a smaller share of the members must have answered
+	maxRecoveryDelay     = 8 * time.Second // upper bound of the recovery delay of a zone that flaps
+	minRampShare         = 0.05            // share of its usual reads that a zone receives when the ramp begins
+	maxFlapDoublings     = 4               // upper bound of the doublings of the recovery delay and the ramp
 )
 
-// checkRecovery looks whether a zone that is down answers again: most of its members at once, or a few of them for
-// fewRecoveredDelay, and either for the recovery delay. The ramp's length is drawn so that gateways do not recover in step.
+// checkRecovery starts the recovery of a zone that is down once its members answer again: recoveredMemberShare of them, or
+// fewer for fewRecoveredDelay, and in both cases for the recovery delay. The ramp's length is random, so that gateways do
+// not return reads at the same pace.
 func (z *Zones) checkRecovery(zone *Zone) {
 	if zone.round.recovered == 0 {
 		zone.recoveringSince = 0
@@ -35,7 +36,7 @@
 
 // flapFactor returns the factor by which repeated outages slow down a recovery: 1, 2, 4 and so on.
 func (z *Zones) flapFactor(zone *Zone) float64 {
-	return float64(int(1) << min(len(zone.losses)-1, maxFlapDoublings))
+	return float64(int(1) << min(len(zone.outages)-1, maxFlapDoublings))
 }
 
 // recoveryDelay returns how long a zone must have answered before reads return.
@@ -43,11 +44,11 @@
 	return min(maxRecoveryDelay, time.Duration(float64(z.options.RecoveryDelay)*z.flapFactor(zone)))
 }
 
-// Reinstate takes a verdict back: a member has answered what was sent to it before the zone was declared down, so the zone
-// was slow and not down.
+// Reinstate returns a zone that is down to use at once if a member has answered an attempt that was sent, at sentAt, before
+// the zone was declared down: the zone was slow and not down.
 func (z *Zones) Reinstate(zone *Zone, sentAt time.Duration) {
-	if zone.state == Down && sentAt < zone.downAt && len(zone.losses) > 0 {
-		zone.losses = zone.losses[:len(zone.losses)-1]
+	if zone.state == Down && sentAt < zone.downAt && len(zone.outages) > 0 {
+		zone.outages = zone.outages[:len(zone.outages)-1]
 		zone.downAt = 0
 		z.setState(zone, Impaired, "answered what was sent before")
 	}
--- a/internal/zones/spillover.go
+++ b/internal/zones/spillover.go
@@ -5,14 +5,14 @@
 // Plan distributes the reads of one group among the tiers. It is filled for each read.
 type Plan struct {
 	Total  [maxTiers]float64 // capacity of the group's replicas in each tier
-	Usable [maxTiers]float64 // of these, the ones that may serve this read now
+	Usable [maxTiers]float64 // capacity of those replicas that may serve this read now
 
 	weights [maxTiers]float64
 	tiers   int
 }
 
-// Add adds one member's capacity. Usable is 0 where the member can't serve the read: unhealthy, too stale, or without
-// slow-start tokens.
+// Add adds one member's capacity. usable is 0 if the member can't serve the read because it is unhealthy, too stale, or
+// without slow-start tokens.
 func (p *Plan) Add(tier int, total, usable float64) {
 	p.Total[tier] += total
 	p.Usable[tier] += usable
@@ -20,9 +20,9 @@
 }
 
 // Weights returns the share of the reads that each tier should receive, best tier first. A tier's health is its usable
-// share times the over-provisioning factor, at most 1. A tier receives its health, or what the tiers before it left
-// over, whichever is less. If all healths sum to less than 1 they are scaled up to 1. If nothing is usable all weights
-// are 0.
+// share times the over-provisioning factor, at most 1. A tier receives its health or the rest that the tiers before it
+// have left, whichever is less. Healths whose sum is less than 1 are first scaled up to a sum of 1. If nothing is usable
+// all weights are 0.
 func (p *Plan) Weights(overprovision float64) []float64 {
 	sum := 0.0
 	for t := range p.tiers {
@@ -43,8 +43,8 @@
 	return p.weights[:p.tiers]
 }
 
-// Draw chooses the tier that a read should go to, at random by weight, or -1 if no tier is usable. Its weights are
-// counted by RecordRoute and dropped by DiscardDraw.
+// Draw chooses the tier that a read should go to, at random by weight, or -1 if no tier is usable. RecordRoute
+// adds the weights of the draw to the metrics, and DiscardDraw drops them.
 func (z *Zones) Draw(p *Plan, rng *rand.Rand) int {
 	drawn := -1
 	found := false // drawn is final: the weights up to it exceed point
@@ -78,7 +78,7 @@
 // DiscardDraw drops the draw of a read that was not routed.
 func (z *Zones) DiscardDraw() { z.pendingRead = false }
 
-// TierMetrics is the part of one tier in the reads routed since the last call of Metrics.
+// TierMetrics counts the reads of one tier since the last call of Metrics.
 type TierMetrics struct {
 	ConfiguredShare float64 // share of the reads that the tier should have received
 	RoutedShare     float64 // share that it received
@@ -86,7 +86,7 @@
 	All             int     // reads routed to any tier
 }
 
-// Metrics returns the configured and the actual shares of the tiers and starts counting anew.
+// Metrics returns the configured and the actual shares of the tiers and resets the counts.
 func (z *Zones) Metrics() []TierMetrics {
 	all, out := 0.0, make([]TierMetrics, z.tiers)
 	for _, n := range z.routed {
--- a/internal/zones/tiers.go
+++ b/internal/zones/tiers.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// How zones are ordered by round trip where no tiers are configured.
+// Parameters of the order of zones by round trip, which applies if no tiers are configured.
 const (
 	tierRTTRatio    = 2.0              // a zone this many times farther away starts a new tier,
 	tierRTTGap      = time.Millisecond // if its round trip is also longer by at least this much
-	rttSmoothing    = 0.02             // share of a rise that a zone's round trip follows; it falls at once
-	reorderInterval = 5 * time.Second  // how often tiers are ordered anew
+	rttSmoothing    = 0.02             // share of an increase that a zone's round trip follows; it follows a decrease at once
+	reorderInterval = 5 * time.Second  // how often tiers are reordered
 )
 
-// ObserveRTT records the round trip of a health check to a member of the zone. The minimum tells the distance; anything
-// above it is load. It does nothing on a nil zone.
+// ObserveRTT records the round trip of a health check to a member of the zone. The minimum shows the distance of
+// the zone; anything above it is caused by load. It does nothing on a nil zone.
 func (z *Zone) ObserveRTT(rtt time.Duration) {
 	if z == nil {
 		return
@@ -35,7 +35,7 @@
 	z.assignTiersByRTT()
 }
 
-// assignConfiguredTiers follows Options.Tiers. Zones that are not listed share one more tier.
+// assignConfiguredTiers assigns the tiers of Options.Tiers. Zones that are not listed share one more tier.
 func (z *Zones) assignConfiguredTiers() {
 	z.tiers = len(z.options.Tiers)
 	for _, zone := range z.zones {
@@ -58,7 +58,7 @@
 		z.tiers = 1
 	}
 	slices.SortStableFunc(others, func(a, b *Zone) int { return int(a.rtt - b.rtt) })
-	var nearest time.Duration // of the tier at hand
+	var nearest time.Duration // shortest round trip of the current tier
 	for i, zone := range others {
 		farther := float64(zone.rtt) > tierRTTRatio*float64(nearest) && zone.rtt-nearest >= tierRTTGap
 		if i == 0 || farther && z.tiers < maxTiers {
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,12 +1,12 @@
-// Package zones judges the health of availability zones and distributes reads among tiers of zones.
+// Package zones determines the health of availability zones and distributes reads among tiers of zones.
 //
 // The package is a pure state machine: it reads no clock, performs no I/O and starts no goroutine. The routing package
-// reports what it has observed of each member (BeginRound, Observe, EndRound) and asks for a zone's state, for members
-// that are down together with their zone, and for the tier that a read should go to. The package never chooses a member
-// and never makes one eligible: freshness, draining and slow-start budgets are checked before.
+// reports its observations of each member (BeginRound, Observe, EndRound) and asks for a zone's state, whether a member
+// is down together with its zone, and to which tier a read should go. The package never chooses a member and never makes
+// one eligible: the routing package checks freshness, draining and slow-start budgets before.
 //
 // Detection sums evidence over the members of a zone. A member that has been silent for x times its expected latency is
-// alive with a probability of about e^-x. While the zone lives, the silences of its members are independent, so their
+// alive with a probability of about e^-x. While the zone is up, the silences of its members are independent, so their
 // sum shows a zone outage long before any single member could be declared down. A single unhealthy member cannot take
 // a zone down: its share of the sum is capped, and at least two members must be silent.
 package zones
@@ -46,8 +46,8 @@
 	state State
 
 	downAt          time.Duration   // when the zone was last declared down
-	losses          []time.Duration // times of the outages within flapMemory
-	recoveringSince time.Duration   // first sign of life after downAt, 0 for none
+	outages         []time.Duration // when the outages within flapMemory were declared
+	recoveringSince time.Duration   // when a member first answered after downAt; 0 for none
 	rampStart       time.Duration   // when the recovery ramp began
 	rampDuration    time.Duration   // length of the recovery ramp
 	rtt             time.Duration   // health check round trip, near its minimum
@@ -56,12 +56,12 @@
 	round round
 }
 
-// round sums up the observations of one round over the members of a zone.
+// round holds the observations of one round, summed over the members of a zone.
 type round struct {
 	members   int
-	pending   int // members with an attempt or health check that has no answer yet
-	silent    int // of these, the ones without an answer for minSilence
-	recovered int // members heard since the zone went down
+	pending   int // members with an attempt or health check that is in flight or ended unanswered
+	silent    int // pending members that have been silent for at least minSilence
+	recovered int // members that have answered since the zone went down
 	unhealthy int
 
 	jointSilence    float64 // sum of the silences, in multiples of the expected latency
@@ -97,23 +97,23 @@
 	now         time.Duration
 	tiers       int
 	nextReorder time.Duration // when tiers are next ordered by round trip
-	changes     []Change      // not yet taken by Changes
+	changes     []Change      // not yet returned by Changes
 
 	// Reads routed since the last call of Metrics, by tier.
 	configured     [maxTiers]float64 // sum of the configured weights
 	routed         [maxTiers]float64 // reads that went there
-	pendingWeights [maxTiers]float64 // weights of the read that Draw was last called for
+	pendingWeights [maxTiers]float64 // weights of the last read for which Draw was called
 	pendingRead    bool              // that read has not been routed or discarded yet
 }
 
-// New returns the state of one gateway. The seed draws the jitter that keeps gateways from recovering in step. It fails
-// where the options are invalid.
+// New returns the Zones of one gateway. The seed determines the jitter that keeps gateways from returning reads to a zone
+// at the same pace. It returns an error if the options are invalid.
 func New(o Options, seed uint64) (*Zones, error) {
 	z := &Zones{rng: rand.New(rand.NewPCG(seed, 7))}
 	return z, z.Configure(o)
 }
 
-// Configure replaces the options, as on a configuration reload. The states of zones stay as they are.
+// Configure replaces the options, as on a configuration reload. The states of the zones do not change.
 func (z *Zones) Configure(o Options) error {
 	if err := o.Check(); err != nil {
 		return fmt.Errorf("zones: %w", err)
@@ -135,7 +135,7 @@
 // SpilloverEnabled reports whether reads are distributed among tiers under the present options.
 func (z *Zones) SpilloverEnabled() bool { return !z.options.DetectOnly }
 
-// Zone returns the zone of this name and creates it if needed. Members of unknown zone share the zone without a name,
+// Zone returns the zone of this name and creates it if needed. Members whose zone is not known share the zone without a name,
 // which is never declared down.
 func (z *Zones) Zone(name string) *Zone {
 	i, ok := slices.BinarySearchFunc(z.zones, name, func(zone *Zone, n string) int { return strings.Compare(zone.Name, n) })
@@ -146,7 +146,7 @@
 	return z.zones[i]
 }
 
-// maxChanges bounds the changes that wait to be taken by Changes; later ones are dropped.
+// maxChanges bounds the changes that Changes has not returned yet; later ones are dropped.
 const maxChanges = 64
 
 // setState moves a zone to another state and records the change.
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// harness drives the state of one gateway: three zones of some members, each of which answers, is silent, or is broken.
+// harness drives the Zones of one gateway. Each member of a zone answers, is silent, or refuses connections.
 type harness struct {
 	t         *testing.T
 	zones     *Zones
@@ -36,130 +36,131 @@
 	return r
 }
 
-// rounds runs so many rounds, 100 ms apart. Live members are heard in each; the expected latency is 100 ms.
+// rounds runs n rounds, 100 ms apart. In each round the other members answer; the expected latency is 100 ms.
 func (r *harness) rounds(n int) {
 	for range n {
 		r.now += 100 * ms
 		r.zones.BeginRound(r.now)
 		for _, name := range []string{"", "a", "b", "c"} {
 			for i := range r.lastHeard[name] {
-				e := Observation{Pending: true, Capacity: 1, UsableCapacity: 1, ExpectedLatency: 100 * ms}
-				dead, broken := i < r.silent[name], i < r.broken[name]
-				if !dead && !broken {
+				observation := Observation{Pending: true, Capacity: 1, UsableCapacity: 1, ExpectedLatency: 100 * ms}
+				silent, broken := i < r.silent[name], i < r.broken[name]
+				if !silent && !broken {
 					r.lastHeard[name][i] = r.now
 				}
-				e.LastHeard = r.lastHeard[name][i]
-				if dead {
-					e.Silence = float64(r.now-e.LastHeard) / float64(100*ms)
+				observation.LastHeard = r.lastHeard[name][i]
+				if silent {
+					observation.Silence = float64(r.now-observation.LastHeard) / float64(100*ms)
 				}
-				e.Broken = broken
-				e.Unhealthy = broken || e.Silence > 5 || r.zones.Zone(name).MemberDown(e.LastHeard)
-				if e.Unhealthy {
-					e.UsableCapacity = 0
+				observation.Broken = broken
+				observation.Unhealthy = broken || observation.Silence > 5 || r.zones.Zone(name).MemberDown(observation.LastHeard)
+				if observation.Unhealthy {
+					observation.UsableCapacity = 0
 				}
-				r.zones.Observe(r.zones.Zone(name), e)
+				r.zones.Observe(r.zones.Zone(name), observation)
 			}
 		}
 		r.zones.EndRound()
 	}
 }
 
-func (r *harness) want(zone string, s State) {
+func (r *harness) checkState(zone string, s State) {
 	r.t.Helper()
 	if got := r.zones.Zone(zone).State(); got != s {
 		r.t.Errorf("zone %s is %s at %v, want %s", zone, got, r.now-1000*time.Second, s)
 	}
 }
 
-var three = map[string]int{"a": 3, "b": 3, "c": 3}
+var threeByThree = map[string]int{"a": 3, "b": 3, "c": 3}
 
-// TestJointSilence guards the point of the package: three silences of 3 condemn a zone before one of 5 would condemn
-// any member, and two broken members do at once.
+// TestJointSilence checks that a zone is declared down earlier than a single member could be: three members with a silence
+// of 3 expected latencies are enough, where one member alone needs 5. Three members whose connections are refused are enough as well.
 func TestJointSilence(t *testing.T) {
-	r := newHarness(t, Options{OwnZone: "a"}, 1, three)
+	r := newHarness(t, Options{OwnZone: "a"}, 1, threeByThree)
 	r.rounds(3)
 	r.silent["b"] = 3
 	r.rounds(2)
-	r.want("b", Healthy)
+	r.checkState("b", Healthy)
 	r.rounds(1)
-	r.want("b", Down)
+	r.checkState("b", Down)
 	if !r.zones.Zone("b").MemberDown(r.lastHeard["b"][0]) || r.zones.Zone("b").MemberDown(r.now+1) {
-		t.Error("members unheard since go with the zone, and those heard since do not")
+		t.Error("MemberDown must hold for a member without an answer since the outage, and not for one that has answered since")
 	}
-	r = newHarness(t, Options{OwnZone: "a"}, 1, three)
+	r = newHarness(t, Options{OwnZone: "a"}, 1, threeByThree)
 	r.rounds(3)
 	r.broken["c"] = 3
 	r.rounds(3)
-	r.want("c", Down)
-	r.want("a", Healthy)
+	r.checkState("c", Down)
+	r.checkState("a", Healthy)
 }
 
-// TestOneUnhealthyMember guards against condemning a zone for one member, or for all but one.
+// TestOneUnhealthyMember checks that a zone is not declared down for one member, or for all members but one.
 func TestOneUnhealthyMember(t *testing.T) {
 	for n, want := range []State{Healthy, Impaired, Impaired, Down} {
-		r := newHarness(t, Options{}, 1, three)
+		r := newHarness(t, Options{}, 1, threeByThree)
 		r.silent["b"] = n
 		r.rounds(40)
-		r.want("b", want)
+		r.checkState("b", want)
 	}
 }
 
-// TestAllZonesSilent guards a gateway that stood still or is cut off itself: it must not condemn what it can't judge. A
-// site of one zone is never condemned either, and neither is a zone without a name.
+// TestAllZonesSilent checks that a gateway that was suspended or is cut off itself declares no zone down. A zone that is the
+// only one is never declared down either, and neither is the zone without a name.
 func TestAllZonesSilent(t *testing.T) {
-	r := newHarness(t, Options{OwnZone: "a"}, 1, three)
+	r := newHarness(t, Options{OwnZone: "a"}, 1, threeByThree)
 	r.rounds(3)
 	r.silent = map[string]int{"a": 3, "b": 3, "c": 3}
 	r.rounds(20)
 	for _, name := range []string{"a", "b", "c"} {
 		if r.zones.Zone(name).State() == Down {
-			t.Errorf("zone %s is lost with all others", name)
+			t.Errorf("zone %s is declared down although all zones are silent", name)
 		}
 	}
 	r = newHarness(t, Options{}, 1, map[string]int{"a": 5})
 	r.silent["a"] = 5
 	r.rounds(20)
-	r.want("a", Impaired)
+	r.checkState("a", Impaired)
 	r = newHarness(t, Options{}, 1, map[string]int{"": 3, "a": 3})
 	r.silent[""] = 3
 	r.rounds(20)
-	r.want("", Impaired)
+	r.checkState("", Impaired)
 }
 
-// TestOutagesInTurn lets two zones be lost one after the other, and come back.
-func TestOutagesInTurn(t *testing.T) {
-	r := newHarness(t, Options{}, 1, three)
+// TestOverlappingOutages has two zones go down, one while the other is down, and the first recover.
+func TestOverlappingOutages(t *testing.T) {
+	r := newHarness(t, Options{}, 1, threeByThree)
 	r.silent["a"] = 3
 	r.rounds(10)
 	r.silent["b"] = 3
 	r.rounds(10)
-	r.want("a", Down)
-	r.want("b", Down)
-	r.want("c", Healthy)
+	r.checkState("a", Down)
+	r.checkState("b", Down)
+	r.checkState("c", Healthy)
 	r.silent["a"] = 0
 	r.rounds(100)
-	r.want("a", Healthy)
-	r.want("b", Down)
+	r.checkState("a", Healthy)
+	r.checkState("b", Down)
 }
 
-// TestRecovery guards the way back: nothing before the hold, then a ramp, and each loss within a minute doubles both.
+// TestRecovery checks the return of reads after an outage: none before the recovery delay, then a ramp. Each further outage
+// within a minute doubles both.
 func TestRecovery(t *testing.T) {
-	r := newHarness(t, Options{}, 3, three)
+	r := newHarness(t, Options{}, 3, threeByThree)
 	last := time.Duration(0)
-	for loss := range 4 {
+	for outage := range 4 {
 		r.silent["b"] = 3
 		r.rounds(10)
-		r.want("b", Down)
+		r.checkState("b", Down)
 		r.silent["b"] = 0
 		start := r.now
 		r.rounds(1)
-		r.want("b", Down)
+		r.checkState("b", Down)
 		for r.zones.Zone("b").State() == Down && r.now < start+20*time.Second {
 			r.rounds(1)
 		}
-		r.want("b", Recovering)
+		r.checkState("b", Recovering)
 		if s := r.zones.RecoveryShare(r.zones.Zone("b")); s > 0.1 {
-			t.Errorf("loss %d: the return begins with %.2f", loss, s)
+			t.Errorf("outage %d: the return begins with %.2f of the reads", outage, s)
 		}
 		ramp := 0.0
 		for r.zones.Zone("b").State() == Recovering && r.now < start+90*time.Second {
@@ -170,50 +171,52 @@
 				ramp = s
 			}
 		}
-		r.want("b", Healthy)
+		r.checkState("b", Healthy)
 		if took := r.now - start; took <= last {
-			t.Errorf("loss %d: the return took %v, no longer than the one before (%v)", loss, took, last)
+			t.Errorf("outage %d: the return took %v, no longer than the previous one (%v)", outage, took, last)
 		} else {
 			last = took
 		}
-		if loss == 0 && last > 6*time.Second {
+		if outage == 0 && last > 6*time.Second {
 			t.Errorf("the first return took %v", last)
 		}
 	}
 }
 
-// TestRecoveryWithFewMembers lets one member of three come back for good: after a while the zone returns with it.
+// TestRecoveryWithFewMembers has only one member of three answer again: reads return to the zone after fewRecoveredDelay.
 func TestRecoveryWithFewMembers(t *testing.T) {
-	r := newHarness(t, Options{}, 1, three)
+	r := newHarness(t, Options{}, 1, threeByThree)
 	r.silent["b"] = 3
 	r.rounds(10)
 	r.silent["b"] = 2
 	r.rounds(10)
-	r.want("b", Down)
+	r.checkState("b", Down)
 	r.rounds(20)
-	r.want("b", Recovering)
+	r.checkState("b", Recovering)
 	if !r.zones.Zone("b").MemberDown(r.lastHeard["b"][0]) {
-		t.Error("a member that has not answered since is used again")
+		t.Error("a member that has not answered since the outage must stay down")
 	}
 }
 
-// TestReinstate guards a slow zone: an answer to what was sent before the verdict takes it back, without a ramp.
+// TestReinstate checks that a slow zone that was declared down is used again in full, without a ramp, after an answer to an
+// attempt that was sent before.
 func TestReinstate(t *testing.T) {
-	r := newHarness(t, Options{}, 1, three)
+	r := newHarness(t, Options{}, 1, threeByThree)
 	r.rounds(3)
 	r.silent["b"] = 3
 	r.rounds(5)
-	r.want("b", Down)
-	r.zones.Reinstate(r.zones.Zone("b"), r.now) // sent since: no proof
-	r.want("b", Down)
+	r.checkState("b", Down)
+	r.zones.Reinstate(r.zones.Zone("b"), r.now) // sent later: does not show that the zone was only slow
+	r.checkState("b", Down)
 	r.zones.Reinstate(r.zones.Zone("b"), r.now-time.Second)
-	r.want("b", Impaired)
+	r.checkState("b", Impaired)
 	if s := r.zones.RecoveryShare(r.zones.Zone("b")); s != 1 {
-		t.Errorf("a zone that was slow gets %.2f of its reads", s)
+		t.Errorf("a zone that was only slow receives %.2f of its reads, want all", s)
 	}
 }
 
-// TestUnansweredHealthChecks guards quiet gateways, which have nothing out at a zone: unanswered probes condemn it too.
+// TestUnansweredHealthChecks checks that a gateway without attempts in flight at a zone declares it down because of
+// unanswered health checks.
 func TestUnansweredHealthChecks(t *testing.T) {
 	z, _ := New(Options{}, 1)
 	z.BeginRound(10 * time.Second)
@@ -227,26 +230,27 @@
 	}
 }
 
-// TestJitter guards against gateways that return together: they share nothing but must not ramp alike.
+// TestJitter checks that different gateways get different ramps, although they do not communicate.
 func TestJitter(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(20) {
-		r := newHarness(t, Options{}, seed, three)
+		r := newHarness(t, Options{}, seed, threeByThree)
 		r.silent["b"] = 3
 		r.rounds(10)
 		r.silent["b"] = 0
 		r.rounds(6)
-		r.want("b", Recovering)
+		r.checkState("b", Recovering)
 		seen[r.zones.Zone("b").rampDuration] = true
 	}
 	if len(seen) < 15 {
-		t.Errorf("20 gateways have %d ramps", len(seen))
+		t.Errorf("20 gateways have only %d different ramps", len(seen))
 	}
 }
 
-// TestTiers orders zones by the file, or else by the own zone and round trips; Tune changes it and keeps states.
+// TestTiers checks that zones are ordered by the configured tiers, or by the own zone and round trips if there are none.
+// Configure changes the order and keeps the zones' states.
 func TestTiers(t *testing.T) {
-	r := newHarness(t, Options{OwnZone: "b"}, 1, three)
+	r := newHarness(t, Options{OwnZone: "b"}, 1, threeByThree)
 	r.zones.Zone("a").ObserveRTT(10 * ms)
 	r.zones.Zone("c").ObserveRTT(2 * ms)
 	r.silent["c"] = 3
@@ -259,18 +263,18 @@
 	if err := r.zones.Configure(Options{OwnZone: "b", Tiers: [][]string{{"a", "c"}}}); err != nil {
 		t.Fatal(err)
 	}
-	r.want("c", Down)
+	r.checkState("c", Down)
 	for name, want := range map[string]int{"a": 0, "c": 0, "b": 1} {
 		if got := r.zones.Zone(name).Tier(); got != want {
-			t.Errorf("tuned: zone %s is in tier %d, want %d", name, got, want)
+			t.Errorf("after Configure zone %s is in tier %d, want %d", name, got, want)
 		}
 	}
 	if err := r.zones.Configure(Options{Tiers: [][]string{{"a"}, {"a"}}}); err == nil || r.zones.Zone("b").Tier() != 1 {
-		t.Error("options with a fault change something")
+		t.Error("invalid options must be rejected and change nothing")
 	}
 }
 
-// TestCheck names faults.
+// TestCheck checks that Check rejects invalid options and names the setting.
 func TestCheck(t *testing.T) {
 	for want, o := range map[string]Options{
 		"names no zone":         {Tiers: [][]string{{"a"}, {}}},
@@ -288,7 +292,7 @@
 	}
 }
 
-// TestWeights holds the stated spill against the table of docs/zones.md.
+// TestWeights checks the weights against the table of docs/zones.md.
 func TestWeights(t *testing.T) {
 	for _, c := range []struct {
 		usable, total []float64
@@ -300,7 +304,7 @@
 		{[]float64{1, 4}, []float64{4, 4}, []float64{0.35, 0.65}},
 		{[]float64{0, 4}, []float64{4, 4}, []float64{0, 1}},
 		{[]float64{0.15, 1}, []float64{1, 1}, []float64{0.21, 0.79}}, // a replica that has just started
-		{[]float64{1, 1}, []float64{4, 4}, []float64{0.5, 0.5}},      // not enough anywhere: in proportion
+		{[]float64{1, 1}, []float64{4, 4}, []float64{0.5, 0.5}},      // not enough in any tier: in proportion
 		{[]float64{0, 2, 1}, []float64{4, 4, 4}, []float64{0, 0.7, 0.3}},
 		{[]float64{0, 0}, []float64{4, 4}, []float64{0, 0}},
 		{[]float64{0, 1}, []float64{0, 1}, []float64{0, 1}}, // no member in the own zone
@@ -317,8 +321,8 @@
 	}
 }
 
-// TestWeightProperties draws plans: shares are parts of one, all is placed where anything is usable, nothing goes to
-// a tier that has nothing usable, and more usable capacity in a tier never lowers its share.
+// TestWeightProperties draws random plans. Each share is between 0 and 1, shares add up to 1 if anything is usable, a tier
+// without usable capacity gets nothing, and more usable capacity in a tier never lowers its share.
 func TestWeightProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, over := rapid.IntRange(1, maxTiers).Draw(t, "tiers"), rapid.Float64Range(1, 3).Draw(t, "over")
@@ -343,12 +347,12 @@
 		i := rapid.IntRange(0, n-1).Draw(t, "raised")
 		p.Usable[i] = p.Total[i]
 		if after := p.Weights(over); after[i] < before[i]-1e-9 {
-			t.Fatalf("tier %d fell from %v to %v as it got better", i, before[i], after[i])
+			t.Fatalf("tier %d fell from %v to %v when its usable capacity rose", i, before[i], after[i])
 		}
 	})
 }
 
-// TestDraw holds what is drawn against what is stated.
+// TestDraw checks that the tiers are drawn with the configured shares.
 func TestDraw(t *testing.T) {
 	z, _ := New(Options{OwnZone: "a"}, 1)
 	z.Zone("a")
@@ -360,9 +364,9 @@
 		p.Add(1, 1, 1)
 		z.RecordRoute(z.Draw(&p, rng))
 	}
-	f := z.Metrics()
-	if math.Abs(f[0].ConfiguredShare-0.7) > 1e-6 || math.Abs(f[0].RoutedShare-0.7) > 0.02 || f[0].All != 10000 {
-		t.Errorf("%+v", f)
+	metrics := z.Metrics()
+	if math.Abs(metrics[0].ConfiguredShare-0.7) > 1e-6 || math.Abs(metrics[0].RoutedShare-0.7) > 0.02 || metrics[0].All != 10000 {
+		t.Errorf("%+v", metrics)
 	}
 	var none Plan
 	none.Add(0, 1, 0)
@@ -371,7 +375,7 @@
 	}
 }
 
-// BenchmarkRound is one look at 300 members in three zones.
+// BenchmarkRound measures one round with 300 members in three zones.
 func BenchmarkRound(b *testing.B) {
 	z, _ := New(Options{OwnZone: "a"}, 1)
 	at := []*Zone{z.Zone("a"), z.Zone("b"), z.Zone("c")}
