--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -13,9 +13,11 @@
 )
 
 const (
-	minDelay                = 100 * time.Millisecond // also after a first failed call: a watch outlives its wait by 200 ms
-	rejectedDelayPerGateway = 50 * time.Millisecond  // the delay after a first rejection, for each gateway
-	maxDoublings            = 2                      // at most, of a delay after failures in a row
+	// minDelay is the shortest delay. It also applies after a first failed call, because discovery ends a watch that gets no new call
+	// within 200 ms of its last answer.
+	minDelay                = 100 * time.Millisecond
+	rejectedDelayPerGateway = 50 * time.Millisecond // the delay after a first rejection, for each gateway
+	maxDoublings            = 2                     // at most, of a delay after failures in a row
 
 	// MaxRejectedDelay bounds the time from the beginning of a rejected call to the next call, for any Retry-After value.
 	// A service that takes 60 ms for a call never catches up with 80 callers that each call more often than every 2.85 s.
--- a/internal/poolsize/poolsize.go
+++ b/internal/poolsize/poolsize.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// DefaultHostCapacity is the number of connections that the fleet assumes a host accepts until it sees fewer. The
-	// protocol's price for open connections counts them by so many a host, and gives no host's limit.
+	// DefaultHostCapacity is the number of connections that a host is assumed to accept until it rejects some. The platform's
+	// cost model counts open connections in units of 100 per host and states no limit per host.
 	DefaultHostCapacity = 100.0
 	// MaxIdle bounds the idle connections to a host that one gateway keeps, and so the gateway's file descriptors.
 	MaxIdle = 24
