--- a/internal/frontend/connlimit/limiter.go
+++ b/internal/frontend/connlimit/limiter.go
@@ -1,8 +1,8 @@
 // Package connlimit limits the client connections of a gateway, one file descriptor each, across all protocols.
 //
-// Where every slot is held, idle clients are evicted for new ones: connections that are silent or forgotten must not
-// keep other clients out. Internal connections reserve descriptors of the same limit. The limiter also owns the drain
-// schedule, as a change of it has to wake every client.
+// If every slot is in use, idle clients are evicted for new ones, so that unused connections do not keep other clients
+// out. The gateway's own connections reserve descriptors of the same limit. The limiter also owns the drain schedule,
+// because a change of the schedule has to wake every client.
 package connlimit
 
 import (
@@ -17,34 +17,34 @@
 const EvictionCloseTimeout = 50 * time.Millisecond
 
 const (
-	newClientIdleTimeout  = 100 * time.Millisecond // a client without a request yet may be evicted after this idle time
-	idleTimeout           = 250 * time.Millisecond // any other idle client may be evicted after this, the longest idle first
+	newClientIdleTimeout  = 100 * time.Millisecond // idle time before a client that has sent no request may be evicted
+	idleTimeout           = 250 * time.Millisecond // idle time before any other client may be evicted, the longest idle first
 	maxAcquireWait        = 300 * time.Millisecond // a client rejected by then has time left to try another gateway
-	evictionRetryInterval = 10 * time.Millisecond  // until another client is evicted where one became active again
-	maxSurplusEvictions   = 4                      // for each client that becomes idle
-	maxRejectQueue        = 8                      // reached with 32 slots
+	evictionRetryInterval = 10 * time.Millisecond  // wait before evicting another client if the evicted one became active again
+	maxSurplusEvictions   = 4                      // per client that becomes idle
+	maxRejectQueue        = 8                      // a limiter of 32 slots or more has a queue of this size
 )
 
 // Limiter hands out slots for client connections. It is safe for concurrent use.
 type Limiter struct {
-	capacity    int // descriptors for clients and reservations together
+	capacity    int // descriptors, shared by clients and reservations
 	rejectQueue rejectQueue
 
-	schedule atomic.Pointer[drain.Schedule] // nil: not draining
+	schedule atomic.Pointer[drain.Schedule] // nil while not draining
 
 	mu          sync.Mutex
-	clientLimit int            // slots for clients where nothing is reserved
-	reserved    int            // granted and pending reservations
-	released    chan struct{}  // closed on the next release; nil while nobody waits for one
-	waiting     int            // calls of Acquire
-	maxDeadline time.Duration  // of all request classes
-	minDeadline time.Duration  // zero while none is known
-	slots       map[*Slot]bool // those held by clients
-	closing     int            // of them, evicted ones whose connections are being closed
-	keepIdle    bool           // idle clients are evicted only where no slot is left
+	clientLimit int            // slots for clients while nothing is reserved
+	reserved    int            // number of granted and pending reservations
+	released    chan struct{}  // closed on the next release; nil if no goroutine waits for one
+	waiting     int            // number of Acquire calls in progress
+	maxDeadline time.Duration  // the longest deadline of all request classes
+	minDeadline time.Duration  // the shortest deadline of all request classes, zero if none is known
+	slots       map[*Slot]bool // slots in use by clients
+	closing     int            // number of these slots whose clients are evicted and being disconnected
+	keepIdle    bool           // idle clients are evicted only if no slot is free
 }
 
-// New returns a limiter of so many descriptors.
+// New returns a limiter with the given number of descriptors.
 func New(capacity int) *Limiter {
 	return &Limiter{
 		capacity:    capacity,
@@ -54,8 +54,8 @@
 	}
 }
 
-// ObserveDeadline records a request class's deadline. The longest one bounds the time that a shutdown takes, the
-// shortest one how long a new client waits for a slot.
+// ObserveDeadline records a request class's deadline. The longest deadline bounds the time that a shutdown takes, the
+// shortest one bounds how long a new client waits for a slot.
 func (l *Limiter) ObserveDeadline(deadline time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,36 +72,36 @@
 	return l.maxDeadline
 }
 
-// InUse returns how many slots clients hold.
+// InUse returns the number of slots in use by clients.
 func (l *Limiter) InUse() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.slots)
 }
 
-// FreeShare returns the share of slots that no client holds, from 0 to 1.
+// FreeShare returns the share of client slots that are free, from 0 to 1.
 func (l *Limiter) FreeShare() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return max(0, 1-float64(len(l.slots))/float64(l.available()))
 }
 
-// SetEvictIdle sets whether idle clients are evicted before every slot is held. They are by default.
+// SetEvictIdle sets whether idle clients are evicted while there are free slots left. They are by default.
 func (l *Limiter) SetEvictIdle(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.keepIdle = !on
 }
 
-// Resize sets how many slots there are for clients. Where more are held, no client is evicted at once; idle ones are
-// evicted as others become idle.
+// Resize sets the number of slots for clients. If more are in use, no client is evicted at once. Idle clients are
+// evicted later, each time that a client becomes idle.
 func (l *Limiter) Resize(clientLimit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.clientLimit = max(1, clientLimit)
 }
 
-// TryAcquire takes a slot for a client. It returns false where none is free.
+// TryAcquire takes a slot for a client. It returns false if none is free.
 func (l *Limiter) TryAcquire(s *Slot) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,8 +112,8 @@
 	return true
 }
 
-// Acquire waits for a slot and evicts an idle client where needed. It returns false where no slot becomes free soon:
-// every client is active, or none has been idle long enough within 0.3 s or half of the shortest deadline.
+// Acquire waits for a slot and evicts an idle client if needed. It returns false if no slot will be free soon: every
+// client is active, or none reaches its idle timeout within 0.3 s or half of the shortest deadline.
 func (l *Limiter) Acquire(s *Slot) bool {
 	l.mu.Lock()
 	l.waiting++
@@ -148,7 +148,7 @@
 	}
 }
 
-// acquireWait is how long a new client waits for a slot. l.mu is held.
+// acquireWait returns how long a new client waits for a slot. l.mu is held.
 func (l *Limiter) acquireWait() time.Duration {
 	if l.minDeadline == 0 {
 		return maxAcquireWait
@@ -156,9 +156,9 @@
 	return min(maxAcquireWait, max(0, l.minDeadline/2-EvictionCloseTimeout))
 }
 
-// acquireOrEvict takes a free slot. Where there is none it evicts the client whose idle timeout ends first and is over,
-// unless as many evicted clients are closing already as there are callers of Acquire. It returns when the next client may
-// be evicted, zero where none is idle, and a channel that is closed on the next release.
+// acquireOrEvict takes a slot if one is free. Otherwise it evicts the client whose idle timeout ends first, once that has
+// ended, unless already as many evicted clients are being disconnected as there are calls of Acquire. It returns the time
+// at which the next client may be evicted, zero if no client is idle, and a channel that is closed on the next release.
 func (l *Limiter) acquireOrEvict(s *Slot, now time.Time) (acquired bool, evictableAt time.Time, released <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,7 +167,7 @@
 		return true, now, nil
 	}
 	released = l.nextRelease()
-	if l.closing >= l.waiting { // each has up to EvictionCloseTimeout to close
+	if l.closing >= l.waiting { // each evicted client has up to EvictionCloseTimeout to close its side
 		return false, now, released
 	}
 	var first *Slot
@@ -187,26 +187,26 @@
 	return false, evictableAt, released
 }
 
-// ForceAcquire takes a slot for a client that another process has handed over, even where none is free. The client that
-// has been idle longest is evicted then: the idle clients of two processes must not use up the descriptors.
+// ForceAcquire takes a slot for a client that another process has transferred, even if none is free. It then evicts the
+// client that has been idle longest, so that the idle clients of two processes do not use up the descriptors.
 func (l *Limiter) ForceAcquire(s *Slot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.transition(s, stateActive)
-	if len(l.slots)-l.available() > l.leaving() {
+	if len(l.slots)-l.available() > l.evictedCount() {
 		l.evictLongestIdle()
 	}
 }
 
-// Release returns a client's slot. The caller has closed the connection.
+// Release frees a client's slot. The caller has closed the connection.
 func (l *Limiter) Release(s *Slot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.transition(s, stateReleased)
 }
 
-// SetIdle records that a client has no request open. The client may be evicted at once, for a pending reservation or
-// where too many clients are idle.
+// SetIdle records that a client has no open request. It may evict the client at once, for a pending reservation, or the
+// clients that have been idle longest, if too many are idle.
 func (l *Limiter) SetIdle(s *Slot, hasRequested bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -222,23 +222,23 @@
 	}
 }
 
-// SetActive records that a client has sent something. That revokes an eviction.
+// SetActive records that a client has sent something. This cancels its eviction.
 func (l *Limiter) SetActive(s *Slot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.transition(s, stateActive)
 }
 
-// SetClosing records that an evicted client's connection is being closed. It holds its slot until Release.
+// SetClosing records that an evicted client's connection is being closed. The client keeps its slot until Release.
 func (l *Limiter) SetClosing(s *Slot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.transition(s, stateClosing)
 }
 
-// evictSurplusIdle evicts the clients that have been idle longest where more than half of the slots are held by idle
-// clients. Clients limit their own connections too: one that has reached its limit opens no other connection here, so that
-// a new one of it would never evict an idle one. l.mu is held.
+// evictSurplusIdle evicts the clients that have been idle longest if idle clients use more than half of the slots.
+// Waiting for new connections to evict them is not enough: client programs limit their own connections, and a program
+// whose idle connections here have reached its limit opens no new one. l.mu is held.
 func (l *Limiter) evictSurplusIdle(now time.Time) {
 	if l.keepIdle {
 		return
@@ -274,11 +274,11 @@
 	}
 }
 
-// available is how many slots there are for clients now. l.mu is held.
+// available returns the number of slots for clients, free or in use. l.mu is held.
 func (l *Limiter) available() int { return max(1, min(l.clientLimit, l.capacity-l.reserved)) }
 
-// leaving is how many clients have been evicted and hold their slots still. l.mu is held.
-func (l *Limiter) leaving() int {
+// evictedCount returns the number of evicted clients that still have their slots. l.mu is held.
+func (l *Limiter) evictedCount() int {
 	n := 0
 	for s := range l.slots {
 		if s.state == stateEvicted || s.state == stateClosing {
@@ -296,7 +296,7 @@
 	return l.released
 }
 
-// notifyReleased wakes all that wait for a release. l.mu is held.
+// notifyReleased wakes all goroutines that wait for a release. l.mu is held.
 func (l *Limiter) notifyReleased() {
 	if l.released != nil {
 		close(l.released)
--- a/internal/frontend/connlimit/limiter_test.go
+++ b/internal/frontend/connlimit/limiter_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// fakeClient is a client whose connection is closed by the test.
+// fakeClient is a client without a connection. It counts its wakes.
 type fakeClient struct {
 	*Slot
 	wakes atomic.Int32
@@ -21,28 +21,28 @@
 	return c
 }
 
-// acquireAll fills a limiter with active clients.
+// acquireAll acquires n slots for new active clients.
 func acquireAll(t *testing.T, l *Limiter, n int) []*fakeClient {
 	t.Helper()
 	clients := make([]*fakeClient, n)
 	for i := range clients {
 		clients[i] = newFakeClient()
 		if !l.TryAcquire(clients[i].Slot) {
-			t.Fatalf("client %d gets no slot", i)
+			t.Fatalf("client %d got no slot", i)
 		}
 	}
 	return clients
 }
 
-// expectEvicted checks which clients are evicted.
+// expectEvicted checks for each client whether it is evicted and was woken.
 func expectEvicted(t *testing.T, clients []*fakeClient, want ...bool) {
 	t.Helper()
 	for i, c := range clients {
 		if c.Evicted() != want[i] {
-			t.Errorf("client %d is evicted: %v", i, c.Evicted())
+			t.Errorf("client %d: evicted is %v, want the opposite", i, c.Evicted())
 		}
 		if (c.wakes.Load() > 0) != want[i] {
-			t.Errorf("client %d was woken %d times", i, c.wakes.Load())
+			t.Errorf("client %d was woken %d times; only evicted clients are woken", i, c.wakes.Load())
 		}
 	}
 }
@@ -52,12 +52,12 @@
 	l := New(3)
 	clients := acquireAll(t, l, 3)
 	if l.TryAcquire(newFakeClient().Slot) || l.InUse() != 3 || l.FreeShare() != 0 {
-		t.Errorf("%d slots are in use, a share of %v is free", l.InUse(), l.FreeShare())
+		t.Errorf("a fourth client got one of three slots, or %d are in use and a share of %v is free", l.InUse(), l.FreeShare())
 	}
 	l.Release(clients[0].Slot)
 	l.Resize(2)
 	if l.TryAcquire(newFakeClient().Slot) {
-		t.Error("a slot past the changed limit is free")
+		t.Error("a client got a slot above the lowered limit")
 	}
 	l.Resize(3)
 	if !l.TryAcquire(newFakeClient().Slot) {
@@ -65,15 +65,15 @@
 	}
 }
 
-// TestAcquireEvictsTheFirstIdleClient checks that the client whose idle timeout ends first is evicted once it is over, and that its
-// slot goes to the new client when it is released.
+// TestAcquireEvictsTheFirstIdleClient checks that the client whose idle timeout ends first is evicted when that timeout ends, and that
+// the new client gets its slot on release.
 func TestAcquireEvictsTheFirstIdleClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(3)
 		clients := acquireAll(t, l, 3)
 		l.SetIdle(clients[1].Slot, true)
 		time.Sleep(50 * time.Millisecond)
-		l.SetIdle(clients[2].Slot, false) // may be evicted before the other: it has sent no request
+		l.SetIdle(clients[2].Slot, false) // has sent no request, and so may be evicted before the other client
 		start := time.Now()
 		acquired := make(chan bool, 1)
 		go func() { acquired <- l.Acquire(newFakeClient().Slot) }()
@@ -91,20 +91,21 @@
 	})
 }
 
-// TestAcquireFailsAtOnceWhereAllAreActive checks that a new client does not wait where no client is idle.
+// TestAcquireFailsAtOnceWhereAllAreActive checks that a new client does not wait if no client is idle.
 func TestAcquireFailsAtOnceWhereAllAreActive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(2)
 		clients := acquireAll(t, l, 2)
 		start := time.Now()
 		if l.Acquire(newFakeClient().Slot) || time.Since(start) > 0 {
-			t.Errorf("an answer after %v", time.Since(start))
+			t.Errorf("Acquire succeeded, or failed only after %v", time.Since(start))
 		}
 		expectEvicted(t, clients, false, false)
 	})
 }
 
-// TestActivityRevokesAnEviction checks that an evicted client that has sent something stays, and another one is evicted.
+// TestActivityRevokesAnEviction checks that an evicted client that sends something stays connected, and that another client is
+// evicted in its place.
 func TestActivityRevokesAnEviction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(2)
@@ -120,17 +121,17 @@
 		l.SetActive(clients[0].Slot)
 		time.Sleep(evictionRetryInterval + time.Millisecond)
 		if clients[0].Evicted() || !clients[1].Evicted() {
-			t.Error("the other client is not evicted")
+			t.Error("the active client is still evicted, or the idle one is not")
 		}
 		l.Release(clients[1].Slot)
 		if !<-acquired {
-			t.Error("the new client gets no slot")
+			t.Error("the new client got no slot")
 		}
 	})
 }
 
-// TestReserveEvictsAndIsBounded checks that a reservation evicts an idle client and waits for its slot, that half of the limit may
-// be reserved, and that a cancelled reservation is returned.
+// TestReserveEvictsAndIsBounded checks that a reservation evicts an idle client and waits for its slot, that no more than half of the
+// slots can be reserved, and that a cancelled reservation frees its slot.
 func TestReserveEvictsAndIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(2)
@@ -138,10 +139,10 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if _, err := l.Reserve(ctx); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("all clients are active: %v", err)
+			t.Errorf("a reservation while all clients are active: %v", err)
 		}
 		l.SetIdle(clients[0].Slot, true)
-		expectEvicted(t, clients, false, false) // the cancelled reservation evicts nobody
+		expectEvicted(t, clients, false, false) // the cancelled reservation evicts no client
 		reserved := make(chan func(), 1)
 		go func() {
 			release, err := l.Reserve(context.Background())
@@ -156,10 +157,10 @@
 		release := <-reserved
 		var limit ReservationLimitError
 		if _, err := l.Reserve(context.Background()); !errors.As(err, &limit) || limit != (ReservationLimitError{Reserved: 1, Slots: 2}) {
-			t.Errorf("a second reservation of two: %v", err)
+			t.Errorf("a second reservation with two slots: %v", err)
 		}
 		if l.TryAcquire(newFakeClient().Slot) {
-			t.Error("a client gets the reserved slot")
+			t.Error("a client got the reserved slot")
 		}
 		release()
 		if !l.TryAcquire(newFakeClient().Slot) {
@@ -168,7 +169,7 @@
 	})
 }
 
-// TestForceAcquireEvictsOnePerClient checks that each client past the limit evicts the one that has been idle longest.
+// TestForceAcquireEvictsOnePerClient checks that each client above the limit evicts the client that has been idle longest.
 func TestForceAcquireEvictsOnePerClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(3)
@@ -184,7 +185,7 @@
 	})
 }
 
-// TestDrainWakesAllClients checks that clients are woken by a change of the drain schedule alone.
+// TestDrainWakesAllClients checks that each change of the drain schedule wakes all clients, and that a call without a change does not.
 func TestDrainWakesAllClients(t *testing.T) {
 	l := New(2)
 	clients := acquireAll(t, l, 2)
--- a/internal/frontend/connlimit/rejectqueue.go
+++ b/internal/frontend/connlimit/rejectqueue.go
@@ -1,14 +1,14 @@
 package connlimit
 
-// rejectQueue bounds the clients without a slot that are served at a time. It holds one element for each.
+// rejectQueue is a semaphore that bounds how many clients without a slot wait for one or are being rejected at a time.
 type rejectQueue chan struct{}
 
-// RejectQueueSize returns how many clients a limiter of so many slots keeps waiting or rejects at a time. Each of them holds a
-// descriptor in addition to the limiter's.
+// RejectQueueSize returns how many clients without a slot wait or are being rejected at a time in a limiter with the given
+// capacity. Each of them uses a file descriptor in addition to the limiter's.
 func RejectQueueSize(capacity int) int { return max(1, min(maxRejectQueue, capacity/4)) }
 
-// EnterRejectQueue takes an entry for a client that waits for a slot or is being rejected. It returns false where the
-// queue is full. The caller calls LeaveRejectQueue once.
+// EnterRejectQueue takes a queue entry for a client that waits for a slot or is being rejected. It returns false if the
+// queue is full. Otherwise the caller must call LeaveRejectQueue once.
 func (l *Limiter) EnterRejectQueue() bool {
 	select {
 	case l.rejectQueue <- struct{}{}:
@@ -18,5 +18,5 @@
 	}
 }
 
-// LeaveRejectQueue returns an entry that EnterRejectQueue has taken.
+// LeaveRejectQueue frees an entry that EnterRejectQueue has taken.
 func (l *Limiter) LeaveRejectQueue() { <-l.rejectQueue }
--- a/internal/frontend/connlimit/schedule.go
+++ b/internal/frontend/connlimit/schedule.go
@@ -6,14 +6,14 @@
 	"cranegate/internal/frontend/drain"
 )
 
-// Schedule returns the drain schedule, nil while the gateway is not draining.
+// Schedule returns the drain schedule, or nil while the gateway is not draining.
 func (l *Limiter) Schedule() *drain.Schedule { return l.schedule.Load() }
 
 // Draining reports whether client connections are being closed.
 func (l *Limiter) Draining() bool { return l.Schedule() != nil }
 
-// Drain closes all client connections, each at a time when no request can cross the close. New clients are still
-// accepted, for one request each. It does nothing while the gateway is draining.
+// Drain starts a drain: all client connections are closed, each right after an answer or while idle. New clients are still
+// accepted, for one request each. Drain has no effect while the gateway is draining.
 func (l *Limiter) Drain() {
 	l.reschedule(func(s *drain.Schedule) *drain.Schedule {
 		if s != nil {
@@ -23,8 +23,8 @@
 	})
 }
 
-// Undrain ends a drain; connections that are being closed are closed. It returns false where the process shuts down or
-// another one has taken over, and the drain goes on.
+// Undrain ends a drain. Connections that are already being closed are not kept. It returns false, and the drain continues,
+// if the process is shutting down or another process accepts the clients.
 func (l *Limiter) Undrain() bool {
 	return l.reschedule(func(s *drain.Schedule) *drain.Schedule {
 		if s.Final() {
@@ -34,21 +34,21 @@
 	}) == nil
 }
 
-// Shutdown drains for good, as the process ends.
+// Shutdown starts a drain that cannot be undone, because the process ends.
 func (l *Limiter) Shutdown() {
 	l.reschedule(func(s *drain.Schedule) *drain.Schedule { return s.Stop(time.Now(), l.maxDeadline) })
 }
 
-// Handover drains while another process accepts the clients.
+// Handover starts a drain that lasts while another process accepts the clients.
 func (l *Limiter) Handover() {
 	l.reschedule(func(s *drain.Schedule) *drain.Schedule { return s.Handover(time.Now()) })
 }
 
-// CancelHandover undoes Handover, as the other process has ended.
+// CancelHandover undoes Handover after the other process has ended.
 func (l *Limiter) CancelHandover() { l.reschedule((*drain.Schedule).CancelHandover) }
 
-// reschedule replaces the drain schedule, wakes all clients where it has changed, and returns it. The lock is held while
-// next runs.
+// reschedule replaces the drain schedule by the result of next and returns it. If it has changed, all clients are woken.
+// next runs with l.mu held.
 func (l *Limiter) reschedule(next func(*drain.Schedule) *drain.Schedule) *drain.Schedule {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/frontend/connlimit/slot.go
+++ b/internal/frontend/connlimit/slot.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// state is what a client connection does, as far as its slot is concerned.
+// state is the state of a client connection in the limiter.
 type state int
 
 const (
-	stateReleased state = iota // it holds no slot
-	stateActive                // a request is open, or part of a message has come
+	stateReleased state = iota // the client has no slot
+	stateActive                // a request is open, or part of a message has arrived
 	stateNew                   // idle since it connected
 	stateIdle                  // idle after a request
-	stateEvicted               // it closes unless something has come meanwhile
-	stateClosing               // its connection is being closed after an eviction
+	stateEvicted               // to be closed, unless the client has sent something meanwhile
+	stateClosing               // the connection is being closed after an eviction
 )
 
-// Slot is one client connection's entry in a Limiter, which owns its fields.
+// Slot is one client connection's entry in a Limiter. The limiter owns its fields.
 type Slot struct {
 	wake    func()
-	evicted atomic.Bool // follows state, for readers without the limiter's lock
+	evicted atomic.Bool // whether state is stateEvicted, for readers without the limiter's lock
 
 	state     state
-	idleSince time.Time // in stateNew and stateIdle
+	idleSince time.Time // set in stateNew and stateIdle
 }
 
-// NewSlot returns a slot for a client that holds none yet. The limiter calls wake, with its lock held, when the client has
-// to look at Evicted or at the drain schedule again.
+// NewSlot returns a slot for a new client, not acquired yet. The limiter calls wake, with its lock held, when Evicted or
+// the drain schedule has changed and the client has to check it.
 func NewSlot(wake func()) *Slot { return &Slot{wake: wake} }
 
-// Evicted reports whether the client has to close its connection unless something has come on it.
+// Evicted reports whether the client's connection has to be closed, unless the client has sent something meanwhile.
 func (s *Slot) Evicted() bool { return s.evicted.Load() }
 
 // idle reports whether the client may be evicted.
 func (s *Slot) idle() bool { return s.state == stateNew || s.state == stateIdle }
 
-// evictableAt is when an idle client has been idle long enough to be evicted for a new one.
+// evictableAt returns the time from which an idle client may be evicted for a new one.
 func (s *Slot) evictableAt() time.Time {
 	if s.state == stateNew {
 		return s.idleSince.Add(newClientIdleTimeout)
@@ -44,7 +44,7 @@
 	return s.idleSince.Add(idleTimeout)
 }
 
-// transition changes a slot's state; no other function does. l.mu is held.
+// transition changes a slot's state. No other function does. l.mu is held.
 func (l *Limiter) transition(s *Slot, next state) {
 	previous := s.state
 	s.state = next
--- a/internal/frontend/drain/drain.go
+++ b/internal/frontend/drain/drain.go
@@ -1,45 +1,46 @@
 // Package drain schedules when client connections are closed while a gateway drains. It does no I/O and reads no clock.
 //
-// A connection is best closed right after an answer: the client has no request open, so that none can cross the close. A
-// connection without requests is closed while idle, each at a time of its own: closes at one instant would bring all
-// handshakes at once to the gateways that take these clients.
+// The best time to close a connection is right after an answer, when the client is least likely to be sending a request
+// that would arrive just as the connection closes. A connection without requests is closed while idle. These closes are
+// spread over time, because otherwise all clients would connect to other gateways at once.
 package drain
 
 import "time"
 
-// Slots is how many different times there are at which idle connections are closed.
+// Slots is the number of different times at which idle connections are closed.
 const Slots = 16
 
 const (
-	noticeDelay        = 400 * time.Millisecond  // the platform sees a drain within 0.1 s, and new connections come for 0.2 s more
-	minIdleDelay       = time.Second             // no idle connection is closed sooner
-	idleSpread         = 800 * time.Millisecond  // in which all idle connections are closed after that
-	newClientTimeout   = 500 * time.Millisecond  // for a connection accepted meanwhile to stay idle
-	readTimeout        = 1900 * time.Millisecond // for messages that have begun; one that comes 2 s on may not be held at 4 s
-	answerTimeout      = 3300 * time.Millisecond // for all answers: past every deadline, and before the process is killed
+	noticeDelay        = 400 * time.Millisecond  // the platform notices a drain within 0.1 s, and clients still connect for another 0.2 s
+	minIdleDelay       = time.Second             // from the start of a drain until the first idle connections are closed
+	idleSpread         = 800 * time.Millisecond  // from the first to the last close of idle connections
+	newClientTimeout   = 500 * time.Millisecond  // how long a connection accepted during the drain may be idle
+	readTimeout        = 1900 * time.Millisecond // to complete a message that has begun; one that arrives at 2 s must not be held at 4 s
+	answerTimeout      = 3300 * time.Millisecond // for all answers: after every request's deadline, and before the process is killed
 	maxDeadline        = 3 * time.Second         // the longest request deadline the times above assume; a shorter one scales them
-	shutdownDelay      = 500 * time.Millisecond  // from the longest deadline until a process that ends has answered all, 0.2 s before the kill
-	finalAnswerTimeout = 150 * time.Millisecond  // of that, for what has come in last
-	minReadTimeout     = 50 * time.Millisecond   // for a message that has begun
-	minRequestTimeout  = 50 * time.Millisecond   // for an answer
+	shutdownDelay      = 500 * time.Millisecond  // from the longest deadline until a shutdown has answered all, 0.2 s before the kill
+	finalAnswerTimeout = 150 * time.Millisecond  // part of shutdownDelay, left for answering the last message read
+	minReadTimeout     = 50 * time.Millisecond   // least time to complete a message that has begun
+	minRequestTimeout  = 50 * time.Millisecond   // least time to answer a request
 )
 
-// Schedule says when connections are closed. A nil Schedule is that of a gateway that is not draining. Schedules are not
-// modified.
+// Schedule holds the times of a drain: when connections are closed, and until when requests are read and answered. A nil
+// Schedule means that the gateway is not draining. A Schedule is immutable.
 type Schedule struct {
 	startedAt        time.Time     // when the drain began
 	idleCloseAt      time.Time     // when the first idle connections are closed
-	idleSpread       time.Duration // from then on until the last ones are
-	readDeadline     time.Time     // for messages that have begun; zero: as without a drain
-	answerDeadline   time.Time     // for all answers; zero: the requests' own deadlines
-	shutdownDeadline time.Time     // for all answers, however late their requests came; zero unless the process ends
-	shuttingDown     bool          // the process ends: the drain is not undone
-	superseded       bool          // another process accepts clients, for as long as it lives
-	transfers        bool          // and open connections are transferred to it
+	idleSpread       time.Duration // from idleCloseAt until the last idle connections are closed
+	readDeadline     time.Time     // for messages that have begun; zero: same as without a drain
+	answerDeadline   time.Time     // for all answers; zero: only the requests' own deadlines apply
+	shutdownDeadline time.Time     // for all answers, even to requests that arrive late; zero unless the process ends
+	shuttingDown     bool          // the process ends, and the drain cannot be undone
+	superseded       bool          // another process accepts the clients, until it ends
+	transfers        bool          // open connections are transferred to that process
 }
 
-// Start drains from now on, until the drain is undone. The longest request deadline, zero where it is not known, bounds how
-// soon the process may be killed: 0.7 s after that deadline, and 3.7 s after now where it is over 3 s.
+// Start returns the schedule of a drain that starts now and lasts until it is undone. The times fit a process that may be killed
+// once the longest request deadline plus 0.7 s have passed, or 3.7 s if that deadline is over 3 s. A deadline of zero is unknown,
+// and counts as 3 s.
 func Start(now time.Time, longestDeadline time.Duration) *Schedule {
 	total := max(answerTimeout-maxDeadline+boundedDeadline(longestDeadline), noticeDelay)
 	scaled := func(d time.Duration) time.Duration {
@@ -54,7 +55,8 @@
 	}
 }
 
-// boundedDeadline is the longest request deadline on which the time of the kill is based.
+// boundedDeadline returns the request deadline from which the time of the kill is computed: at most maxDeadline, which also
+// replaces an unknown deadline.
 func boundedDeadline(longestDeadline time.Duration) time.Duration {
 	if longestDeadline <= 0 {
 		return maxDeadline
@@ -62,12 +64,13 @@
 	return min(longestDeadline, maxDeadline)
 }
 
-// Stop drains as the process ends. Connections are closed at the times of a drain that goes on already, if any.
+// Stop returns the schedule for a process that is shutting down. If a drain is already under way, idle connections are closed at
+// its times.
 func (s *Schedule) Stop(now time.Time, longestDeadline time.Duration) *Schedule {
 	next := Start(now, longestDeadline)
 	next.shutdownDeadline = now.Add(boundedDeadline(longestDeadline) + shutdownDelay)
 	next.shuttingDown = true
-	if s != nil { // the platform knows of the drain already
+	if s != nil { // the platform has already noticed the drain
 		next.startedAt = s.startedAt
 		next.idleCloseAt = s.idleCloseAt
 		next.idleSpread = s.idleSpread
@@ -77,8 +80,9 @@
 	return next
 }
 
-// Handover drains as another process accepts clients from now on. It keeps the times of a drain that goes on already. Nobody
-// has to notice the drain, and there is time: this process is told to end some seconds later.
+// Handover returns the schedule for a process whose clients are accepted by another process from now on. A drain that is already
+// under way keeps its times. A new drain has no notice delay, as new connections already reach the other process, and no deadlines
+// for reads and answers, as this process is stopped only some seconds later.
 func (s *Schedule) Handover(now time.Time) *Schedule {
 	if s != nil {
 		next := *s
@@ -94,8 +98,8 @@
 	}
 }
 
-// CancelHandover returns the schedule from before Handover, as the other process has ended. It returns s where this process
-// is shutting down.
+// CancelHandover returns the schedule from before Handover, for when the other process has ended. It returns s unchanged if this
+// process is shutting down.
 func (s *Schedule) CancelHandover() *Schedule {
 	if s == nil || s.shuttingDown || !s.superseded {
 		return s
@@ -108,19 +112,19 @@
 	return &next
 }
 
-// HandsOver reports whether idle connections are transferred to another process, where that accepts them.
-func (s *Schedule) HandsOver() bool { return s != nil && s.transfers }
+// TransfersConnections reports whether idle connections are transferred to another process, if that process takes them.
+func (s *Schedule) TransfersConnections() bool { return s != nil && s.transfers }
 
-// Final reports whether an operator can't undo the drain.
+// Final reports whether the drain can't be undone by an operator.
 func (s *Schedule) Final() bool { return s != nil && (s.shuttingDown || s.superseded) }
 
-// CloseAfterAnswer reports whether a connection is closed right after its answer.
+// CloseAfterAnswer reports whether a connection that is answered now is closed right after the answer.
 func (s *Schedule) CloseAfterAnswer(now time.Time) bool {
 	return s != nil && now.Sub(s.startedAt) >= noticeDelay
 }
 
-// IdleDeadline is when a connection is closed if it is idle then; zero: never. The slot, from 0 to Slots-1, spreads
-// connections.
+// IdleDeadline returns the time at which a connection is closed if it is idle, or zero if it is not closed. Connections with
+// different slots, from 0 to Slots-1, are closed at different times.
 func (s *Schedule) IdleDeadline(acceptedAt time.Time, slot int) time.Time {
 	if s == nil {
 		return time.Time{}
@@ -135,8 +139,8 @@
 	return deadline
 }
 
-// ReadDeadline is until when a message has to be complete that begins now and has the given deadline without a drain. It is
-// never later than that.
+// ReadDeadline returns the time by which a message that begins now has to be complete. The given deadline is the one that applies
+// without a drain.
 func (s *Schedule) ReadDeadline(now, deadline time.Time) time.Time {
 	if s == nil || s.readDeadline.IsZero() || deadline.Before(s.readDeadline) {
 		return deadline
@@ -152,10 +156,11 @@
 	return least
 }
 
-// lastReadDeadline is when the last message has to be complete for its answer to be there before the process ends.
+// lastReadDeadline returns the time by which the last message has to be complete, so that it is answered before the process ends.
 func (s *Schedule) lastReadDeadline() time.Time { return s.shutdownDeadline.Add(-finalAnswerTimeout) }
 
-// RequestTimeout is how long a request may take that arrived at a time and has the given timeout without a drain.
+// RequestTimeout returns how long a request that arrived at arrivedAt may take. The given timeout is the one that applies without a
+// drain.
 func (s *Schedule) RequestTimeout(arrivedAt time.Time, timeout time.Duration) time.Duration {
 	if s == nil || s.answerDeadline.IsZero() {
 		return timeout
--- a/internal/frontend/drain/drain_test.go
+++ b/internal/frontend/drain/drain_test.go
@@ -8,12 +8,12 @@
 // shutdownStart is when the shutdowns of these tests begin.
 var shutdownStart = time.Unix(1000, 0)
 
-// killTime is when a process is killed: 0.7 s after the longest deadline, 3 s where that is longer.
+// killTime returns when a process is killed: 0.7 s after the longest deadline, of which at most 3 s count.
 func killTime(longest time.Duration) time.Time {
 	return shutdownStart.Add(min(longest, 3*time.Second) + 700*time.Millisecond)
 }
 
-// shutdowns returns the schedules of a shutdown without and with a drain before.
+// shutdowns returns the schedules of a shutdown that begins without a drain and of one that begins during a drain.
 func shutdowns(longest time.Duration) map[string]*Schedule {
 	return map[string]*Schedule{
 		"no drain before": (*Schedule)(nil).Stop(shutdownStart, longest),
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestAllIsAnsweredBeforeTheKill checks the schedule against the kill: every request that arrives on an open connection, until
-// the last one is closed, has its answer by then.
+// TestAllIsAnsweredBeforeTheKill checks that every request that arrives on an open connection before its scheduled close is read and
+// answered before the process is killed.
 func TestAllIsAnsweredBeforeTheKill(t *testing.T) {
 	for longest := 400 * time.Millisecond; longest <= 6*time.Second; longest += 50 * time.Millisecond {
 		kill := killTime(longest)
@@ -35,7 +35,7 @@
 						t.Fatalf("deadline %v: a request after %v is answered %v after the kill", longest, after, end.Sub(kill))
 					}
 					if read := s.ReadDeadline(arrived, arrived.Add(10*time.Second)); !read.Before(kill) {
-						t.Fatalf("deadline %v: a message that begins after %v may come in until the kill", longest, after)
+						t.Fatalf("deadline %v: a message that begins after %v may be read until after the kill", longest, after)
 					}
 				}
 			}
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestNewClientsAreAnsweredBeforeTheKill checks the schedule for clients that are accepted during the shutdown, while the
-// listener is open or from the reject queue: a message that begins as its connection is about to be closed, and is complete
-// as late as it may be, has its answer 0.13 s before the kill, and 0.05 s before the process begins to end itself.
+// TestNewClientsAreAnsweredBeforeTheKill checks the schedule for clients that are accepted during the shutdown, from the open
+// listener or from the reject queue. A message that begins just before its connection is closed, and is complete only at its read
+// deadline, is answered at least 0.13 s before the kill, which is 0.05 s before the process begins to exit by itself.
 func TestNewClientsAreAnsweredBeforeTheKill(t *testing.T) {
 	for longest := 200 * time.Millisecond; longest <= 4*time.Second; longest += 100 * time.Millisecond {
 		for name, s := range shutdowns(longest) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// checkNewClient checks all times at which a client's message may begin.
+// checkNewClient checks every time at which the message of a client accepted at acceptedAt may begin, in steps of 10 ms.
 func checkNewClient(t *testing.T, name string, s *Schedule, longest time.Duration, acceptedAt time.Time) {
 	t.Helper()
 	accepted := acceptedAt.Sub(shutdownStart)
@@ -67,7 +67,7 @@
 	for began := acceptedAt; !began.After(last); began = began.Add(10 * time.Millisecond) {
 		complete := s.ReadDeadline(began, began.Add(10*time.Second))
 		if complete.Sub(began) < 50*time.Millisecond {
-			t.Fatalf("deadline %v, %s: a message that begins after %v has %v to come in", longest, name, began.Sub(shutdownStart),
+			t.Fatalf("deadline %v, %s: a message that begins after %v has %v to complete", longest, name, began.Sub(shutdownStart),
 				complete.Sub(began))
 		}
 		for _, arrived := range []time.Time{began, complete} {
@@ -80,19 +80,19 @@
 	}
 }
 
-// TestCancelHandover checks that the schedule from before a handover holds after it, unless this process shuts down.
+// TestCancelHandover checks that CancelHandover restores the schedule from before the handover, unless this process is shutting down.
 func TestCancelHandover(t *testing.T) {
 	now := shutdownStart
-	if s := (*Schedule)(nil).Handover(now); !s.Final() || !s.HandsOver() || s.CancelHandover() != nil {
-		t.Error("the gateway drains after a handover without a drain before")
+	if s := (*Schedule)(nil).Handover(now); !s.Final() || !s.TransfersConnections() || s.CancelHandover() != nil {
+		t.Error("a cancelled handover without an earlier drain is not undone")
 	}
 	drained := Start(now, 0)
-	if s := drained.Handover(now); !s.Final() || s.HandsOver() || *s.CancelHandover() != *drained {
-		t.Error("the gateway does not drain as before the handover")
+	if s := drained.Handover(now); !s.Final() || s.TransfersConnections() || *s.CancelHandover() != *drained {
+		t.Error("a cancelled handover does not restore the earlier drain")
 	}
 	for _, s := range []*Schedule{(*Schedule)(nil).Handover(now).Stop(now, 0), drained.Handover(now).Stop(now, 0)} {
 		if s.CancelHandover() != s || !s.Final() {
-			t.Error("the shutdown is cancelled")
+			t.Error("CancelHandover has changed the schedule of a shutdown")
 		}
 	}
 }
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	messageTimeout      = 10 * time.Second        // for a complete message from its first byte on
-	stallTimeout        = 2500 * time.Millisecond // without another byte of a message: a client that stops is closed within 3 s
-	startupTimeout      = 2500 * time.Millisecond // from accept, for the startup and a first request
-	firstRequestTimeout = time.Second             // for a first request that begins when less of startupTimeout is left
-	finalReadTimeout    = 20 * time.Millisecond   // for bytes that had arrived when one of these times ended
-	maxFaults           = 16                      // unusable messages in a row
+	messageTimeout      = 10 * time.Second        // from the first byte of a message until it is complete
+	stallTimeout        = 2500 * time.Millisecond // without a further byte of a message; a client that stops sending is closed within 3 s
+	startupTimeout      = 2500 * time.Millisecond // from accept, for the startup, and for a first request that has begun
+	firstRequestTimeout = time.Second             // least time for the first request, even if less of startupTimeout is left
+	finalReadTimeout    = 20 * time.Millisecond   // for reading bytes that arrived before one of these timeouts passed
+	maxFaults           = 16                      // this many unusable messages in a row end the session
 )
 
-// Session is one client's connection. Its goroutine owns all fields but the slot; Conn.Wake interrupts it for an answer, an
-// eviction or a drain.
+// Session is one client's connection. The goroutine that serves it owns all fields but the slot. Conn.Wake interrupts its
+// waits when there is an answer, an eviction or a change of the drain schedule.
 type Session struct {
 	*framebuf.Conn
-	// Transferable is set by the protocol where Resumed is all the state of the connection, so that another process
-	// may serve it on.
+	// Transferable is set by the protocol while another process could continue the session, because the connection has
+	// no protocol state beyond the completed startup.
 	Transferable bool
 
 	server               *Server
 	slot                 *connlimit.Slot
 	acceptedAt           time.Time
-	drainSlot            int       // spreads the closes of idle connections in a drain
-	answered             bool      // a request has been answered, or submitted
+	drainSlot            int       // selects the time of the drain at which the connection is closed if idle
+	answered             bool      // a message was usable: a request was submitted, or another message answered
 	resumed              bool      // the startup took place in another process
 	startupDeadline      time.Time // zero once the startup is complete
 	firstRequestDeadline time.Time // zero once a request was usable
-	arrivedAt            time.Time // when the last byte of the current message came; it may have waited behind others
+	arrivedAt            time.Time // when the last byte of the current message arrived, possibly before earlier messages were answered
 	faults               int       // unusable messages in a row
-	unanswered           bool      // a message was read that has no answer yet; for checkClose alone
+	unanswered           bool      // a message was read that has no answer yet; used only by checkClose
 	lastRequestID        string    // for the log
 }
 
-// Draining reports whether client connections are being closed.
+// Draining reports whether the gateway is draining.
 func (s *Session) Draining() bool { return s.server.Limiter.Draining() }
 
 // Core returns the core that serves the session's requests.
 func (s *Session) Core() *core.Core { return s.server.Core }
 
-// Budget returns the memory budget for what the session keeps in addition to its buffer.
+// Budget returns the memory budget for data that the session stores outside its read buffer.
 func (s *Session) Budget() *framebuf.Budget { return s.server.Budget }
 
 // Counters returns the program's counters.
@@ -63,7 +63,7 @@
 // Started records that the client has completed the startup.
 func (s *Session) Started() { s.startupDeadline = time.Time{} }
 
-// RecordFault counts a message that could not be used. It returns ErrTooManyFaults after too many in a row.
+// RecordFault counts an unusable message. It returns ErrTooManyFaults after too many in a row.
 func (s *Session) RecordFault() error {
 	s.faults++
 	if s.faults >= maxFaults {
@@ -72,17 +72,18 @@
 	return nil
 }
 
-// RecordSuccess records that a message could be used.
+// RecordSuccess records that a message was usable.
 func (s *Session) RecordSuccess() {
 	s.faults = 0
 	s.answered = true
 }
 
-// Next waits for a message and calls read, which must read one complete message. It returns an error once the client has
-// disconnected, and where the session ends with nothing of a message there: evicted, drained or transferred. What has
-// arrived by then is read first, so that the close crosses no request.
+// Next waits for a message and calls read, which must read one complete message. It returns an error if the client has
+// disconnected, if the message is late or can't be read, and if the session ends between two messages because it is evicted,
+// drained or transferred. Before a session ends between two messages, any message that has already arrived is read and
+// served.
 func (s *Session) Next(read func() error) error {
-	s.unanswered = false // the protocol has answered the last message, or none was due
+	s.unanswered = false // the protocol has answered the last message, or it needs no answer
 	if s.Buffered() == 0 {
 		s.server.Limiter.SetIdle(s.slot, s.firstRequestDeadline.IsZero())
 	}
@@ -99,10 +100,10 @@
 	return nil
 }
 
-// awaitMessage waits until part of a message has come. It returns an error where the session ends.
+// awaitMessage waits until part of a message has arrived. It returns an error if the session ends.
 func (s *Session) awaitMessage() error {
-	// An answer has just gone out, or the client has sent no request. Later is no time to close an idle connection: its
-	// client may be about to send.
+	// Evaluated once, right after an answer: a connection that has been idle since is not closed at once when a drain
+	// begins, because its client may be about to send a request.
 	closeNow := s.answered && s.schedule().CloseAfterAnswer(time.Now())
 	for s.Buffered() == 0 {
 		schedule := s.schedule()
@@ -117,12 +118,12 @@
 		if !idleDeadline.IsZero() && (deadline.IsZero() || idleDeadline.Before(deadline)) {
 			deadline = idleDeadline
 		}
-		// Both may change before the wait begins, and a wake before it is lost: Park asks once more.
+		// An eviction or a new schedule may come before Park begins, where its Wake has no effect. Park checks both again.
 		err := s.Park(deadline, func() bool { return s.slot.Evicted() || s.schedule() != schedule })
 		switch {
 		case err == nil:
 		case errors.Is(err, os.ErrDeadlineExceeded) && deadline.Equal(idleDeadline):
-			if s.schedule() != nil { // nil: the drain was ended meanwhile
+			if s.schedule() != nil { // it is nil if the drain was undone meanwhile
 				return s.endIdle()
 			}
 		default:
@@ -132,13 +133,13 @@
 	return nil
 }
 
-// schedule is the drain schedule, nil while the server is not draining.
+// schedule returns the drain schedule, or nil while the gateway is not draining.
 func (s *Session) schedule() *drain.Schedule { return s.server.Limiter.Schedule() }
 
-// transfer hands the connection over to another process where the drain schedule asks for that. It returns true once the
-// connection belongs to that process.
+// transfer transfers the connection to another process if the drain schedule says so. It returns true if the connection
+// now belongs to that process.
 func (s *Session) transfer(schedule *drain.Schedule) bool {
-	if !schedule.HandsOver() || !s.Transferable || s.server.Transfer == nil {
+	if !schedule.TransfersConnections() || !s.Transferable || s.server.Transfer == nil {
 		return false
 	}
 	if !s.server.Transfer(s.Conn.Conn, s.startupDeadline.IsZero(), s.answered) {
@@ -148,7 +149,8 @@
 	return true
 }
 
-// endIdle returns the error that ends an idle session, nil where its client has sent something by now or has disconnected.
+// endIdle returns the error that ends an idle session. It returns nil if the client has sent something meanwhile or has
+// disconnected, which the next read shows.
 func (s *Session) endIdle() error {
 	if !s.Alive() {
 		return nil
@@ -162,8 +164,8 @@
 	return errDraining
 }
 
-// readMessage calls read until it has a complete message, the message's deadline has passed, or nothing of it has come
-// for stallTimeout.
+// readMessage calls read until the message is complete, its deadline has passed, or no further byte of it has arrived for
+// stallTimeout.
 func (s *Session) readMessage(read func() error) error {
 	deadline := s.schedule().ReadDeadline(time.Now(), s.messageDeadline())
 	for {
@@ -180,14 +182,14 @@
 		if s.Buffered() > buffered && time.Now().Before(deadline) {
 			continue
 		}
-		// With a deadline in the past a read returns nothing, even if the rest of the message has arrived.
+		// A read whose deadline has passed returns nothing, even if the rest of the message has arrived. So read once more.
 		s.SetReadDeadline(time.Now().Add(finalReadTimeout))
 		return read()
 	}
 }
 
-// messageDeadline is until when a message that begins now has to be complete. Clients with a usable request have more time,
-// as they may be on a slow network.
+// messageDeadline returns the time by which a message that begins now has to be complete. Clients that have sent a usable
+// request get more time, as they may be on a slow network.
 func (s *Session) messageDeadline() time.Time {
 	if !s.startupDeadline.IsZero() {
 		return s.startupDeadline
@@ -202,8 +204,8 @@
 	return deadline
 }
 
-// disconnectError returns ErrDisconnected for an error that only tells that the client has disconnected, any other error as
-// it is.
+// disconnectError returns ErrDisconnected for an error that means that the client has disconnected, and any other error
+// unchanged.
 func disconnectError(err error) error {
 	if errors.Is(err, framebuf.ErrTooLarge) || errors.Is(err, framebuf.ErrBudgetExhausted) || errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
