--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -16,12 +16,12 @@
 const (
 	stopDelay            = 500 * time.Millisecond // from the end of Run's context until the listener is closed
 	acceptRetryDelay     = 20 * time.Millisecond
-	backlogDrainInterval = 10 * time.Millisecond  // the backlog is empty once no client has come for this long
-	backlogDrainTimeout  = 300 * time.Millisecond // after which the listener is closed in any case
+	backlogDrainInterval = 10 * time.Millisecond  // the backlog counts as empty after Accept has returned no client for this long
+	backlogDrainTimeout  = 300 * time.Millisecond // the listener is closed after this time even if its backlog is not empty
 )
 
-// Run accepts and serves clients until the context ends. It accepts them for up to 0.5 s more, closes the listener once its
-// backlog is empty, drains all clients, and returns when every request that was read has its answer.
+// Run accepts and serves clients until the context ends. Then it drains all clients, still accepts new ones for up to 0.5 s,
+// closes the listener once its backlog is empty, and returns when every request that was read is answered.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
 	s.checkStart()
 	s.mu.Lock()
@@ -30,14 +30,14 @@
 		s.closeListener()
 	}
 	s.mu.Unlock()
-	<-ctx.Done() // a retired server goes on serving its clients until then
+	<-ctx.Done() // a retired server still serves its connected clients until then
 	s.Limiter.Shutdown()
 	s.stopAccepting()
 	s.awaitSessions()
 	return nil
 }
 
-// stopAccepting closes the listener after stopDelay, or as soon as another process accepts the clients.
+// stopAccepting waits until the listener is closed. It closes it after stopDelay, unless Retire does so earlier.
 func (s *Server) stopAccepting() {
 	s.mu.Lock()
 	s.stopping = true
@@ -56,12 +56,13 @@
 	<-acceptor.closed
 }
 
-// awaitSessions waits for the last session and ends the server. An older process may transfer connections until then.
+// awaitSessions waits until all sessions have ended, and ends the server. An older process may transfer connections
+// until then.
 func (s *Server) awaitSessions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.parkedListener != nil {
-		s.parkedListener.Close()
+	if s.listenerDuplicate != nil {
+		s.listenerDuplicate.Close()
 	}
 	for s.running > 0 {
 		idle := make(chan struct{})
@@ -73,7 +74,7 @@
 	s.ended = true
 }
 
-// checkStart reports a violation where the core can't serve yet.
+// checkStart reports a violation of an invariant if the core can't serve requests yet.
 func (s *Server) checkStart() {
 	select {
 	case <-s.Core.Ready():
@@ -82,7 +83,7 @@
 	}
 }
 
-// spawn runs a function in a goroutine that Run waits for. It returns false once Run has returned.
+// spawn runs a function in a goroutine that Run waits for. It returns false, and runs nothing, once the server has ended.
 func (s *Server) spawn(f func()) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +98,7 @@
 	return true
 }
 
-// finished counts a function of spawn that has returned.
+// finished records that a function started by spawn has returned.
 func (s *Server) finished() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +109,7 @@
 	}
 }
 
-// admit serves a new client, or lets it wait for a slot, or rejects it.
+// admit serves a new client, queues it until it gets a slot, or rejects it.
 func (s *Server) admit(session *Session) {
 	conn := session.Conn.Conn
 	s.Counters.Add(s.Name+"_clients", 1)
@@ -129,7 +130,7 @@
 	rejectBusy(s.Protocol, conn)
 }
 
-// awaitSlot serves a client of the reject queue once it has a slot, or rejects it.
+// awaitSlot serves a client of the reject queue once there is a slot, or rejects it.
 func (s *Server) awaitSlot(session *Session) {
 	if s.Limiter.Acquire(session.slot) {
 		s.Limiter.LeaveRejectQueue()
@@ -144,29 +145,29 @@
 // acceptor accepts the clients of one listener.
 type acceptor struct {
 	net.Listener
-	draining  atomic.Bool   // the listener is about to be closed: clients in its backlog are accepted
+	draining  atomic.Bool   // the clients left in the backlog are being accepted, before the listener is closed
 	done      chan struct{} // closed when no more clients are accepted
-	closed    chan struct{} // closed when the listener is, or will be once a blocked Accept returns
-	closeOnce sync.Once     // the end of this process and a successor may both close it
+	closed    chan struct{} // closed when the listener is closed, or will be as soon as a blocked Accept returns
+	closeOnce sync.Once     // shutdown and Retire may both close the listener
 }
 
-// startAcceptor accepts a listener's clients in a goroutine of its own.
+// startAcceptor starts a goroutine that accepts a listener's clients.
 func (s *Server) startAcceptor(l net.Listener) *acceptor {
 	a := &acceptor{Listener: l, done: make(chan struct{}), closed: make(chan struct{})}
 	go s.acceptLoop(a)
 	return a
 }
 
-// acceptLoop accepts clients until the listener is closed, or its backlog is empty while it is draining. Nobody waits for it
-// without a limit: where another process has set a shared socket to blocking, Accept, and with it Close, may block in the
-// kernel until one more client comes.
+// acceptLoop accepts clients until the listener is closed, or until its backlog is empty if it is draining. Every wait for its
+// end has a timeout: if another process has set a shared socket to blocking mode, Accept, and Close with it, may block in the
+// kernel until one more client connects.
 func (s *Server) acceptLoop(a *acceptor) {
 	defer close(a.done)
 	timedOut := false
 	for {
 		draining := a.draining.Load()
 		if draining {
-			a.setDeadline(time.Now().Add(backlogDrainInterval)) // anew for each Accept: one that has passed accepts nobody
+			a.setDeadline(time.Now().Add(backlogDrainInterval)) // for this Accept: after a deadline Accept returns no client
 		}
 		conn, err := a.Accept()
 		switch {
@@ -176,7 +177,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if timedOut { // twice in a row: drainAndClose may have cut the first Accept short
+			if timedOut { // twice in a row, as drainBacklog may have ended the first Accept early
 				return
 			}
 			timedOut = draining
@@ -187,15 +188,17 @@
 	}
 }
 
-// setDeadline sets the deadline of current and later calls of Accept. It returns false where the listener has none.
+// setDeadline sets the deadline of current and later Accept calls. It returns false if the listener does not support deadlines.
 func (a *acceptor) setDeadline(t time.Time) bool {
 	l, ok := a.Listener.(interface{ SetDeadline(time.Time) error })
 	return ok && l.SetDeadline(t) == nil
 }
 
-// drainAndClose closes the listener once its backlog is empty: clients there are connected, and may have sent a request.
+// drainAndClose closes the listener once its backlog is empty. Clients in the backlog are already connected and may have sent
+// a request, so they have to be accepted first.
 func (a *acceptor) drainAndClose() { a.closeOnce.Do(a.drainBacklog) }
 
+// drainBacklog accepts the clients in the backlog, for up to backlogDrainTimeout, and closes the listener.
 func (a *acceptor) drainBacklog() {
 	a.draining.Store(true)
 	if a.setDeadline(time.Now()) {
@@ -214,7 +217,7 @@
 	close(a.closed)
 }
 
-// abandon closes a shared listener. The clients in its backlog wait for another process.
+// abandon closes this process's copy of a shared listener. Another process accepts the clients in the backlog.
 func (a *acceptor) abandon() {
 	a.closeOnce.Do(func() {
 		go a.Close() // may block, see acceptLoop
@@ -222,7 +225,7 @@
 	})
 }
 
-// awaitDone waits for the end of acceptLoop, up to backlogDrainTimeout.
+// awaitDone waits for the end of acceptLoop, for at most backlogDrainTimeout.
 func (a *acceptor) awaitDone() {
 	select {
 	case <-a.done:
--- a/internal/frontend/closereason.go
+++ b/internal/frontend/closereason.go
@@ -15,20 +15,20 @@
 
 // The close reasons.
 const (
-	closedByClient     closeReason = "by_client"    // a Terminate message or COM_QUIT
-	closedDisconnected closeReason = "client_left"  // closed or reset by the client, or it takes no answer
-	closedIdle         closeReason = "idle"         // between requests, evicted for another client
-	closedDrained      closeReason = "drained"      // between requests, in a drain
-	closedTransferred  closeReason = "passed"       // another process serves it on
-	closedLate         closeReason = "message_late" // a message was not complete in time
+	closedByClient     closeReason = "by_client"    // the client sent a Terminate message or COM_QUIT
+	closedDisconnected closeReason = "client_left"  // the client closed or reset the connection, or did not read its answer
+	closedIdle         closeReason = "idle"         // evicted between requests, to free its slot
+	closedDrained      closeReason = "drained"      // closed between requests, in a drain
+	closedTransferred  closeReason = "passed"       // another process continues the session
+	closedLate         closeReason = "message_late" // a message was not complete before its deadline
 	closedFaults       closeReason = "faults"       // too many unusable messages in a row
-	closedTooLarge     closeReason = "too_large"    // a message over the limit
-	closedNoMemory     closeReason = "no_memory"    // no memory for a message
-	closedPanic        closeReason = "panic"        // a fault of this program
+	closedTooLarge     closeReason = "too_large"    // a message over the size limit
+	closedNoMemory     closeReason = "no_memory"    // the memory budget was exhausted
+	closedPanic        closeReason = "panic"        // a fault of the gateway
 	closedMalformed    closeReason = "malformed"    // a message that can't be parsed
 )
 
-// closeReasonOf returns the reason for a result of Protocol.Serve.
+// closeReasonOf returns the close reason for the error that Protocol.Serve has returned.
 func closeReasonOf(err error) closeReason {
 	switch {
 	case err == nil:
@@ -55,7 +55,7 @@
 	return closedMalformed
 }
 
-// isFault reports whether the connection was closed for a fault, of the client or of this program.
+// isFault reports whether the connection was closed because of a fault of the client or the gateway.
 func (r closeReason) isFault() bool {
 	switch r {
 	case closedByClient, closedDisconnected, closedIdle, closedDrained, closedTransferred:
@@ -64,8 +64,8 @@
 	return true
 }
 
-// checkClose counts and logs the end of a session. It reports a violation where a message that was read has no answer,
-// unless its client has disconnected.
+// checkClose counts and logs the end of a session. It reports a violation of an invariant if a message that was read has no
+// answer, unless the client has disconnected.
 func (s *Session) checkClose(reason closeReason) {
 	server := s.server
 	server.Counters.Add(server.Name+"_closed_"+string(reason), 1)
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package frontend serves client connections for every client protocol: it accepts them within a connection limit,
-// submits their requests to the core while watching for a disconnect, and closes connections so that no close crosses a
-// request that was read.
+// Package frontend serves client connections for every client protocol. It accepts them within a connection limit, submits
+// their requests to the core and watches for a disconnect meanwhile. It closes no connection while a request that was read
+// has no answer, unless the client has disconnected.
 package frontend
 
 import (
@@ -22,16 +22,16 @@
 	"cranegate/internal/metrics"
 )
 
-// faultLogInterval is the shortest time between two log lines about clients that were disconnected for a fault.
+// faultLogInterval is the shortest time between two log lines about sessions that ended with a fault.
 const faultLogInterval = time.Second
 
 // Errors that Session's methods return.
 var (
-	// ErrTooManyFaults is returned after too many messages in a row that could not be used.
+	// ErrTooManyFaults is returned after too many unusable messages in a row.
 	ErrTooManyFaults = errors.New("too many messages at fault")
-	// ErrDuplicateID is returned for a request with the id of another one that is open.
+	// ErrDuplicateID is returned for a request with the same id as another open request.
 	ErrDuplicateID = errors.New("a request with this id is open already")
-	// ErrDisconnected is returned once the client has closed or reset its connection, or takes no answer.
+	// ErrDisconnected is returned if the client has closed or reset its connection, or does not read its answer.
 	ErrDisconnected = errors.New("the client has disconnected")
 )
 
@@ -42,49 +42,51 @@
 	errTransferred = errors.New("transferred to another process")
 )
 
-// errPanic wraps a panic of the code that serves a client.
+// errPanic wraps a panic in a goroutine that serves a client.
 var errPanic = errors.New("panic")
 
 // Protocol is a client protocol.
 type Protocol interface {
 	// MaxMessageBytes is the largest message that a client may send.
 	MaxMessageBytes() int
-	// Serve serves one client until that disconnects or Session.Next returns an error.
+	// Serve serves one client until it disconnects or Session.Next returns an error.
 	Serve(*Session) error
-	// Reject writes the error for a client that gets no slot.
+	// Reject writes the error that is sent to a client if there is no slot for it.
 	Reject(net.Conn)
 }
 
 // Server accepts and serves the clients of one protocol. The exported fields are set before Run.
 type Server struct {
-	Name     string // prefix of the counters, and in log lines
+	Name     string // prefix of the server's counters, and its name in log lines
 	Protocol Protocol
 	Core     *core.Core
 	Limiter  *connlimit.Limiter // may be shared with other servers
-	Budget   *framebuf.Budget   // bytes for what clients send; may be shared with other servers
+	Budget   *framebuf.Budget   // memory budget for data that clients send, in bytes; may be shared with other servers
 	Counters *metrics.Counters
 	Monitor  *invariant.Monitor // counts violations of invariants; may be nil
-	// Transfer hands an idle connection over to another process during a hot restart. The connection belongs to that
-	// process once it returns true. Nil: connections are not transferred.
+	// Transfer transfers an idle connection to another process during a hot restart. Started says that the client has
+	// completed the startup, answered that it has sent a usable message. If Transfer returns true, the connection belongs
+	// to the other process. If Transfer is nil, connections are not transferred.
 	Transfer func(c net.Conn, started, answered bool) bool
-	// SharedListener is set where other processes hold the listening socket too: its accept queue outlives a close.
+	// SharedListener is set if other processes have the listening socket open too. Its accept queue then outlives a close
+	// in this process.
 	SharedListener bool
 
-	mu             sync.Mutex
-	acceptor       *acceptor       // of the current or the last listener; nil before Run
-	parkedListener *os.File        // a duplicate of a shared listener that is closed, to open it again
-	retired        bool            // another process accepts the clients
-	retiredSignal  chan struct{}   // closed by Retire; nil until somebody waits for it
-	stopping       bool            // Run's context has ended
-	running        int             // sessions, and clients in the reject queue
-	idleSignal     chan struct{}   // closed when running falls to zero; nil until Run waits for it
-	ended          bool            // Run has returned, nothing may start
-	openIDs        map[string]bool // ids of open requests
-	faultLoggedAt  time.Time
+	mu                sync.Mutex
+	acceptor          *acceptor       // of the current or the last listener; nil before Run
+	listenerDuplicate *os.File        // duplicate of a closed shared listener, from which Resume opens it again
+	retired           bool            // another process accepts the clients
+	retiredSignal     chan struct{}   // closed by Retire; nil until it is needed
+	stopping          bool            // Run's context has ended
+	running           int             // number of sessions and of clients in the reject queue
+	idleSignal        chan struct{}   // closed when running falls to zero; nil if Run does not wait for it
+	ended             bool            // Run has returned or is about to, and no session may start
+	openIDs           map[string]bool // ids of open requests
+	faultLoggedAt     time.Time       // when a session that ended with a fault was last logged
 }
 
-// Adopt serves a connection that another process has transferred. Started and answered are what that process passed to
-// Transfer. It returns false once Run has returned.
+// Adopt serves a connection that another process has transferred. Started and answered are the arguments of Transfer in
+// that process. Adopt returns false, and does not serve the connection, once the server has ended.
 func (s *Server) Adopt(conn net.Conn, started, answered bool) bool {
 	session := s.newSession(conn)
 	session.resumed = started
@@ -104,7 +106,7 @@
 	return true
 }
 
-// newSession returns a session for a new connection. It holds no slot yet.
+// newSession returns a session for a new connection. It has no slot yet.
 func (s *Server) newSession(conn net.Conn) *Session {
 	now := time.Now()
 	session := &Session{
@@ -119,7 +121,7 @@
 	return session
 }
 
-// serve serves one client to its end and releases its slot.
+// serve serves one client until its session ends, closes the connection and releases its slot.
 func (s *Server) serve(session *Session) {
 	defer s.Limiter.Release(session.slot)
 	conn := session.Conn.Conn
@@ -134,7 +136,7 @@
 	}
 }
 
-// recordFault counts a client that was disconnected for a fault. Log lines are limited, as such clients may come often.
+// recordFault counts a session that ended with a fault. Log lines are rate-limited, as such clients may connect often.
 func (s *Server) recordFault(conn net.Conn, err error) {
 	s.Counters.Add(s.Name+"_clients_at_fault", 1)
 	s.mu.Lock()
@@ -145,7 +147,7 @@
 	}
 }
 
-// runProtocol serves a session. A panic ends this session alone.
+// runProtocol serves a session. A panic ends only this session.
 func (s *Server) runProtocol(session *Session) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -156,8 +158,8 @@
 	return s.Protocol.Serve(session)
 }
 
-// openRequest records the id of a request as open. It returns false where it is open already: database hosts would take
-// the second request for an attempt of the first. Requests without an id are all different.
+// openRequest records that a request with this id is open. It returns false if one is open already, because database hosts
+// would take the second request for another attempt of the first. Requests without an id are never duplicates.
 func (s *Server) openRequest(id string) bool {
 	if id == "" {
 		return true
@@ -174,7 +176,7 @@
 	return true
 }
 
-// closeRequest frees the id of a request.
+// closeRequest records that the request with this id is no longer open.
 func (s *Server) closeRequest(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/mysql/command.go
+++ b/internal/frontend/mysql/command.go
@@ -11,12 +11,12 @@
 	"cranegate/internal/sqlcomment"
 )
 
-// keyAttribute is the query attribute that names the session's key.
+// keyAttribute is the query attribute that holds the session's key.
 const keyAttribute = "k"
 
-// command writes the answer to one command. It returns an error where the connection must end.
+// command writes the answer to one command. It returns an error if the connection must be closed.
 func (c *client) command(kind byte, body []byte) error {
-	if c.capabilities&mysqlwire.CapProtocol41 == 0 && kind != mysqlwire.ComPing { // an old health check may only ping
+	if c.capabilities&mysqlwire.CapProtocol41 == 0 && kind != mysqlwire.ComPing { // old clients, such as health checks, may only ping
 		c.writeError(errUnknownCommand)
 		return nil
 	}
@@ -50,6 +50,7 @@
 	return nil
 }
 
+// writeOK answers a command with success.
 func (c *client) writeOK() {
 	c.w.OK(mysqlwire.HeadOK, mysqlwire.OK{}, c.capabilities)
 	c.RecordSuccess()
@@ -64,7 +65,7 @@
 		return nil
 	}
 	trimmed := bytes.TrimSpace(text)
-	if isSet(trimmed) { // accepted without effect, as at a database host
+	if isSet(trimmed) { // accepted but ignored, as by database hosts
 		c.writeOK()
 		return nil
 	}
@@ -88,7 +89,7 @@
 	return len(text) >= len(keyword) && strings.EqualFold(string(text[:len(keyword)]), keyword)
 }
 
-// submit submits a statement as a request that keeps about size bytes, and writes its answer.
+// submit submits a statement as a request and writes its answer. The request uses about size bytes of memory.
 func (c *client) submit(meta *sqlcomment.Statement, command *mysqlwire.Command, size int) error {
 	if err := applyAttributes(meta, command.Attributes); err != nil {
 		c.writeSyntaxError(err)
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// applyAttributes overrides the fields of a statement's comment with query attributes.
+// applyAttributes overrides the fields of a statement's comment by the query attributes of the same names.
 func applyAttributes(meta *sqlcomment.Statement, attributes []mysqlwire.Param) error {
 	for _, attribute := range attributes {
 		if attribute.Name == keyAttribute {
--- a/internal/frontend/mysql/errors.go
+++ b/internal/frontend/mysql/errors.go
@@ -8,7 +8,7 @@
 	"cranegate/internal/mysqlwire"
 )
 
-// The errors that the gateway itself answers with.
+// The errors with which the gateway itself answers.
 var (
 	errTooManyClients    = mysqlwire.Error{Code: 1040, State: "08004", Text: "too many clients"}
 	errNoMemory          = mysqlwire.Error{Code: 1041, State: "HY000", Text: "no memory left for it, nothing has run"}
@@ -24,20 +24,20 @@
 	errRejected          = mysqlwire.Error{Code: 1637, State: "HY000", Text: "refused, nothing has run"}
 )
 
-// writeError answers a command that could not be used, or was rejected or has failed. Too many in a row end the connection.
+// writeError answers a command that was unusable, rejected or failed. Too many such commands in a row end the connection.
 func (c *client) writeError(e mysqlwire.Error) {
 	c.w.Err(e, c.capabilities)
 	c.faultsErr = c.RecordFault()
 }
 
-// writeSyntaxError answers a statement that could not be used.
+// writeSyntaxError answers an unusable statement.
 func (c *client) writeSyntaxError(err error) {
 	e := errSyntax
 	e.Text = err.Error()
 	c.writeError(e)
 }
 
-// writeUnserved answers a request that was rejected or has failed.
+// writeUnserved answers a request that was rejected or failed.
 func (c *client) writeUnserved(a core.Answer) {
 	if a.Status != core.Rejected {
 		c.writeError(errFailed)
--- a/internal/frontend/mysql/mysql.go
+++ b/internal/frontend/mysql/mysql.go
@@ -1,10 +1,12 @@
-// Package mysql serves clients that speak the MySQL protocol, with text queries and prepared statements.
+// Package mysql serves clients of the MySQL protocol, with text queries and prepared statements.
 //
-// A statement's comment has the platform's fields: id, c, d, cluster, after, r. As most of these change with each execution
-// of a prepared statement, query attributes of the same names override the comment; the attribute k names the session's
-// key where the text does not quote it. Without d a request has its class's whole deadline, without cluster it is for group
-// 0, without after it has to see no write, without id the database host sees none. Only c is required. The text of a
-// prepare must hold c and cluster.
+// A statement's comment contains the platform's fields: id, c, d, cluster, after, r. Most of them change with each execution
+// of a prepared statement, so query attributes of the same names override the comment. The attribute k overrides the
+// session's key, which is otherwise the first quoted text of the statement.
+//
+// Only c is required. Without d, the timeout of a request is its class's deadline. Without cluster, the request is for group
+// 0. Without after, a read need not see any earlier write. Without id, the database host receives no id. The text of a prepare must
+// contain c and cluster.
 package mysql
 
 import (
@@ -27,10 +29,10 @@
 // Protocol is the MySQL protocol as a frontend.Protocol.
 type Protocol struct{}
 
-// MaxMessageBytes is the largest packet that a client may send, with its header.
+// MaxMessageBytes is the size of the largest packet that a client may send, including its header.
 func (Protocol) MaxMessageBytes() int { return mysqlwire.MaxPacket + packetHeaderBytes }
 
-// Reject writes the error for a client that gets no slot.
+// Reject writes the error that is sent to a client if there is no slot for it.
 func (Protocol) Reject(conn net.Conn) {
 	var w mysqlwire.Writer
 	w.Err(errTooManyClients, 0)
@@ -59,13 +61,13 @@
 type client struct {
 	*frontend.Session
 	w               mysqlwire.Writer
-	capabilities    uint32 // that both sides have
+	capabilities    uint32 // those that both the client and the gateway support
 	statements      map[uint32]*prepared
 	lastStatementID uint32
-	faultsErr       error // set after too many unusable commands in a row
+	faultsErr       error // set by writeError after too many unusable commands in a row
 }
 
-// readPacket waits for the client's next packet and prepares the writer for its answer.
+// readPacket waits for the client's next packet and resets the writer for its answer.
 func (c *client) readPacket() (body []byte, err error) {
 	var sequence byte
 	err = c.Next(func() (err error) {
@@ -98,7 +100,7 @@
 	return c.Send(c.w.B)
 }
 
-// serveCommand reads and answers one command. It returns true where the client quits.
+// serveCommand reads and answers one command. It returns true if the client quits.
 func (c *client) serveCommand() (quit bool, err error) {
 	body, err := c.readPacket()
 	if err != nil {
@@ -122,12 +124,12 @@
 	return false, c.Send(c.w.B)
 }
 
-// fatal sends the error that ends the connection, where the client is to know it, and returns err.
+// fatal sends the client the error that corresponds to err, if any, and returns err. The caller then ends the session.
 func (c *client) fatal(err error) error {
 	switch {
 	case errors.Is(err, framebuf.ErrTooLarge):
 		c.sendOnly(errTooLarge)
-	case errors.Is(err, framebuf.ErrBudgetExhausted): // nothing of the message was used
+	case errors.Is(err, framebuf.ErrBudgetExhausted): // before the message was complete, so nothing has run
 		c.sendOnly(errNoMemory)
 	case errors.Is(err, frontend.ErrTooManyFaults):
 		c.Send(c.w.B) // the error of the last command
@@ -137,7 +139,7 @@
 	return err
 }
 
-// sendOnly sends an error in place of what the writer holds.
+// sendOnly discards the writer's content and sends an error instead.
 func (c *client) sendOnly(e mysqlwire.Error) {
 	c.w.Reset(c.w.Seq)
 	c.w.Err(e, c.capabilities)
--- a/internal/frontend/mysql/statement.go
+++ b/internal/frontend/mysql/statement.go
@@ -9,25 +9,25 @@
 	"cranegate/internal/sqlcomment"
 )
 
-// PrepareClass is the request class of prepares: any member may answer one, any number of times.
+// PrepareClass is the request class of prepares. Any member may answer them, and they may be repeated.
 const PrepareClass = "(prepare)"
 
 const (
-	maxStatements    = 256                     // prepared by one client
-	maxLongDataBytes = mysqlwire.MaxPacket / 2 // of one statement
+	maxStatements    = 256                     // prepared statements of one client
+	maxLongDataBytes = mysqlwire.MaxPacket / 2 // long data of one statement
 )
 
 // prepared is a prepared statement of a client.
 type prepared struct {
 	*mysqlwire.Statement
-	boundTypes      []uint16       // the parameter types that were sent last
-	longData        map[int][]byte // parameter values sent ahead of the next execute
-	longDataBytes   int
-	longDataInvalid bool // it was too large or for no parameter: the next execute fails
+	boundTypes      []uint16       // parameter types of the last execute; the client may omit them next time
+	longData        map[int][]byte // parameter values that were sent in advance for the next execute, by parameter
+	longDataBytes   int            // size of longData, reserved in the budget
+	longDataInvalid bool           // some long data was dropped, so that the next execute must fail
 }
 
-// prepare has a member of the statement's group prepare it, which yields its parameters and columns. It goes through the core
-// as any request; where that is rejected or fails the client has no statement.
+// prepare has a member of the statement's group prepare it, and answers with the parameters and columns that the member
+// returns. The prepare is an ordinary request to the core. If it is rejected or fails, the client gets no statement.
 func (c *client) prepare(text []byte) error {
 	if len(c.statements) >= maxStatements {
 		c.writeError(errTooManyStatements)
@@ -49,7 +49,7 @@
 	command := &mysqlwire.Command{Kind: mysqlwire.ComStmtPrepare, Statement: s.Statement}
 	answer, err := c.Do(&core.Request{Class: PrepareClass, Group: meta.Group, Payload: command}, "", 0)
 	if err != nil || answer.Status != core.Served {
-		c.drop(s) // the connection of a member that answers later closes it there
+		c.drop(s) // if a member still answers the prepare, its connection closes the statement there
 		if err == nil {
 			c.writeUnserved(answer)
 		}
@@ -65,14 +65,14 @@
 
 // execute runs a prepared statement.
 func (c *client) execute(body []byte) error {
-	cursor := &mysqlwire.Cursor{B: bytes.Clone(body)} // the parameters outlive the session's buffer
+	cursor := &mysqlwire.Cursor{B: bytes.Clone(body)} // the request needs the parameters after the read buffer is reused
 	s := c.statement(cursor)
 	if s == nil {
 		return nil
 	}
 	longData, invalid := s.longData, s.longDataInvalid
 	params := cursor.Execute(c.capabilities, s.Params, s.boundTypes, longData)
-	defer c.Budget().Release(s.longDataBytes) // after the answer: the request uses the long data
+	defer c.Budget().Release(s.longDataBytes) // only after the answer, as the request uses the long data
 	s.longDataBytes = 0
 	c.dropLongData(s)
 	if cursor.Err != nil || invalid {
@@ -95,7 +95,7 @@
 	return c.submit(&meta, command, len(body))
 }
 
-// longData keeps a part of a parameter's value for the next execute. The command is never answered.
+// longData stores a part of a parameter's value for the next execute. The protocol has no answer to this command.
 func (c *client) longData(body []byte) {
 	cursor := mysqlwire.Cursor{B: body}
 	id := cursor.U32()
@@ -118,7 +118,7 @@
 	s.longData[param] = append(s.longData[param], cursor.B...)
 }
 
-// statement returns the statement that a command names. Where there is none it writes the error and returns nil.
+// statement returns the prepared statement whose id is next in a command. If there is none, it writes an error and returns nil.
 func (c *client) statement(cursor *mysqlwire.Cursor) *prepared {
 	s := c.statements[cursor.U32()]
 	if s == nil || cursor.Err != nil {
@@ -128,7 +128,7 @@
 	return s
 }
 
-// closeStatement drops the statement that a command names. The command is never answered.
+// closeStatement drops the statement whose id a command contains. The protocol has no answer to this command.
 func (c *client) closeStatement(body []byte) {
 	cursor := mysqlwire.Cursor{B: body}
 	id := cursor.U32()
@@ -146,14 +146,14 @@
 	}
 }
 
-// drop releases a statement's memory. The connections to database hosts close it there.
+// drop releases a statement's memory. The connections to database hosts then close the statement at their hosts.
 func (c *client) drop(s *prepared) {
 	s.Drop()
 	c.dropLongData(s)
 	c.Budget().Release(len(s.Text))
 }
 
-// dropLongData releases the parameter values that were sent ahead.
+// dropLongData discards the parameter values that were sent in advance, and releases their memory.
 func (c *client) dropLongData(s *prepared) {
 	c.Budget().Release(s.longDataBytes)
 	s.longData = nil
--- a/internal/frontend/postgres/postgres.go
+++ b/internal/frontend/postgres/postgres.go
@@ -1,4 +1,4 @@
-// Package postgres serves the platform's clients: PostgreSQL's wire protocol, simple queries, no password.
+// Package postgres serves the platform's clients, with simple queries of the PostgreSQL wire protocol and without passwords.
 package postgres
 
 import (
@@ -10,9 +10,9 @@
 	"cranegate/internal/pgwire"
 )
 
-// The SQLSTATE codes of the errors that the gateway itself answers with.
+// The SQLSTATE codes of the errors with which the gateway itself answers.
 const (
-	codeRejected    = "53300" // nothing has run
+	codeRejected    = "53300" // the statement has not run
 	codeFailed      = "58000" // the statement may have run
 	codeDraining    = "57P01" // the client should use another gateway
 	codeSyntax      = "42601"
@@ -24,24 +24,24 @@
 // The severities of those errors.
 const (
 	severityError = "ERROR"
-	severityFatal = "FATAL" // the connection ends
+	severityFatal = "FATAL" // the connection is closed
 )
 
-// maxKeptOutput is how much of the buffer for answers a client keeps between messages.
+// maxKeptOutput is the largest buffer for answers that is kept between messages, in bytes.
 const maxKeptOutput = 16 << 10
 
-// Protocol is the platform's protocol as a frontend.Protocol.
+// Protocol is the platform's protocol, a subset of PostgreSQL's, as a frontend.Protocol.
 type Protocol struct{}
 
-// MaxMessageBytes is the largest message that a client may send.
+// MaxMessageBytes is the size of the largest message that a client may send.
 func (Protocol) MaxMessageBytes() int { return pgwire.MaxMessage }
 
-// Reject writes the error for a client that gets no slot.
+// Reject writes the error that is sent to a client if there is no slot for it.
 func (Protocol) Reject(conn net.Conn) {
 	conn.Write(pgwire.AppendError(nil, severityFatal, codeRejected, "too many clients", ""))
 }
 
-// Serve serves one client until it terminates or its connection has to end.
+// Serve serves one client until it terminates the session or its connection has to be closed.
 func (Protocol) Serve(session *frontend.Session) error {
 	c := &client{Session: session}
 	session.Transferable = true
@@ -65,10 +65,10 @@
 type client struct {
 	*frontend.Session
 	out      []byte // the answer to the current message
-	skipping bool   // after an extended query: messages up to Sync are ignored
+	skipping bool   // messages are ignored up to Sync, after a message of the extended query protocol
 }
 
-// startup answers the client's startup messages. It returns false where the client wants no session.
+// startup answers the client's startup messages. It returns false if no session follows, as after a CancelRequest.
 func (c *client) startup() (bool, error) {
 	for {
 		var code uint32
@@ -84,18 +84,18 @@
 			if err := c.Send([]byte{'N'}); err != nil {
 				return false, err
 			}
-		case code == pgwire.CancelRequest: // no cancel keys are given out, so there is nothing to cancel
+		case code == pgwire.CancelRequest: // clients get no cancel keys, so there is nothing to cancel
 			return false, nil
 		case code>>16 != 3: // the protocol's major version
 			return false, pgwire.ErrMalformed
 		default:
-			return true, c.welcome()
+			return true, c.completeStartup()
 		}
 	}
 }
 
-// welcome completes the startup: no password, our parameters, ready for a query.
-func (c *client) welcome() error {
+// completeStartup completes the startup: it sends AuthenticationOk, the gateway's parameters and ReadyForQuery.
+func (c *client) completeStartup() error {
 	c.Started()
 	b := pgwire.Append(nil, 'R', "\x00\x00\x00\x00")
 	b = pgwire.AppendParameter(b, "server_version", "15.0 (cranegate)")
@@ -104,7 +104,7 @@
 	return c.Send(pgwire.AppendReady(b))
 }
 
-// serveMessage reads and answers one message. It returns true where the client terminates the session.
+// serveMessage reads and answers one message. It returns true if the client terminates the session.
 func (c *client) serveMessage() (terminated bool, err error) {
 	var kind byte
 	var body []byte
@@ -137,14 +137,14 @@
 	return false, nil
 }
 
-// message writes the answer to one message. It returns an error where the connection must end.
+// message writes the answer to one message. It returns an error if the connection must be closed.
 func (c *client) message(kind byte, body []byte) error {
 	switch kind {
 	case 'Q':
 		return c.query(body)
 	case 'P', 'B', 'E', 'D', 'C', 'F':
 		c.writeError(codeUnsupported, "simple queries only")
-		c.skipping = kind != 'F' // a function call has no Sync behind it
+		c.skipping = kind != 'F' // a FunctionCall is not followed by a Sync
 		if !c.skipping {
 			c.out = pgwire.AppendReady(c.out)
 		}
@@ -152,24 +152,24 @@
 	case 'S':
 		c.skipping = false
 		c.out = pgwire.AppendReady(c.out)
-	case 'H', 'd', 'c', 'f': // never answered
+	case 'H', 'd', 'c', 'f': // the protocol has no answer to these
 	default:
 		return pgwire.ErrMalformed
 	}
 	return nil
 }
 
-// writeError writes an error after which the connection goes on.
+// writeError writes an error after which the session continues.
 func (c *client) writeError(code, text string) {
 	c.out = pgwire.AppendError(c.out, severityError, code, text, "")
 }
 
-// fatal sends the error that ends the connection, where the client is to know it, and returns err.
+// fatal sends the client the error that corresponds to err, if any, and returns err. The caller then ends the session.
 func (c *client) fatal(err error) error {
 	switch {
 	case errors.Is(err, framebuf.ErrTooLarge):
 		c.sendFatal(codeTooLarge, "message too large")
-	case errors.Is(err, framebuf.ErrBudgetExhausted): // nothing of the message was used
+	case errors.Is(err, framebuf.ErrBudgetExhausted): // before the message was complete, so nothing has run
 		c.sendFatal(codeRejected, "no memory for a message")
 	case errors.Is(err, frontend.ErrTooManyFaults):
 		c.sendFatal(codeSyntax, "too many messages at fault")
@@ -179,6 +179,7 @@
 	return err
 }
 
+// sendFatal sends an error after which the connection is closed.
 func (c *client) sendFatal(code, text string) {
 	c.Send(pgwire.AppendError(nil, severityFatal, code, text, ""))
 }
--- a/internal/frontend/postgres/query.go
+++ b/internal/frontend/postgres/query.go
@@ -13,10 +13,10 @@
 	"cranegate/internal/sqlcomment"
 )
 
-// errNoID is the error for a statement without an id: database hosts close the connection on it.
+// errNoID is returned for a statement without an id, on which database hosts would close the connection.
 var errNoID = errors.New("no id")
 
-// query answers one simple query. It returns an error where the connection must end.
+// query answers one simple query. It returns an error if the connection must be closed.
 func (c *client) query(body []byte) error {
 	text, rest, err := pgwire.Text(body)
 	if err != nil || len(rest) > 0 {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// emptyQuery answers a query without a statement, which is the platform's health check.
+// emptyQuery answers a query without a statement. The platform uses such queries as health checks.
 func (c *client) emptyQuery() {
 	<-c.Core().Ready()
 	c.RecordSuccess()
@@ -56,7 +56,7 @@
 	c.out = pgwire.AppendReady(c.out)
 }
 
-// parse reads a statement with its comment. It returns an error where the statement can't be submitted.
+// parse parses a statement and its comment. It returns an error if the statement can't be submitted.
 func (c *client) parse(text []byte) (*sqlcomment.Statement, error) {
 	statement, err := sqlcomment.Parse(text)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return statement, nil
 }
 
-// writeUnusable answers a statement that was not submitted. Too many in a row end the connection.
+// writeUnusable answers an unusable statement, which was not submitted. Too many in a row end the connection.
 func (c *client) writeUnusable(err error) error {
 	c.Counters().Add("postgres_statements_unknown", 1)
 	c.writeError(codeSyntax, err.Error())
@@ -79,8 +79,8 @@
 	return c.RecordFault()
 }
 
-// writeAnswer writes a request's answer. It returns an error where an answer breaks off that is forwarded as it comes: the
-// client sees that from the end of its connection.
+// writeAnswer writes a request's answer. It returns an error if a streamed answer ends early. The connection is then closed, by
+// which the client knows that the answer is incomplete.
 func (c *client) writeAnswer(answer core.Answer, requestID string) error {
 	switch answer.Status {
 	case core.Served:
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// forward sends a long answer as it comes from the database host.
+// forward streams a long answer to the client while it arrives from the database host.
 func (c *client) forward(stream io.WriterTo, requestID string) error {
 	n, err := stream.WriteTo(c.StreamWriter())
 	if err == nil {
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -8,20 +8,20 @@
 	"cranegate/internal/framebuf"
 )
 
-// unreadPollInterval is how often the connection's state is polled where no read can see a disconnect. No attempt of a
-// request may begin later than 0.1 s after its client has disconnected.
+// unreadPollInterval is how often the connection's state is polled while no read can see a disconnect. It has to be below
+// 0.1 s, as no attempt of a request may begin later than 0.1 s after its client has disconnected.
 const unreadPollInterval = 50 * time.Millisecond
 
-// Do submits a request to the core and waits for its answer, watching for a disconnect. The id is the client's own; size is
-// about how many bytes the request keeps until it is answered. Do sets the request's ID, Arrived, Timeout, Disconnected and
-// Reply.
+// Do submits a request to the core and waits for its answer, watching for a disconnect. The id is the client's id for the
+// request, and size is about how many bytes of memory the request uses until it is answered. Do sets the request's ID,
+// Arrived, Timeout, Disconnected and Reply.
 //
-// It returns ErrDuplicateID, with nothing run, where the id is that of an open request; the id of a disconnected client's
-// request stays open for as long as an attempt may be under way. Where the memory budget is exhausted the answer is
-// Rejected, with nothing run.
+// Do returns ErrDuplicateID, without running the request, if another request with this id is open. If the client
+// disconnects before the answer, the id stays open until the request's timeout has passed, as an attempt may still be
+// running. If the memory budget is exhausted, the answer is Rejected and the request has not run.
 //
-// It returns ErrDisconnected once the client's end has come, also where it has closed its sending side alone: on the wire
-// that looks the same until an answer is written. What it has sent behind the request is not read then.
+// Do returns ErrDisconnected once the client has closed its connection, even if it has closed only its sending side: the two
+// look the same on the wire until an answer is written. Messages that the client sent after the request are then not served.
 func (s *Session) Do(request *core.Request, id string, size int) (core.Answer, error) {
 	s.lastRequestID = id
 	if !s.server.openRequest(id) {
@@ -39,28 +39,28 @@
 		s.server.closeRequest(id)
 		s.server.Budget.Release(size)
 	}
-	// The disconnect may be old: this process may have been busy, or the request has waited behind another one.
+	// The client may have disconnected some time ago, if this process was busy or the request has waited for earlier ones.
 	if s.ReadAvailable() {
 		s.server.Counters.Add(s.server.Name+"_clients_gone_before", 1)
 		return core.Answer{}, ErrDisconnected
 	}
 	answers := make(chan core.Answer, 1)
 	s.prepare(request, id, answers)
-	expiresAt := s.arrivedAt.Add(request.Timeout) // the core owns the request from here on
+	expiresAt := s.arrivedAt.Add(request.Timeout) // computed here, as the core owns the request after Submit
 	if !s.server.Core.Submit(request) {
 		return core.Answer{Status: core.Failed}, nil
 	}
 	answer, err := s.awaitAnswer(answers)
 	if err != nil {
 		s.server.Core.ClientDisconnected(request)
-		// An attempt may run on at its host, which would take a request of the same id for another attempt of it.
+		// An attempt may still be running at its host, which would take a request with the same id for another attempt of it.
 		releaseNow := release
 		release = func() { time.AfterFunc(time.Until(expiresAt), releaseNow) }
 	}
 	return answer, err
 }
 
-// prepare sets the fields of a request that the session knows. The answer goes to the channel and wakes the session.
+// prepare fills in the request fields that the session provides. Reply sends the answer to the channel and wakes the session.
 func (s *Session) prepare(request *core.Request, id string, answers chan<- core.Answer) {
 	request.ID = id
 	request.Arrived = s.arrivedAt
@@ -72,7 +72,7 @@
 	}
 }
 
-// awaitAnswer waits for a request's answer. It returns ErrDisconnected where the client disconnects before.
+// awaitAnswer waits for a request's answer. It returns ErrDisconnected if the client disconnects before the answer.
 func (s *Session) awaitAnswer(answers <-chan core.Answer) (core.Answer, error) {
 	for {
 		err := s.Park(time.Time{}, func() bool { return len(answers) > 0 })
@@ -87,7 +87,7 @@
 				return answer, nil
 			}
 			if !s.PeerClosed() {
-				continue // there may be memory by now
+				continue // memory may have become available
 			}
 		}
 		if err != nil {
@@ -96,8 +96,9 @@
 	}
 }
 
-// awaitAnswerUnread waits for the answer up to unreadPollInterval, where the client has sent so much more that no read can
-// see a disconnect: its buffer is full, or there is no memory for it to grow. What was sent is read and answered in its turn.
+// awaitAnswerUnread waits up to unreadPollInterval for the answer without reading from the client. It is used if no read can
+// see a disconnect, because the read buffer is full or there is no memory to enlarge it. The unread bytes are read and
+// answered later, in order.
 func (s *Session) awaitAnswerUnread(answers <-chan core.Answer) (answer core.Answer, ok bool) {
 	s.server.Counters.Add(s.server.Name+"_looks_past_unread", 1)
 	poll := time.NewTimer(unreadPollInterval)
--- a/internal/frontend/retire.go
+++ b/internal/frontend/retire.go
@@ -7,7 +7,7 @@
 	"os"
 )
 
-// Retire closes the listener, as another process accepts new clients from now on. Connected clients are served on.
+// Retire closes the listener, because another process accepts new clients from now on. Connected clients are still served.
 func (s *Server) Retire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -21,14 +21,14 @@
 	}
 }
 
-// Resume undoes Retire, as the other process has ended. It does nothing where this process is shutting down. It returns an
-// error where the server can't listen at its address again.
+// Resume undoes Retire after the other process has ended. It has no effect if this process is shutting down. It returns an
+// error if the server can't listen at its address again.
 func (s *Server) Resume() error {
 	s.mu.Lock()
 	acceptor, retired := s.acceptor, s.retired
 	s.mu.Unlock()
 	if acceptor != nil && retired {
-		<-acceptor.closed // without s.mu, which a client in the backlog may need; its address is free then
+		<-acceptor.closed // frees the address; not while s.mu is held, which a client in the backlog may need
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// closeListener closes the listener. Of a shared one it keeps a duplicate: with a listener of its own, Resume would leave
-// clients in a queue from which nobody accepts. s.mu is held.
+// closeListener closes the listener. It keeps a duplicate of a shared listener for Resume. If Resume opened a new listener
+// instead, clients in the accept queue of the shared one would never be accepted. s.mu is held.
 func (s *Server) closeListener() {
 	l, hasFile := s.acceptor.Listener.(interface{ File() (*os.File, error) })
 	if !hasFile || !s.SharedListener {
@@ -59,24 +59,24 @@
 	if err != nil {
 		slog.Warn("listener_not_kept", "front", s.Name, "error", err)
 	}
-	s.parkedListener = f
-	go s.acceptor.abandon() // may wait for a drainAndClose that has begun; s.mu is held here
+	s.listenerDuplicate = f
+	go s.acceptor.abandon() // in a goroutine, as it may wait for a drainAndClose under way, which may need s.mu
 }
 
-// reopenListener listens at the listener's address again. s.mu is held.
+// reopenListener listens again at the address of the closed listener. s.mu is held.
 func (s *Server) reopenListener() (net.Listener, error) {
-	if s.parkedListener == nil {
+	if s.listenerDuplicate == nil {
 		return net.Listen(s.acceptor.Addr().Network(), s.acceptor.Addr().String())
 	}
-	l, err := net.FileListener(s.parkedListener)
+	l, err := net.FileListener(s.listenerDuplicate)
 	if err == nil {
-		s.parkedListener.Close()
-		s.parkedListener = nil
+		s.listenerDuplicate.Close()
+		s.listenerDuplicate = nil
 	}
 	return l, err
 }
 
-// nextRetirement returns the channel that Retire closes. s.mu is held.
+// nextRetirement returns the channel that Retire closes, and creates it if needed. s.mu is held.
 func (s *Server) nextRetirement() chan struct{} {
 	if s.retiredSignal == nil {
 		s.retiredSignal = make(chan struct{})
--- a/internal/frontend/statement.go
+++ b/internal/frontend/statement.go
@@ -8,10 +8,10 @@
 	"cranegate/internal/sqlcomment"
 )
 
-// ErrUnknownClass is the error for a statement whose request class is not configured.
+// ErrUnknownClass is returned for a statement whose request class is not configured.
 var ErrUnknownClass = errors.New("unknown class")
 
-// NewRequest returns a request for a statement. The payload is the statement in its protocol's form.
+// NewRequest returns a request for a statement. The payload is the statement in the form of the client's protocol.
 func NewRequest(s *sqlcomment.Statement, payload any) *core.Request {
 	return &core.Request{
 		Class:       s.Class,
@@ -24,7 +24,7 @@
 	}
 }
 
-// RetryAfterMillis returns the Retry-After of a rejected request in milliseconds, rounded up; 0 where there is none.
+// RetryAfterMillis returns a rejected request's Retry-After in milliseconds, rounded up, or 0 if it has none.
 func RetryAfterMillis(a core.Answer) int64 {
 	return int64((a.RetryAfter + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/frontend/write.go
+++ b/internal/frontend/write.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// writeTimeout is how long a client may take nothing of what is written before it counts as disconnected.
+// writeTimeout is how long a write to a client may block before the client counts as disconnected.
 const writeTimeout = 5 * time.Second
 
-// Send writes to the client. It returns ErrDisconnected where the client does not take all of it within 5 s.
+// Send writes to the client. It returns ErrDisconnected if the write fails or takes longer than 5 s.
 func (s *Session) Send(b []byte) error {
-	s.unanswered = false // also where the client takes nothing
+	s.unanswered = false // even if the client reads nothing
 	s.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := s.Write(b); err != nil {
 		return ErrDisconnected
@@ -20,16 +20,17 @@
 	return nil
 }
 
-// StreamWriter returns a writer for answers that are forwarded as they come. A client may be slow, as long as it takes
-// something within 5 s; the writer returns ErrDisconnected otherwise.
+// StreamWriter returns a writer for answers that are streamed to the client while they arrive from the database host. A
+// client may be slow, as long as some bytes can be written every 5 s. Otherwise the writer returns ErrDisconnected.
 func (s *Session) StreamWriter() io.Writer { return streamWriter{s} }
 
+// streamWriter is the writer that StreamWriter returns.
 type streamWriter struct{ session *Session }
 
 // Write implements io.Writer.
 func (w streamWriter) Write(b []byte) (written int, err error) {
 	s := w.session
-	s.unanswered = false // the client can tell an answer that breaks off from a complete one
+	s.unanswered = false // the client can distinguish a truncated answer from a complete one
 	for written < len(b) {
 		s.SetWriteDeadline(time.Now().Add(writeTimeout))
 		n, err := s.Write(b[written:])
