--- a/internal/frontend/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -21,7 +21,7 @@
 	"cranegate/internal/pgwire"
 )
 
-// runningServer is a server on a listener of its own.
+// runningServer is a server that runs on a listener.
 type runningServer struct {
 	*frontend.Server
 	address string
@@ -37,12 +37,12 @@
 	return s
 }
 
-// serveOn runs a further server of the harness's core on a listener.
+// serveOn runs an additional server with the harness's core on a listener.
 func (h *testHarness) serveOn(name string, l net.Listener) *runningServer {
 	return run(h.newServer(name, connlimit.New(harnessSlots)), l)
 }
 
-// listenLocal listens on a free port of this machine.
+// listenLocal listens on a free port of the loopback interface.
 func listenLocal(t *testing.T) *net.TCPListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -83,16 +83,17 @@
 	return err == nil
 }
 
-// pausedListener is a listener whose Accept calls, once paused, do not return until it is being closed, as in a process that has
-// not run for a while.
+// pausedListener is a listener whose Accept calls can be paused: they then do not return until the gateway begins to close the
+// listener, as if the process had been suspended.
 type pausedListener struct {
 	*net.TCPListener
-	paused    chan struct{} // closed to pause
-	closing   chan struct{} // closed when it is being closed
+	paused    chan struct{} // closed to pause Accept calls
+	closing   chan struct{} // closed when the gateway begins to close the listener
 	closeOnce sync.Once
 	accepted  chan struct{} // holds a value once an Accept call was paused
 }
 
+// resume lets paused Accept calls return.
 func (l *pausedListener) resume() {
 	select {
 	case <-l.paused:
@@ -126,13 +127,13 @@
 	return err
 }
 
-// greeting is a startup with a first request right behind.
+// greeting returns a startup message with a first request right behind it.
 func greeting(id string) []byte {
 	return append(pgwire.AppendStartup(nil, "svc", "main"), postgresQuery(fmt.Sprintf(lookStatement, id))...)
 }
 
-// TestBacklogIsServedBeforeTheClose checks that clients in the listener's backlog when it is closed, which are connected and have
-// sent requests, are served.
+// TestBacklogIsServedBeforeTheClose checks that clients in the listener's backlog are served before the listener is closed, as they are
+// connected and have sent requests.
 func TestBacklogIsServedBeforeTheClose(t *testing.T) {
 	harness := newHarness(false, &fake.Host{Primary: true})
 	defer harness.close()
@@ -151,19 +152,19 @@
 	for i, c := range conns {
 		text, err := io.ReadAll(c)
 		if want := fmt.Sprint("value of b", i); err != nil || !bytes.Contains(text, []byte(want)) {
-			t.Errorf("client %d has %q, %v", i, text, err)
+			t.Errorf("client %d got %q, %v", i, text, err)
 		}
 	}
 	if err := <-server.ended; err != nil {
 		t.Error(err)
 	}
 	if server.listening() {
-		t.Error("the listener is open still")
+		t.Error("the listener is still open")
 	}
 }
 
-// TestEveryRejectedClientGetsAnError has more clients come at once than the reject queue takes, none of which closes. Each gets an
-// error, and none is cut off by what it has sent.
+// TestEveryRejectedClientGetsAnError has more clients connect at once than fit into the reject queue. They have sent requests, and do
+// not close their connections. Each must get an error, and no connection may be reset because of its unread request.
 func TestEveryRejectedClientGetsAnError(t *testing.T) {
 	blocked := make(chan struct{})
 	harness := newHarnessFor(1, 1, false, &fake.Host{Primary: true, Act: func(string, string, bool) fake.Act {
@@ -178,7 +179,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { // one request after the other, until the test ends
+	go func() { // keeps the only slot's client active until the test ends
 		for i, err := 0, error(nil); err == nil; i++ {
 			_, err = active.Ask(fmt.Sprintf(lookStatement, fmt.Sprint("held", i)))
 		}
@@ -200,7 +201,7 @@
 	}
 }
 
-// readFirstAnswer reads a new client's messages up to the first row or error, and returns its kind.
+// readFirstAnswer reads messages to a new client up to the first row or error, and returns the last message's kind and body.
 func readFirstAnswer(conn net.Conn) (kind byte, body []byte, err error) {
 	buf := framebuf.New(conn, pgwire.MaxMessage)
 	for err == nil && kind != 'D' && kind != 'E' {
@@ -209,8 +210,9 @@
 	return kind, body, err
 }
 
-// TestNewClientsWaitConcurrently has five clients come at once to two slots whose clients may be evicted 0.25 s after their
-// answers: each has its answer or an error within 0.4 s. One behind the other the fourth would have its error after 0.49 s.
+// TestNewClientsWaitConcurrently has five clients connect at once while both slots are used by clients that may be evicted 0.25 s
+// after their answers. Each new client must get an answer or an error within 0.4 s. If they waited one by one, the fourth would get its
+// error only after 0.49 s.
 func TestNewClientsWaitConcurrently(t *testing.T) {
 	inBubble(t, func() error {
 		harness := newHarnessFor(32, 1, false, &fake.Host{Primary: true}) // with a reject queue of eight
@@ -225,7 +227,7 @@
 			if r, err := c.request("look", fmt.Sprint("a", i)); err != nil || r.Outcome != "served" {
 				return fmt.Errorf("%+v, %v", r, err)
 			}
-			time.Sleep(pause) // its connection is idle
+			time.Sleep(pause) // the connection is idle meanwhile
 		}
 		came := time.Now()
 		answered := make(chan time.Duration, 5)
@@ -240,23 +242,23 @@
 					served <- string(body)
 				}
 				answered <- time.Since(came)
-				time.Sleep(2 * time.Second) // it stays
+				time.Sleep(2 * time.Second) // stays connected
 			}()
 		}
 		for range 5 {
 			if took := <-answered; took > 400*time.Millisecond {
-				return fmt.Errorf("a new client has its answer after %v", took)
+				return fmt.Errorf("a new client got its answer or error after %v", took)
 			}
 		}
 		if len(served) < 2 {
-			return fmt.Errorf("only %d were served", len(served))
+			return fmt.Errorf("only %d new clients were served", len(served))
 		}
 		return nil
 	})
 }
 
-// TestNewClientWaitsHalfOfTheShortestDeadline checks that a slot that becomes free 0.23 s after a client came goes to it with
-// deadlines of 1 s, and that the client is rejected at once where a deadline may be 0.2 s.
+// TestNewClientWaitsHalfOfTheShortestDeadline checks that a new client gets a slot that becomes free 0.23 s after it has connected if the
+// shortest deadline is 1 s, and that it is rejected at once if the shortest deadline is 0.2 s.
 func TestNewClientWaitsHalfOfTheShortestDeadline(t *testing.T) {
 	for deadline, want := range map[time.Duration]bool{time.Second: true, 200 * time.Millisecond: false} {
 		inBubble(t, func() error {
@@ -285,8 +287,8 @@
 	}
 }
 
-// TestResumeRightAfterRetire has a server retire and resume at once, twenty times: it listens at its address again, once the
-// listener before has been drained and closed, and serves.
+// TestResumeRightAfterRetire has a server retire and resume at once, twenty times. Each time the server must wait until the old listener
+// is drained and closed, listen at the same address again, and serve.
 func TestResumeRightAfterRetire(t *testing.T) {
 	harness := newHarness(false, &fake.Host{Primary: true})
 	defer harness.close()
@@ -308,7 +310,7 @@
 	}
 }
 
-// TestStartCheck runs a server before its core has an endpoint list: that counts as a violation of the rule on starts.
+// TestStartCheck runs a server before its core has an endpoint list, which must be counted as a violation of the start rule.
 func TestStartCheck(t *testing.T) {
 	counters := &metrics.Counters{}
 	c, err := core.New(core.Options{Routing: testRouting, Seed: 1, Counters: counters}, nil)
--- a/internal/frontend/adopt_test.go
+++ b/internal/frontend/adopt_test.go
@@ -19,8 +19,9 @@
 	"cranegate/internal/pgwire"
 )
 
-// TestAdoptedClientsFitTheLimit has another process transfer three times as many idle clients as there are slots, and one with a
-// request open: as many stay as there are slots, that one among them, and the rest see a plain end.
+// TestAdoptedClientsFitTheLimit transfers three times as many clients as there are slots. The first has an open request and the others
+// are idle. As many clients as there are slots must stay, including the one with the request, and for the others the connection must end
+// with EOF.
 func TestAdoptedClientsFitTheLimit(t *testing.T) {
 	const slots, transferred = 4, 12
 	inBubble(t, func() error {
@@ -33,7 +34,7 @@
 		answer := sync.OnceFunc(func() { close(blocked) })
 		defer answer()
 		limiter := connlimit.New(slots)
-		limiter.SetEvictIdle(false) // as while both processes live
+		limiter.SetEvictIdle(false) // as while both processes are running
 		server := harness.newServer("newer", limiter)
 		var ended, failed atomic.Int64
 		var conns []net.Conn
@@ -64,20 +65,20 @@
 			synctest.Wait()
 		}
 		if n := ended.Load(); n != transferred-slots || failed.Load() > 0 {
-			return fmt.Errorf("%d of %d ended, %d in other ways", n, transferred, failed.Load())
+			return fmt.Errorf("%d of %d connections ended with EOF, %d in other ways", n, transferred, failed.Load())
 		}
 		answer()
 		b := make([]byte, 1)
 		if _, err := conns[0].Read(b); err != nil || b[0] != 'T' {
-			return fmt.Errorf("the one with a request open gets %q, %v", b, err)
+			return fmt.Errorf("the client with an open request got %q, %v", b, err)
 		}
 		return nil
 	})
 }
 
-// TestAdoptUntilTheEnd transfers a connection with a request in it to a server that was stopped and has closed its listener, while
-// it has a request open: the connection is served. That another process accepts its clients is said only then. Once the
-// server has ended it adopts nothing.
+// TestAdoptUntilTheEnd transfers a connection with an unread request to a server that was stopped and has closed its listener, but still
+// has an active session. The server must serve the connection, and Retire may come after the listener's close. Once the server has ended,
+// it must not adopt any connection.
 func TestAdoptUntilTheEnd(t *testing.T) {
 	blocked := make(chan struct{})
 	harness := newHarness(false, &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act {
@@ -90,16 +91,16 @@
 	server := harness.serveOn("to", listenLocal(t))
 	client := server.login(t)
 	half := postgresQuery(fmt.Sprintf(lookStatement, "held"))
-	client.Write([]byte(half[:20])) // keeps the session active for longer than a request
+	client.Write([]byte(half[:20])) // half a message keeps the session active for longer than a request
 	server.stop()
 	waitFor(t, "the listener's close", func() bool { return !server.listening() })
 	time.Sleep(100 * time.Millisecond)
-	server.Retire() // the other process says so late
+	server.Retire() // late, as the listener is closed already
 	near, far := loopback(t)
 	near.Write([]byte(postgresQuery(fmt.Sprintf(lookStatement, "passed"))))
 	if !server.Adopt(far, true, true) {
 		far.Close()
-		t.Error("it is not adopted")
+		t.Error("the connection is not adopted")
 	}
 	if text, err := io.ReadAll(near); err != nil || !bytes.Contains(text, []byte("value of passed")) {
 		t.Errorf("%q, %v", text, err)
@@ -112,16 +113,16 @@
 	}
 	near, far = loopback(t)
 	if server.Adopt(far, true, true) {
-		t.Error("it is adopted after the server's end")
+		t.Error("a connection is adopted after the server has ended")
 	} else {
 		near.Close()
 		far.Close()
 	}
 }
 
-// blockingListener is a listener whose calls block in the kernel, as where another process has set a shared socket to blocking.
+// blockingListener is a listener whose calls block, as they do in the kernel if another process has set a shared socket to blocking mode.
 type blockingListener struct {
-	closing chan struct{} // gets a value when its close begins
+	closing chan struct{} // gets a value when the gateway begins to close the listener
 	unblock chan struct{} // closed to unblock the calls
 }
 
@@ -144,8 +145,8 @@
 func (l blockingListener) Addr() net.Addr          { return &net.TCPAddr{} }
 func (l blockingListener) File() (*os.File, error) { return os.Open(os.DevNull) }
 
-// TestAdoptedClientServedWhileListenerCloses has a newer process accept the clients while this one, which is stopped, waits for its
-// listener to close: a client that is connected here is served meanwhile.
+// TestAdoptedClientServedWhileListenerCloses retires a stopped server while it waits for its listener to close, which blocks. The server
+// must still serve a client that is connected to it.
 func TestAdoptedClientServedWhileListenerCloses(t *testing.T) {
 	harness := newHarness(false, &fake.Host{Primary: true})
 	defer harness.close()
@@ -156,7 +157,7 @@
 	defer running.stop()
 	near, far := loopback(t)
 	if !server.Adopt(far, true, false) {
-		t.Fatal("it is not adopted")
+		t.Fatal("the connection is not adopted")
 	}
 	running.stop()
 	<-l.closing
--- a/internal/frontend/arrived_test.go
+++ b/internal/frontend/arrived_test.go
@@ -14,11 +14,11 @@
 	"cranegate/internal/fake"
 )
 
-// checkedConn is the gateway's end of a connection. It calls a function right before the first check of the connection behind
-// an answer that holds a text. The checks before a request is submitted come earlier.
+// checkedConn is the gateway's end of a connection. It calls a function right before the gateway first checks the connection's socket
+// after an answer that contains a given text. Checks before that answer, such as the one before a request is submitted, do not count.
 type checkedConn struct {
 	*net.TCPConn
-	answer      string
+	answer      string // text of the answer
 	answered    atomic.Bool
 	beforeCheck func()
 	once        sync.Once
@@ -38,9 +38,9 @@
 	return c.TCPConn.SyscallConn()
 }
 
-// TestArrivedRequestsAreAnswered has bytes arrive right before the last check of a connection that is about to be closed, idle or
-// after its answer: a request, the first bytes of one, one behind another. All that becomes complete is answered, and then
-// the client sees a plain end.
+// TestArrivedRequestsAreAnswered has bytes arrive right before the gateway's last check of a connection that it is about to close, either
+// idle or right after an answer. The bytes are a request, the beginning of one, or several. Every request that becomes complete must be
+// answered, and then the client must see EOF.
 func TestArrivedRequestsAreAnswered(t *testing.T) {
 	a, b := postgresQuery(fmt.Sprintf(lookStatement, "a")), postgresQuery(fmt.Sprintf(lookStatement, "b"))
 	for _, test := range []struct {
@@ -95,22 +95,23 @@
 	}
 }
 
-// lateConn is the gateway's end of a connection. Once something has been read after stall is closed, the next read begins when
-// its deadline has passed and the rest has arrived, as in a process that has not run for a while.
+// lateConn is the gateway's end of a connection. After stall is closed and some bytes were read, it delays the next read until the rest of
+// the message has arrived and the read deadline has passed, as if the process had been suspended.
 type lateConn struct {
 	*net.TCPConn
-	stall    chan struct{}
-	sendRest func()
-	deadline time.Time
+	stall    chan struct{} // closed to enable the delay
+	sendRest func()        // sends the rest of the message and waits until it has arrived
+	deadline time.Time     // the read deadline
 	state    stallState
 }
 
+// stallState says whether a lateConn has delayed a read.
 type stallState int
 
 const (
-	stallPending stallState = iota
-	stallNextRead
-	stallOver
+	stallPending  stallState = iota // no bytes were read since stall was closed
+	stallNextRead                   // the next read is delayed
+	stallOver                       // a read was delayed
 )
 
 func (c *lateConn) SetReadDeadline(t time.Time) error {
@@ -136,8 +137,8 @@
 	return n, err
 }
 
-// TestMessageArrivedInTime checks that the rest of a request that had arrived before the message's deadline passed, but was not
-// read by then, is read, and the request answered.
+// TestMessageArrivedInTime checks that the rest of a request that has arrived before the message's deadline, but is not read until after
+// it, is still read, and that the request is answered.
 func TestMessageArrivedInTime(t *testing.T) {
 	harness := newHarness(false, &fake.Host{Primary: true})
 	defer harness.close()
--- a/internal/frontend/client_test.go
+++ b/internal/frontend/client_test.go
@@ -7,7 +7,7 @@
 	"cranegate/internal/pgwire"
 )
 
-// The forms of a request: by the protocol, and with MySQL as a text query or by a prepared statement.
+// The forms of a request: a PostgreSQL query, a MySQL text query, or the execute of a MySQL prepared statement.
 const (
 	formPostgres = "postgres"
 	formMySQL    = "mysql"
@@ -16,14 +16,14 @@
 
 var (
 	clientForms = []string{formPostgres, formMySQL, formPrepared}
-	protocols   = clientForms[:2] // a form for each
+	protocols   = clientForms[:2] // one form per protocol
 	mysqlForms  = clientForms[1:]
 )
 
-// lookStatement is a read whose key is its id, as a format.
+// lookStatement is the format string of a read. Its only argument is the request's id, which is also the key.
 const lookStatement = "/* id=%s,c=look,d=1000,cluster=4 */ SELECT v FROM records WHERE k = '%[1]s'"
 
-// statementPrefix is the text of a class's statements, up to the key.
+// statementPrefix maps a request class to the text of its statements up to the key.
 var statementPrefix = map[string]string{"look": "SELECT v FROM records WHERE k = ", "put": "INSERT INTO records (k) VALUES "}
 
 // testClient is a client of either protocol.
@@ -33,7 +33,7 @@
 	my   *fake.MySQLClient    // with the other forms
 }
 
-// newClient connects a client that asks in a form.
+// newClient connects a client that sends its requests in the given form.
 func (h *testHarness) newClient(form string) (*testClient, error) {
 	c, err := &testClient{form: form}, error(nil)
 	if form == formPostgres {
@@ -44,7 +44,8 @@
 	return c, err
 }
 
-// request sends one request and returns its answer. Its key is its id, so that a value shows for which request it was made.
+// request sends one request and returns its answer. The key is the request's id, so that the returned value shows to which request
+// it belongs.
 func (c *testClient) request(class, id string) (fake.Reply, error) {
 	if c.form != formPrepared {
 		return c.query("/* id=" + id + ",c=" + class + ",d=1000,cluster=4 */ " + statementPrefix[class] + "'" + id + "'")
@@ -55,7 +56,7 @@
 	}
 	reply, err = c.my.Execute(statement, []mysqlwire.Param{mysqlwire.Attribute("", id)}, mysqlwire.Attribute("id", id),
 		mysqlwire.Attribute("d", "1000"))
-	c.my.CloseStatement(statement) // never answered; it may fail where the gateway has closed the connection
+	c.my.CloseStatement(statement) // has no answer; fails if the gateway has closed the connection, which is allowed here
 	return reply, err
 }
 
@@ -83,16 +84,16 @@
 	}
 }
 
-// mysqlPacket frames a MySQL command as the first packet of an exchange.
+// mysqlPacket frames a MySQL command, as a packet with sequence number 0.
 func mysqlPacket(kind byte, body string) string {
 	n := len(body) + 1
 	return string([]byte{byte(n), byte(n >> 8), byte(n >> 16), 0, kind}) + body
 }
 
-// postgresQuery frames a simple query.
+// postgresQuery frames a PostgreSQL simple query.
 func postgresQuery(text string) string { return string(pgwire.Append(nil, 'Q', text, "\x00")) }
 
-// queryBytes frames a text query of the harness's protocol.
+// queryBytes frames a text query in the harness's protocol.
 func (h *testHarness) queryBytes(text string) string {
 	if h.mysql {
 		return mysqlPacket(mysqlwire.ComQuery, text)
@@ -100,7 +101,7 @@
 	return postgresQuery(text)
 }
 
-// requestBytes frames a request with something behind its text. Its key is its id.
+// requestBytes frames a request whose key is its id, with a suffix appended to its text.
 func (h *testHarness) requestBytes(class, id, suffix string) string {
 	return h.queryBytes("/* id=" + id + ",c=" + class + ",d=1000,cluster=4 */ " + statementPrefix[class] + "'" + id + "'" + suffix)
 }
--- a/internal/frontend/clientfault_test.go
+++ b/internal/frontend/clientfault_test.go
@@ -16,12 +16,13 @@
 	"cranegate/internal/pgwire"
 )
 
+// Statements of faulty clients. The first is a format string, as its id contains a number.
 const (
 	unknownClassStatement = "/* id=b%d,c=zusage-alt,d=500,cluster=4 */ SELECT v FROM records WHERE k = 'b'"
 	openStatement         = "/* id=open,c=put,d=900,cluster=4 */ INSERT INTO records (k) VALUES ('open')"
 )
 
-// manyUnknownClasses is one unusable query after another, framed by a function.
+// manyUnknownClasses returns 600 unusable queries, each framed by the given function.
 func manyUnknownClasses(frame func(string) string) string {
 	var b strings.Builder
 	for i := range 600 {
@@ -30,21 +31,22 @@
 	return b.String()
 }
 
-// mysqlQuery frames a text query.
+// mysqlQuery frames a MySQL text query.
 func mysqlQuery(text string) string { return mysqlPacket(mysqlwire.ComQuery, text) }
 
-// faultyClient is a client that sends what can't be used.
+// faultyClient describes a client that sends unusable messages, and how the gateway must react.
 type faultyClient struct {
 	name       string
 	login      bool   // it completes the startup first
-	postgres   string // what it sends then
-	mysql      string
-	endless    bool // and zeros behind it without an end
-	mustEnd    bool // its connection must be closed; otherwise it may stay
-	mustReport bool // it must get an error
-	copiesID   bool // another client has a request of the same id open
+	postgres   string // the bytes that it sends next, with PostgreSQL
+	mysql      string // the bytes that it sends next, with MySQL
+	endless    bool   // it then sends zeros without end
+	mustEnd    bool   // its connection must be closed; otherwise it may stay open
+	mustReport bool   // it must get an error
+	copiesID   bool   // another client has an open request with the same id
 }
 
+// faultyClients are the cases of TestFaultyClients.
 var faultyClients = []faultyClient{
 	{name: "silent", mustEnd: true},
 	{name: "half a greeting", postgres: "\x00\x00\x00\x16\x00", mysql: "\x20\x00", mustEnd: true},
@@ -63,9 +65,9 @@
 		copiesID: true},
 }
 
-// TestFaultyClients checks what a client gets that sends what can't be used: an error or a close within 3 s of its connect, long
-// before all that it announces has come. One that copies the id of an open request must get an error, and the request itself its
-// answer: hosts would take the copy for an attempt of it. Another client is served all the while.
+// TestFaultyClients checks that a client that sends unusable messages gets an error or is disconnected within 3 s of its connect, even if
+// it has announced a much longer message. A client that uses the id of an open request must get an error, as hosts would take its request
+// for an attempt of the open one, and the open request must be answered. Afterwards another client must be served.
 func TestFaultyClients(t *testing.T) {
 	for _, faulty := range faultyClients {
 		for _, form := range protocols {
@@ -76,7 +78,7 @@
 	}
 }
 
-// check runs the client beside others.
+// check runs the faulty client, with another client's request open if copiesID is set, and then an ordinary client.
 func (f faultyClient) check(form string) error {
 	blocked := make(chan struct{})
 	host := &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act {
@@ -102,7 +104,7 @@
 	}
 	reported, ended, err := f.run(harness.connect(), form)
 	if err != nil || f.mustEnd && !ended || f.mustReport && !reported {
-		return fmt.Errorf("it got an error: %v, was closed: %v, %v", reported, ended, err)
+		return fmt.Errorf("the faulty client got an error: %v, was disconnected: %v, %v", reported, ended, err)
 	}
 	close(blocked)
 	if f.copiesID {
@@ -116,12 +118,13 @@
 	}
 	defer usual.disconnect()
 	if r, err := usual.request("look", "u"); err != nil || r.Value != "value of u" {
-		return fmt.Errorf("a usual client: %+v, %v", r, err)
+		return fmt.Errorf("an ordinary client: %+v, %v", r, err)
 	}
 	return nil
 }
 
-// run sends and reads at full speed for 3 s at most, or until it gets an error where it may stay.
+// run sends the client's bytes and reads for at most 3 s. It returns earlier if the connection ends, or on an error message if the
+// connection may stay open.
 func (f faultyClient) run(conn net.Conn, form string) (reported, ended bool, err error) {
 	defer conn.Close()
 	reader := framebuf.New(conn, pgwire.MaxMessage)
@@ -165,7 +168,7 @@
 	return client.Conn, nil
 }
 
-// readIsError reads a message, and reports whether it is an error.
+// readIsError reads a message and reports whether it is an error.
 func readIsError(reader *framebuf.Conn, form string) (bool, error) {
 	if form == formPostgres {
 		kind, _, err := pgwire.ReadMessage(reader)
@@ -175,8 +178,8 @@
 	return len(body) > 0 && body[0] == mysqlwire.HeadErr, err
 }
 
-// TestSlowNetwork checks that a client on a slow network, which has had an answer before and needs some seconds for its next
-// message, is served.
+// TestSlowNetwork checks that a client on a slow network is served if it has had an answer before and needs some seconds to send its next
+// message.
 func TestSlowNetwork(t *testing.T) {
 	inBubble(t, func() error {
 		harness := newHarness(false, &fake.Host{Primary: true})
@@ -202,8 +205,8 @@
 	})
 }
 
-// TestStallInMidMessage checks that a client that was served before, then stops in the middle of a message and stays, is closed
-// within 3 s of its last byte, as other faulty clients are.
+// TestStallInMidMessage checks that a client that was served before and then stops in the middle of a message is disconnected within 3 s
+// of its last byte, like other faulty clients.
 func TestStallInMidMessage(t *testing.T) {
 	for form, text := range map[string]string{"postgres": postgresQuery(openStatement), "mysql": mysqlQuery(openStatement)} {
 		for _, part := range []int{1, 5, len(text) - 1} {
@@ -229,7 +232,7 @@
 						return fmt.Errorf("%q, %v", b, err)
 					}
 					if took := time.Since(stopped); took > 3*time.Second {
-						return fmt.Errorf("its connection was open for %v", took)
+						return fmt.Errorf("the connection was open for %v after the last byte", took)
 					}
 					return nil
 				})
@@ -238,8 +241,8 @@
 	}
 }
 
-// TestOversizeAndHalfMessages checks that a MySQL connection is closed on a packet over the limit, and on a client that stops in
-// the middle of one.
+// TestOversizeAndHalfMessages checks that a MySQL client gets an error for a packet over the size limit, and is disconnected if it stops in
+// the middle of a packet.
 func TestOversizeAndHalfMessages(t *testing.T) {
 	inBubble(t, func() error {
 		harness := newHarness(true, &fake.Host{Primary: true})
--- a/internal/frontend/close_test.go
+++ b/internal/frontend/close_test.go
@@ -14,16 +14,17 @@
 	"cranegate/internal/fake"
 )
 
-// crossingConn is the gateway's end of a connection. It calls a function right before its sending side is shut down, or before
-// its close where that comes first, and counts the bytes that are read from then on.
+// crossingConn is the gateway's end of a connection. It calls a function right before the gateway shuts down the sending side or closes
+// the connection, whichever comes first, and counts the bytes that the gateway reads afterwards.
 type crossingConn struct {
 	*net.TCPConn
 	beforeClose func()
 	once        sync.Once
-	shutDown    atomic.Bool
-	readAfter   atomic.Int64
+	shutDown    atomic.Bool  // beforeClose has returned
+	readAfter   atomic.Int64 // bytes read since then
 }
 
+// cross calls beforeClose, the first time that it is called.
 func (c *crossingConn) cross() {
 	c.once.Do(func() {
 		c.beforeClose()
@@ -49,7 +50,8 @@
 	return n, err
 }
 
-// crossingClient returns a client of the platform's protocol that sends a text at the instant at which its connection is closed.
+// crossingClient returns a PostgreSQL client, and the gateway's end of its connection. The client sends a text right before the gateway
+// closes the connection.
 func (h *testHarness) crossingClient(t *testing.T, text string) (*fake.PostgresClient, *crossingConn) {
 	t.Helper()
 	near, far := loopback(t)
@@ -76,27 +78,28 @@
 	}
 }
 
-// expectEOF checks that the client sees a plain end next.
+// expectEOF checks that the client's next read returns EOF.
 func expectEOF(t *testing.T, client *fake.PostgresClient) {
 	t.Helper()
 	if _, err := client.Read(); !errors.Is(err, io.EOF) {
-		t.Errorf("the client sees %v in place of a plain end", err)
+		t.Errorf("the client sees %v instead of EOF", err)
 	}
 }
 
-// drainNotice is how long after its start a drain closes connections right after an answer, and a little.
+// drainNotice is a little longer than the time after which a drain begins to close connections right after their answers.
 const drainNotice = 450 * time.Millisecond
 
-// TestRequestCrossesTheClose has a request arrive between the last check of a connection and its close: as a client is drained
-// while idle and right after its answer, as one is evicted, and as the time for a message is over. It may neither be
-// forwarded nor be read, as its client sends it again; the client sees a plain end, and the answer before it complete.
+// TestRequestCrossesTheClose has a request arrive between the gateway's last check of a connection and its close. The close is that of an
+// idle client in a drain, of a client right after its answer in a drain, of an evicted client, and of one whose message was late. The
+// request must be neither read nor sent to a host, because the client sends it again elsewhere. The client must see EOF, after the
+// complete answer to its previous request.
 func TestRequestCrossesTheClose(t *testing.T) {
 	crossed := postgresQuery(fmt.Sprintf(lookStatement, "crossed"))
 	half := postgresQuery(fmt.Sprintf(lookStatement, "half"))
 	for _, test := range []struct {
 		name  string
-		text  string // that crosses the close
-		close func(*testing.T, *testHarness, *fake.PostgresClient)
+		text  string                                               // sent by the client right before the close
+		close func(*testing.T, *testHarness, *fake.PostgresClient) // makes the gateway close the connection
 	}{
 		{"idle", crossed, func(_ *testing.T, h *testHarness, _ *fake.PostgresClient) { h.shutdown() }},
 		{"after an answer", crossed, func(t *testing.T, h *testHarness, client *fake.PostgresClient) {
@@ -126,14 +129,14 @@
 				t.Errorf("%d bytes were read after the close", n)
 			}
 			if host.Ran("crossed")+host.Ran("half") > 0 {
-				t.Error("what crossed the close was forwarded")
+				t.Error("the request that arrived during the close was sent to a host")
 			}
 		})
 	}
 }
 
-// connectForAnother connects a client that takes the slot of another one. It is rejected where that one's answer has gone out
-// and its connection does not count as idle yet.
+// connectForAnother connects a client that takes the slot of another client. It retries, as the new client is rejected if the other has
+// just got its answer and does not count as idle yet.
 func (h *testHarness) connectForAnother(t *testing.T) {
 	t.Helper()
 	for attempt := 0; ; attempt++ {
@@ -148,18 +151,18 @@
 	}
 }
 
-// TestOneEvictionPerNewClient checks that clients that are slow to close after an eviction do not cause further evictions.
+// TestOneEvictionPerNewClient checks that only one client is evicted for a new client, even if it is slow to close its side.
 func TestOneEvictionPerNewClient(t *testing.T) {
 	harness := newHarnessFor(3, 1, false, &fake.Host{Primary: true})
 	defer harness.close()
-	for range 3 { // without a request, and without a look at their connection
+	for range 3 { // clients that send no request and do not notice an eviction, as they read nothing more
 		near, far := loopback(t)
 		harness.listener.conns <- far
 		if _, err := fake.DialPostgres(near, ""); err != nil {
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(150 * time.Millisecond) // each may be evicted from 0.1 s on
+	time.Sleep(150 * time.Millisecond) // each may be evicted after 0.1 s
 	near, far := loopback(t)
 	harness.listener.conns <- far
 	client, err := fake.DialPostgres(near, "")
@@ -170,12 +173,12 @@
 		t.Errorf("the new client: %+v, %v", r, err)
 	}
 	if n := harness.counters.Get("test_clients_let_go"); n != 1 {
-		t.Errorf("%d clients were evicted for one", n)
+		t.Errorf("%d clients were evicted for one new client", n)
 	}
 }
 
-// TestSlowReaderGetsTheWholeAnswer checks that a client that reads nothing until the gateway has closed its connection, behind an
-// answer longer than both ends' buffers, gets the whole of it then, and a plain end.
+// TestSlowReaderGetsTheWholeAnswer checks that a client that reads nothing until the gateway has closed its connection still gets its
+// complete answer, which is longer than the client's receive buffer, and then EOF.
 func TestSlowReaderGetsTheWholeAnswer(t *testing.T) {
 	harness := newHarness(false, &fake.Host{Primary: true})
 	defer harness.close()
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -15,7 +15,7 @@
 	"cranegate/internal/mysqlwire"
 )
 
-// disconnects are the ways in which a client ends its connection.
+// disconnects are the ways in which a client can end its connection, by name.
 var disconnects = map[string]func(*net.TCPConn){
 	"close":      func(c *net.TCPConn) { c.Close() },
 	"half close": func(c *net.TCPConn) { c.CloseWrite() },
@@ -37,14 +37,14 @@
 	}
 }
 
-// disconnectTest is a client of a harness on real sockets.
+// disconnectTest is a harness with one client that is connected by TCP.
 type disconnectTest struct {
 	*testHarness
 	host    *fake.Host
 	client  *net.TCPConn
 	gateway *steppedConn
 	began   chan string   // ids of attempts at the host
-	release chan struct{} // with blockingHost: closing it lets attempts end
+	release chan struct{} // with newBlockingDisconnectTest: attempts end when it is closed
 }
 
 // newDisconnectTest returns a test whose client has logged in. The host serves each attempt at once.
@@ -57,8 +57,8 @@
 	return d
 }
 
-// newBlockingDisconnectTest is newDisconnectTest with a host that rejects each attempt, so that another one may follow, but
-// only once release is closed.
+// newBlockingDisconnectTest is like newDisconnectTest, but the host holds each attempt until release is closed and then rejects it, so
+// that a retry may follow.
 func newBlockingDisconnectTest(t *testing.T, mysqlFront bool) *disconnectTest {
 	d := &disconnectTest{began: make(chan string, 10), release: make(chan struct{})}
 	d.start(t, mysqlFront, func(id, _ string, _ bool) fake.Act {
@@ -69,11 +69,12 @@
 	return d
 }
 
+// start starts the harness and logs in the client.
 func (d *disconnectTest) start(t *testing.T, mysqlFront bool, act func(id, text string, prepare bool) fake.Act) {
 	t.Helper()
 	d.host = &fake.Host{Primary: true, Act: act}
 	d.testHarness = newHarness(mysqlFront, d.host)
-	t.Cleanup(d.closeNow) // after the connections were closed
+	t.Cleanup(d.closeNow) // runs after the later cleanups, which close the connections
 	d.client, d.gateway = d.login(t)
 }
 
@@ -86,18 +87,18 @@
 func (d *disconnectTest) awaitFirstAttempt(t *testing.T) {
 	t.Helper()
 	if id := receive(t, "the first attempt", d.began); id != "q1" {
-		t.Fatalf("%s begins first", id)
+		t.Fatalf("the first attempt is for %s", id)
 	}
 }
 
-// disconnect ends the client's connection and waits until the gateway's system knows.
+// disconnect ends the client's connection and waits until the kernel at the gateway's end has received that.
 func (d *disconnectTest) disconnect(t *testing.T, disconnect func(*net.TCPConn)) {
 	t.Helper()
 	disconnect(d.client)
 	d.gateway.awaitClientEnd(t)
 }
 
-// expectNoAttempt waits for the session's end. No attempt may begin until then, however late the session reads.
+// expectNoAttempt waits until the session has ended, and checks that no attempt begins before or after.
 func (d *disconnectTest) expectNoAttempt(t *testing.T) {
 	t.Helper()
 	select {
@@ -105,7 +106,7 @@
 	case id := <-d.began:
 		t.Errorf("%s begins after its client has disconnected", id)
 	case <-time.After(10 * time.Second):
-		t.Error("the disconnect is not seen")
+		t.Error("the session has not ended 10 s after the disconnect")
 	}
 	d.gateway.hold(false, false)
 	d.gateway.Close()
@@ -116,8 +117,8 @@
 	}
 }
 
-// expectOneAttempt waits for the ends of the session and the request, and lets the host go on. The request must have ended as
-// that of a client that has disconnected, with no attempt after the first.
+// expectOneAttempt waits until the session and the request have ended, and then closes release. The request must be counted as one
+// whose client has disconnected, and must have had no attempt after the first.
 func (d *disconnectTest) expectOneAttempt(t *testing.T) {
 	t.Helper()
 	receive(t, "the end of the session", d.gateway.closed)
@@ -125,12 +126,12 @@
 	waitFor(t, "the end of the request", func() bool { return c.Get("clients_gone")+c.Get("refused")+c.Get("failed") > 0 })
 	close(d.release)
 	if c.Get("clients_gone") != 1 || c.Get("requests") != 1 || c.Get("attempts") != 1 || len(d.began) > 0 {
-		t.Errorf("%d further attempts began: %s", len(d.began), c)
+		t.Errorf("%d further attempts began, or the request did not end as disconnected: %s", len(d.began), c)
 	}
 }
 
-// TestDisconnectBeforeALateRead has a client pipeline two requests and disconnect before its session sees the first of them:
-// neither begins, though the session reads the end only after an attempt has had all the time to begin.
+// TestDisconnectBeforeALateRead has a client pipeline two requests and disconnect before the session's first read returns. No attempt
+// of either request may begin, although the session has not read the end of the connection when it gets the requests.
 func TestDisconnectBeforeALateRead(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, mysqlFront bool, disconnect func(*net.TCPConn)) {
 		d := newDisconnectTest(t, mysqlFront)
@@ -143,8 +144,8 @@
 	})
 }
 
-// TestDisconnectDuringTheAnswer has a client disconnect that has pipelined a second request, while the answer to its first one
-// is being written: the second does not begin.
+// TestDisconnectDuringTheAnswer has a client pipeline two requests and disconnect while the first answer is being written. No attempt of
+// the second request may begin.
 func TestDisconnectDuringTheAnswer(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, mysqlFront bool, disconnect func(*net.TCPConn)) {
 		d := newDisconnectTest(t, mysqlFront)
@@ -159,13 +160,14 @@
 	})
 }
 
-// TestDisconnectBehindUnreadBytes has a client disconnect behind more than the gateway reads while the client's request is open:
-// its buffer is full, or there is no memory left. The request ends as that of a disconnected client, without another attempt.
+// TestDisconnectBehindUnreadBytes has a client send more bytes than the gateway reads during an open request, and then disconnect. The
+// gateway stops reading because its buffer is full or the memory budget is exhausted. The request must end as one of a disconnected
+// client, without another attempt.
 func TestDisconnectBehindUnreadBytes(t *testing.T) {
 	for _, exhaustBudget := range []bool{false, true} {
 		forEachDisconnect(t, func(t *testing.T, mysqlFront bool, disconnect func(*net.TCPConn)) {
 			d := newBlockingDisconnectTest(t, mysqlFront)
-			d.gateway.SetReadBuffer(1 << 20) // the system takes in all that comes, and the end behind it
+			d.gateway.SetReadBuffer(1 << 20) // room in the kernel for all bytes that the client sends, and the end after them
 			d.client.SetWriteBuffer(1 << 20)
 			fmt.Fprint(d.client, d.requestBytes("look", "q1", ""))
 			d.awaitFirstAttempt(t)
@@ -173,7 +175,7 @@
 			if exhaustBudget {
 				size = 8 << 10
 				if !d.budget.Reserve(harnessBudget - 1<<10) {
-					t.Fatal("the budget is used already")
+					t.Fatal("the memory budget is already in use")
 				}
 				defer d.budget.Release(harnessBudget - 1<<10)
 			}
@@ -189,8 +191,8 @@
 	}
 }
 
-// TestDisconnectBeforeTheAttemptBegins has a client disconnect whose request waits for a connection, and keeps its session from
-// reading of it: the attempt does not begin once the connection is there.
+// TestDisconnectBeforeTheAttemptBegins has a client disconnect while its request waits for a connection to the host, and holds back the
+// session's read of the disconnect. The attempt must not begin when the connection is established.
 func TestDisconnectBeforeTheAttemptBegins(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, mysqlFront bool, disconnect func(*net.TCPConn)) {
 		d := newDisconnectTest(t, mysqlFront)
@@ -204,7 +206,7 @@
 		receive(t, "an attempt that waits for a connection", dialling)
 		d.gateway.hold(true, false)
 		d.disconnect(t, disconnect)
-		receive(t, "the read of the end", d.gateway.read) // goes no further
+		receive(t, "the read of the end", d.gateway.read) // it stays held
 		waitFor(t, "some time", func() bool { return time.Since(sent) > 50*time.Millisecond })
 		close(dial)
 		c := d.counters
@@ -216,7 +218,8 @@
 	})
 }
 
-// TestManyDisconnectAtOnce has a hundred clients disconnect at once whose requests wait for connections: none begins.
+// TestManyDisconnectAtOnce has a hundred clients disconnect at once while their requests wait for connections to the host. No attempt
+// may begin.
 func TestManyDisconnectAtOnce(t *testing.T) {
 	const clients = 100
 	var began atomic.Int64
@@ -253,8 +256,8 @@
 	}
 }
 
-// TestDisconnectBehindAPipelinedRequest has a client disconnect that has pipelined a request behind an open one: the first ends as
-// that of a disconnected client, without another attempt, and the second does not begin.
+// TestDisconnectBehindAPipelinedRequest has a client pipeline a second request behind an open one, and disconnect. The first request must
+// end as one of a disconnected client, without another attempt, and no attempt of the second may begin.
 func TestDisconnectBehindAPipelinedRequest(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, mysqlFront bool, disconnect func(*net.TCPConn)) {
 		d := newBlockingDisconnectTest(t, mysqlFront)
@@ -270,8 +273,8 @@
 	})
 }
 
-// TestDisconnectDuringAPrepare has a client disconnect while its statement is prepared anew on a host's connection, and keeps its
-// session from reading of it: the execute is not written.
+// TestDisconnectDuringAPrepare has a client disconnect while its statement is prepared again on a new connection to a host, and holds
+// back the session's read of the disconnect. The execute must not be sent to the host.
 func TestDisconnectDuringAPrepare(t *testing.T) {
 	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
@@ -296,7 +299,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			host.Die() // and its connections, which knew the statement
+			host.Die() // drops the connections on which the statement was prepared
 			waitFor(t, "the ends of the host's connections", func() bool { return host.Conns() == 0 })
 			blockPrepares.Store(true)
 			answered := make(chan struct{})
@@ -309,7 +312,7 @@
 			gateway.hold(true, false)
 			disconnect(client)
 			gateway.awaitClientEnd(t)
-			receive(t, "the read of the end", gateway.read) // goes no further
+			receive(t, "the read of the end", gateway.read) // it stays held
 			waitFor(t, "some time", func() bool { return time.Since(sent) > 50*time.Millisecond })
 			close(release)
 			counters := harness.counters
@@ -317,7 +320,7 @@
 				return host.Ran("q1") > 0 || counters.Get("clients_gone")+counters.Get("refused") > 0
 			})
 			if host.Ran("q1") > 0 {
-				t.Errorf("it begins after its client has disconnected: %s", counters)
+				t.Errorf("the execute has run after its client has disconnected: %s", counters)
 			}
 			client.Close()
 			receive(t, "the end of the client", answered)
@@ -325,8 +328,9 @@
 	}
 }
 
-// TestIDOfADisconnectedClient has a client disconnect while its write runs, and another one send a copy of it: hosts would take
-// that for a second attempt of the first. Once the first one's timeout is over its id is free, and so is its memory.
+// TestIDOfADisconnectedClient has a client disconnect while its write runs, and another client send a write with the same id. The
+// gateway must not serve the second write, as hosts would take it for another attempt of the first. After the timeout of the first
+// write its id and its memory are free again.
 func TestIDOfADisconnectedClient(t *testing.T) {
 	for _, form := range protocols {
 		inBubble(t, func() (err error) {
@@ -344,7 +348,7 @@
 				return err
 			}
 			go first.request("put", "q1")
-			synctest.Wait() // it is at the host
+			synctest.Wait() // until the write is at the host
 			first.disconnect()
 			synctest.Wait()
 			if n := harness.counters.Get("clients_gone"); n != 1 {
@@ -356,12 +360,12 @@
 			}
 			defer second.disconnect()
 			if got, err := second.request("put", "q1"); err != nil || got.Outcome == "served" || harness.counters.Get("requests") != 1 {
-				return fmt.Errorf("%s: a copy: %+v, %v, %d requests", form, got, err, harness.counters.Get("requests"))
+				return fmt.Errorf("%s: a request with the same id: %+v, %v, %d requests", form, got, err, harness.counters.Get("requests"))
 			}
 			release()
 			time.Sleep(1100 * time.Millisecond)
 			if got, err := second.request("put", "q1"); err != nil || got.Outcome != "served" {
-				return fmt.Errorf("%s: after its timeout: %+v, %v", form, got, err)
+				return fmt.Errorf("%s: the same id after the timeout: %+v, %v", form, got, err)
 			}
 			return nil
 		})
--- a/internal/frontend/fleet_test.go
+++ b/internal/frontend/fleet_test.go
@@ -13,27 +13,28 @@
 	"cranegate/routing"
 )
 
-// eventKind is what happens to a fleet.
+// eventKind is a kind of event.
 type eventKind string
 
 const (
 	eventRequest     eventKind = "request"
 	eventDisconnect  eventKind = "disconnect"  // a request whose client may disconnect before its answer
-	eventHostDies    eventKind = "host dies"   // and ends its connections
-	eventHostDrains  eventKind = "host drains" // the last host, once
+	eventHostDies    eventKind = "host dies"   // a host drops its connections, as in a crash
+	eventHostDrains  eventKind = "host drains" // the last host begins to drain; happens at most once
 	eventHostRefuses eventKind = "host refuses connections, or accepts them again"
 )
 
-// event is something that happens to a fleet, some time after the event before.
+// event is a request to the gateway or a change at a host.
 type event struct {
-	After time.Duration
+	After time.Duration // delay after the previous event
 	Kind  eventKind
-	Form  string
-	Class string
-	Acts  []fake.Act    // of the hosts on the request's attempts in order; the last goes on
-	Stays time.Duration // how long the client stays before it disconnects
+	Form  string        // of a request
+	Class string        // of a request
+	Acts  []fake.Act    // the hosts' acts for the request's attempts in order; the last act repeats
+	Stays time.Duration // how long the client of an eventDisconnect stays connected
 }
 
+// events generates sequences of events.
 var events = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
 	ms := func(name string, limit int) time.Duration {
 		return time.Duration(rapid.IntRange(0, limit).Draw(t, name)) * time.Millisecond
@@ -47,26 +48,28 @@
 		Stays: ms("stays", 900)}
 }), 1, 25)
 
-// TestRandomFleets checks the rules under random faults: one answer each, made for that request; no write that runs twice, none
-// rejected that ran; nothing new to a drained host; and nothing left over at the end.
+// TestRandomFleets sends random requests during random faults of clients and hosts. It checks that each request gets one answer, with
+// its own value; that no write runs twice, and none is rejected after it has run; that a drained host gets no new request; and that no
+// connections and prepared statements are left at the end.
 func TestRandomFleets(t *testing.T) {
 	for _, mysqlFront := range []bool{false, true} {
 		checkPlans(t, events, func(plan []event) error { return runFleet(mysqlFront, plan) })
 	}
 }
 
-// fleet is a run of a plan.
+// fleet is a harness with three hosts that runs a sequence of events.
 type fleet struct {
 	*testHarness
 	requests  sync.WaitGroup
 	errors    chan error
-	drainedAt time.Time // zero: the last host is not drained
+	drainedAt time.Time // when the last host began to drain; zero: it has not
 
 	mu       sync.Mutex
-	attempts map[string]int   // by the request's id
-	events   map[string]event // likewise
+	attempts map[string]int   // number of attempts by request id
+	events   map[string]event // requests by id
 }
 
+// runFleet runs a sequence of events in a new harness.
 func runFleet(mysqlFront bool, plan []event) error {
 	f := &fleet{errors: make(chan error, 2*len(plan)), attempts: map[string]int{}, events: map[string]event{}}
 	f.testHarness = newHarness(mysqlFront, &fake.Host{Primary: true, Act: f.act}, &fake.Host{Act: f.act}, &fake.Host{Act: f.act})
@@ -86,7 +89,7 @@
 	return f.checkEnd()
 }
 
-// act is what a host does with an attempt.
+// act returns how a host handles an attempt.
 func (f *fleet) act(id, _ string, prepare bool) fake.Act {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,7 +101,7 @@
 	return e.Acts[min(f.attempts[id], len(e.Acts))-1]
 }
 
-// start makes the event of an index happen.
+// start starts event number i. It does not wait for the answer to a request.
 func (f *fleet) start(i int, e event) {
 	host := i % len(f.hosts)
 	switch e.Kind {
@@ -128,7 +131,7 @@
 	}
 }
 
-// request sends a request from a client of its own and checks the answer.
+// request sends a request from a new client and checks the answer.
 func (f *fleet) request(id string, e event, afterDrain bool) error {
 	c, err := f.newClient(e.Form)
 	if err != nil {
@@ -142,11 +145,11 @@
 	got, err := c.request(e.Class, id)
 	ran := f.ran(id)
 	switch {
-	case e.Kind == eventDisconnect && err != nil: // it disconnected before its answer
+	case e.Kind == eventDisconnect && err != nil: // the client disconnected before its answer
 		return nil
 	case err != nil:
 		return fmt.Errorf("%s: %w", id, err)
-	case time.Since(sent) > 2100*time.Millisecond: // of a prepare and an execute
+	case time.Since(sent) > 2100*time.Millisecond: // a prepare and an execute with a deadline of 1 s each, and slack
 		return fmt.Errorf("%s answered after %v", id, time.Since(sent))
 	case got.Outcome == "served" && (ran == 0 || e.Class == "look" && got.Value != "value of "+id),
 		got.Outcome == "refused" && e.Class == "put" && ran > 0:
@@ -157,7 +160,7 @@
 	return nil
 }
 
-// checkEnd checks what is left after the harness has closed.
+// checkEnd checks the hosts and the counters after the harness has closed.
 func (f *fleet) checkEnd() error {
 	for id, e := range f.events {
 		if ran := f.ran(id); e.Class == "put" && ran > 1 {
@@ -166,13 +169,13 @@
 	}
 	for i, host := range f.hosts {
 		if open, _ := host.Statements(); open != 0 || host.Conns() != 0 {
-			return fmt.Errorf("host %d is left with %d statements and %d connections", i, open, host.Conns())
+			return fmt.Errorf("host %d still has %d statements and %d connections", i, open, host.Conns())
 		}
 	}
 	c := f.counters
 	in, out := c.Get("requests"), c.Get("served")+c.Get("refused")+c.Get("failed")+c.Get("clients_gone")
 	if in != out {
-		return fmt.Errorf("%d requests and %d ends: %s", in, out, c)
+		return fmt.Errorf("%d requests began and %d ended: %s", in, out, c)
 	}
 	return nil
 }
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -29,7 +29,7 @@
 	"cranegate/routing"
 )
 
-// The seed is fixed, so that the result in CI is the same each time. The flags still override it.
+// init fixes rapid's seed, so that CI gets the same result each time. The command line's flags override it.
 func init() {
 	flag.Set("rapid.seed", "20261201")
 	flag.Set("rapid.nofailfile", "true")
@@ -82,7 +82,7 @@
 type testHarness struct {
 	mysql       bool
 	hosts       []*fake.Host
-	unreachable []atomic.Bool // a host that refuses connections
+	unreachable []atomic.Bool // by host: whether it refuses connections
 	onDial      func()        // called before a connection to a host is dialled; may be nil
 	core        *core.Core
 	pool        *backend.Pool
@@ -90,16 +90,16 @@
 	listener    *pipeListener
 	limiter     *connlimit.Limiter
 	budget      *framebuf.Budget
-	shutdown    context.CancelFunc // as SIGTERM does
-	kill        context.CancelFunc
-	ended       chan error
+	shutdown    context.CancelFunc // ends Server.Run's context, as SIGTERM does
+	kill        context.CancelFunc // ends the core and the connection pool
+	ended       chan error         // gets the result of Server.Run
 }
 
 func newHarness(mysqlFront bool, hosts ...*fake.Host) *testHarness {
 	return newHarnessFor(harnessSlots, 1, mysqlFront, hosts...)
 }
 
-// newHarnessFor returns a harness with a number of client slots, whose gateway takes itself for one of a number of gateways.
+// newHarnessFor returns a harness with a number of client slots, whose gateway is configured as one of a number of gateways.
 func newHarnessFor(slots, gateways int, mysqlFront bool, hosts ...*fake.Host) *testHarness {
 	h := &testHarness{
 		mysql:       mysqlFront,
@@ -122,13 +122,13 @@
 	return h
 }
 
-// startCore starts the connection pool and the core, which knows all hosts then.
+// startCore starts the connection pool and the core, and sends the core a list of all hosts.
 func (h *testHarness) startCore(ctx context.Context, gateways int) {
 	var start backend.Starter = pgservers.Start
 	if h.mysql {
 		account := myservers.Account{User: "svc", HealthCheck: "SHOW pressure", PrepareTimeout: 250 * time.Millisecond}
 		if h.hosts[0].Password != "" {
-			account.Password = harnessPassword // wrong at hosts that want another one
+			account.Password = harnessPassword // wrong for hosts with another password
 		}
 		start = account.Start
 	}
@@ -144,7 +144,7 @@
 	h.updateEndpoints(routing.EndpointListComplete, routing.PhaseServing)
 }
 
-// newServer returns a server of the harness's protocol and core that is not running yet.
+// newServer returns a server with the harness's protocol and core. It is not running yet.
 func (h *testHarness) newServer(name string, limiter *connlimit.Limiter) *frontend.Server {
 	var protocol frontend.Protocol = postgres.Protocol{}
 	if h.mysql {
@@ -153,7 +153,7 @@
 	return &frontend.Server{Name: name, Protocol: protocol, Core: h.core, Limiter: limiter, Budget: h.budget, Counters: h.counters}
 }
 
-// updateEndpoints sends the core a list of all hosts; phase is that of the last one.
+// updateEndpoints sends the core a list of all hosts, in which the last host has the given phase.
 func (h *testHarness) updateEndpoints(kind routing.EndpointListKind, phase routing.Phase) {
 	list := core.EndpointList{Kind: kind}
 	for i, host := range h.hosts {
@@ -166,7 +166,7 @@
 	h.core.UpdateEndpoints(list)
 }
 
-// dial connects the pool to a host by a pipe.
+// dial connects the pool to a host through a pipe.
 func (h *testHarness) dial(_ context.Context, address string) (net.Conn, error) {
 	var i int
 	fmt.Sscanf(address, "db-%d", &i)
@@ -185,14 +185,14 @@
 	return near, nil
 }
 
-// connect returns a client's end of a new connection.
+// connect returns the client's end of a new connection to the gateway.
 func (h *testHarness) connect() net.Conn {
 	near, far := net.Pipe()
 	h.listener.conns <- far
 	return near
 }
 
-// ran is how often a request ran at all hosts together.
+// ran returns how often a request has run, at all hosts together.
 func (h *testHarness) ran(id string) int {
 	n := 0
 	for _, host := range h.hosts {
@@ -201,19 +201,19 @@
 	return n
 }
 
-// awaitEnd waits for the server's end after a shutdown.
+// awaitEnd waits until the server has ended after a shutdown. It may be called again.
 func (h *testHarness) awaitEnd() error {
 	err := <-h.ended
 	h.ended <- err
 	return err
 }
 
-// close ends the server as SIGTERM does, and then the rest. It returns an error where an invariant was violated or memory was
-// not released.
+// close ends the server as SIGTERM does, and then the core and the pool. It returns an error if an invariant was violated or memory
+// was not released.
 func (h *testHarness) close() error {
 	h.shutdown()
 	err := h.awaitEnd()
-	time.Sleep(3 * time.Second) // attempts whose clients have their answers run to their end
+	time.Sleep(3 * time.Second) // for attempts that still run although their requests have been answered
 	h.kill()
 	h.pool.Wait()
 	if n := h.counters.Get("violations"); err == nil && n > 0 {
@@ -225,7 +225,7 @@
 	return err
 }
 
-// closeNow ends everything without a wait, for tests on the system's clock.
+// closeNow ends the server, the core and the pool without waiting for attempts. It is for tests that use the real clock.
 func (h *testHarness) closeNow() {
 	h.shutdown()
 	<-h.ended
@@ -233,28 +233,28 @@
 	h.pool.Wait()
 }
 
-// waitFor waits until a condition holds, however busy the machine is.
+// waitFor waits until a condition holds. The limit of 10 s allows for a busy machine.
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within 10 s", what)
+			t.Fatalf("%s: timed out after 10 s", what)
 		}
 	}
 }
 
-// receive waits for a value, however busy the machine is.
+// receive waits for a value. The limit of 10 s allows for a busy machine.
 func receive[T any](t *testing.T, what string, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(10 * time.Second):
-		t.Fatalf("%s: not within 10 s", what)
+		t.Fatalf("%s: timed out after 10 s", what)
 	}
 	return v
 }
 
-// inBubble runs a test in a synctest bubble, on a clock of its own.
+// inBubble runs a test in a synctest bubble, with a fake clock.
 func inBubble(t *testing.T, f func() error) {
 	t.Helper()
 	var err error
@@ -264,7 +264,7 @@
 	}
 }
 
-// checkPlans checks a property of random plans, which are drawn outside the bubble that runs them.
+// checkPlans runs random plans and fails on the first error. Each plan is drawn outside the bubble in which it runs.
 func checkPlans[P any](t *testing.T, plans *rapid.Generator[P], run func(P) error) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := plans.Draw(rt, "plan")
@@ -276,7 +276,7 @@
 	})
 }
 
-// chunks cuts bytes into parts of a size.
+// chunks returns an iterator over parts of b, each of the given size but the last.
 func chunks(b []byte, size int) func(func([]byte) bool) {
 	return func(yield func([]byte) bool) {
 		for len(b) > 0 {
--- a/internal/frontend/hostconns_test.go
+++ b/internal/frontend/hostconns_test.go
@@ -9,8 +9,9 @@
 	"cranegate/internal/fake"
 )
 
-// TestManyGatewaysKeepNoIdleConnections checks the idle connections of a gateway by the size of its fleet: the only gateway keeps a
-// connection for as long as hosts allow, one of a thousand only while it is in use, as all of them would fill the host.
+// TestManyGatewaysKeepNoIdleConnections checks that the pool of idle connections depends on the number of gateways. A single gateway
+// keeps a connection to a host for as long as hosts allow. One of a thousand gateways keeps it only while it is in use, because the
+// idle connections of all gateways would use up the host's connections.
 func TestManyGatewaysKeepNoIdleConnections(t *testing.T) {
 	for _, form := range protocols {
 		for gateways, kept := range map[int]int{1: 1, 1000: 0} {
@@ -37,8 +38,8 @@
 	}
 }
 
-// TestHostWithoutConnectionCapacity has a host end new connections with a rejection, which shows that it has no capacity for
-// connections. Where it rejects requests and leaves connections open, its queue is full.
+// TestHostWithoutConnectionCapacity has a host reject requests on new connections. If the host also closes these connections, the gateway
+// must count it as having no capacity for connections. If it leaves them open, only its request queue is full, and that is not counted.
 func TestHostWithoutConnectionCapacity(t *testing.T) {
 	for act, want := range map[fake.Act]bool{fake.NoCapacity: true, fake.Reject: false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -55,7 +56,7 @@
 				t.Fatal(err)
 			}
 			for i := range 10 {
-				for _, kind := range []string{"y", "n"} { // the second at once, so on a new connection
+				for _, kind := range []string{"y", "n"} { // n right after y, and so on a new connection
 					if _, err := client.request("put", fmt.Sprint(kind, i)); err != nil {
 						t.Fatal(err)
 					}
@@ -63,7 +64,7 @@
 				time.Sleep(300 * time.Millisecond)
 			}
 			if got := harness.counters.Get("server_connections_no_room"); (got >= 3) != want || !want && got > 0 {
-				t.Errorf("no capacity for connections was seen %d times, of %d rejected", got, harness.counters.Get("attempts_turned_away"))
+				t.Errorf("no connection capacity was counted %d times, of %d rejections", got, harness.counters.Get("attempts_turned_away"))
 			}
 		})
 	}
--- a/internal/frontend/limiter_test.go
+++ b/internal/frontend/limiter_test.go
@@ -15,40 +15,40 @@
 	"cranegate/internal/pgwire"
 )
 
-// clientKind is what a client of the model of a full limiter does.
+// clientKind is the behaviour of a client in TestFullLimiter.
 type clientKind string
 
 const (
 	kindSilent  clientKind = "silent"  // sends nothing
 	kindGreeted clientKind = "greeted" // completes the startup and sends no request
-	kindAsked   clientKind = "asked"   // has had an answer
+	kindAsked   clientKind = "asked"   // has sent a request and got the answer
 	kindHalf    clientKind = "half"    // has sent half of a message
 	kindOpen    clientKind = "open"    // has an open request
 )
 
-// The model's times. They repeat the limiter's, and the model is certain only where a step is not close to one of them.
+// The model's times. They repeat the limiter's own. A step that comes close to one of them is not checked.
 const (
-	modelNewIdle      = 100 * time.Millisecond // until a client without a request may be evicted
-	modelIdle         = 250 * time.Millisecond // until one after a request may be
-	modelAcquireEarly = 280 * time.Millisecond // a client waits for a slot that is evictable by then,
-	modelAcquireLate  = 320 * time.Millisecond // and not for one that is evictable only from then on
-	modelAcquireSlack = 15 * time.Millisecond
-	modelEvictSlack   = 20 * time.Millisecond
+	modelNewIdle      = 100 * time.Millisecond // idle time before a client that has sent no request may be evicted
+	modelIdle         = 250 * time.Millisecond // idle time before a client may be evicted after a request
+	modelAcquireEarly = 280 * time.Millisecond // a new client waits for a slot if it becomes evictable within this time
+	modelAcquireLate  = 320 * time.Millisecond // a new client is rejected if no slot becomes evictable within this time
+	modelAcquireSlack = 15 * time.Millisecond  // how much later than expected a rejection may come
+	modelEvictSlack   = 20 * time.Millisecond  // an evicted client may have become evictable this much later than the first
 )
 
 // modelSlots is the size of the limiter.
 const modelSlots = 4
 
-// modelClient is a client as the model of a full limiter sees it.
+// modelClient is a client in the model of a full limiter.
 type modelClient struct {
 	id           int
 	kind         clientKind
 	conn         net.Conn
-	since        time.Time // when it got to its state
-	disconnected chan struct{}
+	since        time.Time     // when it reached the state that its kind describes
+	disconnected chan struct{} // closed when its connection has ended
 }
 
-// evictableAt is when it may be evicted for a new client, if it ever is.
+// evictableAt returns the time from which the client may be evicted for a new one, and whether it can be evicted at all.
 func (c *modelClient) evictableAt() (time.Time, bool) {
 	switch c.kind {
 	case kindSilent, kindGreeted:
@@ -59,7 +59,7 @@
 	return time.Time{}, false
 }
 
-// certain reports whether no timeout of its own can have changed its state.
+// certain reports whether the client is certainly still in the state that its kind describes: none of its own timeouts has passed.
 func (c *modelClient) certain() bool {
 	limit, limited := map[clientKind]time.Duration{
 		kindSilent: 2 * time.Second,
@@ -69,7 +69,7 @@
 	return !limited || time.Since(c.since) < limit
 }
 
-// evicted reports whether the gateway has closed its connection.
+// evicted reports whether the gateway has closed the client's connection.
 func (c *modelClient) evicted() bool {
 	select {
 	case <-c.disconnected:
@@ -79,20 +79,20 @@
 	}
 }
 
-// longIdle reports whether it is evicted where too many clients are idle.
+// longIdle reports whether the client has been idle long enough to be evicted if too many clients are idle.
 func (c *modelClient) longIdle() bool { return c.kind == kindAsked && time.Since(c.since) >= modelIdle }
 
-// modelState is what the model knows before a step.
+// modelState is the model's state before a step.
 type modelState struct {
 	connected   []*modelClient
-	certain     bool
-	evictableAt time.Time     // the first time at which one may be evicted; zero: none
-	full        bool          // every slot is held
-	wait        time.Duration // until one may be evicted, where the limiter is full
+	certain     bool          // the other fields are certainly right
+	evictableAt time.Time     // when the first client may be evicted; zero if none may
+	full        bool          // every slot is in use
+	wait        time.Duration // if full: how long until the first client may be evicted
 	accepts     bool          // a new client gets a slot
 }
 
-// observe returns the state before a new client comes.
+// observe returns the state before a new client connects.
 func observe(clients []*modelClient) modelState {
 	state := modelState{certain: true}
 	for _, c := range clients {
@@ -112,14 +112,14 @@
 	canEvict := !state.evictableAt.IsZero()
 	state.accepts = !state.full || canEvict && state.wait < modelAcquireEarly
 	if canEvict && state.wait >= modelAcquireEarly && state.wait < modelAcquireLate {
-		state.certain = false // it may be either
+		state.certain = false // the new client may be accepted or rejected
 	}
 	return state
 }
 
-// checkEvictions checks who was evicted since the state was observed, and returns how many.
+// checkEvictions checks which clients were evicted since the state was observed, and returns how many.
 func (state modelState) checkEvictions(client *modelClient, accepted bool) (evicted int, err error) {
-	// More than half of the slots are held by idle clients: those idle longest are evicted.
+	// If idle clients use more than half of the slots, the ones idle longest are evicted.
 	evictsSurplus := accepted && client.kind == kindAsked
 	idle := 0
 	for _, c := range state.connected {
@@ -141,31 +141,32 @@
 		evicted++
 		at, evictable := c.evictableAt()
 		if state.certain && (!state.full || !evictable || at.Sub(state.evictableAt) > modelEvictSlack) {
-			return 0, fmt.Errorf("client %d (%s): one (%s) was evicted that had to stay", client.id, client.kind, c.kind)
+			return 0, fmt.Errorf("client %d (%s): a client (%s) was evicted that had to stay", client.id, client.kind, c.kind)
 		}
 	}
 	return evicted, nil
 }
 
-// limiterStep is a new client, some time after the one before.
+// limiterStep is the connect of a new client.
 type limiterStep struct {
-	After time.Duration
+	After time.Duration // delay after the previous step
 	Kind  clientKind
 }
 
+// limiterPlans generates sequences of clients.
 var limiterPlans = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) limiterStep {
 	after := rapid.SampledFrom([]int{1, 20, 90, 400, 1900}).Draw(t, "after")
 	kinds := []clientKind{kindSilent, kindGreeted, kindAsked, kindAsked, kindHalf, kindOpen}
 	return limiterStep{time.Duration(after) * time.Millisecond, rapid.SampledFrom(kinds).Draw(t, "kind")}
 }), 5, 14)
 
-// limiterModel counts the steps that were checked.
+// limiterModel counts the steps that were checked, and those of them on a full limiter.
 type limiterModel struct{ certain, full int }
 
-// TestFullLimiter runs random clients against a limiter of four slots. A new client gets a slot if any client is silent, or has
-// sent no request, or has been idle long enough, or soon will be; that one is evicted and no other, never one with a request
-// open or half read; and where all are active the new client is rejected at once. Without that, clients that send one request
-// and stay, or never send a byte, would keep all others out.
+// TestFullLimiter runs random clients against a limiter of four slots. A new client must get a slot if another client has been idle long
+// enough or will soon be, which includes clients that have sent no request. That client must be evicted and no other, and never one with
+// an open or half-read request. If all clients are active, the new client must be rejected at once. Without evictions, clients that send one
+// request and stay connected, or never send a byte, would keep all others out.
 func TestFullLimiter(t *testing.T) {
 	var model limiterModel
 	checkPlans(t, limiterPlans, model.run)
@@ -174,6 +175,7 @@
 	}
 }
 
+// run connects the clients of a plan in a new harness and compares the limiter with the model.
 func (m *limiterModel) run(plan []limiterStep) error {
 	blocked := make(chan struct{})
 	harness := newHarnessFor(modelSlots, 1, false, &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act {
@@ -207,7 +209,7 @@
 			m.full++
 		}
 		if accepted != state.accepts || state.full && state.accepts && evicted < 1 {
-			return fmt.Errorf("client %d (%s) has a slot: %v, want %v; %d evicted", i, step.Kind, accepted, state.accepts, evicted)
+			return fmt.Errorf("client %d (%s) got a slot: %v, want %v; %d clients evicted", i, step.Kind, accepted, state.accepts, evicted)
 		}
 		clients = state.connected
 		if accepted {
@@ -217,7 +219,7 @@
 	return nil
 }
 
-// start does what the client's kind does, and returns whether it has a slot.
+// start brings the client into the state that its kind describes, and returns whether it got a slot.
 func (c *modelClient) start(wait time.Duration) (accepted bool, err error) {
 	if c.kind == kindSilent {
 		accepted, err = c.awaitRejection(wait + modelAcquireSlack)
@@ -238,14 +240,14 @@
 	return true, nil
 }
 
-// awaitRejection waits for an error without sending anything. It returns true where none comes in time.
+// awaitRejection waits for a rejection without sending anything. It returns true if none arrives before the timeout.
 func (c *modelClient) awaitRejection(timeout time.Duration) (accepted bool, err error) {
 	b := make([]byte, 100)
 	c.conn.SetReadDeadline(time.Now().Add(timeout))
 	n, err := c.conn.Read(b)
 	if n > 0 {
 		if code := pgwire.Field(b[5:n], 'C'); string(code) != "53300" {
-			return false, fmt.Errorf("the error is %q", b[:n])
+			return false, fmt.Errorf("the gateway sent %q instead of a rejection", b[:n])
 		}
 		return false, nil
 	}
@@ -257,7 +259,7 @@
 	return true, nil
 }
 
-// greet completes the startup and sends what the client's kind sends. It returns false where the client is rejected.
+// greet completes the startup and sends the messages of the client's kind. It returns false if the client is rejected.
 func (c *modelClient) greet() (accepted bool, err error) {
 	client, err := fake.DialPostgres(c.conn, "")
 	if err != nil {
@@ -265,7 +267,7 @@
 	}
 	statement := fmt.Sprintf("/* id=%s%d,c=look,d=900,cluster=4 */ SELECT v FROM records WHERE k = 'a'", c.kind, c.id)
 	switch c.kind {
-	case kindAsked: // the request may be rejected where another one is slow
+	case kindAsked: // the request itself may be rejected while another one is slow
 		if r, err := client.Ask(statement); err != nil || r.Outcome == "" {
 			return false, fmt.Errorf("%+v, %v", r, err)
 		}
--- a/internal/frontend/malformedanswer_test.go
+++ b/internal/frontend/malformedanswer_test.go
@@ -15,7 +15,7 @@
 	"cranegate/internal/fake"
 )
 
-// malformations are the ways in which an answer is malformed. Each gets an answer and a random number.
+// malformations are the ways in which a host can malform an answer, by name. Each function gets the correct answer and a random number.
 var malformations = map[string]func(b []byte, n int) fake.Malformed{
 	"noise": func(b []byte, n int) fake.Malformed {
 		out := bytes.Repeat([]byte{byte(n), 0x97, 0xd4}, 20)
@@ -27,7 +27,7 @@
 	"cut short": func(b []byte, n int) fake.Malformed { return fake.Malformed{Answer: b[:n%len(b)], Dead: true} },
 	"a length that does not fit": func(b []byte, n int) fake.Malformed {
 		out := bytes.Clone(b)
-		at := []int{1, 2, 3, 4, 31, 32, 33, 34}[n%8] // in the description's frame, and in what follows it
+		at := []int{1, 2, 3, 4, 31, 32, 33, 34}[n%8] // bytes of the row description's frame, and of the frame after it
 		out[at] ^= byte(1 + n%255)
 		return fake.Malformed{Answer: out, Dead: true}
 	},
@@ -42,25 +42,26 @@
 	},
 }
 
-// malformedStep is a request whose first answer is malformed, some time after the step before.
+// malformedStep is a request whose first answer is malformed.
 type malformedStep struct {
-	How, Form, Class string
-	N, After         int // a random number for the malformation, and milliseconds
+	How, Form, Class string // How is a key of malformations
+	N, After         int    // a random number for the malformation, and the delay after the previous step in milliseconds
 }
 
+// malformedPlans generates sequences of steps.
 var malformedPlans = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) malformedStep {
 	return malformedStep{rapid.SampledFrom(slices.Sorted(maps.Keys(malformations))).Draw(t, "how"), rapid.SampledFrom(mysqlForms).Draw(t, "form"),
 		rapid.SampledFrom([]string{"look", "look", "put"}).Draw(t, "class"), rapid.IntRange(0, 5000).Draw(t, "n"),
 		rapid.SampledFrom([]int{0, 1, 30, 120}).Draw(t, "after")}
 }), 1, 12)
 
-// TestMalformedAnswers sends requests to hosts whose answers are malformed in random ways. Whatever comes, no client gets a value
-// that was not made for it; a write that may have run is not sent again, and its client has its answer soon; and requests
-// that follow find usable connections, though surplus bytes come up to 90 ms after an answer.
+// TestMalformedAnswers sends requests to hosts whose answers are malformed in random ways. No client may get the value of another
+// request, a write that may have run must not be sent again, and its client must soon get an answer. Later requests must find usable
+// connections, even if surplus bytes arrive up to 90 ms after an answer.
 func TestMalformedAnswers(t *testing.T) {
 	for _, mysqlFront := range []bool{false, true} {
 		checkPlans(t, malformedPlans, func(plan []malformedStep) error {
-			var steps sync.Map // by the request's id
+			var steps sync.Map // by request id
 			malform := func(id string, b []byte) fake.Malformed {
 				if step, ok := steps.LoadAndDelete(id); ok { // only its first answer
 					return malformations[step.(malformedStep).How](b, step.(malformedStep).N)
@@ -90,7 +91,7 @@
 	}
 }
 
-// run sends the step's request and checks the answer.
+// run sends the step's request from a client and checks the answer.
 func (s malformedStep) run(harness *testHarness, c *testClient, id string) error {
 	sent := time.Now()
 	got, err := c.request(s.Class, id)
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// TestMalformedAnswerIsNoHostFault checks that malformed answers do not make a host unhealthy: a primary was once taken for dead
-// after two in a row, and writes were held back.
+// TestMalformedAnswerIsNoHostFault checks that malformed answers do not make a host unhealthy. A primary was once considered down after
+// two malformed answers in a row, and writes were held back.
 func TestMalformedAnswerIsNoHostFault(t *testing.T) {
 	inBubble(t, func() error {
 		var sent atomic.Int32
--- a/internal/frontend/nodelay_test.go
+++ b/internal/frontend/nodelay_test.go
@@ -12,7 +12,7 @@
 	"cranegate/internal/hotrestart/listenfd"
 )
 
-// noDelay reports whether a connection has the option TCP_NODELAY.
+// noDelay reports whether the option TCP_NODELAY is set on a connection.
 func noDelay(t *testing.T, c net.Conn) bool {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
@@ -43,7 +43,7 @@
 	return accepted
 }
 
-// inheritListener returns a listener as a process has it that inherits another's.
+// inheritListener returns a listener on the same socket, opened as by a process that inherits the descriptor.
 func inheritListener(t *testing.T, own *net.TCPListener) net.Listener {
 	t.Helper()
 	f, err := own.File()
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	syscall.SetNonblock(fd, true) // Fd has set it to blocking
+	syscall.SetNonblock(fd, true) // Fd has set the shared socket to blocking mode
 	inherited, err := listenfd.Listener(func(string) string { return strconv.Itoa(fd) }, own.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 	return inherited
 }
 
-// transferConn returns a connection as the process has it to which it is transferred.
+// transferConn transfers a connection through fdpass and returns it as the receiving process gets it.
 func transferConn(t *testing.T, conn net.Conn) net.Conn {
 	t.Helper()
 	dir := t.TempDir()
@@ -102,24 +102,24 @@
 	}
 }
 
-// TestSmallWritesGoOutAtOnce checks that the system holds back no small writes on any kind of client connection, as a close over
-// unread bytes drops what is held back: accepted from a listener of the program's own, from an inherited one without the
-// option, or transferred by a process that had cleared the option.
+// TestSmallWritesGoOutAtOnce checks that the kernel does not delay small writes on any client connection, because a close with unread bytes
+// discards delayed writes. The connections are accepted from the process's own listener, accepted from an inherited listener without
+// TCP_NODELAY, and transferred by a process that had cleared TCP_NODELAY.
 func TestSmallWritesGoOutAtOnce(t *testing.T) {
 	own := listenLocal(t)
 	defer own.Close()
 	accepted := acceptOne(t, own)
 	if !noDelay(t, accepted) {
-		t.Error("an accepted connection holds small writes back")
+		t.Error("an accepted connection delays small writes")
 	}
 	if !noDelay(t, acceptOne(t, inheritListener(t, own))) {
-		t.Error("a connection from an inherited listener holds small writes back")
+		t.Error("a connection from an inherited listener delays small writes")
 	}
 	accepted.(*net.TCPConn).SetNoDelay(false)
 	if noDelay(t, accepted) {
-		t.Fatal("the option is still set")
+		t.Fatal("TCP_NODELAY is still set")
 	}
 	if !noDelay(t, transferConn(t, accepted)) {
-		t.Error("a transferred connection holds small writes back")
+		t.Error("a transferred connection delays small writes")
 	}
 }
--- a/internal/frontend/outcomes_test.go
+++ b/internal/frontend/outcomes_test.go
@@ -14,37 +14,38 @@
 	"cranegate/routing"
 )
 
-// outcomeTest is what hosts do with a request's attempts, and the answer.
+// outcomeTest says how hosts handle a request's attempts, and which answer the client has to get.
 type outcomeTest struct {
 	class       string
-	acts        []fake.Act // of the attempts in order; the last goes on
-	unreachable bool       // all hosts
-	want        string
-	ran         int
+	acts        []fake.Act // for each attempt in order; the last act repeats
+	unreachable bool       // whether all hosts refuse connections
+	want        string     // outcome of the answer
+	ran         int        // how often the statement has to run
 }
 
+// outcomeTests are the cases of TestOutcomesAreAlike.
 var outcomeTests = []outcomeTest{
 	{"look", []fake.Act{fake.Serve}, false, "served", 1},
 	{"look", []fake.Act{fake.Miss, fake.Serve}, false, "served", 1},
 	{"look", []fake.Act{fake.Reject, fake.Serve}, false, "served", 1},
 	{"look", []fake.Act{fake.Error, fake.Serve}, false, "served", 2},
 	{"look", []fake.Act{fake.Reset, fake.Serve}, false, "served", 2},
-	{"look", []fake.Act{fake.InvalidStatement, fake.Serve}, false, "failed", 0}, // no other member would do better
+	{"look", []fake.Act{fake.InvalidStatement, fake.Serve}, false, "failed", 0}, // invalid at every member: no retry
 	{"put", []fake.Act{fake.InvalidStatement, fake.Serve}, false, "failed", 0},
 	{"look", []fake.Act{fake.Reject}, false, "refused", 0},
 	{"look", nil, true, "refused", 0},
 	{"put", []fake.Act{fake.Serve}, false, "served", 1},
 	{"put", []fake.Act{fake.Miss, fake.Serve}, false, "served", 1},
 	{"put", []fake.Act{fake.Reject, fake.Serve}, false, "served", 1},
-	{"put", []fake.Act{fake.Error, fake.Serve}, false, "failed", 1}, // it may have run: no second time
+	{"put", []fake.Act{fake.Error, fake.Serve}, false, "failed", 1}, // it may have run: no retry
 	{"put", []fake.Act{fake.Reset, fake.Serve}, false, "failed", 1},
 	{"put", []fake.Act{fake.Silent, fake.Serve}, false, "failed", 1},
 	{"put", []fake.Act{fake.Reject}, false, "refused", 0},
 	{"put", nil, true, "refused", 0},
 }
 
-// TestOutcomesAreAlike checks that both protocols, and both ways to send a MySQL statement, turn what a host does into the same
-// answer, and run a statement the same number of times.
+// TestOutcomesAreAlike checks that the same behaviour of the hosts leads to the same answer, and the statement runs equally often,
+// with both protocols and with text queries and prepared statements of MySQL.
 func TestOutcomesAreAlike(t *testing.T) {
 	for _, test := range outcomeTests {
 		for _, form := range clientForms {
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// TestStatementOutlivesItsMember checks an execute whose member, which had prepared the statement, has died: a read is prepared
-// anew elsewhere and served, and a write that may have run is not sent again.
+// TestStatementOutlivesItsMember checks the execute of a prepared statement after the member that prepared it has lost all its
+// connections. A read is prepared again and served, and a write that may have run is not sent again.
 func TestStatementOutlivesItsMember(t *testing.T) {
 	inBubble(t, func() error {
 		reset := false
@@ -117,24 +118,24 @@
 		if got, err := run(write, "w1"); err != nil || got.Outcome != "served" {
 			return fmt.Errorf("the first write: %+v, %v", got, err)
 		}
-		for i, host := range harness.hosts { // each member that may hold the read's statement dies in turn
+		for i, host := range harness.hosts { // each member that may have prepared the read loses its connections in turn
 			host.Die()
 			key := fmt.Sprint("r", i)
 			if got, err := run(read, key); err != nil || got.Value != "value of "+key {
-				return fmt.Errorf("read after a death: %+v, %v", got, err)
+				return fmt.Errorf("a read after a host lost its connections: %+v, %v", got, err)
 			}
 		}
 		reset = true
 		got, err := run(write, "w2")
 		if n := harness.hosts[0].Ran("w2"); err != nil || got.Outcome != "failed" || n != 1 {
-			return fmt.Errorf("a write whose member died: %+v, %v, ran %d times", got, err, n)
+			return fmt.Errorf("a write whose connection was reset: %+v, %v, ran %d times", got, err, n)
 		}
 		return nil
 	})
 }
 
-// TestLatePrepareLeavesNoStatement checks a connection whose prepare is answered after its client has disconnected: it stays usable
-// for others, and no statement stays open at the host.
+// TestLatePrepareLeavesNoStatement checks that a connection to a host whose prepare is answered after the client has disconnected
+// stays usable for other requests, and that the statement is closed at the host.
 func TestLatePrepareLeavesNoStatement(t *testing.T) {
 	inBubble(t, func() error {
 		host := &fake.Host{Primary: true, PrepareFor: 400 * time.Millisecond}
@@ -151,7 +152,7 @@
 		open, prepares := host.Statements()
 		conns := host.Conns()
 		if open != 0 || prepares != 1 || conns != 1 {
-			return fmt.Errorf("%d statements open of %d, on %d connections", open, prepares, conns)
+			return fmt.Errorf("%d of %d prepared statements are open at the host, with %d connections", open, prepares, conns)
 		}
 		other, err := harness.newClient(formMySQL)
 		if err != nil {
@@ -159,13 +160,14 @@
 		}
 		defer other.disconnect()
 		if got, err := other.request("look", "q2"); err != nil || got.Value != "value of q2" || host.Conns() != 1 {
-			return fmt.Errorf("the next request on it: %+v, %v, %d connections", got, err, host.Conns())
+			return fmt.Errorf("the next request to the host: %+v, %v, %d connections", got, err, host.Conns())
 		}
 		return nil
 	})
 }
 
-// TestLongDataAndBoundTypes checks that values sent ahead of an execute reach whichever member runs it.
+// TestLongDataAndBoundTypes checks that parameter values sent before an execute reach the member that runs it, that invalid long data
+// fails the next execute, and that a closed statement can't be executed.
 func TestLongDataAndBoundTypes(t *testing.T) {
 	inBubble(t, func() error {
 		harness := newHarness(true, &fake.Host{Primary: true})
@@ -186,7 +188,7 @@
 			return fmt.Errorf("long data: %+v, %v", got, err)
 		}
 		if got, err = client.my.Execute(id, []mysqlwire.Param{mysqlwire.Attribute("", "short")}); err != nil || got.Value != "value of short" {
-			return fmt.Errorf("after it: %+v, %v", got, err)
+			return fmt.Errorf("an execute after the one with long data: %+v, %v", got, err)
 		}
 		client.my.LongData(id, 7, "x") // no such parameter
 		if got, err = client.my.Execute(id, []mysqlwire.Param{mysqlwire.Attribute("", "k")}); err != nil || got.Code != "1210" {
@@ -200,7 +202,7 @@
 	})
 }
 
-// TestNothingNewAfterAHostDrains checks that no request is sent to a host that has begun to drain.
+// TestNothingNewAfterAHostDrains checks that no request is sent to a draining host.
 func TestNothingNewAfterAHostDrains(t *testing.T) {
 	for _, form := range clientForms {
 		inBubble(t, func() error {
@@ -222,8 +224,8 @@
 	}
 }
 
-// TestShutdownWithAnOpenRequest checks that a request that is open when SIGTERM comes is served: the wake of its session was once
-// taken for the client's disconnect, and the request was lost.
+// TestShutdownWithAnOpenRequest checks that a request that is open when the gateway gets SIGTERM is served. The session's wake was
+// once mistaken for a disconnect of the client, and the request was lost.
 func TestShutdownWithAnOpenRequest(t *testing.T) {
 	for _, form := range clientForms {
 		inBubble(t, func() error {
@@ -250,7 +252,7 @@
 	}
 }
 
-// TestPasswords checks logins at hosts that want a password, by either plugin, and that nothing runs with a wrong one.
+// TestPasswords checks logins at hosts that require a password, with both plugins, and that nothing runs after a wrong password.
 func TestPasswords(t *testing.T) {
 	for _, c := range []struct{ password, plugin, want string }{{harnessPassword, "", "served"}, {"falsch", "", "refused"},
 		{harnessPassword, mysqlwire.CachingSHA2Password, "served"}, {"falsch", mysqlwire.CachingSHA2Password, "refused"}} {
@@ -270,8 +272,8 @@
 	}
 }
 
-// TestMemoryBudgetExhausted checks the limit on memory: requests without memory are rejected and not run, memory is released after
-// use, and a client with small requests is served all the while.
+// TestMemoryBudgetExhausted checks the memory budget: requests that exceed it are rejected without being run, memory is released
+// after use, and meanwhile a small request of another client is served.
 func TestMemoryBudgetExhausted(t *testing.T) {
 	for _, form := range protocols {
 		inBubble(t, func() (err error) {
--- a/internal/frontend/pipelined_test.go
+++ b/internal/frontend/pipelined_test.go
@@ -17,16 +17,16 @@
 	"cranegate/internal/sqlcomment"
 )
 
-// answerSlack is how much later than at a request's deadline its answer may be written: the core's slack in these tests.
+// answerSlack is how long after a request's deadline its answer may be written. It equals core.Options.AnswerSlack of the harness.
 const answerSlack = 20 * time.Millisecond
 
-// timeoutRecorder records the timeouts that a host is told.
+// timeoutRecorder records the timeouts in the statements that a host receives.
 type timeoutRecorder struct {
 	mu       sync.Mutex
-	timeouts map[string]time.Duration // by the request's id
+	timeouts map[string]time.Duration // by request id
 }
 
-// act is what the host does with an attempt: the request "slow" takes 0.3 s.
+// act records an attempt's timeout and serves the attempt. The request "slow" takes 0.3 s.
 func (r *timeoutRecorder) act(id, text string, _ bool) fake.Act {
 	statement, _ := sqlcomment.Parse([]byte(text))
 	r.mu.Lock()
@@ -38,9 +38,10 @@
 	return fake.Serve
 }
 
-// TestDeadlineOfPipelinedRequests writes requests behind a slow one, in one segment. Their clients wait from then on: one whose
-// turn comes with little time left gets its answer in it, one whose time is over is answered at once and not begun, and what is
-// left is what hosts are told.
+// TestDeadlineOfPipelinedRequests writes a slow request and others behind it in one segment. The deadline of each request counts from
+// its arrival, not from the answer before it. A request with little time left when it is submitted is still answered within its
+// deadline, a request whose deadline has passed is rejected at once without an attempt, and hosts receive the remaining time as the
+// timeout.
 func TestDeadlineOfPipelinedRequests(t *testing.T) {
 	for name, connect := range map[string]func(*testing.T, *testHarness) net.Conn{
 		"pipe": func(_ *testing.T, h *testHarness) net.Conn { return h.connect() },
@@ -62,26 +63,26 @@
 			}
 			checkDeadlines(t, client)
 			if host.Ran("over") > 0 {
-				t.Error("a request was begun after its client's deadline")
+				t.Error("a request has run after its deadline")
 			}
 			recorder.mu.Lock()
 			defer recorder.mu.Unlock()
 			timeouts := recorder.timeouts
 			if timeouts["short"] > 400*time.Millisecond || timeouts["short"] <= 0 || timeouts["long"] > 700*time.Millisecond {
-				t.Errorf("hosts were told %v", timeouts)
+				t.Errorf("hosts received the timeouts %v", timeouts)
 			}
 		})
 	}
 }
 
-// checkDeadlines writes the requests in one piece and checks their answers.
+// checkDeadlines writes the requests with one call of Write and checks their answers.
 func checkDeadlines(t *testing.T, client *fake.PostgresClient) {
 	t.Helper()
 	requests := []struct {
 		id       string
 		deadline int // ms
 		outcome  string
-		after    time.Duration // of the writing, at the earliest
+		after    time.Duration // earliest time of the answer, from the write on
 	}{
 		{"slow", 1000, "served", 300 * time.Millisecond},
 		{"over", 200, "refused", 300 * time.Millisecond},
@@ -103,7 +104,7 @@
 	}
 }
 
-// pipelinedPrefix is what a client writes before a request.
+// pipelinedPrefix is a kind of message that a client writes before a request.
 type pipelinedPrefix string
 
 const (
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// outcome is that of the answer to the messages.
+// outcome returns the expected outcome of the answer to the messages.
 func (p pipelinedPrefix) outcome() string {
 	if p == prefixEmpty {
 		return "empty"
@@ -134,18 +135,19 @@
 	return "failed"
 }
 
-// pipelinedRequest is a request that is written ahead of the answers before it.
+// pipelinedRequest is a request that is written without waiting for the answers to earlier requests.
 type pipelinedRequest struct {
-	After  time.Duration // since the one before was written
-	Wait   time.Duration
+	After  time.Duration // delay after the request before it was written
+	Wait   time.Duration // the request's timeout
 	Class  string
-	Acts   []fake.Act
-	Takes  time.Duration // at its host
-	Cut    int           // it is written in pieces of so many bytes
-	Rest   time.Duration // between two pieces
+	Acts   []fake.Act    // for each attempt in order; the last act repeats
+	Takes  time.Duration // how long an attempt takes at the host
+	Cut    int           // size of the pieces in which the request is written, in bytes
+	Rest   time.Duration // pause between two pieces
 	Prefix pipelinedPrefix
 }
 
+// pipelinedPlans generates sequences of requests for one connection.
 var pipelinedPlans = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) pipelinedRequest {
 	ms := func(name string, low, high int) time.Duration {
 		return time.Duration(rapid.IntRange(low, high).Draw(t, name)) * time.Millisecond
@@ -160,10 +162,10 @@
 		Prefix: rapid.SampledFrom(prefixes).Draw(t, "form")}
 }), 1, 14)
 
-// TestPipelinedRequests writes random requests ahead of their answers, in pieces and with other messages between them, before
-// hosts that do anything, and judges as a client does. Each request has one answer, in order, made for it; one whose turn comes
-// in its time is answered by the end of it, one whose turn comes later at once; none is begun at a host after its time, no
-// host is told more than is left, and no write runs twice.
+// TestPipelinedRequests writes random requests without waiting for answers, in pieces and with other messages between them, to hosts
+// with random behaviour. It checks that answers come in order, one for each request and with its value; that a request is answered
+// by its deadline, or at once if the answer before it came later; that no attempt begins after the deadline; that no host receives
+// a timeout longer than the remaining time; and that no write runs twice.
 func TestPipelinedRequests(t *testing.T) {
 	checkPlans(t, pipelinedPlans, runPipelined)
 }
@@ -175,11 +177,12 @@
 	client *fake.PostgresClient
 
 	mu       sync.Mutex
-	written  []time.Time    // when the requests are written, at the latest
-	attempts map[string]int // by the request's id
-	hostErr  error          // the first wrong thing that a host was told
+	written  []time.Time    // the latest time at which each request is completely written
+	attempts map[string]int // number of attempts by request id
+	hostErr  error          // the first attempt that was late or had too long a timeout
 }
 
+// runPipelined runs a plan in a new harness.
 func runPipelined(plan []pipelinedRequest) (err error) {
 	p := &pipeline{plan: plan, written: make([]time.Time, len(plan)), attempts: map[string]int{}}
 	p.testHarness = newHarness(false, &fake.Host{Primary: true}, &fake.Host{}, &fake.Host{})
@@ -203,7 +206,7 @@
 	return p.hostErr
 }
 
-// act is what a host does with an attempt. It checks the timeout that the host is told.
+// act checks the timeout of an attempt and returns how the host handles it.
 func (p *pipeline) act(id, text string, _ bool) fake.Act {
 	var i int
 	fmt.Sscanf(id, "q%d", &i)
@@ -211,7 +214,7 @@
 	p.mu.Lock()
 	left := time.Until(p.written[i].Add(p.plan[i].Wait))
 	if err != nil || left < 0 || statement.Timeout > left+time.Millisecond {
-		p.hostErr = cmp.Or(p.hostErr, fmt.Errorf("%s is told %v with %v left, %v", id, statement.Timeout, left, err))
+		p.hostErr = cmp.Or(p.hostErr, fmt.Errorf("%s has timeout %v with %v left, %v", id, statement.Timeout, left, err))
 	}
 	p.attempts[id]++
 	act := p.plan[i].Acts[min(p.attempts[id], len(p.plan[i].Acts))-1]
@@ -220,7 +223,7 @@
 	return act
 }
 
-// write writes all requests.
+// write writes all requests, each with its prefix.
 func (p *pipeline) write() {
 	for i, r := range p.plan {
 		time.Sleep(r.After)
@@ -240,12 +243,12 @@
 	}
 }
 
-// checkAnswer reads and checks the answers to one request and to what was written before it.
+// checkAnswer reads and checks the answers to one request and to its prefix.
 func (p *pipeline) checkAnswer(i int) error {
 	request, id := p.plan[i], fmt.Sprint("q", i)
 	if request.Prefix != prefixNone {
 		if r, err := p.client.Read(); err != nil || r.Outcome != request.Prefix.outcome() {
-			return fmt.Errorf("before %s: %+v, %v", id, r, err)
+			return fmt.Errorf("prefix of %s: %+v, %v", id, r, err)
 		}
 	}
 	turn := time.Now()
@@ -271,8 +274,8 @@
 	return nil
 }
 
-// TestPipelinedPastTheBuffer has a client that stays send more than is read while its request is open: each request has its
-// answer.
+// TestPipelinedPastTheBuffer has a client pipeline more bytes than the gateway reads while a request is open, and stay connected. Each
+// request must be answered.
 func TestPipelinedPastTheBuffer(t *testing.T) {
 	const more = 12
 	release, began := make(chan struct{}), make(chan struct{}, more+1)
--- a/internal/frontend/postgresstates_test.go
+++ b/internal/frontend/postgresstates_test.go
@@ -13,13 +13,14 @@
 	"cranegate/internal/pgwire"
 )
 
-// postgresStep is a message of a client, and the kinds of messages that answer it.
+// postgresStep is a message of a client and its expected answer.
 type postgresStep struct {
 	kind byte
 	body string
-	want string
+	want string // kinds of the messages in the answer, one character each
 }
 
+// postgresSteps are the messages of which plans consist.
 var postgresSteps = []postgresStep{
 	{'Q', "/* id=1,c=look,cluster=4 */ SELECT v FROM records WHERE k = 'a'\x00", "TDCZ"},
 	{'Q', " ;\x00", "IZ"},
@@ -34,7 +35,7 @@
 	{'F', "", "EZ"},
 }
 
-// postgresEnd is how a client ends its connection.
+// postgresEnd is the way in which a client has its connection closed.
 type postgresEnd string
 
 const (
@@ -43,21 +44,22 @@
 	endUnknownMessage postgresEnd = "unknown message"
 )
 
-// postgresPlan is a connection of a client.
+// postgresPlan describes the messages that a client sends on one connection.
 type postgresPlan struct {
 	Steps []int // indices of postgresSteps
-	Cut   int   // it is written in pieces of so many bytes
+	Cut   int   // size of the pieces in which the messages are written, in bytes
 	End   postgresEnd
 }
 
+// postgresPlans generates plans.
 var postgresPlans = rapid.Custom(func(t *rapid.T) postgresPlan {
 	return postgresPlan{rapid.SliceOfN(rapid.IntRange(0, len(postgresSteps)-1), 0, 12).Draw(t, "steps"),
 		rapid.IntRange(1, 300).Draw(t, "cut"),
 		rapid.SampledFrom([]postgresEnd{endTerminate, endTooLarge, endUnknownMessage}).Draw(t, "end")}
 })
 
-// TestPostgresConnectionStates sends random messages, cut at random places and ahead of the answers, and compares with a model of
-// the connection: what is answered, and that it lives until it is ended.
+// TestPostgresConnectionStates sends random messages in pieces of a random size, without waiting for answers. It compares the answers
+// with a model of the connection, which must stay open until its planned end.
 func TestPostgresConnectionStates(t *testing.T) {
 	checkPlans(t, postgresPlans, func(plan postgresPlan) error {
 		harness := newHarness(false, &fake.Host{Primary: true})
@@ -82,12 +84,12 @@
 	})
 }
 
-// messages returns what the client writes, and the kinds of the messages that answer it.
+// messages returns the bytes that the client writes, and the kinds of the messages in the expected answers.
 func (p postgresPlan) messages() (out []byte, want string) {
 	out = append(out, 0, 0, 0, 8, 4, 210, 22, 47) // SSLRequest
 	out = pgwire.AppendStartup(out, "svc", "main")
 	want = "NRSSSZ"
-	skipping := false // after an extended query, until Sync
+	skipping := false // messages are ignored, from an extended query until Sync
 	for _, i := range p.Steps {
 		step := postgresSteps[i]
 		out = pgwire.Append(out, step.kind, step.body)
@@ -113,7 +115,7 @@
 	return out, want
 }
 
-// readKinds reads messages until the end, and returns their kinds.
+// readKinds reads messages until the connection ends, and returns their kinds.
 func readKinds(conn net.Conn) (string, error) {
 	c := framebuf.New(conn, pgwire.MaxMessage)
 	if b, err := c.Need(1); err != nil || b[0] != 'N' {
--- a/internal/frontend/reservation_test.go
+++ b/internal/frontend/reservation_test.go
@@ -13,7 +13,7 @@
 	"cranegate/internal/frontend/connlimit"
 )
 
-// connectClients connects a number of clients that complete the startup and stay.
+// connectClients connects n clients that complete the startup and stay connected until closeAll.
 func (h *testHarness) connectClients(n int) (closeAll func(), err error) {
 	var clients []*fake.PostgresClient
 	closeAll = func() {
@@ -31,9 +31,9 @@
 	return closeAll, nil
 }
 
-// TestReservations reserves half of the slots of a full limiter, one after the other: idle clients are evicted, never is more
-// held and reserved together than there is, and past the half the error says what an operator can do. Released slots take
-// clients again.
+// TestReservations reserves half of the slots of a full limiter, one by one. Idle clients must be evicted, and clients and reservations
+// together must never use more slots than there are. A further reservation must fail with an error that says what an operator can do.
+// Released slots must be free for clients again.
 func TestReservations(t *testing.T) {
 	const slots = 8
 	inBubble(t, func() error {
@@ -46,7 +46,7 @@
 			return err
 		}
 		if free := limiter.FreeShare(); free != 0 {
-			return fmt.Errorf("%v of the slots is free", free)
+			return fmt.Errorf("a share of %v of the slots is free", free)
 		}
 		var releases []func()
 		for i := range slots / 2 {
@@ -64,17 +64,17 @@
 		var limit connlimit.ReservationLimitError
 		if _, err := limiter.Reserve(context.Background()); !errors.As(err, &limit) || limit.Reserved != slots/2 ||
 			!strings.Contains(err.Error(), "limits.sockets") {
-			return fmt.Errorf("past the half: %v", err)
+			return fmt.Errorf("a reservation of more than half of the slots: %v", err)
 		}
-		synctest.Wait()    // until the clients that stay are idle: while all of them are active a new client is rejected
-		for i := range 2 { // they get slots of idle clients, not reserved ones
+		synctest.Wait()    // until the remaining clients are idle, as a new client is rejected while all of them are active
+		for i := range 2 { // these clients get the slots of idle clients, not reserved ones
 			closeOne, err := harness.connectClients(1)
 			defer closeOne()
 			if err != nil {
-				return fmt.Errorf("new client %d meanwhile: %w", i, err)
+				return fmt.Errorf("new client %d during the reservations: %w", i, err)
 			}
 			if held := limiter.InUse(); held+len(releases) > slots {
-				return fmt.Errorf("%d slots are held and %d reserved of %d", held, len(releases), slots)
+				return fmt.Errorf("%d slots are in use and %d reserved, of %d", held, len(releases), slots)
 			}
 		}
 		for _, release := range releases {
@@ -83,10 +83,10 @@
 		closeLast, err := harness.connectClients(slots / 2)
 		defer closeLast()
 		if err != nil {
-			return fmt.Errorf("afterwards: %w", err)
+			return fmt.Errorf("new clients after the reservations: %w", err)
 		}
 		if held := limiter.InUse(); held != slots {
-			return fmt.Errorf("%d of %d slots are held in the end", held, slots)
+			return fmt.Errorf("%d of %d slots are in use at the end", held, slots)
 		}
 		return nil
 	})
--- a/internal/frontend/sockets_test.go
+++ b/internal/frontend/sockets_test.go
@@ -12,7 +12,7 @@
 	"cranegate/internal/fake"
 )
 
-// loopback returns both ends of a TCP connection. The client's has a deadline of 20 s.
+// loopback returns both ends of a new TCP connection. The client's end has a deadline of 20 s.
 func loopback(t *testing.T) (client, gateway *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,13 +33,13 @@
 	return near.(*net.TCPConn), far.(*net.TCPConn)
 }
 
-// awaitArrival waits until bytes of the client lie in the gateway's socket.
+// awaitArrival waits until there are unread bytes from the client in the gateway's socket.
 func awaitArrival(gateway *net.TCPConn) {
 	raw, err := gateway.SyscallConn()
 	if err != nil {
 		panic(err)
 	}
-	gateway.SetReadDeadline(time.Time{}) // the gateway's last one may have passed
+	gateway.SetReadDeadline(time.Time{}) // the deadline that the gateway has set may have passed
 	var b [1]byte
 	raw.Read(func(fd uintptr) bool {
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -47,12 +47,12 @@
 	})
 }
 
-// steppedConn is the gateway's end of a connection. While it is held, what a read has returned reaches the session only when the
-// test lets it, as on a busy machine, and likewise a write goes out.
+// steppedConn is the gateway's end of a connection, on which a test can hold reads and writes, to simulate a busy machine. A held read
+// does not return its bytes to the session, and a held write does not begin, until the test resumes it.
 type steppedConn struct {
 	*net.TCPConn
-	read, write chan chan struct{} // a read has returned, or a write is about to begin: closing the value lets it go on
-	closed      chan struct{}
+	read, write chan chan struct{} // get a value when a read or write is held; closing the value resumes it
+	closed      chan struct{}      // closed when the gateway closes the connection
 	closeOnce   sync.Once
 
 	mu         sync.Mutex
@@ -69,6 +69,7 @@
 	}
 }
 
+// hold sets whether later reads and writes are held.
 func (c *steppedConn) hold(reads, writes bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +77,7 @@
 	c.holdWrites = writes
 }
 
-// step waits for the test where the connection is held.
+// step waits until the test resumes the read or write, if it is held. It returns early if the connection is closed.
 func (c *steppedConn) step(held *bool, steps chan chan struct{}) {
 	c.mu.Lock()
 	isHeld := *held
@@ -112,7 +113,7 @@
 	return c.TCPConn.Close()
 }
 
-// awaitClientEnd waits until the gateway's system has the client's end, or its reset.
+// awaitClientEnd waits until the kernel at the gateway's end has received the client's close or reset.
 func (c *steppedConn) awaitClientEnd(t *testing.T) {
 	t.Helper()
 	raw, err := c.SyscallConn()
@@ -127,13 +128,13 @@
 				state = info.State
 			}
 		}) != nil {
-			return true // the gateway has closed it already
+			return true // the gateway has already closed the connection
 		}
 		return state == tcpClose || state == tcpCloseWait
 	})
 }
 
-// connectStepped connects a client by TCP, whose gateway end can be held.
+// connectStepped connects a client by TCP. The gateway's end is a steppedConn.
 func (h *testHarness) connectStepped(t *testing.T) (client *net.TCPConn, gateway *steppedConn) {
 	t.Helper()
 	client, conn := loopback(t)
--- a/internal/frontend/stream_test.go
+++ b/internal/frontend/stream_test.go
@@ -19,7 +19,7 @@
 	readyMessage = "Z\x00\x00\x00\x05I"
 )
 
-// longAnswer is a host's answer with a value of a size, and with parameters behind the row, as hosts send them.
+// longAnswer returns a host's answer with a value of the given size and, as hosts send it, a ParameterStatus message after the row.
 func longAnswer(size int) []byte {
 	b := pgwire.Append(nil, 'T', "\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
 	v := strings.Repeat("0123456789abcdef", size/16)
@@ -29,7 +29,7 @@
 	return pgwire.AppendReady(b)
 }
 
-// requestLong returns a client that has sent a request for a long value and reads the answer by itself.
+// requestLong returns a client that has sent a request. The caller reads the answer from its connection.
 func (h *testHarness) requestLong(id string) (*testClient, error) {
 	c, err := h.newClient(formPostgres)
 	if err == nil {
@@ -38,19 +38,20 @@
 	return c, err
 }
 
-// forwarded is what a client gets of a host's answer: without the parameters behind the row, which are for the gateway.
+// forwarded returns the part of a host's answer that the client gets. ParameterStatus messages after the row are for the gateway.
 func forwarded(answer []byte) []byte {
 	parameters := bytes.LastIndex(answer, []byte("S\x00\x00\x00"))
 	return append(bytes.Clone(answer[:parameters]), readyMessage...)
 }
 
-// TestLongValues forwards 4 MiB as they come: to a client that reads in small pieces, from a host that pauses for longer than any
-// deadline in mid-row. Meanwhile the host stays healthy and little is buffered, and afterwards both connections are usable.
+// TestLongValues streams an answer of 4 MiB to a client that reads in small pieces, from a host that pauses in the middle of the row for
+// longer than any deadline. The host must stay healthy meanwhile, the answer must be streamed instead of buffered, and both connections
+// must be usable afterwards.
 func TestLongValues(t *testing.T) {
 	want := longAnswer(longValue)
 	inBubble(t, func() error {
 		host := &fake.Host{Primary: true, Malform: func(id string, b []byte) fake.Malformed {
-			if id == "long" { // what follows a pause counts as surplus here: it belongs to the answer
+			if id == "long" { // the surplus is the second half of the answer, sent after a pause
 				return fake.Malformed{Answer: want[:longValue/2], After: 3 * time.Second, Surplus: want[longValue/2:]}
 			}
 			return fake.Malformed{Answer: b}
@@ -73,7 +74,7 @@
 				time.Sleep(50 * time.Microsecond)
 			}
 			if !bytes.Equal(got.Bytes(), forwarded(want)) {
-				done <- fmt.Errorf("%d bytes came, not the %d of the host", got.Len(), len(forwarded(want)))
+				done <- fmt.Errorf("the client got %d bytes that differ from the host's %d bytes", got.Len(), len(forwarded(want)))
 				return
 			}
 			done <- nil
@@ -85,7 +86,7 @@
 		for i := range 20 {
 			time.Sleep(100 * time.Millisecond)
 			if r, err := other.request("put", fmt.Sprint("short", i)); err != nil || r.Outcome != "served" {
-				return fmt.Errorf("beside a long answer: %+v, %w", r, err)
+				return fmt.Errorf("during a long answer: %+v, %w", r, err)
 			}
 		}
 		if err := <-done; err != nil {
@@ -101,8 +102,9 @@
 	})
 }
 
-// TestLongValuesCut breaks long answers off: by the host, and by a client that disconnects. The one client can tell that its
-// answer is not complete, nothing waits for the other, and the gateway goes on.
+// TestLongValuesCut interrupts long answers by a host that drops its connections and by a client that disconnects, before or during the
+// answer. If the host fails, the client must see that its answer is incomplete. If the client disconnects, nothing may wait for it any
+// longer. In each case the gateway must serve the next client.
 func TestLongValuesCut(t *testing.T) {
 	want := longAnswer(longValue)
 	for _, who := range []string{"host", "client", "client before it begins"} {
@@ -130,7 +132,7 @@
 				}
 				client.disconnect()
 			} else if b, err := io.ReadAll(client.pg.Conn.Conn); err != nil || len(b) < longValue/4 || bytes.HasSuffix(b, []byte(readyMessage)) {
-				return fmt.Errorf("%d bytes, and then %w", len(b), err)
+				return fmt.Errorf("the client got %d bytes, and then %w", len(b), err)
 			}
 			time.Sleep(2 * time.Second)
 			if other, err := harness.newClient(formPostgres); err != nil {
@@ -143,8 +145,8 @@
 	}
 }
 
-// TestLongValueAtShutdown shuts the gateway down in the middle of a value whose host pauses for longer than idle connections
-// last: the client gets the whole of it, and then its connection is closed.
+// TestLongValueAtShutdown shuts the gateway down in the middle of a value, while the host pauses for longer than idle connections stay open
+// in a shutdown. The client must get the complete value, and then its connection must be closed.
 func TestLongValueAtShutdown(t *testing.T) {
 	want := longAnswer(longValue)
 	inBubble(t, func() error {
@@ -162,7 +164,7 @@
 		harness.shutdown()
 		rest, err := io.ReadAll(client.pg.Conn.Conn)
 		if got := append(head, rest...); err != nil || !bytes.Equal(got, forwarded(want)) {
-			return fmt.Errorf("%d bytes came, not the %d of the host, and %v", len(got), len(forwarded(want)), err)
+			return fmt.Errorf("the client got %d bytes that differ from the host's %d bytes, and %v", len(got), len(forwarded(want)), err)
 		}
 		return harness.close()
 	})
