--- a/internal/frontend/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -127,9 +127,9 @@
 	return err
 }
 
-// greeting returns a startup message with a first request right behind it.
-func greeting(id string) []byte {
-	return append(pgwire.AppendStartup(nil, "svc", "main"), postgresQuery(fmt.Sprintf(lookStatement, id))...)
+// startupWithRequest returns a startup message with a first request right behind it.
+func startupWithRequest(id string) []byte {
+	return append(pgwire.AppendStartup(nil, "svc", "main"), postgresQuery(fmt.Sprintf(readStatement, id))...)
 }
 
 // TestBacklogIsServedBeforeTheClose checks that clients in the listener's backlog are served before the listener is closed, as they are
@@ -144,7 +144,7 @@
 	var conns []net.Conn
 	for i := range 5 { // the first one is in the paused Accept
 		c := server.dial(t)
-		c.Write(greeting(fmt.Sprint("b", i)))
+		c.Write(startupWithRequest(fmt.Sprint("b", i)))
 		conns = append(conns, c)
 	}
 	<-l.accepted
@@ -181,14 +181,14 @@
 	}
 	go func() { // keeps the only slot's client active until the test ends
 		for i, err := 0, error(nil); err == nil; i++ {
-			_, err = active.Ask(fmt.Sprintf(lookStatement, fmt.Sprint("held", i)))
+			_, err = active.Ask(fmt.Sprintf(readStatement, fmt.Sprint("held", i)))
 		}
 	}()
 	waitFor(t, "an open request", func() bool { return harness.hosts[0].Conns() > 0 })
 	var conns []net.Conn
 	for i := range 30 {
 		near, far := loopback(t)
-		near.Write(greeting(fmt.Sprint("n", i)))
+		near.Write(startupWithRequest(fmt.Sprint("n", i)))
 		awaitArrival(far)
 		harness.listener.conns <- far
 		conns = append(conns, near)
@@ -229,19 +229,19 @@
 			}
 			time.Sleep(pause) // the connection is idle meanwhile
 		}
-		came := time.Now()
+		connectedAt := time.Now()
 		answered := make(chan time.Duration, 5)
 		served := make(chan string, 5)
 		for i := range 5 {
 			go func() {
 				c := harness.connect()
 				defer c.Close()
-				go c.Write(greeting(fmt.Sprint("n", i)))
+				go c.Write(startupWithRequest(fmt.Sprint("n", i)))
 				kind, body, _ := readFirstAnswer(c)
 				if kind == 'D' {
 					served <- string(body)
 				}
-				answered <- time.Since(came)
+				answered <- time.Since(connectedAt)
 				time.Sleep(2 * time.Second) // stays connected
 			}()
 		}
@@ -275,11 +275,11 @@
 				return fmt.Errorf("%+v, %v", r, err)
 			}
 			time.Sleep(20 * time.Millisecond)
-			came, c := time.Now(), harness.connect()
+			connectedAt, c := time.Now(), harness.connect()
 			defer c.Close()
-			go c.Write(greeting("b"))
+			go c.Write(startupWithRequest("b"))
 			kind, _, err := readFirstAnswer(c)
-			if took := time.Since(came); err != nil || (kind == 'D') != want || !want && took > deadline/2 {
+			if took := time.Since(connectedAt); err != nil || (kind == 'D') != want || !want && took > deadline/2 {
 				return fmt.Errorf("deadline %v: answered with %q after %v, %v", deadline, kind, took, err)
 			}
 			return nil
@@ -295,7 +295,7 @@
 	server := harness.serveOn("again", listenLocal(t))
 	for i := range 20 {
 		client := server.login(t)
-		if r, err := client.Ask(fmt.Sprintf(lookStatement, fmt.Sprint("a", i))); err != nil || r.Outcome != "served" {
+		if r, err := client.Ask(fmt.Sprintf(readStatement, fmt.Sprint("a", i))); err != nil || r.Outcome != "served" {
 			t.Fatalf("round %d: %+v, %v", i, r, err)
 		}
 		client.Close()
--- a/internal/frontend/adopt_test.go
+++ b/internal/frontend/adopt_test.go
@@ -50,7 +50,7 @@
 				return errors.New("a client was not adopted")
 			}
 			if i == 0 {
-				if _, err := io.WriteString(near, postgresQuery(fmt.Sprintf(lookStatement, "o"))); err != nil {
+				if _, err := io.WriteString(near, postgresQuery(fmt.Sprintf(readStatement, "o"))); err != nil {
 					return err
 				}
 			} else {
@@ -90,14 +90,14 @@
 	defer harness.close()
 	server := harness.serveOn("to", listenLocal(t))
 	client := server.login(t)
-	half := postgresQuery(fmt.Sprintf(lookStatement, "held"))
+	half := postgresQuery(fmt.Sprintf(readStatement, "held"))
 	client.Write([]byte(half[:20])) // half a message keeps the session active for longer than a request
 	server.stop()
 	waitFor(t, "the listener's close", func() bool { return !server.listening() })
 	time.Sleep(100 * time.Millisecond)
 	server.Retire() // late, as the listener is closed already
 	near, far := loopback(t)
-	near.Write([]byte(postgresQuery(fmt.Sprintf(lookStatement, "passed"))))
+	near.Write([]byte(postgresQuery(fmt.Sprintf(readStatement, "passed"))))
 	if !server.Adopt(far, true, true) {
 		far.Close()
 		t.Error("the connection is not adopted")
@@ -169,7 +169,7 @@
 	time.Sleep(50 * time.Millisecond)
 	near.SetDeadline(time.Now().Add(10 * time.Second))
 	client := &fake.PostgresClient{Conn: framebuf.New(near, pgwire.MaxMessage)}
-	if r, err := client.Ask(fmt.Sprintf(lookStatement, "meanwhile")); err != nil || r.Outcome != "served" {
+	if r, err := client.Ask(fmt.Sprintf(readStatement, "meanwhile")); err != nil || r.Outcome != "served" {
 		t.Errorf("%+v, %v", r, err)
 	}
 	near.Close()
--- a/internal/frontend/arrived_test.go
+++ b/internal/frontend/arrived_test.go
@@ -42,7 +42,7 @@
 // idle or right after an answer. The bytes are a request, the beginning of one, or several. Every request that becomes complete must be
 // answered, and then the client must see EOF.
 func TestArrivedRequestsAreAnswered(t *testing.T) {
-	a, b := postgresQuery(fmt.Sprintf(lookStatement, "a")), postgresQuery(fmt.Sprintf(lookStatement, "b"))
+	a, b := postgresQuery(fmt.Sprintf(readStatement, "a")), postgresQuery(fmt.Sprintf(readStatement, "b"))
 	for _, test := range []struct {
 		name   string
 		before string // arrives before the check
@@ -79,7 +79,7 @@
 				expectServed(t, client, "first")
 				harness.shutdown()
 				if afterAnswer {
-					time.Sleep(drainNotice)
+					time.Sleep(closeAfterAnswerDelay)
 					expectServed(t, client, "last")
 				}
 				<-arrived
@@ -143,7 +143,7 @@
 	harness := newHarness(false, &fake.Host{Primary: true})
 	defer harness.close()
 	near, far := loopback(t)
-	text := postgresQuery(fmt.Sprintf(lookStatement, "a"))
+	text := postgresQuery(fmt.Sprintf(readStatement, "a"))
 	conn := &lateConn{TCPConn: far, stall: make(chan struct{})}
 	conn.sendRest = func() {
 		io.WriteString(near, text[20:])
--- a/internal/frontend/client_test.go
+++ b/internal/frontend/client_test.go
@@ -20,8 +20,8 @@
 	mysqlForms  = clientForms[1:]
 )
 
-// lookStatement is the format string of a read. Its only argument is the request's id, which is also the key.
-const lookStatement = "/* id=%s,c=look,d=1000,cluster=4 */ SELECT v FROM records WHERE k = '%[1]s'"
+// readStatement is the format string of a read. Its only argument is the request's id, which is also the key.
+const readStatement = "/* id=%s,c=look,d=1000,cluster=4 */ SELECT v FROM records WHERE k = '%[1]s'"
 
 // statementPrefix maps a request class to the text of its statements up to the key.
 var statementPrefix = map[string]string{"look": "SELECT v FROM records WHERE k = ", "put": "INSERT INTO records (k) VALUES "}
--- a/internal/frontend/clientfault_test.go
+++ b/internal/frontend/clientfault_test.go
@@ -112,12 +112,12 @@
 			return fmt.Errorf("the open request: %+v, ran %d times", r, host.Ran("open"))
 		}
 	}
-	usual, err := harness.newClient(form)
+	ordinary, err := harness.newClient(form)
 	if err != nil {
 		return err
 	}
-	defer usual.disconnect()
-	if r, err := usual.request("look", "u"); err != nil || r.Value != "value of u" {
+	defer ordinary.disconnect()
+	if r, err := ordinary.request("look", "u"); err != nil || r.Value != "value of u" {
 		return fmt.Errorf("an ordinary client: %+v, %v", r, err)
 	}
 	return nil
--- a/internal/frontend/close_test.go
+++ b/internal/frontend/close_test.go
@@ -24,8 +24,8 @@
 	readAfter   atomic.Int64 // bytes read since then
 }
 
-// cross calls beforeClose, the first time that it is called.
-func (c *crossingConn) cross() {
+// callBeforeClose calls beforeClose, the first time that it is called.
+func (c *crossingConn) callBeforeClose() {
 	c.once.Do(func() {
 		c.beforeClose()
 		c.shutDown.Store(true)
@@ -33,12 +33,12 @@
 }
 
 func (c *crossingConn) CloseWrite() error {
-	c.cross()
+	c.callBeforeClose()
 	return c.TCPConn.CloseWrite()
 }
 
 func (c *crossingConn) Close() error {
-	c.cross()
+	c.callBeforeClose()
 	return c.TCPConn.Close()
 }
 
@@ -73,7 +73,7 @@
 // expectServed sends a request and checks its answer.
 func expectServed(t *testing.T, client *fake.PostgresClient, id string) {
 	t.Helper()
-	if r, err := client.Ask(fmt.Sprintf(lookStatement, id)); err != nil || r.Value != "value of "+id {
+	if r, err := client.Ask(fmt.Sprintf(readStatement, id)); err != nil || r.Value != "value of "+id {
 		t.Fatalf("%s: %+v, %v", id, r, err)
 	}
 }
@@ -86,16 +86,16 @@
 	}
 }
 
-// drainNotice is a little longer than the time after which a drain begins to close connections right after their answers.
-const drainNotice = 450 * time.Millisecond
+// closeAfterAnswerDelay is a little longer than the time after which a drain begins to close connections right after their answers.
+const closeAfterAnswerDelay = 450 * time.Millisecond
 
-// TestRequestCrossesTheClose has a request arrive between the gateway's last check of a connection and its close. The close is that of an
-// idle client in a drain, of a client right after its answer in a drain, of an evicted client, and of one whose message was late. The
+// TestRequestCrossesTheClose has a request arrive between the gateway's last check of a connection and its close. The gateway closes it
+// in a drain while it is idle, in a drain right after an answer, after an eviction, or because a message was late. The
 // request must be neither read nor sent to a host, because the client sends it again elsewhere. The client must see EOF, after the
 // complete answer to its previous request.
 func TestRequestCrossesTheClose(t *testing.T) {
-	crossed := postgresQuery(fmt.Sprintf(lookStatement, "crossed"))
-	half := postgresQuery(fmt.Sprintf(lookStatement, "half"))
+	crossed := postgresQuery(fmt.Sprintf(readStatement, "crossed"))
+	half := postgresQuery(fmt.Sprintf(readStatement, "half"))
 	for _, test := range []struct {
 		name  string
 		text  string                                               // sent by the client right before the close
@@ -104,7 +104,7 @@
 		{"idle", crossed, func(_ *testing.T, h *testHarness, _ *fake.PostgresClient) { h.shutdown() }},
 		{"after an answer", crossed, func(t *testing.T, h *testHarness, client *fake.PostgresClient) {
 			h.shutdown()
-			time.Sleep(drainNotice)
+			time.Sleep(closeAfterAnswerDelay)
 			expectServed(t, client, "last")
 		}},
 		{"evicted", crossed, func(t *testing.T, h *testHarness, _ *fake.PostgresClient) { h.connectForAnother(t) }},
@@ -169,7 +169,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := client.Ask(fmt.Sprintf(lookStatement, "a")); err != nil || r.Outcome != "served" {
+	if r, err := client.Ask(fmt.Sprintf(readStatement, "a")); err != nil || r.Outcome != "served" {
 		t.Errorf("the new client: %+v, %v", r, err)
 	}
 	if n := harness.counters.Get("test_clients_let_go"); n != 1 {
@@ -177,9 +177,9 @@
 	}
 }
 
-// TestSlowReaderGetsTheWholeAnswer checks that a client that reads nothing until the gateway has closed its connection still gets its
+// TestSlowReaderGetsTheCompleteAnswer checks that a client that reads nothing until the gateway has closed its connection still gets its
 // complete answer, which is longer than the client's receive buffer, and then EOF.
-func TestSlowReaderGetsTheWholeAnswer(t *testing.T) {
+func TestSlowReaderGetsTheCompleteAnswer(t *testing.T) {
 	harness := newHarness(false, &fake.Host{Primary: true})
 	defer harness.close()
 	near, far := loopback(t)
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -40,18 +40,18 @@
 // disconnectTest is a harness with one client that is connected by TCP.
 type disconnectTest struct {
 	*testHarness
-	host    *fake.Host
-	client  *net.TCPConn
-	gateway *steppedConn
-	began   chan string   // ids of attempts at the host
-	release chan struct{} // with newBlockingDisconnectTest: attempts end when it is closed
+	host       *fake.Host
+	client     *net.TCPConn
+	gateway    *pausableConn
+	attemptIDs chan string   // ids of attempts at the host
+	release    chan struct{} // with newBlockingDisconnectTest: attempts end when it is closed
 }
 
 // newDisconnectTest returns a test whose client has logged in. The host serves each attempt at once.
 func newDisconnectTest(t *testing.T, mysqlFront bool) *disconnectTest {
-	d := &disconnectTest{began: make(chan string, 10)}
+	d := &disconnectTest{attemptIDs: make(chan string, 10)}
 	d.start(t, mysqlFront, func(id, _ string, _ bool) fake.Act {
-		d.began <- id
+		d.attemptIDs <- id
 		return fake.Serve
 	})
 	return d
@@ -60,9 +60,9 @@
 // newBlockingDisconnectTest is like newDisconnectTest, but the host holds each attempt until release is closed and then rejects it, so
 // that a retry may follow.
 func newBlockingDisconnectTest(t *testing.T, mysqlFront bool) *disconnectTest {
-	d := &disconnectTest{began: make(chan string, 10), release: make(chan struct{})}
+	d := &disconnectTest{attemptIDs: make(chan string, 10), release: make(chan struct{})}
 	d.start(t, mysqlFront, func(id, _ string, _ bool) fake.Act {
-		d.began <- id
+		d.attemptIDs <- id
 		<-d.release
 		return fake.Reject
 	})
@@ -86,7 +86,7 @@
 // awaitFirstAttempt waits for the attempt of q1.
 func (d *disconnectTest) awaitFirstAttempt(t *testing.T) {
 	t.Helper()
-	if id := receive(t, "the first attempt", d.began); id != "q1" {
+	if id := receive(t, "the first attempt", d.attemptIDs); id != "q1" {
 		t.Fatalf("the first attempt is for %s", id)
 	}
 }
@@ -103,15 +103,15 @@
 	t.Helper()
 	select {
 	case <-d.gateway.closed:
-	case id := <-d.began:
+	case id := <-d.attemptIDs:
 		t.Errorf("%s begins after its client has disconnected", id)
 	case <-time.After(10 * time.Second):
 		t.Error("the session has not ended 10 s after the disconnect")
 	}
-	d.gateway.hold(false, false)
+	d.gateway.pause(false, false)
 	d.gateway.Close()
 	select {
-	case id := <-d.began:
+	case id := <-d.attemptIDs:
 		t.Errorf("%s begins after its client has disconnected", id)
 	default:
 	}
@@ -125,8 +125,8 @@
 	c := d.counters
 	waitFor(t, "the end of the request", func() bool { return c.Get("clients_gone")+c.Get("refused")+c.Get("failed") > 0 })
 	close(d.release)
-	if c.Get("clients_gone") != 1 || c.Get("requests") != 1 || c.Get("attempts") != 1 || len(d.began) > 0 {
-		t.Errorf("%d further attempts began, or the request did not end as disconnected: %s", len(d.began), c)
+	if c.Get("clients_gone") != 1 || c.Get("requests") != 1 || c.Get("attempts") != 1 || len(d.attemptIDs) > 0 {
+		t.Errorf("%d further attempts began, or the request did not end as disconnected: %s", len(d.attemptIDs), c)
 	}
 }
 
@@ -135,9 +135,9 @@
 func TestDisconnectBeforeALateRead(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, mysqlFront bool, disconnect func(*net.TCPConn)) {
 		d := newDisconnectTest(t, mysqlFront)
-		d.gateway.hold(true, false)
+		d.gateway.pause(true, false)
 		d.sendTwo()
-		read := receive(t, "the requests", d.gateway.read)
+		read := receive(t, "the requests", d.gateway.pausedRead)
 		d.disconnect(t, disconnect)
 		close(read)
 		d.expectNoAttempt(t)
@@ -149,11 +149,11 @@
 func TestDisconnectDuringTheAnswer(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, mysqlFront bool, disconnect func(*net.TCPConn)) {
 		d := newDisconnectTest(t, mysqlFront)
-		d.gateway.hold(false, true)
+		d.gateway.pause(false, true)
 		d.sendTwo()
 		d.awaitFirstAttempt(t)
-		write := receive(t, "the answer", d.gateway.write)
-		d.gateway.hold(true, false)
+		write := receive(t, "the answer", d.gateway.pausedWrite)
+		d.gateway.pause(true, false)
 		d.disconnect(t, disconnect)
 		close(write)
 		d.expectNoAttempt(t)
@@ -191,7 +191,7 @@
 	}
 }
 
-// TestDisconnectBeforeTheAttemptBegins has a client disconnect while its request waits for a connection to the host, and holds back the
+// TestDisconnectBeforeTheAttemptBegins has a client disconnect while its request waits for a connection to the host, and pauses the
 // session's read of the disconnect. The attempt must not begin when the connection is established.
 func TestDisconnectBeforeTheAttemptBegins(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, mysqlFront bool, disconnect func(*net.TCPConn)) {
@@ -204,17 +204,17 @@
 		sent := time.Now()
 		fmt.Fprint(d.client, d.requestBytes("look", "q1", ""))
 		receive(t, "an attempt that waits for a connection", dialling)
-		d.gateway.hold(true, false)
+		d.gateway.pause(true, false)
 		d.disconnect(t, disconnect)
-		receive(t, "the read of the end", d.gateway.read) // it stays held
+		receive(t, "the read of the end", d.gateway.pausedRead) // it stays paused
 		waitFor(t, "some time", func() bool { return time.Since(sent) > 50*time.Millisecond })
 		close(dial)
 		c := d.counters
-		waitFor(t, "the end of the attempt", func() bool { return len(d.began) > 0 || c.Get("clients_gone")+c.Get("refused") > 0 })
-		if len(d.began) > 0 || c.Get("attempts_ok") > 0 {
-			t.Errorf("%s begins after its client has disconnected: %s", <-d.began, c)
+		waitFor(t, "the end of the attempt", func() bool { return len(d.attemptIDs) > 0 || c.Get("clients_gone")+c.Get("refused") > 0 })
+		if len(d.attemptIDs) > 0 || c.Get("attempts_ok") > 0 {
+			t.Errorf("%s begins after its client has disconnected: %s", <-d.attemptIDs, c)
 		}
-		d.gateway.hold(false, false)
+		d.gateway.pause(false, false)
 	})
 }
 
@@ -232,7 +232,7 @@
 	dial := make(chan struct{})
 	harness.onDial = func() { <-dial }
 	var conns []*net.TCPConn
-	var gateways []*steppedConn
+	var gateways []*pausableConn
 	for range clients {
 		client, gateway := harness.login(t)
 		conns = append(conns, client)
@@ -263,18 +263,18 @@
 		d := newBlockingDisconnectTest(t, mysqlFront)
 		fmt.Fprint(d.client, d.requestBytes("look", "q1", ""))
 		d.awaitFirstAttempt(t)
-		d.gateway.hold(true, false)
+		d.gateway.pause(true, false)
 		fmt.Fprint(d.client, d.requestBytes("look", "q2", ""))
-		read := receive(t, "the second request", d.gateway.read)
+		read := receive(t, "the second request", d.gateway.pausedRead)
 		d.disconnect(t, disconnect)
-		d.gateway.hold(false, false)
+		d.gateway.pause(false, false)
 		close(read)
 		d.expectOneAttempt(t)
 	})
 }
 
-// TestDisconnectDuringAPrepare has a client disconnect while its statement is prepared again on a new connection to a host, and holds
-// back the session's read of the disconnect. The execute must not be sent to the host.
+// TestDisconnectDuringAPrepare has a client disconnect while its statement is prepared again on a new connection to a host, and pauses
+// the session's read of the disconnect. The execute must not be sent to the host.
 func TestDisconnectDuringAPrepare(t *testing.T) {
 	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
@@ -290,7 +290,7 @@
 			}}
 			harness := newHarness(true, host)
 			t.Cleanup(harness.closeNow)
-			client, gateway := harness.connectStepped(t)
+			client, gateway := harness.connectPausable(t)
 			c, err := fake.DialMySQL(client, mysqlwire.CapQueryAttributes)
 			if err != nil {
 				t.Fatal(err)
@@ -309,10 +309,10 @@
 			}()
 			receive(t, "a prepare", preparing)
 			sent := time.Now()
-			gateway.hold(true, false)
+			gateway.pause(true, false)
 			disconnect(client)
 			gateway.awaitClientEnd(t)
-			receive(t, "the read of the end", gateway.read) // it stays held
+			receive(t, "the read of the end", gateway.pausedRead) // it stays paused
 			waitFor(t, "some time", func() bool { return time.Since(sent) > 50*time.Millisecond })
 			close(release)
 			counters := harness.counters
--- a/internal/frontend/fleet_test.go
+++ b/internal/frontend/fleet_test.go
@@ -19,7 +19,7 @@
 const (
 	eventRequest     eventKind = "request"
 	eventDisconnect  eventKind = "disconnect"  // a request whose client may disconnect before its answer
-	eventHostDies    eventKind = "host dies"   // a host drops its connections, as in a crash
+	eventHostCrashes eventKind = "host dies"   // a host drops its connections, as in a crash
 	eventHostDrains  eventKind = "host drains" // the last host begins to drain; happens at most once
 	eventHostRefuses eventKind = "host refuses connections, or accepts them again"
 )
@@ -39,7 +39,8 @@
 	ms := func(name string, limit int) time.Duration {
 		return time.Duration(rapid.IntRange(0, limit).Draw(t, name)) * time.Millisecond
 	}
-	kinds := []eventKind{eventRequest, eventRequest, eventRequest, eventRequest, eventDisconnect, eventHostDies, eventHostDrains, eventHostRefuses}
+	kinds := []eventKind{eventRequest, eventRequest, eventRequest, eventRequest, eventDisconnect,
+		eventHostCrashes, eventHostDrains, eventHostRefuses}
 	return event{After: ms("after", 300),
 		Kind:  rapid.SampledFrom(kinds).Draw(t, "kind"),
 		Form:  rapid.SampledFrom(mysqlForms).Draw(t, "form"),
@@ -105,7 +106,7 @@
 func (f *fleet) start(i int, e event) {
 	host := i % len(f.hosts)
 	switch e.Kind {
-	case eventHostDies:
+	case eventHostCrashes:
 		f.hosts[host].Die()
 	case eventHostRefuses:
 		f.unreachable[host].Store(!f.unreachable[host].Load())
--- a/internal/frontend/limiter_test.go
+++ b/internal/frontend/limiter_test.go
@@ -19,11 +19,11 @@
 type clientKind string
 
 const (
-	kindSilent  clientKind = "silent"  // sends nothing
-	kindGreeted clientKind = "greeted" // completes the startup and sends no request
-	kindAsked   clientKind = "asked"   // has sent a request and got the answer
-	kindHalf    clientKind = "half"    // has sent half of a message
-	kindOpen    clientKind = "open"    // has an open request
+	kindSilent      clientKind = "silent"  // sends nothing
+	kindStarted     clientKind = "greeted" // completes the startup and sends no request
+	kindServed      clientKind = "asked"   // has sent a request and got the answer
+	kindHalfMessage clientKind = "half"    // has sent half of a message
+	kindOpenRequest clientKind = "open"    // has an open request
 )
 
 // The model's times. They repeat the limiter's own. A step that comes close to one of them is not checked.
@@ -51,9 +51,9 @@
 // evictableAt returns the time from which the client may be evicted for a new one, and whether it can be evicted at all.
 func (c *modelClient) evictableAt() (time.Time, bool) {
 	switch c.kind {
-	case kindSilent, kindGreeted:
+	case kindSilent, kindStarted:
 		return c.since.Add(modelNewIdle), true
-	case kindAsked:
+	case kindServed:
 		return c.since.Add(modelIdle), true
 	}
 	return time.Time{}, false
@@ -62,9 +62,9 @@
 // certain reports whether the client is certainly still in the state that its kind describes: none of its own timeouts has passed.
 func (c *modelClient) certain() bool {
 	limit, limited := map[clientKind]time.Duration{
-		kindSilent: 2 * time.Second,
-		kindHalf:   500 * time.Millisecond,
-		kindOpen:   200 * time.Millisecond,
+		kindSilent:      2 * time.Second,
+		kindHalfMessage: 500 * time.Millisecond,
+		kindOpenRequest: 200 * time.Millisecond,
 	}[c.kind]
 	return !limited || time.Since(c.since) < limit
 }
@@ -80,7 +80,9 @@
 }
 
 // longIdle reports whether the client has been idle long enough to be evicted if too many clients are idle.
-func (c *modelClient) longIdle() bool { return c.kind == kindAsked && time.Since(c.since) >= modelIdle }
+func (c *modelClient) longIdle() bool {
+	return c.kind == kindServed && time.Since(c.since) >= modelIdle
+}
 
 // modelState is the model's state before a step.
 type modelState struct {
@@ -120,10 +122,10 @@
 // checkEvictions checks which clients were evicted since the state was observed, and returns how many.
 func (state modelState) checkEvictions(client *modelClient, accepted bool) (evicted int, err error) {
 	// If idle clients use more than half of the slots, the ones idle longest are evicted.
-	evictsSurplus := accepted && client.kind == kindAsked
+	evictsSurplus := accepted && client.kind == kindServed
 	idle := 0
 	for _, c := range state.connected {
-		if c.kind == kindAsked && !c.evicted() {
+		if c.kind == kindServed && !c.evicted() {
 			idle++
 		}
 	}
@@ -156,7 +158,7 @@
 // limiterPlans generates sequences of clients.
 var limiterPlans = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) limiterStep {
 	after := rapid.SampledFrom([]int{1, 20, 90, 400, 1900}).Draw(t, "after")
-	kinds := []clientKind{kindSilent, kindGreeted, kindAsked, kindAsked, kindHalf, kindOpen}
+	kinds := []clientKind{kindSilent, kindStarted, kindServed, kindServed, kindHalfMessage, kindOpenRequest}
 	return limiterStep{time.Duration(after) * time.Millisecond, rapid.SampledFrom(kinds).Draw(t, "kind")}
 }), 5, 14)
 
@@ -179,7 +181,7 @@
 func (m *limiterModel) run(plan []limiterStep) error {
 	blocked := make(chan struct{})
 	harness := newHarnessFor(modelSlots, 1, false, &fake.Host{Primary: true, Act: func(id, _ string, _ bool) fake.Act {
-		if strings.HasPrefix(id, string(kindOpen)) {
+		if strings.HasPrefix(id, string(kindOpenRequest)) {
 			<-blocked
 		}
 		return fake.Serve
@@ -224,7 +226,7 @@
 	if c.kind == kindSilent {
 		accepted, err = c.awaitRejection(wait + modelAcquireSlack)
 	} else {
-		accepted, err = c.greet()
+		accepted, err = c.completeStartup()
 	}
 	if !accepted || err != nil {
 		return false, err
@@ -259,21 +261,21 @@
 	return true, nil
 }
 
-// greet completes the startup and sends the messages of the client's kind. It returns false if the client is rejected.
-func (c *modelClient) greet() (accepted bool, err error) {
+// completeStartup completes the startup and sends the messages of the client's kind. It returns false if the client is rejected.
+func (c *modelClient) completeStartup() (accepted bool, err error) {
 	client, err := fake.DialPostgres(c.conn, "")
 	if err != nil {
 		return false, nil
 	}
 	statement := fmt.Sprintf("/* id=%s%d,c=look,d=900,cluster=4 */ SELECT v FROM records WHERE k = 'a'", c.kind, c.id)
 	switch c.kind {
-	case kindAsked: // the request itself may be rejected while another one is slow
+	case kindServed: // the request itself may be rejected while another one is slow
 		if r, err := client.Ask(statement); err != nil || r.Outcome == "" {
 			return false, fmt.Errorf("%+v, %v", r, err)
 		}
-	case kindHalf:
+	case kindHalfMessage:
 		c.conn.Write([]byte{'Q', 0, 0})
-	case kindOpen:
+	case kindOpenRequest:
 		c.conn.Write([]byte(postgresQuery(statement)))
 	}
 	return true, nil
--- a/internal/frontend/malformedanswer_test.go
+++ b/internal/frontend/malformedanswer_test.go
@@ -44,8 +44,8 @@
 
 // malformedStep is a request whose first answer is malformed.
 type malformedStep struct {
-	How, Form, Class string // How is a key of malformations
-	N, After         int    // a random number for the malformation, and the delay after the previous step in milliseconds
+	Malformation, Form, Class string // Malformation is a key of malformations
+	N, After                  int    // a random number for the malformation, and the delay after the previous step in milliseconds
 }
 
 // malformedPlans generates sequences of steps.
@@ -64,7 +64,7 @@
 			var steps sync.Map // by request id
 			malform := func(id string, b []byte) fake.Malformed {
 				if step, ok := steps.LoadAndDelete(id); ok { // only its first answer
-					return malformations[step.(malformedStep).How](b, step.(malformedStep).N)
+					return malformations[step.(malformedStep).Malformation](b, step.(malformedStep).N)
 				}
 				return fake.Malformed{Answer: b}
 			}
@@ -103,7 +103,7 @@
 		return fmt.Errorf("%+v", got)
 	case s.Class == "put" && ran > 1, got.Outcome == "refused" && s.Class == "put" && ran > 0:
 		return fmt.Errorf("%+v, ran %d times", got, ran)
-	case time.Since(sent) > 700*time.Millisecond && s.How != "cut short":
+	case time.Since(sent) > 700*time.Millisecond && s.Malformation != "cut short":
 		return fmt.Errorf("%+v after %v", got, time.Since(sent))
 	}
 	return nil
--- a/internal/frontend/outcomes_test.go
+++ b/internal/frontend/outcomes_test.go
@@ -23,7 +23,7 @@
 	ran         int        // how often the statement has to run
 }
 
-// outcomeTests are the cases of TestOutcomesAreAlike.
+// outcomeTests are the cases of TestOutcomesMatchAcrossForms.
 var outcomeTests = []outcomeTest{
 	{"look", []fake.Act{fake.Serve}, false, "served", 1},
 	{"look", []fake.Act{fake.Miss, fake.Serve}, false, "served", 1},
@@ -44,9 +44,9 @@
 	{"put", nil, true, "refused", 0},
 }
 
-// TestOutcomesAreAlike checks that the same behaviour of the hosts leads to the same answer, and the statement runs equally often,
+// TestOutcomesMatchAcrossForms checks that the same behaviour of the hosts leads to the same answer, and the statement runs equally often,
 // with both protocols and with text queries and prepared statements of MySQL.
-func TestOutcomesAreAlike(t *testing.T) {
+func TestOutcomesMatchAcrossForms(t *testing.T) {
 	for _, test := range outcomeTests {
 		for _, form := range clientForms {
 			t.Run(fmt.Sprint(test.class, test.acts, test.unreachable, form), func(t *testing.T) {
@@ -86,9 +86,9 @@
 	return nil
 }
 
-// TestStatementOutlivesItsMember checks the execute of a prepared statement after the member that prepared it has lost all its
+// TestPreparedStatementAfterConnectionLoss checks the execute of a prepared statement after the member that prepared it has lost all its
 // connections. A read is prepared again and served, and a write that may have run is not sent again.
-func TestStatementOutlivesItsMember(t *testing.T) {
+func TestPreparedStatementAfterConnectionLoss(t *testing.T) {
 	inBubble(t, func() error {
 		reset := false
 		act := func(_, text string, prepare bool) fake.Act {
@@ -202,8 +202,8 @@
 	})
 }
 
-// TestNothingNewAfterAHostDrains checks that no request is sent to a draining host.
-func TestNothingNewAfterAHostDrains(t *testing.T) {
+// TestDrainingHostGetsNoRequest checks that no request is sent to a draining host.
+func TestDrainingHostGetsNoRequest(t *testing.T) {
 	for _, form := range clientForms {
 		inBubble(t, func() error {
 			harness := newHarness(form != formPostgres, &fake.Host{Primary: true})
--- a/internal/frontend/pipelined_test.go
+++ b/internal/frontend/pipelined_test.go
@@ -137,14 +137,14 @@
 
 // pipelinedRequest is a request that is written without waiting for the answers to earlier requests.
 type pipelinedRequest struct {
-	After  time.Duration // delay after the request before it was written
-	Wait   time.Duration // the request's timeout
-	Class  string
-	Acts   []fake.Act    // for each attempt in order; the last act repeats
-	Takes  time.Duration // how long an attempt takes at the host
-	Cut    int           // size of the pieces in which the request is written, in bytes
-	Rest   time.Duration // pause between two pieces
-	Prefix pipelinedPrefix
+	After          time.Duration // delay after the request before it was written
+	RequestTimeout time.Duration // the request's timeout
+	Class          string
+	Acts           []fake.Act    // for each attempt in order; the last act repeats
+	HostDelay      time.Duration // how long an attempt takes at the host
+	PieceSize      int           // size of the pieces in which the request is written, in bytes
+	PieceInterval  time.Duration // pause between two pieces
+	Prefix         pipelinedPrefix
 }
 
 // pipelinedPlans generates sequences of requests for one connection.
@@ -153,12 +153,12 @@
 		return time.Duration(rapid.IntRange(low, high).Draw(t, name)) * time.Millisecond
 	}
 	prefixes := []pipelinedPrefix{prefixNone, prefixNone, prefixNone, prefixEmpty, prefixFaulty, prefixExtended}
-	return pipelinedRequest{After: ms("after", 0, 60), Wait: ms("wait", 20, 1000),
+	return pipelinedRequest{After: ms("after", 0, 60), RequestTimeout: ms("wait", 20, 1000),
 		Class: rapid.SampledFrom([]string{"look", "look", "put"}).Draw(t, "class"),
 		Acts: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fake.Act {
 			return fake.Act(rapid.SampledFrom([]int{0, 0, 0, 1, 2, 3, 4, 5, 6}).Draw(t, "act"))
 		}), 1, 3).Draw(t, "acts"),
-		Takes: ms("takes", 0, 250), Cut: rapid.IntRange(1, 400).Draw(t, "cut"), Rest: ms("rest", 0, 3),
+		HostDelay: ms("takes", 0, 250), PieceSize: rapid.IntRange(1, 400).Draw(t, "cut"), PieceInterval: ms("rest", 0, 3),
 		Prefix: rapid.SampledFrom(prefixes).Draw(t, "form")}
 }), 1, 14)
 
@@ -212,14 +212,14 @@
 	fmt.Sscanf(id, "q%d", &i)
 	statement, err := sqlcomment.Parse([]byte(text))
 	p.mu.Lock()
-	left := time.Until(p.written[i].Add(p.plan[i].Wait))
+	left := time.Until(p.written[i].Add(p.plan[i].RequestTimeout))
 	if err != nil || left < 0 || statement.Timeout > left+time.Millisecond {
 		p.hostErr = cmp.Or(p.hostErr, fmt.Errorf("%s has timeout %v with %v left, %v", id, statement.Timeout, left, err))
 	}
 	p.attempts[id]++
 	act := p.plan[i].Acts[min(p.attempts[id], len(p.plan[i].Acts))-1]
 	p.mu.Unlock()
-	time.Sleep(p.plan[i].Takes)
+	time.Sleep(p.plan[i].HostDelay)
 	return act
 }
 
@@ -230,15 +230,15 @@
 		out := r.Prefix.bytes()
 		id := fmt.Sprint("q", i)
 		out = append(out, postgresQuery(fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=4 */ %s'%[1]s'", id, r.Class,
-			r.Wait.Milliseconds(), statementPrefix[r.Class]))...)
+			r.RequestTimeout.Milliseconds(), statementPrefix[r.Class]))...)
 		p.mu.Lock()
-		p.written[i] = time.Now().Add(r.Rest * time.Duration(len(out)/r.Cut))
+		p.written[i] = time.Now().Add(r.PieceInterval * time.Duration(len(out)/r.PieceSize))
 		p.mu.Unlock()
-		for part := range chunks(out, r.Cut) {
+		for part := range chunks(out, r.PieceSize) {
 			if _, err := p.client.Write(part); err != nil {
 				return
 			}
-			time.Sleep(r.Rest)
+			time.Sleep(r.PieceInterval)
 		}
 	}
 }
@@ -255,7 +255,7 @@
 	r, err := p.client.Read()
 	now := time.Now()
 	p.mu.Lock()
-	deadline := p.written[i].Add(request.Wait)
+	deadline := p.written[i].Add(request.RequestTimeout)
 	p.mu.Unlock()
 	if turn.After(deadline) {
 		deadline = turn
--- a/internal/frontend/postgresstates_test.go
+++ b/internal/frontend/postgresstates_test.go
@@ -46,9 +46,9 @@
 
 // postgresPlan describes the messages that a client sends on one connection.
 type postgresPlan struct {
-	Steps []int // indices of postgresSteps
-	Cut   int   // size of the pieces in which the messages are written, in bytes
-	End   postgresEnd
+	Steps     []int // indices of postgresSteps
+	PieceSize int   // size of the pieces in which the messages are written, in bytes
+	End       postgresEnd
 }
 
 // postgresPlans generates plans.
@@ -67,7 +67,7 @@
 		out, want := plan.messages()
 		conn := harness.connect()
 		go func() {
-			for part := range chunks(out, plan.Cut) {
+			for part := range chunks(out, plan.PieceSize) {
 				if _, err := conn.Write(part); err != nil {
 					return
 				}
--- a/internal/frontend/sockets_test.go
+++ b/internal/frontend/sockets_test.go
@@ -47,42 +47,42 @@
 	})
 }
 
-// steppedConn is the gateway's end of a connection, on which a test can hold reads and writes, to simulate a busy machine. A held read
-// does not return its bytes to the session, and a held write does not begin, until the test resumes it.
-type steppedConn struct {
+// pausableConn is the gateway's end of a connection, on which a test can pause reads and writes, to simulate a busy machine. A paused
+// read does not return its bytes to the session, and a paused write does not begin, until the test resumes it.
+type pausableConn struct {
 	*net.TCPConn
-	read, write chan chan struct{} // get a value when a read or write is held; closing the value resumes it
-	closed      chan struct{}      // closed when the gateway closes the connection
-	closeOnce   sync.Once
+	pausedRead, pausedWrite chan chan struct{} // get a value when a read or write is paused; closing the value resumes it
+	closed                  chan struct{}      // closed when the gateway closes the connection
+	closeOnce               sync.Once
 
-	mu         sync.Mutex
-	holdReads  bool
-	holdWrites bool
+	mu          sync.Mutex
+	pauseReads  bool
+	pauseWrites bool
 }
 
-func newSteppedConn(conn *net.TCPConn) *steppedConn {
-	return &steppedConn{
-		TCPConn: conn,
-		read:    make(chan chan struct{}),
-		write:   make(chan chan struct{}),
-		closed:  make(chan struct{}),
+func newPausableConn(conn *net.TCPConn) *pausableConn {
+	return &pausableConn{
+		TCPConn:     conn,
+		pausedRead:  make(chan chan struct{}),
+		pausedWrite: make(chan chan struct{}),
+		closed:      make(chan struct{}),
 	}
 }
 
-// hold sets whether later reads and writes are held.
-func (c *steppedConn) hold(reads, writes bool) {
+// pause sets whether later reads and writes are paused.
+func (c *pausableConn) pause(reads, writes bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.holdReads = reads
-	c.holdWrites = writes
+	c.pauseReads = reads
+	c.pauseWrites = writes
 }
 
-// step waits until the test resumes the read or write, if it is held. It returns early if the connection is closed.
-func (c *steppedConn) step(held *bool, steps chan chan struct{}) {
+// awaitResume waits until the test resumes the read or write, if it is paused. It returns early if the connection is closed.
+func (c *pausableConn) awaitResume(paused *bool, steps chan chan struct{}) {
 	c.mu.Lock()
-	isHeld := *held
+	isPaused := *paused
 	c.mu.Unlock()
-	if !isHeld {
+	if !isPaused {
 		return
 	}
 	resume := make(chan struct{})
@@ -97,24 +97,24 @@
 	}
 }
 
-func (c *steppedConn) Read(b []byte) (int, error) {
+func (c *pausableConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	c.step(&c.holdReads, c.read)
+	c.awaitResume(&c.pauseReads, c.pausedRead)
 	return n, err
 }
 
-func (c *steppedConn) Write(b []byte) (int, error) {
-	c.step(&c.holdWrites, c.write)
+func (c *pausableConn) Write(b []byte) (int, error) {
+	c.awaitResume(&c.pauseWrites, c.pausedWrite)
 	return c.TCPConn.Write(b)
 }
 
-func (c *steppedConn) Close() error {
+func (c *pausableConn) Close() error {
 	c.closeOnce.Do(func() { close(c.closed) })
 	return c.TCPConn.Close()
 }
 
 // awaitClientEnd waits until the kernel at the gateway's end has received the client's close or reset.
-func (c *steppedConn) awaitClientEnd(t *testing.T) {
+func (c *pausableConn) awaitClientEnd(t *testing.T) {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -134,20 +134,20 @@
 	})
 }
 
-// connectStepped connects a client by TCP. The gateway's end is a steppedConn.
-func (h *testHarness) connectStepped(t *testing.T) (client *net.TCPConn, gateway *steppedConn) {
+// connectPausable connects a client by TCP. The gateway's end is a pausableConn.
+func (h *testHarness) connectPausable(t *testing.T) (client *net.TCPConn, gateway *pausableConn) {
 	t.Helper()
 	client, conn := loopback(t)
-	gateway = newSteppedConn(conn)
+	gateway = newPausableConn(conn)
 	t.Cleanup(func() { gateway.Close() })
 	h.listener.conns <- gateway
 	return client, gateway
 }
 
 // login connects a client by TCP and completes the startup.
-func (h *testHarness) login(t *testing.T) (*net.TCPConn, *steppedConn) {
+func (h *testHarness) login(t *testing.T) (*net.TCPConn, *pausableConn) {
 	t.Helper()
-	client, gateway := h.connectStepped(t)
+	client, gateway := h.connectPausable(t)
 	var err error
 	if h.mysql {
 		_, err = fake.DialMySQL(client, 0)
