--- a/internal/frontend/connlimit/limiter.go
+++ b/internal/frontend/connlimit/limiter.go
@@ -187,8 +187,9 @@
 	return false, evictableAt, released
 }
 
-// ForceAcquire takes a slot for a client that another process has transferred, even if none is free. It then evicts the
-// client that has been idle longest, so that the idle clients of two processes do not use up the descriptors.
+// ForceAcquire takes a slot for a client that another process has transferred, even if none is free. If that exceeds the
+// limit, it evicts the client that has been idle longest, so that the idle clients of two processes do not use up the
+// descriptors.
 func (l *Limiter) ForceAcquire(s *Slot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/frontend/drain/drain_test.go
+++ b/internal/frontend/drain/drain_test.go
@@ -45,7 +45,7 @@
 
 // TestNewClientsAreAnsweredBeforeTheKill checks the schedule for clients that are accepted during the shutdown, from the open
 // listener or from the reject queue. A message that begins just before its connection is closed, and is complete only at its read
-// deadline, is answered at least 0.13 s before the kill, which is 0.05 s before the process begins to exit by itself.
+// deadline, is answered at least 0.13 s before the kill, and 0.05 s before the process begins to exit by itself.
 func TestNewClientsAreAnsweredBeforeTheKill(t *testing.T) {
 	for longest := 200 * time.Millisecond; longest <= 4*time.Second; longest += 100 * time.Millisecond {
 		for name, s := range shutdowns(longest) {
