--- a/internal/frontend/sockets_test.go
+++ b/internal/frontend/sockets_test.go
@@ -12,7 +12,7 @@
 	"cranegate/internal/fake"
 )
 
-// loopback returns both ends of a TCP connection. The client's has a deadline of 20 s.
+// loopback returns both ends of a new TCP connection. The client's end has a deadline of 20 s.
 func loopback(t *testing.T) (client, gateway *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,13 +33,13 @@
 	return near.(*net.TCPConn), far.(*net.TCPConn)
 }
 
-// awaitArrival waits until bytes of the client lie in the gateway's socket.
+// awaitArrival waits until there are unread bytes from the client in the gateway's socket.
 func awaitArrival(gateway *net.TCPConn) {
 	raw, err := gateway.SyscallConn()
 	if err != nil {
 		panic(err)
 	}
-	gateway.SetReadDeadline(time.Time{}) // the gateway's last one may have passed
+	gateway.SetReadDeadline(time.Time{}) // the deadline that the gateway has set may have passed
 	var b [1]byte
 	raw.Read(func(fd uintptr) bool {
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -47,41 +47,42 @@
 	})
 }
 
-// steppedConn is the gateway's end of a connection. While it is held, what a read has returned reaches the session only when the
-// test lets it, as on a busy machine, and likewise a write goes out.
-type steppedConn struct {
+// pausableConn is the gateway's end of a connection, on which a test can pause reads and writes, to simulate a busy machine. A paused
+// read does not return its bytes to the session, and a paused write does not begin, until the test resumes it.
+type pausableConn struct {
 	*net.TCPConn
-	read, write chan chan struct{} // a read has returned, or a write is about to begin: closing the value lets it go on
-	closed      chan struct{}
-	closeOnce   sync.Once
+	pausedRead, pausedWrite chan chan struct{} // get a value when a read or write is paused; closing the value resumes it
+	closed                  chan struct{}      // closed when the gateway closes the connection
+	closeOnce               sync.Once
 
-	mu         sync.Mutex
-	holdReads  bool
-	holdWrites bool
+	mu          sync.Mutex
+	pauseReads  bool
+	pauseWrites bool
 }
 
-func newSteppedConn(conn *net.TCPConn) *steppedConn {
-	return &steppedConn{
-		TCPConn: conn,
-		read:    make(chan chan struct{}),
-		write:   make(chan chan struct{}),
-		closed:  make(chan struct{}),
+func newPausableConn(conn *net.TCPConn) *pausableConn {
+	return &pausableConn{
+		TCPConn:     conn,
+		pausedRead:  make(chan chan struct{}),
+		pausedWrite: make(chan chan struct{}),
+		closed:      make(chan struct{}),
 	}
 }
 
-func (c *steppedConn) hold(reads, writes bool) {
+// pause sets whether later reads and writes are paused.
+func (c *pausableConn) pause(reads, writes bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.holdReads = reads
-	c.holdWrites = writes
+	c.pauseReads = reads
+	c.pauseWrites = writes
 }
 
-// step waits for the test where the connection is held.
-func (c *steppedConn) step(held *bool, steps chan chan struct{}) {
+// awaitResume waits until the test resumes the read or write, if it is paused. It returns early if the connection is closed.
+func (c *pausableConn) awaitResume(paused *bool, steps chan chan struct{}) {
 	c.mu.Lock()
-	isHeld := *held
+	isPaused := *paused
 	c.mu.Unlock()
-	if !isHeld {
+	if !isPaused {
 		return
 	}
 	resume := make(chan struct{})
@@ -96,24 +97,24 @@
 	}
 }
 
-func (c *steppedConn) Read(b []byte) (int, error) {
+func (c *pausableConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	c.step(&c.holdReads, c.read)
+	c.awaitResume(&c.pauseReads, c.pausedRead)
 	return n, err
 }
 
-func (c *steppedConn) Write(b []byte) (int, error) {
-	c.step(&c.holdWrites, c.write)
+func (c *pausableConn) Write(b []byte) (int, error) {
+	c.awaitResume(&c.pauseWrites, c.pausedWrite)
 	return c.TCPConn.Write(b)
 }
 
-func (c *steppedConn) Close() error {
+func (c *pausableConn) Close() error {
 	c.closeOnce.Do(func() { close(c.closed) })
 	return c.TCPConn.Close()
 }
 
-// awaitClientEnd waits until the gateway's system has the client's end, or its reset.
-func (c *steppedConn) awaitClientEnd(t *testing.T) {
+// awaitClientEnd waits until the kernel at the gateway's end has received the client's close or reset.
+func (c *pausableConn) awaitClientEnd(t *testing.T) {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -127,26 +128,26 @@
 				state = info.State
 			}
 		}) != nil {
-			return true // the gateway has closed it already
+			return true // the gateway has already closed the connection
 		}
 		return state == tcpClose || state == tcpCloseWait
 	})
 }
 
-// connectStepped connects a client by TCP, whose gateway end can be held.
-func (h *testHarness) connectStepped(t *testing.T) (client *net.TCPConn, gateway *steppedConn) {
+// connectPausable connects a client by TCP. The gateway's end is a pausableConn.
+func (h *testHarness) connectPausable(t *testing.T) (client *net.TCPConn, gateway *pausableConn) {
 	t.Helper()
 	client, conn := loopback(t)
-	gateway = newSteppedConn(conn)
+	gateway = newPausableConn(conn)
 	t.Cleanup(func() { gateway.Close() })
 	h.listener.conns <- gateway
 	return client, gateway
 }
 
 // login connects a client by TCP and completes the startup.
-func (h *testHarness) login(t *testing.T) (*net.TCPConn, *steppedConn) {
+func (h *testHarness) login(t *testing.T) (*net.TCPConn, *pausableConn) {
 	t.Helper()
-	client, gateway := h.connectStepped(t)
+	client, gateway := h.connectPausable(t)
 	var err error
 	if h.mysql {
 		_, err = fake.DialMySQL(client, 0)
