--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -85,11 +85,11 @@
 	}
 }
 
-// TestMarkedRetriesAreNotDrawnAgain has a quarter of the answers late: a share of the first tries is admitted, and no
+// TestMarkedRetriesAreNotAdmittedAtRandom has a quarter of the answers late: a share of the first tries is admitted, and no
 // marked retry, as a draw for each retry would admit the same share of them again. Where answers are in time, or nothing
 // is known, all are admitted, except those of a class that the group has shed: they wait until a latency objective has
 // passed without shedding.
-func TestMarkedRetriesAreNotDrawnAgain(t *testing.T) {
+func TestMarkedRetriesAreNotAdmittedAtRandom(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
 	first := func(*Request) {}
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	retryTokensPerRequest = 0.1  // retries earned by each first attempt: retries must not amplify an overload
+	retryTokensPerRequest = 0.1  // retries earned by each first attempt: too few to amplify an overload
 	maxRetryTokens        = 20.0 // retries that can be saved up
 
-	// roleValidityPeriod is how long after its decision a read may start at the presumed primary. An answer
-	// that names another primary counts as known 100 ms after it was sent.
+	// roleValidityPeriod is how long a read may start at the presumed primary after the decision to send it
+	// there. It has to stay below 100 ms: an answer that names another primary counts as known to the gateway
+	// 100 ms after the answer was sent.
 	roleValidityPeriod = 75 * time.Millisecond
 
-	// retryAfterShare is the Retry-After of a rejection, as a share of the class's deadline: a retry is
-	// still in time.
+	// retryAfterShare is the Retry-After of a rejection, as a share of the class's deadline. It is so small
+	// that a retry by the client can still be answered on time.
 	retryAfterShare = 0.05
 )
 
-// eligible reports whether a request may be sent to a member now. Every attempt has to pass it.
+// eligible reports whether a request may be sent to a member now. Every attempt must pass this check.
 func (r *Router) eligible(req *requestState, member *memberState) bool {
 	switch {
 	case req.ended, req.streaming:
@@ -45,7 +46,7 @@
 	return slices.ContainsFunc(r.inFlight, func(a *attemptState) bool { return a.member == member })
 }
 
-// wouldMiss reports whether a member has answered ResultMissed and would do so again.
+// wouldMiss reports whether a member has answered the request with ResultMissed and would do so again.
 func (r *Router) wouldMiss(req *requestState, member *memberState) bool {
 	return slices.Contains(req.missedMembers, member) && member.position < r.requiredPosition(req) &&
 		member != req.group.primary()
@@ -57,8 +58,8 @@
 		!r.freshEnough(req, member)
 }
 
-// retryDeadline is when the next attempt must have started: while its answer is useful, and before a retry
-// could run a second time. It is 0 if no further attempt is allowed.
+// retryDeadline returns the time before which the next attempt must start: while its answer is useful, and
+// before the request could run a second time. It is 0 if no further attempt is allowed.
 func (r *requestState) retryDeadline() time.Duration {
 	switch {
 	case r.class.Effect == Idempotent || !r.mayHaveRun:
@@ -69,8 +70,8 @@
 	return 0
 }
 
-// startDeadline is when an attempt at a member must have started if it has to wait for a connection: before
-// the retry deadline, and while the member's data is recent enough.
+// startDeadline returns the time before which an attempt at a member must start, as it may wait for a
+// connection: the retry deadline or, if that is earlier, the time at which the member's data becomes too old.
 func (r *Router) startDeadline(req *requestState, member *memberState) time.Duration {
 	class := req.class
 	if r.cfg.StaleReads != StaleReadServed {
@@ -86,8 +87,8 @@
 	return min(req.retryDeadline(), freshUntil)
 }
 
-// sendAttempt sends a request to a member and returns the attempt; nil if the request is not eligible
-// there. There is no other way to send.
+// sendAttempt sends a request to a member and returns the attempt, or nil if the request is not eligible
+// there. All attempts are sent by this function.
 func (r *Router) sendAttempt(req *requestState, member *memberState) *attemptState {
 	if !r.eligible(req, member) {
 		return nil
@@ -111,13 +112,13 @@
 	req.attempts++
 	req.inFlight = append(req.inFlight, attempt)
 	member.inFlight = append(member.inFlight, attempt)
-	// The budget counts work as recordThroughput does, however long queues are.
+	// The budget counts the same work as recordThroughput does, without any queueing.
 	member.tokens -= attempt.work.Seconds()
 	r.gateway.Send(req.ID, member.id, req.usefulUntil, startBy)
 	return attempt
 }
 
-// cancelAttempt cancels an attempt, where that is allowed.
+// cancelAttempt cancels an attempt if cancellation is allowed.
 func (r *Router) cancelAttempt(attempt *attemptState) {
 	if !r.cfg.AllowCancel || attempt.cancelled {
 		return
@@ -127,7 +128,7 @@
 }
 
 // abandonRequest gives an open request its final answer and ends it. The request is rejected if nothing ran
-// or a retry by the client does no harm; else it fails.
+// or a retry by the client does no harm; otherwise it fails.
 func (r *Router) abandonRequest(req *requestState, reason Reason) {
 	class := req.class
 	harmless := !req.mayHaveRun || class.Effect == IdempotentByKey && class.KeyIsGlobal
@@ -140,9 +141,9 @@
 	r.endRequest(req)
 }
 
-// endRequest ends a request that is owed no further answer. It cancels attempts that are still in flight,
-// unless their effect is wanted or the client is reading the answer. The request is forgotten with its last
-// attempt.
+// endRequest ends a request that needs no further answer. It cancels attempts that are still in flight,
+// unless their effect is wanted or the client is reading the answer. The request is removed as soon as none
+// of its attempts is in flight.
 func (r *Router) endRequest(req *requestState) {
 	req.ended = true
 	for _, attempt := range req.inFlight {
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	tieMargin         = 0.1  // scores that differ by less, relative to the best, are equal
-	minPrimaryScore   = 0.85 // reads avoid a primary whose score is lower
-	maxTierLoadExcess = 1.0  // attempts by which a member of the preferred tier may be busier than others
+	tieMargin         = 0.1  // scores that differ by less than this share of the best one are equal
+	minPrimaryScore   = 0.85 // reads avoid a primary with a lower score
+	maxTierLoadExcess = 1.0  // local load above the lowest one, up to which a member's tier counts
 
-	minLoadCapacity = 0.1 // capacities below it count as this
-	crossZoneLoad   = 0.5 // load that a member in another zone counts as having, where crossing zones costs
+	minLoadCapacity = 0.1 // lower capacities count as this
+	crossZoneLoad   = 0.5 // load added to members in other zones if Config.CrossZoneCost is set
 )
 
 // candidates are the members that may serve a read.
 type candidates struct {
-	healthy []*memberState
-	trial   *memberState // unhealthy, and may be tried
-	lagging *memberState // the most advanced one that may have caught up by now
-	top     float64      // the best score of those that are healthy
+	healthy   []*memberState
+	trial     *memberState // an unhealthy one that may be sent a trial request
+	lagging   *memberState // the most advanced one of those too far behind that may have caught up
+	bestScore float64      // the best score of the healthy ones
 }
 
-// chooseMember returns the member for a request; nil if it has to wait. A read goes to a member at random
-// among the best that are fresh enough. Where none is, it goes to the most advanced that may have caught
-// up.
+// chooseMember returns the member for a request, or nil if the request has to wait. A read goes to a random
+// one of the best members that are fresh enough. If no member is, it goes to the most advanced member that
+// may have caught up.
 func (r *Router) chooseMember(req *requestState) *memberState {
 	if req.needsPrimary {
 		return r.choosePrimary(req)
 	}
 	primary := req.group.primary()
-	r.forgetZoneDraw()
+	r.discardTierDraw()
 	found := r.findCandidates(req, primary)
 	if len(found.healthy) == 0 {
 		req.group.primaryWantedAt = r.now
@@ -42,7 +42,7 @@
 		return found.trial
 	}
 	tied := slices.DeleteFunc(slices.Clone(found.healthy), func(m *memberState) bool {
-		return m == primary || m.score < found.top*(1-tieMargin)
+		return m == primary || m.score < found.bestScore*(1-tieMargin)
 	})
 	if len(tied) == 0 {
 		return primary
@@ -69,15 +69,15 @@
 			member.score = r.score(req, member)
 			if member != primary || member.score >= minPrimaryScore {
 				found.healthy = append(found.healthy, member)
-				found.top = max(found.top, member.score)
+				found.bestScore = max(found.bestScore, member.score)
 			}
 		}
 	}
 	return found
 }
 
-// pickTied picks the less loaded of two random members. A read that accepts any data goes to a replica that
-// lags far, if there is one, as that can serve no other reads.
+// pickTied picks the less loaded of two random members. A read that accepts data of any age goes to a replica
+// that lags far, if there is one, because that replica can serve no other reads.
 func (r *Router) pickTied(req *requestState, tied []*memberState) *memberState {
 	byPosition := func(a, b *memberState) int { return cmp.Compare(a.position, b.position) }
 	oldest := slices.MinFunc(tied, byPosition)
@@ -93,9 +93,9 @@
 	return first
 }
 
-// preferTier keeps, of tied members, those of the tier that is drawn by the tiers' configured shares.
-// Members that are busier than the least loaded one are left out first, so that a tier without capacity
-// left spills over.
+// preferTier draws a tier by weight and returns the tied members of that tier. Before the draw it drops
+// members that are much busier than the least loaded one, so that reads of a tier without spare capacity
+// spill over to other tiers.
 func (r *Router) preferTier(group *groupState, primary *memberState, tied []*memberState) []*memberState {
 	if r.zones == nil || !r.zones.SpilloverEnabled() {
 		return tied
@@ -126,7 +126,8 @@
 	return kept
 }
 
-// localLoad is how many of this gateway's attempts a member has in flight, in relation to its capacity.
+// localLoad returns the number of this gateway's attempts in flight at a member, relative to the member's
+// capacity, plus crossZoneLoad for a member in another zone.
 func (r *Router) localLoad(member *memberState) float64 {
 	load := float64(len(member.inFlight)) / max(member.capacity, minLoadCapacity)
 	if r.cfg.CrossZoneCost > 0 && member.zone != r.cfg.Zone {
--- a/routing/diagnostics.go
+++ b/routing/diagnostics.go
@@ -1,7 +1,7 @@
 package routing
 
-// Sizes returns the number of entries in each map and slice that the Router keeps, by name: none of them
-// may grow without bound however long it runs. It is for tests and experiments.
+// Sizes returns the number of entries in each map and slice of the Router, by name. It is for tests and
+// experiments, which check that none of them grows without bound however long the Router runs.
 func (r *Router) Sizes() map[string]int {
 	sizes := map[string]int{
 		"members":     len(r.members),
@@ -28,7 +28,8 @@
 }
 
 // Overdrawn reports whether a member in slow start has been sent more than its budget allowed. An attempt
-// is sent only while the budget is not spent, so that the debt after it is its own work at most.
+// is sent only while the balance is not negative. Therefore the debt after an attempt is the attempt's own
+// work at most.
 func (r *Router) Overdrawn(id string) bool {
 	member := r.members[id]
 	if member == nil || r.slowStartWeight(member) >= 1 || member.tokensAt == 0 || len(member.inFlight) == 0 {
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -3,15 +3,17 @@
 import "time"
 
 const (
-	// minSubscribeBackoff is the wait after a failed call to discovery. Each further failure doubles it.
+	// minSubscribeBackoff is the initial time between two calls to subscribe. Each failure doubles the time,
+	// up to half of Config.MaxPollInterval.
 	minSubscribeBackoff = 500 * time.Millisecond
 
-	// unlistedMemberTTL is the silence after which a removed member that may still be used is forgotten.
+	// unlistedMemberTTL is how long after its last answer a removed member may be used though it is
+	// unhealthy.
 	unlistedMemberTTL = 60 * time.Second
 )
 
-// UpdateEndpoints handles a message of the endpoint list. Draining and removed members are sent nothing
-// from now on.
+// UpdateEndpoints handles a message of the endpoint list. From then on, draining members are sent nothing,
+// and neither are removed members, unless Config.UseRemovedMembers allows it.
 func (r *Router) UpdateEndpoints(now time.Duration, list EndpointList) {
 	r.advanceClock(now)
 	r.subscribing = false
@@ -40,7 +42,7 @@
 	r.sendHealthChecks()
 }
 
-// updateEndpoint applies one endpoint of the list.
+// updateEndpoint applies one endpoint of a message.
 func (r *Router) updateEndpoint(endpoint Endpoint, kind EndpointListKind) {
 	member := r.members[endpoint.Member]
 	if endpoint.Phase == PhaseRemoved {
@@ -55,7 +57,7 @@
 	if restarted {
 		member.resetForNewProcess()
 	}
-	// A list that is out of date does not undo the draining of the same process.
+	// An outdated list must not undo the draining of the same process.
 	draining := endpoint.Phase == PhaseDraining || member.draining && !restarted
 	member.zone = endpoint.Zone
 	member.zoneState = r.zoneState(endpoint.Zone)
@@ -75,7 +77,7 @@
 	return member
 }
 
-// resetForNewProcess clears what was observed of a member's earlier process.
+// resetForNewProcess clears the observations of a member's previous process.
 func (m *memberState) resetForNewProcess() {
 	m.failures = 0
 	m.endedSilence = 0
@@ -84,8 +86,9 @@
 	m.down = false
 }
 
-// observeListedRole learns the primary from the endpoint list. Answers and reports are newer: only a change
-// in the list counts, only where the list follows the role, and only while no healthy primary is known.
+// observeListedRole takes the primary from the endpoint list. Answers and reports are more recent than the
+// list. The list therefore counts only if it has changed, if it names the current primary, and while no
+// healthy primary is known.
 func (r *Router) observeListedRole(member *memberState, isPrimary bool, kind EndpointListKind) {
 	changed := isPrimary && !member.listedPrimary
 	member.listedPrimary = isPrimary
@@ -100,7 +103,7 @@
 	}
 }
 
-// listFollowsRole reports whether a message of the endpoint list tells the present primary.
+// listFollowsRole reports whether a message of the endpoint list names the current primary.
 func (r *Router) listFollowsRole(kind EndpointListKind) bool {
 	switch r.cfg.RoleSource {
 	case RoleSourceDelayed:
@@ -111,8 +114,8 @@
 	return false
 }
 
-// removeEndpoint removes a member. With Config.UseRemovedMembers, one that was not draining is kept while
-// it answers.
+// removeEndpoint removes a member. With Config.UseRemovedMembers, a member that was not draining is kept
+// while it is responsive.
 func (r *Router) removeEndpoint(member *memberState) {
 	if member == nil || r.cfg.UseRemovedMembers && !member.draining && r.isResponsive(member) {
 		return
@@ -128,7 +131,8 @@
 	return r.now-member.answeredAt < unlistedMemberTTL || !r.unhealthy(member)
 }
 
-// keepSubscribed subscribes to the endpoint list where changes are sent only to subscribers.
+// keepSubscribed subscribes to the endpoint list if changes are sent only to subscribers and no subscription
+// is active.
 func (r *Router) keepSubscribed() {
 	due := r.subscribeSentAt == 0 || r.now-r.subscribeSentAt >= r.subscribeBackoff
 	if r.cfg.Subscribe && r.hasEndpoints && due && !r.subscribing && !r.subscribed {
--- a/routing/events.go
+++ b/routing/events.go
@@ -6,7 +6,7 @@
 )
 
 // maxUnsentShare is the share of its remaining time for which a request may wait until a member receives
-// it. A client that is rejected later than that has no time left for a retry of its own.
+// it. A client that is rejected later has no time left to retry.
 const maxUnsentShare = 0.5
 
 // Request handles a client's request. A request whose id is open, or whose class is unknown, is ignored.
@@ -44,12 +44,12 @@
 	if class.LateShare > 0 {
 		req.usefulUntil = req.deadline
 	}
-	// The sweep that rejects it may come one interval late.
+	// The sweep that rejects the request may run one interval late.
 	req.unsentDeadline = r.now + time.Duration(maxUnsentShare*float64(in.Remaining)) - requestSweepInterval
 	return req
 }
 
-// sessionPosition is the position that a strong or session read requires; 0 for none.
+// sessionPosition returns the position that a strong or session read requires, or 0 for none.
 func (r *Router) sessionPosition(class *Class, in Request) int64 {
 	switch {
 	case class.Consistency == ConsistencyStrong:
@@ -98,8 +98,8 @@
 	r.resumeGroup(req.group, primaryBefore)
 }
 
-// StreamStarted handles the start of a streamed answer. Its attempt is no longer observed for silence, and
-// all other attempts of the request are cancelled.
+// StreamStarted handles the start of a streamed answer. The attempts of the request no longer count for the
+// silence of their members, and all but the streaming attempt are cancelled.
 func (r *Router) StreamStarted(now time.Duration, id uint64, number int) {
 	r.advanceClock(now)
 	req := r.requests[id]
@@ -115,7 +115,7 @@
 	}
 }
 
-// ClientDisconnected handles the end of a client's connection: no answer is owed any more.
+// ClientDisconnected handles the end of a client's connection. The request needs no answer any more.
 func (r *Router) ClientDisconnected(now time.Duration, id uint64) {
 	r.advanceClock(now)
 	if req := r.requests[id]; req != nil {
@@ -123,9 +123,10 @@
 	}
 }
 
-// HealthChecked handles the end of a health check. A successful one clears failed connections; it ends a
-// silence only if the member's position has advanced, or the check proves that the process is the same or a
-// new one.
+// HealthChecked handles the end of a health check. A successful check clears the member's failures. It ends
+// the member's silence only if the member's position has advanced, if the last check could not connect,
+// which indicates a new process, or if the check's connection proves that the process survived an outage
+// of its zone.
 func (r *Router) HealthChecked(now time.Duration, check HealthCheckResult) {
 	r.advanceClock(now)
 	member := r.members[check.Member]
@@ -155,10 +156,10 @@
 	r.resumeGroup(member.group, primaryBefore)
 }
 
-// resumeGroup advances a group's waiting requests as soon as it has another primary than before.
-func (r *Router) resumeGroup(group *groupState, before *memberState) {
+// resumeGroup advances a group's waiting requests if the group has another primary than before.
+func (r *Router) resumeGroup(group *groupState, previousPrimary *memberState) {
 	primary := group.primary()
-	if primary == nil || primary == before {
+	if primary == nil || primary == previousPrimary {
 		return
 	}
 	for _, req := range r.openRequests {
--- a/routing/group.go
+++ b/routing/group.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// groupState is what the Router knows of a replication group: a primary and its replicas.
+// groupState is the state of a replication group: a primary and its replicas.
 type groupState struct {
 	number          int
-	members         []*memberState // by id
+	members         []*memberState // sorted by id
 	openRequests    int
 	inEmptyGroups   bool
-	searchIndex     int             // the member at which the search for the primary goes on
-	searchAttempt   *attemptState   // the attempt of the search that is in flight
+	searchIndex     int             // index of the member that the search for the primary tries next
+	searchAttempt   *attemptState   // the search's attempt that is in flight
 	nextSearchAt    time.Duration   // when the next round of the search may begin
 	primaryWantedAt time.Duration   // when a request last found no member
-	shedUntil       []time.Duration // by class: a latency objective after the last request that was shed
+	shedUntil       []time.Duration // by class: one latency objective after the last request that was shed
 	unansweredShare float64         // share of the latest requests that ended unanswered
 }
 
-// primary is the usable member that last claimed to be the primary; nil if there is none.
+// primary returns the usable member that is believed to be the primary, or nil if there is none.
 func (g *groupState) primary() *memberState {
 	for _, m := range g.members {
 		if m.role == RolePrimary && m.usable {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// findGroup returns a group, which it creates where necessary.
+// findGroup returns the group with a number and creates it if necessary.
 func (r *Router) findGroup(number int) *groupState {
 	group := r.groups[number]
 	if group == nil {
@@ -39,11 +39,12 @@
 	return group
 }
 
-// maxEmptyGroups bounds the groups without members that are remembered: clients may name any.
+// maxEmptyGroups limits the number of groups without members, as clients may name any group.
 const maxEmptyGroups = 64
 
-// closeGroupRequest counts a request of a group as ended. Beyond maxEmptyGroups it forgets the group
-// without members that became idle first, unless that has requests or members again.
+// closeGroupRequest records that a request of a group has ended. If there are more than maxEmptyGroups idle
+// groups without members, it removes the one that became idle first, unless that group has requests or
+// members again.
 func (r *Router) closeGroupRequest(group *groupState) {
 	group.openRequests--
 	if group.openRequests > 0 || len(group.members) > 0 || group.inEmptyGroups {
--- a/routing/health.go
+++ b/routing/health.go
@@ -4,21 +4,21 @@
 
 const (
 	maxSilence  = 5.0 // in expected latencies; a responsive member exceeds it with a probability of e^-5
-	maxFailures = 2   // consecutive connects that failed or connections that broke
+	maxFailures = 2   // consecutive failed connects or broken connections
 
-	minRestartSilence  = time.Second            // a process that answered later has not been restarted
-	failureGracePeriod = 150 * time.Millisecond // after an answer; failures in it are no outage
+	minRestartSilence  = time.Second            // a member that answered within this time has not restarted
+	failureGracePeriod = 150 * time.Millisecond // after an answer, in which failures are no outage
 
-	maxReplicaLagMillis = 300 // lag that replication or an old report explains
+	maxReplicaLagMillis = 300 // lag that replication or the age of a report explains
 
-	// connectionShortageDuration is how long idle connections are closed after a sign that members lack
-	// them.
+	// connectionShortageDuration is how long idle connections are closed after a sign that members have no
+	// free connections.
 	connectionShortageDuration = 5 * time.Second
 )
 
-// observeAnswer clears what was held against a member: it has answered. A member that was unreachable
-// counts as restarted and begins its slow start now, as the endpoint list may tell of the restart late or
-// never.
+// observeAnswer records that a member has answered, which clears its failures and its silence. A member that
+// was unreachable counts as restarted and begins its slow start now, as the endpoint list may report the
+// restart late or never.
 func (r *Router) observeAnswer(member *memberState, connectedAt time.Duration) {
 	caughtUp := member.role == RoleReplica && r.positionAt(r.now)-member.position < maxReplicaLagMillis
 	longSilent := r.now-member.answeredAt >= minRestartSilence
@@ -32,15 +32,15 @@
 		member.previousStartedAt = member.startedAt
 		member.answeredBeforeZoneLoss = member.answeredAt
 	}
-	// A replica that has kept up was running, and failed connects are no sign of a restart during a
-	// shortage.
+	// A replica that has kept up was running all the time. During a connection shortage, failures are no sign
+	// of a restart.
 	failed := member.failures >= maxFailures && !caughtUp && r.now >= r.connectionShortageUntil
 	if longSilent && !startIsListed && (restarted || failed) {
 		member.startedAt = r.now
 		member.latencyWindow = nil
 		member.tokensAt = 0
 	} else if member.connectFailures > 0 && caughtUp && !longSilent {
-		// It was running all the time, and not cut off: it had no free connections.
+		// The member was running and reachable all the time, so it had no free connections.
 		r.connectionShortageUntil = r.now + connectionShortageDuration
 	}
 	member.answeredAt = r.now
@@ -50,9 +50,9 @@
 	member.down = false
 }
 
-// unhealthy reports whether a member is silent or unreachable. Silence is measured on the attempts that it
-// certainly works on, so that one rule covers a hang, a network partition and a slowdown at any load. The
-// first answer ends it.
+// unhealthy reports whether a member is silent or unreachable. Silence is measured on the attempts that the
+// member is certainly processing, so that one rule covers a hang, a network partition and a slowdown at any
+// load. The first answer ends the silence.
 func (r *Router) unhealthy(member *memberState) bool {
 	failing := member.failures >= maxFailures && r.now-member.answeredAt >= failureGracePeriod
 	unreachable := member.connectFailures >= maxFailures
@@ -60,7 +60,7 @@
 	return lostWithZone || failing || unreachable || r.silence(member) > maxSilence
 }
 
-// silence is the longest time for which one of a member's attempts has gone unanswered, in expected
+// silence returns the longest time for which one of a member's attempts has been unanswered, in expected
 // latencies.
 func (r *Router) silence(member *memberState) float64 {
 	longest := member.endedSilence
@@ -70,7 +70,7 @@
 	return longest
 }
 
-// attemptSilence is how long an attempt has been in flight while its member was silent, in expected
+// attemptSilence returns how long an attempt has been in flight without any answer of its member, in expected
 // latencies.
 func (r *Router) attemptSilence(attempt *attemptState) float64 {
 	since := max(attempt.sentAt, attempt.member.answeredAt, r.resumedAt)
--- a/routing/health_test.go
+++ b/routing/health_test.go
@@ -89,7 +89,7 @@
 	h.want("short of connections after a connect that failed", h.router.now < h.router.connectionShortageUntil, true)
 }
 
-func TestStandstillOfTheGatewayIsNoSilence(t *testing.T) {
+func TestStalledGatewayDoesNotCountMembersAsSilent(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
 	*h.router.expectedLatencyOf(nonIdempotentWrite) = 50 * ms
--- a/routing/healthcheck.go
+++ b/routing/healthcheck.go
@@ -3,28 +3,28 @@
 import "time"
 
 const (
-	healthCheckInterval       = 300 * time.Millisecond // of a member that has not answered meanwhile
-	searchHealthCheckInterval = 100 * time.Millisecond // of a member in doubt
+	healthCheckInterval       = 300 * time.Millisecond // of a member that has not answered in between
+	searchHealthCheckInterval = 100 * time.Millisecond // of a member in doubt, see healthCheckDue
 
 	healthCheckTokensPerRequest = 0.25 // health checks earned by each request
 	fullRateMembers             = 12.0 // with more members a request earns less, as each member matters less
 	maxHealthCheckTokens        = 30.0 // health checks that can be saved up, for a start or a search
 
-	maxDoubtfulChecks = 8 // health checks of members in doubtful zones at each sweep
+	maxDoubtfulChecks = 8 // health checks per sweep of members in doubtful zones
 
-	silenceBackoffDivisor = 8 // members in doubt are checked at this part of their silence
+	silenceBackoffDivisor = 8 // the interval for a member in doubt is its time without an answer over this
 )
 
-// earnHealthChecks adds a request's part to the health check budget.
+// earnHealthChecks adds what a request earns to the health check budget.
 func (r *Router) earnHealthChecks(class *Class) {
 	earned := healthCheckTokensPerRequest * min(1, fullRateMembers/float64(1+len(r.sortedMembers)))
 	if r.cfg.StaleReads == StaleReadServed && class.Consistency == ConsistencyBounded {
-		earned = 1 // members do not check the read: one may have to be checked before it is sent
+		earned = 1 // members do not check the read, so one may have to be health-checked before it
 	}
 	r.healthCheckTokens = min(maxHealthCheckTokens, r.healthCheckTokens+earned)
 }
 
-// sendHealthChecks checks the members that are due, in turn.
+// sendHealthChecks sends a health check to each member for which one is due, in rotation.
 func (r *Router) sendHealthChecks() {
 	if !r.cfg.AllowHealthChecks {
 		return
@@ -57,8 +57,9 @@
 	}
 }
 
-// initialCheckDue reports whether a member is checked for free, as nothing is known of it: where members
-// and gateways are few, or where members do not check reads and their positions are needed.
+// initialCheckDue reports whether a member is health-checked outside the budget because nothing is known
+// about it. That is so if members and gateways are few, or if members do not check reads, so that their
+// positions are needed.
 func (r *Router) initialCheckDue(member *memberState) bool {
 	if member.healthCheckSentAt != 0 || member.positionAt != 0 {
 		return false
@@ -67,12 +68,12 @@
 	return few || r.cfg.StaleReads == StaleReadServed
 }
 
-// healthCheckDue reports whether a member that has not answered lately is checked. Members in doubt
-// (unhealthy, or of a group whose primary is sought) are checked more often and on credit, lagging ones
-// while there is budget, and others from the upper half of the budget.
+// healthCheckDue reports whether a member that has not answered recently is health-checked. Members in doubt
+// (unhealthy, or in a group that needs health checks) are checked more often and on credit, lagging members
+// while there is budget, and others only while at least half of the budget is left.
 func (r *Router) healthCheckDue(member *memberState) bool {
 	interval, minTokens := healthCheckInterval, maxHealthCheckTokens/2
-	if r.unhealthy(member) || r.isPrimarySought(member.group) {
+	if r.unhealthy(member) || r.groupNeedsHealthChecks(member.group) {
 		interval = max(searchHealthCheckInterval, (r.now-member.answeredAt)/silenceBackoffDivisor)
 		minTokens = -maxHealthCheckTokens
 	} else if r.positionAt(member.positionAt)-member.position > maxReplicaLagMillis {
@@ -82,15 +83,16 @@
 		r.healthCheckTokens >= minTokens
 }
 
-// isPrimarySought reports whether a request lately found no member in a group, and health checks may help.
-func (r *Router) isPrimarySought(group *groupState) bool {
+// groupNeedsHealthChecks reports whether a request recently found no member in a group, and health checks may
+// find one.
+func (r *Router) groupNeedsHealthChecks(group *groupState) bool {
 	primary := group.primary()
 	needed := primary == nil || r.unhealthy(primary) || r.cfg.StaleReads == StaleReadServed
 	return needed && r.now-group.primaryWantedAt < healthCheckInterval
 }
 
-// zoneCheckDue reports whether a member is checked as its zone may be lost, even if a search has used up
-// the budget.
+// zoneCheckDue reports whether a member is health-checked because its zone may be down. Such a check is sent
+// even if a search has used up the budget.
 func (r *Router) zoneCheckDue(member *memberState) bool {
 	return member.zoneState.Doubtful() && r.now-member.healthCheckAnsweredAt >= requestSweepInterval
 }
--- a/routing/healthcheck_test.go
+++ b/routing/healthcheck_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestPrimaryIsSoughtByHealthChecksOnlyOnDemand(t *testing.T) {
+func TestHealthChecksSearchForThePrimaryOnDemand(t *testing.T) {
 	for _, class := range []int{strongRead, sessionRead, boundedRead} {
 		h := newHarness(t, testConfig(), groupWithoutRoles...)
 		h.advance(time.Second)
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestOneOfManyGatewaysChecksNobodyAtItsStart starts gateways beside few and beside many others: each health check of a
+// TestGatewaysOfALargeFleetCheckNoMembersAtStart starts gateways beside few and beside many others: each health check of a
 // start costs its member the same, so that many gateways would cost it much.
-func TestOneOfManyGatewaysChecksNobodyAtItsStart(t *testing.T) {
+func TestGatewaysOfALargeFleetCheckNoMembersAtStart(t *testing.T) {
 	var endpoints []Endpoint
 	for i := range 24 {
 		endpoints = append(endpoints, Endpoint{Member: fmt.Sprint("m", i), Group: i / 3, Primary: i%3 == 0, Capacity: 1})
--- a/routing/invariants_test.go
+++ b/routing/invariants_test.go
@@ -283,11 +283,11 @@
 // checkAnswers checks that a request has at most one final answer, and is rejected only if a retry by the client does no
 // harm.
 func (c *invariantChecker) checkAnswers(id uint64, req *requestRecord) {
-	own := c.rejected[id] + c.failed[id]
-	if own+req.answers > 1 {
-		c.Errorf("request %d has %d final answers", id, own+req.answers)
+	routerAnswers := c.rejected[id] + c.failed[id]
+	if routerAnswers+req.answers > 1 {
+		c.Errorf("request %d has %d final answers", id, routerAnswers+req.answers)
 	}
-	if own != 1 || c.answered[id] {
+	if routerAnswers != 1 || c.answered[id] {
 		return
 	}
 	c.answered[id] = true
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -6,20 +6,20 @@
 	latencyWindowSize = 40              // samples kept of each member
 	latencyWindowAge  = 4 * time.Second // age at which a sample no longer counts
 
-	priorWeight = 2.0 // the pool of members of the same role counts as this many samples of a member
+	priorWeight = 2.0 // weight of the pool of all members of the same role, in samples of one member
 
-	assumedConcurrency = 2 // attempts that any member processes at once; others may be queued
+	assumedConcurrency = 2 // attempts that any member processes at once; further ones may be queued
 )
 
-// latencySample is a round trip over the expected latency of its class. A censored one lasted at least so
-// long.
+// latencySample is a round trip divided by the expected latency of its class. A censored sample is a lower
+// bound: the attempt ended without an answer.
 type latencySample struct {
 	at       time.Duration
 	ratio    float64
 	censored bool
 }
 
-// recordLatency records a sample, divided by the queueing that this gateway's own attempts caused.
+// recordLatency records a sample after dividing it by the queueing factor of this gateway's own attempts.
 func (r *Router) recordLatency(member *memberState, sample latencySample) {
 	sample.ratio /= queueingFactor(len(member.inFlight) + 1)
 	member.latencyWindow = appendSample(member.latencyWindow, sample)
@@ -32,15 +32,16 @@
 	return append(window[max(0, len(window)-latencyWindowSize+1):], sample)
 }
 
-// queueingFactor is how much longer answers take with so many attempts of this gateway at a member: those
-// beyond assumedConcurrency are queued.
+// queueingFactor returns the factor by which a number of attempts of this gateway at a member lengthens their
+// latencies: attempts beyond assumedConcurrency are queued.
 func queueingFactor(attempts int) float64 {
 	return float64(max(attempts, assumedConcurrency)) / assumedConcurrency
 }
 
 // onTimeProbability estimates the probability that a member answers within a time, from its recent
-// latencies. Attempts that have been in flight for longer count as late at once, so that a member that
-// falls silent is avoided before any timeout. Extra is how many more attempts to assume in flight.
+// latencies. Attempts that have been in flight for longer count as late at once, so that a member that stops
+// answering is avoided before any timeout. The parameter extra is the number of further attempts to assume
+// in flight.
 func (r *Router) onTimeProbability(member *memberState, within, expected time.Duration, extra int) float64 {
 	target := float64(within) / float64(expected)
 	unqueued := target / queueingFactor(len(member.inFlight)+1+extra)
@@ -56,7 +57,8 @@
 }
 
 // countOnTime adds a window's samples to the weighted numbers of samples on time and of all samples. The
-// newest weigh most. A censored sample within the target counts as neither.
+// newest weigh most. A censored sample within the target is not counted, as the attempt might have been on
+// time or late.
 func (r *Router) countOnTime(window []latencySample, target, onTime, total float64) (float64, float64) {
 	for _, sample := range window {
 		weight := 2 * (1 - float64(r.now-sample.at)/float64(latencyWindowAge))
@@ -73,7 +75,7 @@
 	return onTime, total
 }
 
-// score is the expected value of a member's answer, as a share of the request's priority weight.
+// score returns the expected value of a member's answer, as a share of the request's priority weight.
 func (r *Router) score(req *requestState, member *memberState) float64 {
 	extra := 0
 	if member == req.group.primary() && !req.needsPrimary {
--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -50,7 +50,7 @@
 	h.want("a write", h.membersTried(h.request(nonIdempotentWrite)), "[a]")
 }
 
-func TestLatePrimariesLowerTheScoreOfAnUnknownOne(t *testing.T) {
+func TestLatePrimariesLowerTheScoreOfAPrimaryWithoutSamples(t *testing.T) {
 	h := newHarness(t, testConfig(),
 		Endpoint{Member: "a", Group: 1, Primary: true},
 		Endpoint{Member: "b", Group: 2, Primary: true},
--- a/routing/messages.go
+++ b/routing/messages.go
@@ -29,7 +29,7 @@
 	Group     int    // the replication group that it belongs to
 	Phase     Phase
 	Zone      string
-	Capacity  float64 // in relation to other members; 0 for unknown
+	Capacity  float64 // relative to other members; 0 for unknown
 	Primary   bool
 	StartedAt time.Duration // 0: long ago
 }
@@ -46,11 +46,11 @@
 	Class      int // index into Config.Classes
 	Tenant     int // index into Config.Tenants, -1 for none
 	Session    string
-	Remaining  time.Duration // until the client gives up this try
+	Remaining  time.Duration // until the client stops waiting
 	Work       time.Duration // expected processing time as hinted by the client, 0 for none
 	Group      int
 	SinceWrite time.Duration // since the session's last commit, 0 for none
-	Retry      bool          // the client marked it as a retry
+	Retry      bool          // the client marked the request as a retry
 }
 
 // Result is how an attempt or a health check ended.
@@ -71,7 +71,7 @@
 	ResultInvalidStatement // no member can execute the statement: nothing ran
 )
 
-// Report is what a member last reported of itself. It may be seconds old.
+// Report is a member's last report about itself. It may be seconds old.
 type Report struct {
 	HasPosition bool
 	Position    int64 // milliseconds after Config.PositionEpoch
@@ -86,7 +86,7 @@
 	Member      string
 	Result      Result
 	Latency     time.Duration
-	Closed      bool // the request has its final answer
+	Closed      bool // the request has its final answer, or needs none any more
 	Role        Role
 	Position    int64 // milliseconds after Config.PositionEpoch, 0 if not reported
 	Report      Report
--- a/routing/observations.go
+++ b/routing/observations.go
@@ -10,15 +10,15 @@
 	maxLatencyRatio = 4.0  // an answer counts as at most this multiple of the expected latency
 
 	workGain         = 0.25        // weight of an answer that took less than the expected work
-	workGrowthPeriod = time.Minute // expected work without such an answer doubles in about this time
+	workGrowthPeriod = time.Minute // without such answers the expected work doubles in about this time
 
 	unansweredGain = 0.1 // weight of one request in its group's share of unanswered requests
 
-	// lateRatio is the latency ratio of an answer that is too late for any request.
+	// lateRatio is a latency ratio that is too long for any request.
 	lateRatio = 1e9
 )
 
-// observe learns from the end of an attempt.
+// observe updates the state of the member, its zone and the class from the end of an attempt.
 func (r *Router) observe(attempt *attemptState, outcome Outcome) {
 	member := attempt.member
 	ratio := float64(outcome.Latency) / float64(attempt.expectedLatency)
@@ -34,24 +34,24 @@
 	case ResultError:
 		r.observeAnswer(member, outcome.ConnectedAt)
 		r.recordLatency(member, latencySample{at: r.now, ratio: lateRatio})
-	case ResultTimeout, ResultCancelled: // the request's retry is not to be a trial of this member
+	case ResultTimeout, ResultCancelled: // the request's retry must not be a trial of this member
 		member.endedSilence = max(member.endedSilence, r.attemptSilence(attempt))
 		member.nextTrialAt = r.now + trialInterval/2
 		r.recordLatency(member, latencySample{at: r.now, ratio: ratio, censored: true})
-	case ResultOverCapacity: // a sign of load, but no proof of service: an unresponsive member fills up too
+	case ResultOverCapacity: // a sign of load, but not of health: an unresponsive member fills up too
 		r.recordLatency(member, latencySample{at: r.now, ratio: lateRatio})
 	case ResultConnectFailed: // no sign of load: it must not cause load shedding
 		member.failures++
 		member.connectFailures++
 		member.nextTrialAt = r.now + trialInterval/2
-	case ResultReset: // likewise
+	case ResultReset: // no sign of load either
 		member.failures++
 		member.nextTrialAt = r.now + trialInterval/2
 	}
 }
 
-// observeAnsweredRole learns the role that an answer tells. A member that rejects a write is a replica,
-// whatever it says.
+// observeAnsweredRole records the role that an answer names. A member that rejects a write as ResultMissed is
+// a replica, whatever role its answer names.
 func (r *Router) observeAnsweredRole(attempt *attemptState, outcome Outcome) {
 	role := outcome.Role
 	if outcome.Result == ResultMissed && attempt.request.class.Consistency == ConsistencyWrite {
@@ -64,7 +64,7 @@
 	r.observeRole(attempt.member, role, max(position, attempt.member.rolePosition))
 }
 
-// observeSuccess learns from an attempt that was answered. The ratio is its latency over the expected one.
+// observeSuccess records a successful attempt. The ratio is its latency divided by the expected latency.
 func (r *Router) observeSuccess(attempt *attemptState, outcome Outcome, ratio float64) {
 	req, member := attempt.request, attempt.member
 	r.observeAnswer(member, outcome.ConnectedAt)
@@ -81,8 +81,8 @@
 	}
 }
 
-// updateExpectedWork updates the work of a class, which follows the shortest latencies: others include
-// queueing.
+// updateExpectedWork updates the expected work of a class. It follows the shortest latencies, because others
+// include queueing.
 func (r *Router) updateExpectedWork(class int, latency time.Duration) {
 	work := &r.expectedWork[class]
 	periods := float64(r.now-r.workUpdatedAt[class]) / float64(workGrowthPeriod)
@@ -91,8 +91,8 @@
 	*work -= time.Duration(workGain * float64(max(0, *work-latency)))
 }
 
-// observeReport learns from a member's report. The position dates the report: its role counts only if its
-// position is higher than that of the role that is known, as reports may arrive seconds late.
+// observeReport records a member's report. Reports may arrive seconds late. Therefore the reported role
+// counts only if the reported position is higher than the position as of which the role is known.
 func (r *Router) observeReport(member *memberState, report Report) {
 	if !report.HasPosition {
 		return
@@ -106,8 +106,8 @@
 	}
 }
 
-// observeRole learns a role that is dated by a position. Of two members that claim to be the primary, the
-// one with the higher position prevails.
+// observeRole records a member's role as of a position. If two members of a group are reported as the
+// primary, the one with the higher position counts as the primary.
 func (r *Router) observeRole(member *memberState, role Role, position int64) {
 	for _, other := range member.group.members {
 		if role != RolePrimary || other == member || other.role != RolePrimary {
--- a/routing/observations_test.go
+++ b/routing/observations_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestLocalCommitBindsTheSessionsNextRead(t *testing.T) {
+func TestSessionReadIncludesItsLocalCommit(t *testing.T) {
 	cfg := testConfig()
 	cfg.StaleReads = StaleReadServed
 	cfg.LocalSessions = true
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -3,20 +3,21 @@
 import "time"
 
 const (
-	// primarySearchInterval is the pause after a search that found no primary: a failover takes at least
-	// that long.
+	// primarySearchInterval is the pause after a search that found no primary. A failover takes at least that
+	// long.
 	primarySearchInterval = 500 * time.Millisecond
 
-	// trialInterval bounds the requests that an unresponsive member can delay.
+	// trialInterval is the time until the next trial request to an unhealthy member; after a failed attempt
+	// it is half of that. It limits the number of requests that an unresponsive member can delay.
 	trialInterval = time.Second
 
-	// minTrialLatencies is the time that a request must have left for a trial, in expected latencies.
+	// minTrialLatencies is the time that a trial request must have left, in expected latencies.
 	minTrialLatencies = 4
 )
 
-// choosePrimary returns the member for a write or a strong read; nil if it has to wait. Without a healthy
-// primary a write tries the other members in order of their ids, with a pause after each round. Only one
-// write of a group searches at a time, as all others would fail alike.
+// choosePrimary returns the member for a write or a strong read, or nil if the request has to wait. Without a
+// healthy primary, a write tries the other members in order of their ids, with a pause after each round. Only
+// one write of a group searches at a time, because further ones would end in the same way.
 func (r *Router) choosePrimary(req *requestState) *memberState {
 	group, primary := req.group, req.group.primary()
 	if primary != nil && r.eligible(req, primary) && (!r.unhealthy(primary) || r.allowTrial(req, primary)) {
@@ -46,9 +47,9 @@
 	return req.group.searchAttempt == nil && r.now >= req.group.nextSearchAt
 }
 
-// allowTrial lets one request through to an unhealthy member now and then, so that it can recover. The
-// request must be one that may be repeated, or connects to the member must fail, so that it is hardly ever
-// written.
+// allowTrial reports whether a request may be sent to an unhealthy member as a trial, which shows whether the
+// member has recovered. The request must be Idempotent, or connects to the member must fail, so that the
+// request is hardly ever written. An allowed trial delays the next one by trialInterval.
 func (r *Router) allowTrial(req *requestState, member *memberState) bool {
 	if req.class.Effect != Idempotent && member.connectFailures < maxFailures {
 		return false
@@ -56,7 +57,7 @@
 	if r.now < member.nextTrialAt || r.now+minTrialLatencies*(*req.expectedLatency) > req.usefulUntil {
 		return false
 	}
-	// A member that was lost with its zone is tried by health checks: they cost clients nothing.
+	// Health checks find out whether a member whose zone went down has recovered: they cost clients nothing.
 	if r.cfg.AllowHealthChecks && member.zoneState.MemberDown(member.healthCheckAnsweredAt) {
 		return false
 	}
--- a/routing/request.go
+++ b/routing/request.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// requestState is what the Router knows of a request that is open or has attempts in flight.
+// requestState is the state of a request that is open or has attempts in flight.
 type requestState struct {
 	Request
 	class           *Class
@@ -17,20 +17,20 @@
 	deadline           time.Duration
 	latencyObjectiveAt time.Duration // an answer after it earns less
 	usefulUntil        time.Duration // an answer after it earns nothing
-	unsentDeadline     time.Duration // it is rejected if no member has had it by then
-	pausedUntil        time.Duration // no attempt is sent before
+	unsentDeadline     time.Duration // it is rejected if no member has received it by then
+	pausedUntil        time.Duration // no attempt is sent before this time
 	minPosition        int64         // the position that a strong or session read requires
 
 	inFlight      []*attemptState
 	attempts      int            // sent so far
 	missedMembers []*memberState // answered it with ResultMissed
-	reachedMember bool           // a member has received it, even if that has rejected it
+	reachedMember bool           // a member has received it, even if the member rejected it
 
 	mayHaveRun      bool          // an attempt that is in flight or has ended may have run
 	endedMayHaveRun bool          // an attempt that has ended may have run
-	firstRunAt      time.Duration // when the first of these was sent
+	firstRunAt      time.Duration // when the first attempt that may have run was sent, or earlier
 
-	ended     bool // its final answer is given, or none is owed
+	ended     bool // it has its final answer, or needs none any more
 	streaming bool // its answer is being streamed
 }
 
@@ -45,8 +45,8 @@
 	cancelled       bool
 }
 
-// attemptIndex is the index of an attempt that is in flight; -1 if there is no such attempt or the request
-// is nil.
+// attemptIndex returns the index of an attempt in inFlight, or -1 if no such attempt is in flight or the
+// request is nil.
 func (r *requestState) attemptIndex(number int) int {
 	if r == nil {
 		return -1
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -9,13 +9,13 @@
 	hedgeLatencyFactor = 3.0                   // in expected latencies; 1 in 20 answers takes longer
 	overCapacityDelay  = 25 * time.Millisecond // before a retry at a primary over capacity
 
-	// unreachableThreshold is the share of a group's requests that end unanswered above which its requests
-	// wait only for 1/unreachableWaitDivisor of their time while the primary is unreachable.
+	// unreachableThreshold is a share of a group's requests. If more than that end unanswered, requests wait
+	// only for 1/unreachableWaitDivisor of their time while the primary is unreachable.
 	unreachableThreshold   = 0.5
 	unreachableWaitDivisor = 8
 )
 
-// attemptFailed decides what follows an attempt that did not bring the final answer.
+// attemptFailed decides how a request continues after an attempt that did not yield the final answer.
 func (r *Router) attemptFailed(req *requestState, attempt *attemptState, result Result) {
 	switch result {
 	case ResultMissed:
@@ -25,7 +25,7 @@
 			req.pausedUntil = r.now + overCapacityDelay
 		}
 	case ResultConnectFailed, ResultNotSent:
-	case ResultInvalidStatement: // the client's fault: no other member can execute it
+	case ResultInvalidStatement: // the client's error: no other member can execute the statement
 		r.gateway.Fail(req.ID, ReasonRejected)
 		r.endRequest(req)
 		return
@@ -40,7 +40,7 @@
 	r.advanceRequest(req)
 }
 
-// spendRetryToken pays for the retry of a request that may have run. Without a token the request is
+// spendRetryToken spends a token for the retry of a request that may have run. Without a token the request is
 // abandoned.
 func (r *Router) spendRetryToken(req *requestState, attempt *attemptState) {
 	if !req.endedMayHaveRun || attempt.cancelled || len(req.inFlight) > 0 {
@@ -53,7 +53,8 @@
 	r.retryTokens--
 }
 
-// abandonReason is why a request that has no attempt in flight must be abandoned; empty if it may go on.
+// abandonReason returns why a request without an attempt in flight must be abandoned, or "" if it may
+// continue.
 func (r *Router) abandonReason(req *requestState) Reason {
 	waited := r.now - req.deadline + req.Remaining
 	switch {
@@ -71,8 +72,8 @@
 	return ""
 }
 
-// mostlyUnanswered reports whether a request waits for an unreachable primary, as most requests of its
-// group do in vain.
+// mostlyUnanswered reports whether a request waits for an unreachable primary while most requests of its
+// group end unanswered.
 func (r *Router) mostlyUnanswered(req *requestState) bool {
 	if req.group.unansweredShare <= unreachableThreshold || req.endedMayHaveRun {
 		return false
@@ -88,7 +89,7 @@
 		return
 	}
 	if len(req.inFlight) > 0 {
-		r.hedgeOrMove(req)
+		r.hedgeOrCancel(req)
 		return
 	}
 	if reason := r.abandonReason(req); reason != "" {
@@ -114,12 +115,12 @@
 	}
 }
 
-// hedgeOrMove hedges a request whose attempt is slow or whose member is unhealthy. Where hedging is not
-// allowed it cancels the attempt at an unhealthy member if another member can serve the request, which is
-// then retried.
-func (r *Router) hedgeOrMove(req *requestState) {
+// hedgeOrCancel hedges a request whose attempt is slow or whose member is unhealthy. If hedging is not
+// allowed, it cancels the attempt at an unhealthy member if another member can serve the request. The end of
+// the cancelled attempt then starts the retry.
+func (r *Router) hedgeOrCancel(req *requestState) {
 	last := req.inFlight[len(req.inFlight)-1]
-	if !r.mayRetryBeside(req, last) {
+	if !r.mayRetryWhileInFlight(req, last) {
 		return
 	}
 	waited := float64(r.now - last.sentAt)
@@ -139,8 +140,8 @@
 	}
 }
 
-// mayRetryBeside reports whether a request may be retried while its last attempt is in flight.
-func (r *Router) mayRetryBeside(req *requestState, last *attemptState) bool {
+// mayRetryWhileInFlight reports whether a request may be retried while its last attempt is in flight.
+func (r *Router) mayRetryWhileInFlight(req *requestState, last *attemptState) bool {
 	if len(req.inFlight) > 1 || req.class.Effect == NonIdempotent || last.cancelled {
 		return false
 	}
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestUnresponsiveMembersRequestMovesWithoutHedging(t *testing.T) {
+func TestRequestIsRetriedElsewhereWithoutHedging(t *testing.T) {
 	cfg := testConfig()
 	cfg.AllowHedging = false
 	cfg.Classes[anyRead].LatencyObjective = 900 * ms
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestUnsentRequestIsRejectedByHalfOfItsTime has a request that no member receives: a client that is rejected later has
+// TestUnsentRequestIsRejectedWithinHalfItsTime has a request that no member receives: a client that is rejected later has
 // no time left for a retry. One that a member has rejected goes on waiting.
-func TestUnsentRequestIsRejectedByHalfOfItsTime(t *testing.T) {
+func TestUnsentRequestIsRejectedWithinHalfItsTime(t *testing.T) {
 	other := Endpoint{Member: "a", Group: 2, Primary: true, Capacity: 1} // not of the request's group
 	h := newHarness(t, testConfig(), other)
 	write := h.request(nonIdempotentWrite)
@@ -98,8 +98,8 @@
 	}
 }
 
-// writeWait is how long a write waits for its final answer, at most 4 s, while all members miss it.
-func (h *harness) writeWait() time.Duration {
+// measureWriteWait is how long a write waits for its final answer, at most 4 s, while all members miss it.
+func (h *harness) measureWriteWait() time.Duration {
 	id := h.request(nonIdempotentWrite)
 	for since := h.now; ; h.advance(10 * ms) {
 		h.missAll(id)
@@ -109,16 +109,16 @@
 	}
 }
 
-// TestUnansweredWaitsGrowShort has a group without a primary: the first writes wait for half of their time, later ones
+// TestWaitsShortenWhileRequestsEndUnanswered has a group without a primary: the first writes wait for half of their time, later ones
 // less and less, also those that a replica has rejected. Once writes are answered again they wait as long as ever.
-func TestUnansweredWaitsGrowShort(t *testing.T) {
+func TestWaitsShortenWhileRequestsEndUnanswered(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("", 10*ms)
-	first := h.writeWait()
+	first := h.measureWriteWait()
 	for range 40 {
-		h.writeWait()
+		h.measureWriteWait()
 	}
-	late := h.writeWait()
+	late := h.measureWriteWait()
 	if first < 1400*ms || late > 600*ms {
 		t.Errorf("the first write waits %v and a late one %v; want 1.4 s at least and 0.6 s at most", first, late)
 	}
@@ -128,15 +128,15 @@
 	}
 	h.reportAll("", 10*ms)
 	h.router.members["a"].role = RoleReplica
-	if again := h.writeWait(); again < 1400*ms {
+	if again := h.measureWriteWait(); again < 1400*ms {
 		t.Errorf("after answers a write waits %v again", again)
 	}
 }
 
-// TestWaitsForAWarmingPrimaryStayLong has most requests of a group end unanswered. A write that members have rejected is
+// TestWaitsForAPrimaryInSlowStartStayLong has most requests of a group end unanswered. A write that members have rejected is
 // abandoned early while there is no primary. One that waits for the budget of a primary in slow start is not, as that
 // comes: in a rolling release primaries are in slow start all the time.
-func TestWaitsForAWarmingPrimaryStayLong(t *testing.T) {
+func TestWaitsForAPrimaryInSlowStartStayLong(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		isPrimary bool // a is the primary, and in slow start
--- a/routing/sessions.go
+++ b/routing/sessions.go
@@ -1,15 +1,15 @@
 package routing
 
-// maxSessionMarks bounds the sessions whose last writes are remembered.
+// maxSessionMarks limits the number of sessions whose last write positions are stored.
 const maxSessionMarks = 100000
 
-// sessionMarks holds the highest position that each session has written, of the latest sessions.
+// sessionMarks holds the highest position that each of the latest sessions has written.
 type sessionMarks struct {
 	positions map[string]int64
 	order     []string // the oldest session first
 }
 
-// put raises a session's mark. It drops the oldest session if there are more than limit.
+// put raises a session's position. It drops the oldest session if there are more than limit.
 func (s *sessionMarks) put(session string, position int64, limit int) {
 	if s.positions == nil {
 		s.positions = map[string]int64{}
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// throughputAveragingTime is the time over which answered work is averaged: a gateway may have little
-	// traffic.
+	// throughputAveragingTime is the time over which answered work is averaged. It is long because a gateway
+	// may have little traffic.
 	throughputAveragingTime = 10 * time.Second
 
-	// slowStartSafetyFactor is the share of the overload budget that is used: gateways see unequal load.
+	// slowStartSafetyFactor is the share of the overload budget that is used. It is below 1 because gateways
+	// see unequal load.
 	slowStartSafetyFactor = 0.85
 )
 
-// slowStartWeight is the share of its capacity that a member is certain to have: less than 1 in slow start.
+// slowStartWeight returns the share of its capacity that a member certainly has: less than 1 in slow start.
 func (r *Router) slowStartWeight(member *memberState) float64 {
 	duration := r.cfg.SlowStartDuration
 	if member.startedAt <= 0 || duration <= 0 || r.now >= member.startedAt+duration {
@@ -25,8 +26,9 @@
 	return initial + (1-initial)*float64(max(0, r.now-member.startedAt))/float64(duration)
 }
 
-// SlowStartTimes returns when the members in slow start have started, by their ids: as the endpoint list
-// has told, or as their silence has shown before the list did.
+// SlowStartTimes returns the start times of the members in slow start, by member id. A start time comes from
+// the endpoint list or, if the list has not reported the restart yet, is the time of the first answer after
+// it.
 func (r *Router) SlowStartTimes() map[string]time.Duration {
 	starts := map[string]time.Duration{}
 	for id, member := range r.members {
@@ -37,16 +39,16 @@
 	return starts
 }
 
-// recordThroughput records work that a member has answered. It is divided among the members that are warm
-// at that time, so that the average is what one of them takes of this gateway's traffic, whichever come and
-// go later. Work of members in slow start counts only if none is warm.
+// recordThroughput records work that a member has answered. The work is divided by the number of members that
+// are warm at that time. The average is therefore the work that one warm member answers for this gateway,
+// even if members are added or removed later. Work of members in slow start counts only if no member is warm.
 func (r *Router) recordThroughput(member *memberState, work time.Duration) {
 	warm, _ := r.warmCapacity()
 	if warm > 0 && r.slowStartWeight(member) < 1 {
 		return
 	}
-	sharers := cmp.Or(warm, float64(len(r.sortedMembers)), 1)
-	rate := work.Seconds() / throughputAveragingTime.Seconds() / sharers
+	memberCount := cmp.Or(warm, float64(len(r.sortedMembers)), 1)
+	rate := work.Seconds() / throughputAveragingTime.Seconds() / memberCount
 	r.warmThroughput.add(r.now, throughputAveragingTime, rate)
 }
 
@@ -63,8 +65,8 @@
 }
 
 // admitSlowStart reports whether a member may be sent work. A member in slow start has a token bucket, in
-// seconds of work, so that all gateways together do not overload it. It starts with a random debt of up to
-// one request, as many gateways may want the member at once.
+// seconds of work, so that all gateways together do not overload it. The bucket starts with a random debt of
+// up to one request, because many gateways may send to the member at once.
 func (r *Router) admitSlowStart(member *memberState, work time.Duration) bool {
 	weight := r.slowStartWeight(member)
 	if weight >= 1 {
@@ -82,38 +84,39 @@
 	return member.tokens >= 0
 }
 
-// slowStartRate is the rate of a member's token bucket in seconds of work a second: this gateway's part of
-// what a warm member takes, scaled by the overload factor, the slow start weight and the member's capacity.
+// slowStartRate returns the fill rate of a member's token bucket, in seconds of work per second: the work
+// that a warm member answers for this gateway, scaled by the overload factor, the safety factor, the slow
+// start weight and the member's capacity.
 func (r *Router) slowStartRate(member *memberState, weight float64, work time.Duration) float64 {
 	// A gateway that has just started has averaged its throughput over less time.
 	uptime := max(r.now-r.startedAt, r.cfg.OverloadWindow)
 	averaged := min(1, uptime.Seconds()/throughputAveragingTime.Seconds())
 	longest := max(r.cfg.OverloadWindow, r.maxWait()).Seconds()
 	minThroughput := work.Seconds() / longest / float64(len(r.sortedMembers))
-	throughput := max(r.warmThroughput.now(r.now, throughputAveragingTime)/averaged, minThroughput)
+	throughput := max(r.warmThroughput.valueAt(r.now, throughputAveragingTime)/averaged, minThroughput)
 	rate := r.cfg.OverloadFactor * slowStartSafetyFactor * weight * throughput
 	count, capacity := r.warmCapacity()
 	if capacity > 0 && member.capacity > 0 {
-		rate *= min(1, member.capacity*count/capacity) // capacities may be rough, or shrink under load
+		rate *= min(1, member.capacity*count/capacity) // capacities may be imprecise, or shrink under load
 	}
 	return rate
 }
 
-// slowStartBurst is how many requests' worth of tokens may be saved up. While the demand of an overload
-// window, and of the requests that wait until a primary is known, exceeds twice the budget, all gateways
-// may spend what they have saved at once. Then it is what chance allows of the fleet's budget, divided
-// among the gateways.
+// slowStartBurst returns how many requests' worth of tokens may be saved up: 1 at most. All gateways may
+// spend their saved tokens at once while the demand of an overload window, together with the requests that
+// have waited until a primary is known, exceeds twice the budget. In that case the burst is limited to the
+// random variation that the fleet's budget allows, divided by the number of gateways.
 func (r *Router) slowStartBurst(weight, rate float64, work time.Duration) float64 {
 	window := r.cfg.OverloadWindow
 	if 2*r.cfg.OverloadFactor*weight*window.Seconds() >= (window + r.maxWait()).Seconds() {
 		return 1
 	}
 	gateways := float64(r.cfg.Gateways)
-	budget := rate / work.Seconds() * window.Seconds() * gateways // requests in a window
+	budget := rate / work.Seconds() * window.Seconds() * gateways // the fleet's requests in a window
 	return min(1, ((1-slowStartSafetyFactor)*budget+math.Sqrt(budget)/2+2)/gateways)
 }
 
-// maxWait is the longest time for which a request waits until it is sent.
+// maxWait returns the longest time for which a request waits until it is sent.
 func (r *Router) maxWait() time.Duration {
 	return time.Duration(maxUnsentShare * float64(r.cfg.maxDeadline()))
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -118,15 +118,15 @@
 	return sent
 }
 
-func TestSlowStartBudgetIsUsedBesideWarmMembers(t *testing.T) {
+func TestSlowStartBudgetUsesTheOverloadFactor(t *testing.T) {
 	h := newHarness(t, testConfig(), groupWithStartingReplica(100*time.Second)...)
 	h.reportAll("a", 10*ms)
-	ordinary := 0.0 // seconds of work at its slow start weight
+	weightedTime := 0.0 // seconds of work at its slow start weight
 	requests := h.sendToReplica(func() {
-		ordinary += h.router.slowStartWeight(h.router.members["c"]) * 0.001
+		weightedTime += h.router.slowStartWeight(h.router.members["c"]) * 0.001
 	})
-	if sent := float64(requests) * 0.005; sent < 1.5*ordinary || sent > h.router.cfg.OverloadFactor*ordinary {
-		t.Errorf("%.2f s of work for a replica in slow start whose part of ordinary work is %.2f s", sent, ordinary)
+	if sent := float64(requests) * 0.005; sent < 1.5*weightedTime || sent > h.router.cfg.OverloadFactor*weightedTime {
+		t.Errorf("%.2f s of work for a replica in slow start whose part of ordinary work is %.2f s", sent, weightedTime)
 	}
 }
 
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// maxExportedSilence bounds the silence in a snapshot, in expected latencies: far above what decisions distinguish, and
-// finite, so that it can be encoded.
+// maxExportedSilence limits the silence in a snapshot, in expected latencies. It is far above any value that
+// decisions distinguish, and finite, so that the silence can be encoded.
 const maxExportedSilence = 1e9
 
-// Snapshot is what a Router has learned of its members and its traffic, for the Router of a successor process. Times
-// are on the host's clock, which has to be the same for both. The JSON names are read by other versions.
+// Snapshot is what a Router has learned about its members and its traffic, for the Router of a successor
+// process. Times are on the caller's clock, which must be the same for both. Other versions read and write
+// the JSON names.
 type Snapshot struct {
 	Members          map[string]MemberSnapshot `json:"Members"`   // by id
 	ExpectedLatency  []time.Duration           `json:"Usual"`     // by class
@@ -18,30 +19,31 @@
 	WorkUpdatedAt    []time.Duration           `json:"WorkAt"`    // by class
 	ReplicaLatencies []LatencySnapshot         `json:"Replicas"`  // the pool of all members but primaries
 	PrimaryLatencies []LatencySnapshot         `json:"Primaries"` // the pool of primaries
-	// WarmThroughput is the work answered by one warm member. Older versions give that of all members as "Flow".
+	// WarmThroughput is the work answered by one warm member, in seconds per second. Older versions write the
+	// work answered by all members, as "Flow".
 	WarmThroughput          float64               `json:"MemberFlow"`
 	MeanPriorityWeight      float64               `json:"Worth"`
 	MeanExpectedLatency     float64               `json:"Weight"` // in seconds
 	ThroughputAt            time.Duration         `json:"FlowAt"` // when WarmThroughput was computed
 	StartedAt               time.Duration         `json:"StartAt"`
 	ConnectionShortageUntil time.Duration         `json:"TightUntil"`
-	PrimaryWantedAt         map[int]time.Duration `json:"Searches"`     // by group: when a request last found no member
-	UnansweredShare         map[int]float64       `json:"Vain"`         // by group: of the latest requests
+	PrimaryWantedAt         map[int]time.Duration `json:"Searches"`     // by group, as in groupState
+	UnansweredShare         map[int]float64       `json:"Vain"`         // by group, as in groupState
 	RetryTokens             float64               `json:"FurtherTries"` // left of the retry budget
 	HealthCheckTokens       float64               `json:"Probes"`       // left of the health check budget
 }
 
-// MemberSnapshot is what a Router has learned of one member.
+// MemberSnapshot is what a Router has learned about one member.
 type MemberSnapshot struct {
 	Role                   Role              `json:"Role"`
-	RolePosition           int64             `json:"RoleDate"` // the position that dates Role
+	RolePosition           int64             `json:"RoleDate"` // the position as of which Role is known
 	Position               int64             `json:"Position"` // the highest that it has reported
-	PositionAt             time.Duration     `json:"PosAt"`    // when it reported that
+	PositionAt             time.Duration     `json:"PosAt"`    // when it reported Position
 	AnsweredAt             time.Duration     `json:"HeardAt"`
 	NextTrialAt            time.Duration     `json:"TrialAt"`
 	Failures               int               `json:"Failed"`
 	ConnectFailures        int               `json:"Shut"`
-	EndedSilence           float64           `json:"Lost"` // in expected latencies, including attempts in flight
+	EndedSilence           float64           `json:"Lost"` // in expected latencies, with attempts in flight
 	Down                   bool              `json:"Down"`
 	StartedAt              time.Duration     `json:"StartedAt"`
 	TokensAt               time.Duration     `json:"CreditAt"`
@@ -53,7 +55,8 @@
 	LatencyWindow          []LatencySnapshot `json:"Window"`
 }
 
-// LatencySnapshot is one round trip over the expected latency of its class. A censored one lasted at least so long.
+// LatencySnapshot is one round trip divided by the expected latency of its class. A censored one is a lower
+// bound.
 type LatencySnapshot struct {
 	At       time.Duration `json:"At"`
 	Ratio    float64       `json:"Ratio"`
@@ -92,7 +95,7 @@
 	return snapshot
 }
 
-// exportMember returns what has been learned of a member.
+// exportMember returns the snapshot of one member.
 func (r *Router) exportMember(member *memberState) MemberSnapshot {
 	return MemberSnapshot{
 		Role:                   member.role,
@@ -116,9 +119,9 @@
 	}
 }
 
-// Restore takes over what the Router of a predecessor process has learned of the members that are known here. It has to
-// be called right after the first endpoint list: it overwrites what this Router has learned itself. A snapshot of
-// another number of classes is ignored.
+// Restore loads the snapshot of a predecessor process. Members that this Router does not have are skipped. It
+// must be called right after the first endpoint list, because it overwrites what this Router has learned
+// itself. A snapshot with another number of classes is ignored.
 func (r *Router) Restore(snapshot Snapshot) {
 	classes := len(r.cfg.Classes)
 	if len(snapshot.ExpectedLatency) != classes || len(snapshot.ExpectedWork) != classes ||
@@ -154,7 +157,8 @@
 	}
 }
 
-// restore takes over what was learned of a member. What belongs to its process is left out if a newer one has started.
+// restore loads the snapshot of a member. Observations of its process are skipped if a newer process has
+// started.
 func (m *memberState) restore(learned MemberSnapshot) {
 	if learned.StartedAt >= m.startedAt {
 		m.failures = learned.Failures
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -10,7 +10,7 @@
 // TestSnapshotIsRestored has a router learn of a primary and of a member that fails, and passes that to another router
 // as JSON: the other decides alike from its first request on.
 func TestSnapshotIsRestored(t *testing.T) {
-	h := newLearnedHarness(t)
+	h := newHarnessWithHistory(t)
 	snapshot := h.encodedSnapshot()
 	successor := newHarness(t, h.router.cfg, groupWithoutRoles...)
 	successor.now = h.now + 100*ms
@@ -31,7 +31,7 @@
 
 // TestSnapshotOfOtherClassesIsIgnored restores a snapshot under another configuration: nothing of it is taken over.
 func TestSnapshotOfOtherClassesIsIgnored(t *testing.T) {
-	h := newLearnedHarness(t)
+	h := newHarnessWithHistory(t)
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
 	other := newHarness(t, cfg)
@@ -49,8 +49,8 @@
 	{Member: "c", Group: 1, Capacity: 1},
 }
 
-// newLearnedHarness answers requests, of which writes go to the primary b, and then has the replica c fail.
-func newLearnedHarness(t *testing.T) *harness {
+// newHarnessWithHistory answers requests, of which writes go to the primary b, and then has the replica c fail.
+func newHarnessWithHistory(t *testing.T) *harness {
 	t.Helper()
 	cfg := testConfig()
 	cfg.RoleSource = RoleSourceNone
--- a/routing/sweep.go
+++ b/routing/sweep.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	requestSweepInterval = 20 * time.Millisecond  // between two looks at open requests
-	memberSweepInterval  = 100 * time.Millisecond // between two looks at members
+	requestSweepInterval = 20 * time.Millisecond  // between two sweeps of the open requests
+	memberSweepInterval  = 100 * time.Millisecond // between two sweeps of the members
 )
 
 // sweepTimer is the name of the Router's only timer.
@@ -16,8 +16,8 @@
 // timerTolerance is how much earlier than requested a timer may fire.
 const timerTolerance = time.Millisecond
 
-// advanceClock sets the time of the event that is being handled. Sweeps that are long overdue mean that
-// this gateway stood still, and that members were not silent meanwhile.
+// advanceClock sets the time of the event that is being handled. If sweeps are long overdue, this gateway has
+// stalled, and the time of the stall does not count as silence of members.
 func (r *Router) advanceClock(now time.Duration) {
 	if now-r.now > 2*memberSweepInterval {
 		r.resumedAt = now
@@ -35,7 +35,7 @@
 	if now >= r.nextMemberSweepAt {
 		r.nextMemberSweepAt = now + memberSweepInterval
 		r.keepSubscribed()
-		r.judgeZones()
+		r.evaluateZones()
 		r.sendHealthChecks()
 	}
 	for _, req := range r.openRequests {
@@ -45,8 +45,8 @@
 	r.scheduleSweep()
 }
 
-// scheduleSweep requests a timer for the next sweep, sooner while requests are open. A timer that it
-// supersedes still fires, and Timer ignores it.
+// scheduleSweep requests a timer for the next sweep, which is sooner while requests are open. A timer that is
+// superseded by an earlier one still fires, and Timer ignores it.
 func (r *Router) scheduleSweep() {
 	at := r.now + memberSweepInterval
 	if len(r.openRequests) > 0 {
--- a/routing/validate.go
+++ b/routing/validate.go
@@ -6,20 +6,20 @@
 	"cranegate/internal/zones"
 )
 
-// ConfigError is a configuration that a Router can't be made with. Readers of settings find such faults
-// earlier, and name the setting as operators know it.
+// ConfigError reports a field of Config that New does not accept. Code that reads settings finds such errors
+// earlier and names the setting as operators know it.
 type ConfigError struct {
-	Field string // of Config
-	Needs string // what it has to be
+	Field string // the field of Config
+	Needs string // what the field must be
 }
 
-// Error names the field and what it has to be.
+// Error names the field and its requirement.
 func (e *ConfigError) Error() string {
-	return fmt.Sprintf("configuration: %s has to be %s", e.Field, e.Needs)
+	return fmt.Sprintf("configuration: %s must be %s", e.Field, e.Needs)
 }
 
-// validate checks what decisions divide by or wait for, and makes the zones that are configured; nil for
-// none. It returns a *ConfigError, or an error of the zones' options.
+// validate checks the settings that decisions divide by or wait for. It returns the state of the configured
+// zones, nil if there are none, and a *ConfigError or an error of package zones.
 func (c *Config) validate(seed uint64) (*zones.Zones, error) {
 	switch {
 	case len(c.Classes) == 0:
@@ -41,11 +41,11 @@
 	if c.Zones == nil {
 		return nil, nil
 	}
-	judged, err := zones.New(*c.Zones, seed)
+	configuredZones, err := zones.New(*c.Zones, seed)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	return judged, nil
+	return configuredZones, nil
 }
 
 // validSlowStart reports whether slow start is off or fully configured. The comparisons reject NaN.
--- a/routing/zones.go
+++ b/routing/zones.go
@@ -7,10 +7,11 @@
 	"cranegate/internal/zones"
 )
 
-// Zones returns the state of the zones; nil where they are not judged. It shares the Router's goroutine.
+// Zones returns the state of the zones, or nil if the health of zones is not evaluated. It must be used from
+// the goroutine that calls the Router.
 func (r *Router) Zones() *zones.Zones { return r.zones }
 
-// zoneState returns the state of a zone; nil where zones are not judged.
+// zoneState returns the state of a zone, or nil if the health of zones is not evaluated.
 func (r *Router) zoneState(name string) *zones.Zone {
 	if r.zones == nil {
 		return nil
@@ -18,8 +19,8 @@
 	return r.zones.Zone(name)
 }
 
-// judgeZones judges the zones by what is known of their members.
-func (r *Router) judgeZones() {
+// evaluateZones updates the health of the zones from the state of their members.
+func (r *Router) evaluateZones() {
 	if r.zones == nil {
 		return
 	}
@@ -35,7 +36,7 @@
 	}
 }
 
-// zoneObservation is what a member contributes to the judgement of its zone.
+// zoneObservation returns what a member contributes to the health of its zone.
 func (r *Router) zoneObservation(member *memberState) zones.Observation {
 	observation := zones.Observation{
 		LastHeard:       max(member.answeredAt, member.healthCheckAnsweredAt),
@@ -53,7 +54,7 @@
 	return observation
 }
 
-// recordHealthCheck records the end of a health check.
+// recordHealthCheck records a successful health check. Others are ignored.
 func (r *Router) recordHealthCheck(member *memberState, check HealthCheckResult) {
 	if check.Result != ResultOK {
 		return
@@ -63,15 +64,15 @@
 	member.zoneState.ObserveRTT(check.Latency)
 }
 
-// healthCheckSent records that a health check is sent. The first one after the member's last answer counts.
+// healthCheckSent records the time of a health check if it is the first one since the member's last answer.
 func (m *memberState) healthCheckSent(now time.Duration) {
 	if m.unansweredCheckAt <= m.answeredAt {
 		m.unansweredCheckAt = now
 	}
 }
 
-// healthCheckSilence is how long a member's health checks have gone unanswered; 0 if it has answered
-// requests meanwhile.
+// healthCheckSilence returns how long a member's health checks have been unanswered, or 0 if the member has
+// answered since.
 func (r *Router) healthCheckSilence(member *memberState) time.Duration {
 	if member.unansweredCheckAt == 0 || member.unansweredCheckAt <= member.answeredAt {
 		return 0
@@ -91,8 +92,8 @@
 	r.zones.Reinstate(attempt.member.zoneState, attempt.sentAt)
 }
 
-// forgetZoneDraw discards the tier that was drawn for the previous placement.
-func (r *Router) forgetZoneDraw() {
+// discardTierDraw discards the tier that was drawn for the previous read.
+func (r *Router) discardTierDraw() {
 	if r.zones != nil {
 		r.zones.DiscardDraw()
 	}
@@ -108,9 +109,9 @@
 	}
 }
 
-// survivedZoneLoss reports whether a connection that was established before a member was lost with its zone
-// has carried an answer since: then the process has survived, and only the network was partitioned. The
-// answer may also come after the zone has recovered.
+// survivedZoneLoss reports whether a connection that was established before an outage of a member's zone
+// carries an answer since. If so, the process has survived, and only the network was partitioned. The answer
+// may also arrive after the zone has recovered.
 func (m *memberState) survivedZoneLoss(connectedAt time.Duration) bool {
 	lastAnswer := m.answeredBeforeZoneLoss
 	if m.zoneState.MemberDown(m.answeredAt) {
@@ -121,7 +122,7 @@
 	return connectedAt > 0 && connectedAt <= lastAnswer
 }
 
-// undoZoneLoss restores the start of a member whose process has survived the loss of its zone.
+// undoZoneLoss restores the start time of a member whose process has survived the outage of its zone.
 func (m *memberState) undoZoneLoss() {
 	if m.answeredBeforeZoneLoss > 0 {
 		m.startedAt = m.previousStartedAt
@@ -129,9 +130,9 @@
 	}
 }
 
-// healthCheckConn is the connection of the next health check: a new one while the member is lost with its
-// zone, so that idle ones are kept, and the oldest as soon as the zone has recovered, which shows whether
-// the process has survived.
+// healthCheckConn returns which connection the next health check uses: a new one while the member is down
+// with its zone, so that idle ones are kept, and the oldest as soon as the zone has recovered, which shows
+// whether the process has survived.
 func (m *memberState) healthCheckConn() ConnPolicy {
 	if m.zoneState.MemberDown(m.answeredAt) {
 		return ConnNew
--- a/routing/zones_test.go
+++ b/routing/zones_test.go
@@ -17,11 +17,11 @@
 	handledSends int                      // sends that were answered, or ignored by a dead member
 }
 
-func newZonedHarness(t *testing.T, own string) *zonedHarness {
+func newZonedHarness(t *testing.T, ownZone string) *zonedHarness {
 	t.Helper()
 	cfg := testConfig()
-	cfg.Zone = own
-	cfg.Zones = &zones.Options{OwnZone: own}
+	cfg.Zone = ownZone
+	cfg.Zones = &zones.Options{OwnZone: ownZone}
 	var endpoints []Endpoint
 	alive := map[string]bool{}
 	for _, zone := range []string{"a", "b", "c"} {
@@ -73,9 +73,9 @@
 	})
 }
 
-// place sends reads, which members that are alive answer, and counts the members that their first attempts went to.
-func (h *zonedHarness) place(n int) map[string]int {
-	placed := map[string]int{}
+// sendReads sends reads, which members that are alive answer, and counts the members that their first attempts went to.
+func (h *zonedHarness) sendReads(n int) map[string]int {
+	readsByMember := map[string]int{}
 	for range n {
 		h.advanceAnswering(10 * ms)
 		h.request(anyRead)
@@ -84,7 +84,7 @@
 			number := h.attemptsEnded[sent.request]
 			h.attemptsEnded[sent.request]++
 			if number == 0 {
-				placed[sent.member]++
+				readsByMember[sent.member]++
 			}
 			if h.alive[sent.member] {
 				h.router.Outcome(h.now, Outcome{Request: sent.request, Attempt: number, Member: sent.member,
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	return placed
+	return readsByMember
 }
 
 // TestReadsPreferTheOwnZone has reads stay in the gateway's own zone as long as that has capacity, and leave it when it
@@ -100,17 +100,17 @@
 func TestReadsPreferTheOwnZone(t *testing.T) {
 	h := newZonedHarness(t, "b")
 	h.advanceAnswering(time.Second)
-	if placed := h.place(200); placed["b1"]+placed["b2"] < 195 {
-		t.Errorf("with all zones healthy: %v", placed)
+	if readsByMember := h.sendReads(200); readsByMember["b1"]+readsByMember["b2"] < 195 {
+		t.Errorf("with all zones healthy: %v", readsByMember)
 	}
 	h.alive["b1"], h.alive["b2"] = false, false
-	h.place(60)
+	h.sendReads(60)
 	if h.router.Zones().Zone("b").State() != zones.Down {
 		t.Fatalf("zone b is %s", h.router.Zones().Zone("b").State())
 	}
-	placed := h.place(100)
-	if placed["b1"]+placed["b2"] > 0 || placed["c1"] < 15 || placed["c2"] < 15 || placed["a2"] < 15 {
-		t.Errorf("with the own zone lost: %v", placed)
+	readsByMember := h.sendReads(100)
+	if readsByMember["b1"]+readsByMember["b2"] > 0 || readsByMember["c1"] < 15 || readsByMember["c2"] < 15 || readsByMember["a2"] < 15 {
+		t.Errorf("with the own zone lost: %v", readsByMember)
 	}
 	reported := slices.ContainsFunc(h.zones, func(change zones.Change) bool {
 		return change.Zone == "b" && change.To == zones.Down
@@ -144,12 +144,12 @@
 func TestSurvivingConnectionMeansNoRestart(t *testing.T) {
 	for _, survived := range []bool{false, true} {
 		h := newZonedHarness(t, "a")
-		h.place(50)
+		h.sendReads(50)
 		for name := range h.alive {
 			h.connectedAt[name] = h.now - 500*ms // before its last answer
 		}
 		h.alive["b1"], h.alive["b2"] = false, false
-		h.place(300)
+		h.sendReads(300)
 		member := h.router.members["b1"]
 		if !member.zoneState.MemberDown(member.answeredAt) {
 			t.Fatal("zone b is not lost")
@@ -158,7 +158,7 @@
 		if !survived {
 			h.connectedAt["b1"] = h.now
 		}
-		h.place(100)
+		h.sendReads(100)
 		if weight := h.router.slowStartWeight(member); survived != (weight == 1) {
 			t.Errorf("its connections survived: %v, yet its slow start weight is %.2f", survived, weight)
 		}
@@ -169,7 +169,7 @@
 // not hide those that go unanswered after it.
 func TestHealthCheckSilenceRestartsAfterAnAnswer(t *testing.T) {
 	h := newZonedHarness(t, "a")
-	h.place(20)
+	h.sendReads(20)
 	member := h.router.members["b1"]
 	member.healthCheckSent(h.now)
 	h.now += ms
@@ -196,8 +196,8 @@
 		if err := h.router.Zones().Configure(zones.Options{OwnZone: "b", DetectOnly: only}); err != nil {
 			t.Fatal(err)
 		}
-		if placed := h.place(200); only != (placed["b1"]+placed["b2"] < 150) {
-			t.Errorf("detect_only = %v: %v", only, placed)
+		if readsByMember := h.sendReads(200); only != (readsByMember["b1"]+readsByMember["b2"] < 150) {
+			t.Errorf("detect_only = %v: %v", only, readsByMember)
 		}
 	}
 }
