--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// recordAll replaces the latency windows of all members by n samples, whose ratios are given by their index.
+// recordAll replaces the latency windows of all members with n samples. The function ratio returns the ratio
+// of each sample by its index.
 func (h *harness) recordAll(n int, ratio func(i int) float64) {
 	for _, member := range h.router.sortedMembers {
 		member.latencyWindow = nil
@@ -41,7 +42,7 @@
 	cfg.OverQuotaWeight = 0.1
 	h := newHarness(t, cfg)
 	h.reportAll("a", 10*ms)
-	h.recordAll(38, func(int) float64 { // two in three are in time
+	h.recordAll(38, func(int) float64 { // two in three are on time
 		return 100 * float64(h.router.rng.IntN(3)/2)
 	})
 	over, within := 0, 0
@@ -57,7 +58,7 @@
 		}
 	}
 	if over <= within {
-		t.Errorf("%d requests over quota were rejected, %d others", over, within)
+		t.Errorf("%d requests over quota and %d within quota were rejected", over, within)
 	}
 }
 
@@ -70,7 +71,7 @@
 			member.inFlight = nil
 			member.endedSilence = 0
 		}
-		h.recordAll(10, func(i int) float64 { return 100 * float64(i%5/4) }) // four of five are in time
+		h.recordAll(10, func(i int) float64 { return 100 * float64(i%5/4) }) // four of five are on time
 		for _, class := range []int{anyRead, nonIdempotentWrite} {
 			id := h.request(class)
 			rejected[class] += h.rejected[id]
@@ -85,9 +86,10 @@
 	}
 }
 
-// TestMarkedRetriesAreNotAdmittedAtRandom has a quarter of the answers late: a share of the first tries is admitted, and no
-// marked retry, as a draw for each retry would admit the same share of them again. Where answers are in time, or nothing
-// is known, all are admitted, except those of a class that the group has shed: they wait until a latency objective has
+// TestMarkedRetriesAreNotAdmittedAtRandom checks that, while a quarter of the answers are late, a share of
+// the first tries is admitted but no marked retry: a new random draw for each retry would admit the same
+// share of them again. While answers are on time, or nothing is known, all requests are admitted, except
+// marked retries of a class that the group has shed: these are admitted again when a latency objective has
 // passed without shedding.
 func TestMarkedRetriesAreNotAdmittedAtRandom(t *testing.T) {
 	h := newHarness(t, testConfig())
@@ -119,6 +121,6 @@
 	h.want("first tries then", countSent(100, 0.1, first), 100)
 	h.advance(h.router.cfg.Classes[anyRead].LatencyObjective / 2)
 	h.want("retries sent half a latency objective later", countSent(10, 0.1, retry), 0)
-	h.advance(h.router.cfg.Classes[anyRead].LatencyObjective / 2) // retries that were rejected delay no others
+	h.advance(h.router.cfg.Classes[anyRead].LatencyObjective / 2) // rejected retries delay no other retries
 	h.want("retries sent a latency objective later", countSent(100, 0.1, retry), 100)
 }
--- a/routing/attempts_test.go
+++ b/routing/attempts_test.go
@@ -26,7 +26,7 @@
 	h.endAttempt(write, ResultReset, RoleUnknown, 0)
 	h.now += 100 * ms
 	h.checkOK("c", RolePrimary, 0)
-	h.endAttempt(write, ResultMissed, RoleReplica, h.position(0)) // the retry found that a is the primary no more
+	h.endAttempt(write, ResultMissed, RoleReplica, h.position(0)) // a is no longer the primary
 	h.want("attempts", h.membersTried(write), "[a a c]")
 	h.now += 2 * time.Second
 	h.endAttempt(write, ResultReset, RoleUnknown, 0)
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestRetriesStartBeforeTheirDeadline has retries that may wait for a connection: each is sent with the time by which it
-// must have started.
+// TestRetriesStartBeforeTheirDeadline checks that each attempt, which may wait for a connection, is sent with
+// the time before which it must start.
 func TestRetriesStartBeforeTheirDeadline(t *testing.T) {
 	for _, ttl := range []time.Duration{150 * ms, 400 * ms, 2 * time.Second, time.Minute} {
 		cfg := testConfig()
@@ -69,7 +69,8 @@
 	}
 }
 
-// TestReadsStartWhileTheirDataIsFresh has reads that may wait for a connection, and members that do not check them.
+// TestReadsStartWhileTheirDataIsFresh checks the start deadlines of reads, which may wait for a connection,
+// at members that do not check reads.
 func TestReadsStartWhileTheirDataIsFresh(t *testing.T) {
 	cfg := testConfig()
 	cfg.StaleReads = StaleReadServed
@@ -84,8 +85,8 @@
 		h.now+cfg.Classes[anyRead].LatencyObjective)
 }
 
-// TestStrongReadsStartWhileTheRoleIsValid has a primary whose position is old: it may be read from as long as no answer
-// names another primary.
+// TestStrongReadsStartWhileTheRoleIsValid checks that a strong read may start at a primary whose position is
+// old, as long as no answer that names another primary counts as known.
 func TestStrongReadsStartWhileTheRoleIsValid(t *testing.T) {
 	cfg := testConfig()
 	cfg.StaleReads = StaleReadServed
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -57,7 +57,7 @@
 	h.now += 500 * ms
 	id := h.request(boundedRead)
 	if h.membersTried(id)[0] == "a" {
-		t.Error("a read went to the primary though replicas had kept up half a second ago")
+		t.Error("a read went to the primary though replicas were up to date half a second ago")
 	}
 }
 
@@ -67,7 +67,7 @@
 	h.now += 10 * ms
 	h.router.HealthChecked(h.now, HealthCheckResult{Member: "b", Result: ResultOK,
 		Report: Report{HasPosition: true, Position: h.router.members["b"].position + 1}})
-	h.router.members["b"].position -= 500 // b fell behind
+	h.router.members["b"].position -= 500 // b lags
 	for range 10 {
 		id := h.request(anyRead)
 		h.want("read of any age", h.membersTried(id), "[b]")
@@ -80,7 +80,7 @@
 	h.reportAll("a", 10*ms)
 	h.now += 8 * time.Second
 	if tried := h.membersTried(h.request(boundedRead)); len(tried) == 0 || tried[0] == "a" {
-		t.Errorf("a bounded read went to %v: gateways with little traffic would overload the primary", tried)
+		t.Errorf("a read went to %v: gateways with little traffic would overload the primary", tried)
 	}
 }
 
@@ -93,18 +93,18 @@
 		h.router.recordLatency(h.router.members["b"], latencySample{at: h.now, ratio: 1e3})
 		h.router.recordLatency(h.router.members["c"], latencySample{at: h.now, ratio: 1e3})
 	}
-	primary.latencyWindow = primary.latencyWindow[:3] // in a large fleet a gateway has few samples of a member
+	primary.latencyWindow = primary.latencyWindow[:3] // a gateway of a large fleet has few samples
 	h.want("a read", h.membersTried(h.request(boundedRead)), "[a]")
 	h.want("attempts of a write beside it", len(h.membersTried(h.request(nonIdempotentWrite))), 1)
 	h.want("attempts of one more", len(h.membersTried(h.request(nonIdempotentWrite))), 1)
 	if tried := h.membersTried(h.request(boundedRead)); len(tried) > 0 && tried[0] == "a" {
-		t.Error("a read took the capacity that is left for writes")
+		t.Error("a read used the capacity that is reserved for writes")
 	}
 }
 
 func TestLaggingReplicaIsTriedOnceItMayHaveCaughtUp(t *testing.T) {
 	h := newHarness(t, testConfig())
-	h.reportAll("a", 600*ms) // both replicas lag 600 ms; the primary is slow
+	h.reportAll("a", 600*ms) // both replicas lag 600 ms, and the primary is slow
 	for range 40 {
 		h.router.recordLatency(h.router.members["a"], latencySample{at: h.now, ratio: 100})
 	}
@@ -112,6 +112,6 @@
 	h.want("a read just after the report", h.membersTried(id), "[]")
 	h.now += 500 * ms
 	if tried := h.membersTried(h.request(boundedRead)); len(tried) == 0 || tried[0] == "a" {
-		t.Errorf("half a second later a read of 200 ms went to %v", tried)
+		t.Errorf("half a second later a read with a bound of 200 ms went to %v, want a replica", tried)
 	}
 }
--- a/routing/events.go
+++ b/routing/events.go
@@ -124,9 +124,9 @@
 }
 
 // HealthChecked handles the end of a health check. A successful check clears the member's failures. It ends
-// the member's silence only if the member's position has advanced, if the last check could not connect,
-// which indicates a new process, or if the check's connection proves that the process survived an outage
-// of its zone.
+// the member's silence only if the member's position has advanced, if a check since its last answer could not
+// connect, which indicates a new process, or if the check's connection proves that the process survived an
+// outage of its zone.
 func (r *Router) HealthChecked(now time.Duration, check HealthCheckResult) {
 	r.advanceClock(now)
 	member := r.members[check.Member]
--- a/routing/events_test.go
+++ b/routing/events_test.go
@@ -40,6 +40,6 @@
 	h.timers = 0
 	h.advance(10 * time.Second)
 	if h.timers > 110 {
-		t.Errorf("%d timers in 10 s without a request", h.timers)
+		t.Errorf("%d timers in 10 s without a request, want at most 110", h.timers)
 	}
 }
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -8,7 +8,7 @@
 	"cranegate/routing"
 )
 
-// printer is a Gateway that prints what it is asked to do.
+// printer is a Gateway that prints its calls.
 type printer struct{}
 
 func (printer) Send(request uint64, member string, abandonAt, _ time.Duration) {
@@ -30,7 +30,8 @@
 func (printer) ZoneChanged(zones.Change)               {}
 func (printer) Log(string)                             {}
 
-// A router sends a read to a replica and a write to the primary, and fails the write when its connection breaks.
+// A router sends a read to a replica and a write to the primary. It fails the write when its connection
+// breaks.
 func Example() {
 	config := routing.Config{
 		Gateways:    1,
--- a/routing/group_test.go
+++ b/routing/group_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestUnknownGroupsAreForgotten has clients name ever new groups, which have no members. The table of groups must not
-// grow with what clients name; groups with members, and with open requests, stay.
+// TestUnknownGroupsAreForgotten checks that the table of groups does not grow without bound when clients name
+// ever new groups, which have no members. Groups with members or open requests are kept.
 func TestUnknownGroupsAreForgotten(t *testing.T) {
 	h := newHarness(t, testConfig())
 	known := len(h.router.groups)
@@ -19,7 +19,7 @@
 	h.want("rejections of the last request", h.rejected[last], 1)
 	h.want("open requests", len(h.router.requests), 0)
 	if grown := len(h.router.groups) - known; grown > maxEmptyGroups {
-		t.Errorf("%d groups more than at first, want %d at most", grown, maxEmptyGroups)
+		t.Errorf("%d groups more than at the start, want at most %d", grown, maxEmptyGroups)
 	}
 	if h.router.groups[1] == nil {
 		t.Error("a group with members was forgotten")
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -74,7 +74,7 @@
 	idempotentWrite
 )
 
-// testConfig is a configuration of six classes, in which everything is allowed.
+// testConfig returns a configuration of six classes that allows cancellation, hedging and health checks.
 func testConfig() Config {
 	cfg := Config{
 		Gateways:          2,
@@ -118,7 +118,7 @@
 	return cfg
 }
 
-// harness drives a Router step by step on a clock of its own.
+// harness drives a Router step by step on a simulated clock.
 type harness struct {
 	*testing.T
 	*recorder
@@ -128,7 +128,8 @@
 	attemptsEnded map[uint64]int // by request, for tests that end attempts in order
 }
 
-// newHarness starts a Router over the given endpoints; with none, over a primary a and two replicas b and c.
+// newHarness starts a Router with the given endpoints or, if there are none, with a primary a and two
+// replicas b and c.
 func newHarness(t *testing.T, cfg Config, endpoints ...Endpoint) *harness {
 	t.Helper()
 	h := &harness{
@@ -153,7 +154,7 @@
 	return h
 }
 
-// advance moves the clock on, with a sweep every 10 ms.
+// advance moves the clock forward, with a sweep every 10 ms.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += 10 * ms
@@ -200,16 +201,17 @@
 		Latency: ms, Closed: result == ResultOK, Role: role, Position: position})
 }
 
-// position is the primary's position as of a time ago.
+// position returns the position that the primary had a time lag ago.
 func (h *harness) position(lag time.Duration) int64 { return int64((h.now - lag) / ms) }
 
-// checkOK ends a health check of a member with a report of its role and position.
+// checkOK ends a health check of a member successfully, with a report of its role and position.
 func (h *harness) checkOK(member string, role Role, lag time.Duration) {
 	report := Report{HasPosition: true, Position: h.position(lag), Role: role}
 	h.router.HealthChecked(h.now, HealthCheckResult{Member: member, Result: ResultOK, Report: report})
 }
 
-// reportAll has every member report its role and position by a health check. Replicas lag.
+// reportAll ends a health check of every member with a report of its role and position. Replicas lag behind
+// the primary.
 func (h *harness) reportAll(primary string, lag time.Duration) {
 	for _, member := range h.router.sortedMembers {
 		if member.id == primary {
@@ -220,7 +222,7 @@
 	}
 }
 
-// want compares two values by their printed form.
+// want reports an error if two values differ in their printed form.
 func (h *harness) want(what string, got, want any) {
 	h.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
--- a/routing/health_test.go
+++ b/routing/health_test.go
@@ -20,7 +20,7 @@
 		h.router.observe(attempt, Outcome{Result: ResultTimeout})
 	}
 	if h.router.unhealthy(member) {
-		t.Error("short silences added up: writes for a loaded primary would start a search")
+		t.Error("short silences added up, so writes for a loaded primary would start a search")
 	}
 }
 
@@ -38,7 +38,7 @@
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
 	id := h.request(anyRead)
-	h.endAttempt(id, ResultConnectFailed, RoleUnknown, 0) // is retried at once
+	h.endAttempt(id, ResultConnectFailed, RoleUnknown, 0) // the read is retried at once
 	h.checkOK(h.membersTried(id)[0], RoleReplica, 0)
 	h.endAttempt(h.request(nonIdempotentWrite), ResultOK, RolePrimary, h.position(0))
 	h.want("closed after the answer", h.closedIdle, "[a]")
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestBrokenConnectionsAreNoRestart has connections break while no process fails: that must neither begin a slow start,
-// which delays a member's work for many seconds, nor have idle connections closed.
+// TestBrokenConnectionsAreNoRestart breaks connections while no process fails. That must neither begin a slow
+// start, which delays a member's work for many seconds, nor cause idle connections to be closed.
 func TestBrokenConnectionsAreNoRestart(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
--- a/routing/healthcheck_test.go
+++ b/routing/healthcheck_test.go
@@ -14,7 +14,7 @@
 		h.reportAll("a", 10*ms)
 	}
 	if n := len(h.healthChecks); n > int(maxHealthCheckTokens) {
-		t.Errorf("%d health checks of an idle gateway in 40 s", n)
+		t.Errorf("%d health checks by an idle gateway in 40 s", n)
 	}
 }
 
@@ -47,7 +47,7 @@
 	h.want("health checks at the start", len(h.healthChecks), 0)
 	id := h.request(boundedRead)
 	if tried := h.membersTried(id); len(tried) == 0 || tried[0] == "m105" {
-		t.Errorf("the first bounded read of a gateway that knows nothing of members went to %v", tried)
+		t.Errorf("the first bounded read of a gateway without any observation of members went to %v", tried)
 	}
 	cfg := testConfig()
 	cfg.StaleReads = StaleReadServed
@@ -75,7 +75,7 @@
 			id := h.request(anyRead, func(req *Request) { req.Group = requests % (members / 4) })
 			requests++
 			if requests == 400 {
-				h.healthChecks = nil // what was saved up for the start is spent
+				h.healthChecks = nil // the tokens saved up for the start are spent
 			}
 			h.endAttempt(id, ResultOK, RoleReplica, h.position(0))
 			for _, member := range h.router.sortedMembers {
@@ -88,7 +88,7 @@
 	}
 	few, many := checksPerRequest(8), checksPerRequest(60)
 	if few < 0.1 || many > 0.1 || many == 0 {
-		t.Errorf("%.2f health checks a request with 8 members, %.2f with 60", few, many)
+		t.Errorf("%.2f health checks per request with 8 members, %.2f with 60", few, many)
 	}
 }
 
@@ -111,8 +111,9 @@
 	}
 }
 
-// TestGatewaysOfALargeFleetCheckNoMembersAtStart starts gateways beside few and beside many others: each health check of a
-// start costs its member the same, so that many gateways would cost it much.
+// TestGatewaysOfALargeFleetCheckNoMembersAtStart starts one gateway of small and of large fleets. Each
+// gateway that checks a member at its start costs the member the same, so that a large fleet would cost it
+// too much.
 func TestGatewaysOfALargeFleetCheckNoMembersAtStart(t *testing.T) {
 	var endpoints []Endpoint
 	for i := range 24 {
@@ -122,14 +123,15 @@
 		cfg := testConfig()
 		cfg.Gateways = gateways
 		if got := len(newHarness(t, cfg, endpoints...).healthChecks); got != want {
-			t.Errorf("one of %d gateways checks %d members at its start, want %d", gateways, got, want)
+			t.Errorf("one of %d gateways checked %d members at its start, want %d", gateways, got, want)
 		}
 	}
 }
 
-// TestUncheckedReadsFindFreshMembers has a gateway with little traffic, and members that answer from the data they have.
-// No position that it knows is recent enough for a bounded read, and the primary has no capacity left: members of that
-// group are health-checked, though the budget is spent, and the read goes to one that has reported.
+// TestUncheckedReadsFindFreshMembers runs a gateway with little traffic. No position that has been reported
+// to it is recent enough for a bounded read, and the primary has no capacity left. If members serve stale
+// reads, members of the group must be health-checked, although the budget is spent, and the read goes to a
+// member that has reported.
 func TestUncheckedReadsFindFreshMembers(t *testing.T) {
 	for _, policy := range []StaleReadPolicy{StaleReadServed, StaleReadDelayed} {
 		cfg := testConfig()
--- a/routing/invariants_test.go
+++ b/routing/invariants_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestInvariantsHoldUnderRandomEvents runs random events of fixed seeds, duplicate and late ones among them, and checks
-// after each step every attempt and final answer by a simple model of its own.
+// TestInvariantsHoldUnderRandomEvents runs random events with fixed seeds, including duplicate and late ones.
+// After each step it checks every attempt and final answer against a simple model.
 func TestInvariantsHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -40,8 +40,8 @@
 	}
 }
 
-// randomizeClasses draws settings of classes and tenants: any effect, windows shorter and longer than deadlines,
-// deadlines from 0.2 s, and latency objectives that may lie past them.
+// randomizeClasses draws settings of classes and tenants: any effect, idempotency TTLs shorter and longer
+// than the deadline, deadlines from 0.2 s, and latency objectives that may be longer than the deadline.
 func randomizeClasses(cfg *Config, rng *rand.Rand) {
 	for i := range cfg.Classes {
 		class := &cfg.Classes[i]
@@ -57,7 +57,7 @@
 	cfg.OverQuotaWeight = rng.Float64()
 }
 
-// requestRecord is what the checker knows of a request.
+// requestRecord is the checker's model of a request.
 type requestRecord struct {
 	class       int
 	deadline    time.Duration
@@ -75,9 +75,9 @@
 	requests     map[uint64]*requestRecord
 	withdrawn    map[string]bool  // members that are listed as draining or removed
 	reported     map[string]int64 // by member: the highest position
-	primary      map[string]bool  // members that were reported to be the primary, and not otherwise since
+	primary      map[string]bool  // members that may be the primary, by the list, answers and reports
 	checkedSends int
-	answered     map[uint64]bool // requests with a final answer of the router
+	answered     map[uint64]bool // requests that the router rejected or failed
 }
 
 func newInvariantChecker(h *harness, rng *rand.Rand) *invariantChecker {
@@ -133,7 +133,7 @@
 	})
 }
 
-// updateRandomEndpoint lists a member in a random phase and role, now and then as restarted.
+// updateRandomEndpoint lists a member with a random phase and role, half of the time as restarted.
 func (c *invariantChecker) updateRandomEndpoint(name string) {
 	phase := Phase(c.rng.IntN(3))
 	c.withdrawn[name] = phase != PhaseServing
@@ -156,7 +156,7 @@
 	c.router.HealthChecked(c.now, check)
 }
 
-// endRandomAttempt ends a random attempt, now and then twice.
+// endRandomAttempt ends a random attempt, sometimes twice.
 func (c *invariantChecker) endRandomAttempt() {
 	for id := uint64(1); id <= c.lastRequest; id++ {
 		req := c.requests[id]
@@ -194,7 +194,7 @@
 	}
 }
 
-// observeOutcome records what an outcome tells of its member.
+// observeOutcome records the position and the role that an outcome reports.
 func (c *invariantChecker) observeOutcome(outcome Outcome) {
 	name := outcome.Member
 	c.reported[name] = max(c.reported[name], outcome.Position)
@@ -233,8 +233,8 @@
 	}
 }
 
-// checkSend checks that an attempt goes to a serving member, while its request is open, and beside another attempt only
-// where that is allowed.
+// checkSend checks that an attempt goes to a serving member while its request is open, and that another
+// attempt is in flight at the same time only if hedging is allowed.
 func (c *invariantChecker) checkSend(sent sentAttempt, req *requestRecord) {
 	class := c.router.cfg.Classes[req.class]
 	mayHedge := c.router.cfg.AllowHedging && class.Effect != NonIdempotent
@@ -244,11 +244,12 @@
 	case c.answered[sent.request] || req.answers > 0 || c.now >= req.deadline:
 		c.Errorf("request %d was sent after its end", sent.request)
 	case len(req.inFlight) > 0 && !mayHedge:
-		c.Errorf("two attempts of request %d are in flight together", sent.request)
+		c.Errorf("two attempts of request %d are in flight at the same time", sent.request)
 	}
 }
 
-// checkFreshness checks that a read goes to a member that is known to be fresh enough, where members do not check.
+// checkFreshness checks that a read goes to a member that is known to be fresh enough, if members do not
+// check reads.
 func (c *invariantChecker) checkFreshness(sent sentAttempt, req *requestRecord) {
 	class := c.router.cfg.Classes[req.class]
 	if c.router.cfg.StaleReads != StaleReadServed || class.Consistency == ConsistencyWrite {
@@ -263,7 +264,7 @@
 	}
 }
 
-// checkRetry checks that a request that may have run is retried only where, and while, a repeat does no harm.
+// checkRetry checks that a request that may have run is retried only if a repeat does no harm at that time.
 func (c *invariantChecker) checkRetry(sent sentAttempt, req *requestRecord) {
 	class := c.router.cfg.Classes[req.class]
 	for i, mayHaveRun := range req.mayHaveRun {
@@ -275,13 +276,13 @@
 		case class.Effect == NonIdempotent, class.Effect == IdempotentByKey && c.now >= retryBy:
 			c.Errorf("request %d was sent again though it may have run", sent.request)
 		case class.Effect == IdempotentByKey && sent.startBy > retryBy:
-			c.Errorf("request %d may start again %v after its window", sent.request, sent.startBy-retryBy)
+			c.Errorf("request %d may be sent again %v after its TTL", sent.request, sent.startBy-retryBy)
 		}
 	}
 }
 
-// checkAnswers checks that a request has at most one final answer, and is rejected only if a retry by the client does no
-// harm.
+// checkAnswers checks that a request has at most one final answer, and is rejected only if a retry by the
+// client does no harm.
 func (c *invariantChecker) checkAnswers(id uint64, req *requestRecord) {
 	routerAnswers := c.rejected[id] + c.failed[id]
 	if routerAnswers+req.answers > 1 {
@@ -299,7 +300,7 @@
 	}
 }
 
-// harmless reports whether a retry by the client does no harm.
+// harmless reports whether a retry by the client does no harm for a class.
 func harmless(class Class) bool {
 	return class.Effect == Idempotent || class.Effect == IdempotentByKey && class.KeyIsGlobal
 }
--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -5,7 +5,7 @@
 func TestMemberOverCapacityIsAvoided(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
-	for h.advance(10 * ms); ; h.advance(10 * ms) { // until b has been over capacity once
+	for h.advance(10 * ms); ; h.advance(10 * ms) { // until b has answered over capacity once
 		id := h.request(anyRead)
 		if h.membersTried(id)[0] == "b" {
 			h.endAttempt(id, ResultOverCapacity, RoleReplica, 0)
@@ -30,14 +30,14 @@
 		}
 	}
 	if count > 2 {
-		t.Errorf("%d of 40 reads went to a member that is over capacity all the time", count)
+		t.Errorf("%d of 40 reads went to a member that is always over capacity", count)
 	}
 }
 
 func TestReadsLeaveCapacityAtThePrimaryForWrites(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
-	for range 40 { // three quarters of the latency objective: on time with two attempts in flight, not with three
+	for range 40 { // 3/4 of the objective: on time with two attempts in flight, late with three
 		h.router.recordLatency(h.router.members["a"], latencySample{at: h.now, ratio: 3})
 	}
 	h.reportAll("a", 10*ms)
@@ -59,7 +59,7 @@
 		h.router.recordLatency(h.router.members["a"], latencySample{at: h.now, ratio: 1e3})
 	}
 	if p := h.router.onTimeProbability(h.router.members["b"], 400*ms, 100*ms, 0); p > 0.3 {
-		t.Errorf("probability %.2f at a primary without samples while all others are late", p)
+		t.Errorf("probability %.2f at a primary without samples while all other primaries are late", p)
 	}
 	h.want("probability at a replica", h.router.onTimeProbability(h.router.members["c"], 400*ms, 100*ms, 0), 1)
 }
@@ -96,6 +96,6 @@
 		return h.router.onTimeProbability(member, 400*ms, 100*ms, 0)
 	}
 	if slower, faster := probability(1, 100), probability(100, 1); slower > 0.35 || faster < 0.65 {
-		t.Errorf("probability %.2f where the latest answers were late, %.2f where they were on time", slower, faster)
+		t.Errorf("probability %.2f if the latest answers are late, %.2f if they are on time", slower, faster)
 	}
 }
--- a/routing/observations_test.go
+++ b/routing/observations_test.go
@@ -12,7 +12,7 @@
 	h.endAttempt(write, ResultMissed, RoleReplica, h.position(0))
 	h.checkOK("a", RolePrimary, 2*time.Second)
 	if primary := h.router.groups[1].primary(); primary != nil {
-		t.Errorf("%s counts as the primary by a report that is older than its answer", primary.id)
+		t.Errorf("%s counts as the primary because of a report that is older than its answer", primary.id)
 	}
 }
 
--- a/routing/primary_test.go
+++ b/routing/primary_test.go
@@ -20,8 +20,9 @@
 	}
 }
 
-// TestPrimaryIsFoundWithoutAListedRole has endpoint lists without roles and members that do not check reads: the primary
-// is found by misses of a write and by health checks, and bounded reads go by the positions that members report.
+// TestPrimaryIsFoundWithoutAListedRole checks that the primary is found although the endpoint list names no
+// current one: by a write that other members reject, and by health checks. Members do not check reads, so
+// bounded reads depend on the positions that members report.
 func TestPrimaryIsFoundWithoutAListedRole(t *testing.T) {
 	cfg := testConfig()
 	cfg.RoleSource, cfg.StaleReads = RoleSourceNone, StaleReadServed
--- a/routing/race_test.go
+++ b/routing/race_test.go
@@ -2,5 +2,6 @@
 
 package routing
 
-// fleetSeeds is the number of seeds of each slow start scenario: the race detector takes ten times as long.
+// fleetSeeds is the number of seeds of each slow start scenario. It is small as the race detector takes ten
+// times as long.
 const fleetSeeds = 6
--- a/routing/restarts_test.go
+++ b/routing/restarts_test.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// TestInvariantsHoldForRestartingGateways runs several gateways, which restart, over thirty members and ten that never
-// answer, with contradicting roles, empty reports and standstills: attempts stay within the group and avoid draining
-// members, and no request gets two final answers.
+// TestInvariantsHoldForRestartingGateways runs gateways one after another, as after restarts, with up to
+// forty members and random events, among them contradictory roles, reports without a position, and stalls.
+// Attempts must stay within the request's group and avoid draining members, and no request may get two final
+// answers.
 func TestInvariantsHoldForRestartingGateways(t *testing.T) {
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		cfg := testConfig()
 		cfg.Gateways, cfg.StaleReads, cfg.UseRemovedMembers = 40, StaleReadPolicy(rng.IntN(3)), rng.IntN(2) == 0
 		cfg.AllowHealthChecks, cfg.AllowHedging, cfg.Positions = rng.IntN(3) > 0, rng.IntN(2) == 0, rng.IntN(2) == 0
-		for range 4 { // gateways, one after another: they share nothing
+		for range 4 { // gateways, one after another, without shared state
 			run := newRestartRun(t, cfg, rng)
 			for range 600 {
 				run.step()
@@ -27,7 +28,7 @@
 	}
 }
 
-// restartRun is one gateway's run of random events.
+// restartRun is a run of random events at one gateway.
 type restartRun struct {
 	*harness
 	rng          *rand.Rand
@@ -51,10 +52,10 @@
 	}
 }
 
-// groupOfMember is the group of a member, by its name.
+// groupOfMember returns the group of a member by the member's name.
 func groupOfMember(name string) int { return int(name[1]-'0') % 6 }
 
-// randomEndpoint draws one of forty members. The last of every four has no process.
+// randomEndpoint draws one of forty members, with a random role.
 func randomEndpoint(rng *rand.Rand) Endpoint {
 	name := fmt.Sprint("m", rng.IntN(10), rng.IntN(4))
 	return Endpoint{Member: name, Group: groupOfMember(name), Primary: rng.IntN(4) == 0, Capacity: 1}
@@ -64,7 +65,7 @@
 func (r *restartRun) step() {
 	r.now += time.Duration(r.rng.IntN(20)) * ms
 	if r.rng.IntN(100) == 0 {
-		r.now += 700 * ms // a standstill
+		r.now += 700 * ms // a stall of the gateway
 	}
 	switch r.rng.IntN(6) {
 	case 0, 1:
@@ -94,7 +95,8 @@
 	r.router.Timer(r.now, sweepTimer)
 }
 
-// endAttempts ends all attempts of a request with one result. Those that have ended before are ignored by the router.
+// endAttempts ends all attempts of a request with one result. The router ignores attempts that have ended
+// before.
 func (r *restartRun) endAttempts(sent sentAttempt) {
 	id := sent.request
 	result := Result(r.rng.IntN(9))
@@ -112,16 +114,16 @@
 		sent := r.sends[r.checkedSends]
 		group := r.groups[sent.request]
 		if groupOfMember(sent.member) != group || r.draining[sent.member] {
-			r.Fatalf("seed %d: request of group %d sent to %s, draining: %v", seed, group, sent.member,
+			r.Fatalf("seed %d: a request of group %d was sent to %s, draining: %v", seed, group, sent.member,
 				r.draining[sent.member])
 		}
 	}
 }
 
-// checkAnswers checks the final answers, and that the run has sent enough to check.
+// checkAnswers checks the final answers, and that enough attempts were sent for the check to mean anything.
 func (r *restartRun) checkAnswers(seed uint64) {
 	if r.checkedSends < 30 {
-		r.Fatalf("seed %d: only %d sends to check", seed, r.checkedSends)
+		r.Fatalf("seed %d: only %d attempts were sent", seed, r.checkedSends)
 	}
 	for id := range r.groups {
 		if n := r.rejected[id] + r.failed[id]; n > 1 {
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -31,12 +31,13 @@
 	h.want("cancelled", len(h.cancels), 1)
 	h.endAttempt(id, ResultCancelled, RoleUnknown, 0)
 	if tried := h.membersTried(id); len(tried) != 2 || tried[0] == tried[1] {
-		t.Errorf("the read was sent to %v, want two members", tried)
+		t.Errorf("the read was sent to %v, want two different members", tried)
 	}
 }
 
-// TestUnsentRequestIsRejectedWithinHalfItsTime has a request that no member receives: a client that is rejected later has
-// no time left for a retry. One that a member has rejected goes on waiting.
+// TestUnsentRequestIsRejectedWithinHalfItsTime checks that a request that no member receives is rejected by
+// half of its time, as a client that is rejected later has no time left to retry. A request that a member has
+// rejected keeps waiting.
 func TestUnsentRequestIsRejectedWithinHalfItsTime(t *testing.T) {
 	other := Endpoint{Member: "a", Group: 2, Primary: true, Capacity: 1} // not of the request's group
 	h := newHarness(t, testConfig(), other)
@@ -48,7 +49,7 @@
 	h.want("rejections by half of it", h.rejected[write], 1)
 	h.want("the reason", h.reason, ReasonUnsent)
 	if h.retryAfter <= 0 || h.retryAfter > half/4 {
-		t.Errorf("Retry-After %v: it leaves no time for another try", h.retryAfter)
+		t.Errorf("Retry-After %v leaves no time for a retry", h.retryAfter)
 	}
 	h = newHarness(t, testConfig())
 	write = h.request(nonIdempotentWrite)
@@ -60,8 +61,9 @@
 	h.want("rejections after a miss", h.rejected[write], 0)
 }
 
-// TestStreamedAnswer has the second of two attempts start a streamed answer: the first is cancelled, and its end does not
-// end the other, which may go on past any deadline without its member counting as silent.
+// TestStreamedAnswer starts a streamed answer with the second of two attempts. The first attempt must be
+// cancelled, and its end must not end the second one, which may continue past any deadline without its member
+// counting as silent.
 func TestStreamedAnswer(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
@@ -84,11 +86,11 @@
 	h.router.Outcome(h.now, Outcome{Request: id, Attempt: 1, Member: tried[1], Result: ResultOK,
 		Latency: 400 * ms, Closed: true})
 	if len(h.router.requests) > 0 {
-		t.Error("the request is kept")
+		t.Error("the request was not removed after its last attempt")
 	}
 }
 
-// missAll ends the attempts of a request that are in flight with misses of replicas.
+// missAll ends the attempts of a request that are in flight with ResultMissed from replicas.
 func (h *harness) missAll(id uint64) {
 	for h.attemptsEnded[id] < len(h.membersTried(id)) {
 		number := h.attemptsEnded[id]
@@ -98,7 +100,8 @@
 	}
 }
 
-// measureWriteWait is how long a write waits for its final answer, at most 4 s, while all members miss it.
+// measureWriteWait returns how long a write waits for its final answer, at most 4 s, while all members answer
+// ResultMissed.
 func (h *harness) measureWriteWait() time.Duration {
 	id := h.request(nonIdempotentWrite)
 	for since := h.now; ; h.advance(10 * ms) {
@@ -109,8 +112,9 @@
 	}
 }
 
-// TestWaitsShortenWhileRequestsEndUnanswered has a group without a primary: the first writes wait for half of their time, later ones
-// less and less, also those that a replica has rejected. Once writes are answered again they wait as long as ever.
+// TestWaitsShortenWhileRequestsEndUnanswered checks that, in a group without a primary, the first write waits
+// for half of its time and later ones wait less, also if a replica has rejected them. Once writes have been
+// answered again, writes wait as long as at the start.
 func TestWaitsShortenWhileRequestsEndUnanswered(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("", 10*ms)
@@ -120,7 +124,7 @@
 	}
 	late := h.measureWriteWait()
 	if first < 1400*ms || late > 600*ms {
-		t.Errorf("the first write waits %v and a late one %v; want 1.4 s at least and 0.6 s at most", first, late)
+		t.Errorf("the first write waited %v (want 1.4 s or more), a late one %v (0.6 s or less)", first, late)
 	}
 	h.reportAll("a", 10*ms)
 	for range 40 {
@@ -129,13 +133,14 @@
 	h.reportAll("", 10*ms)
 	h.router.members["a"].role = RoleReplica
 	if again := h.measureWriteWait(); again < 1400*ms {
-		t.Errorf("after answers a write waits %v again", again)
+		t.Errorf("after answered writes a write waited %v, want at least 1.4 s", again)
 	}
 }
 
-// TestWaitsForAPrimaryInSlowStartStayLong has most requests of a group end unanswered. A write that members have rejected is
-// abandoned early while there is no primary. One that waits for the budget of a primary in slow start is not, as that
-// comes: in a rolling release primaries are in slow start all the time.
+// TestWaitsForAPrimaryInSlowStartStayLong checks how long a write waits in a group whose requests mostly end
+// unanswered. A write that members have rejected is abandoned early while there is no primary. A write that
+// waits for the budget of a primary in slow start is not, because the budget becomes available: in a rolling
+// release some primary is always in slow start.
 func TestWaitsForAPrimaryInSlowStartStayLong(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -161,12 +166,13 @@
 			h.advance(10 * ms)
 		}
 		if waited := h.now - since; waited < c.min || waited > c.max {
-			t.Errorf("%s: it waits %v, want %v to %v", c.name, waited, c.min, c.max)
+			t.Errorf("%s: the write waited %v, want %v to %v", c.name, waited, c.min, c.max)
 		}
 	}
 }
 
-// rejectEverywhere has all members miss a write, which then waits without searching.
+// rejectEverywhere ends attempts of a write at all members with ResultMissed. The write then waits without a
+// search.
 func (h *harness) rejectEverywhere(id uint64) {
 	h.Helper()
 	h.endAttempt(id, ResultMissed, RoleReplica, h.position(10*ms))
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestLatencyObjectivePastTheDeadline has a class whose latency objective lies far past its deadline: the initial
-// expected latency follows the shorter of them, or each request would be hopeless and nothing ever learned.
+// TestLatencyObjectivePastTheDeadline checks a class whose latency objective is far longer than its deadline.
+// The initial expected latency must follow the shorter of the two. Otherwise each request would be rejected
+// as hopeless, and the expected latency would never be learned.
 func TestLatencyObjectivePastTheDeadline(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[anyRead].LatencyObjective = 10 * time.Second
--- a/routing/slowstart_fleet_test.go
+++ b/routing/slowstart_fleet_test.go
@@ -11,7 +11,7 @@
 
 const (
 	fleetMembers      = 10
-	fleetCapacity     = 25.0    // requests a second of a warm member
+	fleetCapacity     = 25.0    // requests per second of a warm member
 	fleetLoad         = 0.95    // of the capacity of all members
 	fleetWork         = 40 * ms // of one request
 	fleetDeadline     = 2 * time.Second
@@ -19,26 +19,27 @@
 	slowStartDuration = 18 * time.Second
 )
 
-// slowStartFleet is a fleet of gateways that send members in slow start all that their budgets allow, in virtual time.
-// Its gateways learn their own throughput from what warm members answer, as in production.
+// slowStartFleet simulates, in virtual time, a fleet of gateways that send members in slow start all that
+// their budgets allow. The gateways learn their own throughput from the answers of warm members, as in
+// production.
 type slowStartFleet struct {
 	*testing.T
-	cfg           Config // by which budgets are checked
-	gatewayCfg    Config // of the gateways; a test may break it
+	cfg           Config // the correct settings, by which budgets are checked
+	gatewayCfg    Config // the gateways' settings; a test may introduce faults
 	rng           *rand.Rand
 	gateways      []*harness
-	trafficShares []float64 // by gateway: of the fleet's traffic
+	trafficShares []float64 // by gateway: its share of the fleet's traffic
 	starts        map[string]time.Duration
-	starting      []string                    // the keys of starts, sorted: the order of a map would change the draws
+	starting      []string                    // keys of starts, sorted: a map's order would change the draws
 	sent          map[string][]time.Duration  // by member: requests within the last overload window
-	waiting       map[waitKey][]time.Duration // until when each waiting request is held
+	waiting       map[waitKey][]time.Duration // when each waiting request gives up
 	now           time.Duration
-	maxExcess     float64 // requests over the bound, at most
+	maxExcess     float64 // highest number of requests over the bound
 	maxExcessCase string
-	maxUse        float64 // of a budget
+	maxUse        float64 // highest share used of a budget
 }
 
-// waitKey is a member that requests wait for at a gateway.
+// waitKey identifies a queue: the requests at one gateway that wait for one member.
 type waitKey struct {
 	gateway int
 	member  string
@@ -76,7 +77,7 @@
 	return f
 }
 
-// newGateway is a gateway that has just started: it knows the endpoint list and nothing else.
+// newGateway returns a gateway that has just started. It has received the endpoint list and nothing else.
 func (f *slowStartFleet) newGateway() *harness {
 	var endpoints []Endpoint
 	for i := range fleetMembers {
@@ -91,7 +92,7 @@
 	return h
 }
 
-// restartGateways restarts a share of the gateways, which then do not know their own throughput.
+// restartGateways restarts a share of the gateways, which lose their learned throughput.
 func (f *slowStartFleet) restartGateways(share float64) {
 	for i := range f.gateways {
 		if f.rng.Float64() < share {
@@ -100,7 +101,7 @@
 	}
 }
 
-// startMember restarts a member, as the endpoint list tells all gateways at once.
+// startMember restarts a member. The endpoint list reports the restart to all gateways at once.
 func (f *slowStartFleet) startMember(id string) {
 	f.starts[id] = f.now
 	f.sent[id] = nil
@@ -114,10 +115,10 @@
 	}
 }
 
-// runFor advances the time. Clients want as much of each starting member as a warm one takes, and a request waits for
-// half of what its client waits, 0.42 to 1 of 2 s. While nobody may send, as while no primary is known, requests
-// accumulate, and all are sent at once as soon as one may be. Warm members answer each gateway's share of the traffic,
-// and starting ones their part of it.
+// runFor advances the time. The demand for a starting member equals the demand for a warm one. A request
+// waits for 0.42 to 1 s, at most half of its client's 2 s. While maySend is false, as if no primary were
+// known, requests accumulate; then all of them may be sent at once. Warm members answer each gateway's share
+// of the traffic, and members in slow start answer a part of it.
 func (f *slowStartFleet) runFor(d time.Duration, maySend bool) {
 	for end := f.now + d; f.now < end; f.now += fleetStep {
 		for i, h := range f.gateways {
@@ -145,8 +146,8 @@
 	}
 }
 
-// sendWaiting adds a step's requests for a starting member to those that wait at a gateway, and sends what its budget
-// allows.
+// sendWaiting adds a step's requests for a starting member to the queue at a gateway, and sends as many as
+// the member's budget allows.
 func (f *slowStartFleet) sendWaiting(key waitKey, maySend bool) {
 	router := f.gateways[key.gateway].router
 	member := router.members[key.member]
@@ -163,8 +164,8 @@
 	}
 }
 
-// checkBudget compares what a starting member was sent in the last window with N + 2 root of N + 2, N being what the
-// settings allow.
+// checkBudget compares the number of requests that a starting member was sent in the last window with the
+// bound N + 2*sqrt(N) + 2, where N is the number that the settings allow.
 func (f *slowStartFleet) checkBudget(id string) {
 	started, initial := f.starts[id], f.cfg.SlowStartCapacity
 	weight := initial + (1-initial)*float64(f.now-started)/float64(slowStartDuration)
@@ -178,13 +179,13 @@
 	sent := float64(len(f.sent[id]))
 	if excess := sent - allowed - 2*math.Sqrt(allowed) - 2; excess > f.maxExcess {
 		f.maxExcess = excess
-		f.maxExcessCase = fmt.Sprintf("%s: %.0f requests within %v, %v after its start, N is %.1f",
+		f.maxExcessCase = fmt.Sprintf("%s: %.0f requests within %v, %v after the member's start, N is %.1f",
 			id, sent, f.cfg.OverloadWindow, f.now-started, allowed)
 	}
 	f.maxUse = max(f.maxUse, sent/allowed)
 }
 
-// slowStartScenarios are what happens to members and gateways.
+// slowStartScenarios are sequences of restarts of members and gateways.
 var slowStartScenarios = []struct {
 	name string
 	run  func(*slowStartFleet)
@@ -216,13 +217,13 @@
 	}},
 }
 
-// runScenario runs one scenario: 10 s before it, its events, and then demand that comes and goes.
+// runScenario runs 10 s without restarts, then the events of one scenario, and then intermittent demand.
 func (f *slowStartFleet) runScenario(scenario int) {
 	f.runFor(10*time.Second, false)
 	slowStartScenarios[scenario].run(f)
 	for range 3 {
 		f.runFor(time.Duration(500+f.rng.IntN(1500))*ms, true)
-		f.runFor(time.Duration(500+f.rng.IntN(2500))*ms, false) // all tokens are saved up
+		f.runFor(time.Duration(500+f.rng.IntN(2500))*ms, false) // tokens are saved up meanwhile
 	}
 	f.runFor(time.Second, true)
 }
@@ -230,8 +231,9 @@
 // overloadWindows are the values of Config.OverloadWindow that are tested.
 var overloadWindows = []time.Duration{200 * ms, 400 * ms, time.Second, 1500 * ms}
 
-// TestFleetKeepsSlowStartBudgets runs all scenarios with 20 and 30 gateways over 50 seeds, or a few where that is slow:
-// no window may hold more than N + 2 root of N + 2 requests at a starting member, N being what the settings allow.
+// TestFleetKeepsSlowStartBudgets runs all scenarios with 20 and 30 gateways over 50 seeds, or over 6 with the
+// race detector. No starting member may be sent more than N + 2*sqrt(N) + 2 requests in any window, where N
+// is the number that the settings allow.
 func TestFleetKeepsSlowStartBudgets(t *testing.T) {
 	maxExcess, maxExcessCase, maxUse := math.Inf(-1), "", 0.0
 	for seed := range uint64(fleetSeeds) {
@@ -248,17 +250,18 @@
 			}
 		}
 	}
-	t.Logf("the greatest excess over N + 2 root of N + 2 is %.1f (%s); at most %.2f of N were used",
+	t.Logf("the greatest excess over N + 2*sqrt(N) + 2 is %.1f (%s); at most %.2f of N were used",
 		maxExcess, maxExcessCase, maxUse)
 	if maxExcess > 0 {
 		t.Errorf("%.1f requests too many: %s", maxExcess, maxExcessCase)
 	}
 	if maxUse < 1 {
-		t.Errorf("at most %.2f of a budget were used: the scenarios demand too little", maxUse)
+		t.Errorf("at most %.2f of a budget was used: the demand of the scenarios is too low", maxUse)
 	}
 }
 
-// TestSlowStartBudgetCheckFindsFaults breaks the gateways' settings: the check has to find each fault.
+// TestSlowStartBudgetCheckFindsFaults introduces faults into the gateways' settings and checks that
+// checkBudget detects each of them.
 func TestSlowStartBudgetCheckFindsFaults(t *testing.T) {
 	for _, fault := range []struct {
 		name     string
@@ -275,14 +278,14 @@
 		for seed := range uint64(5) {
 			f := newSlowStartFleet(t, seed, 30, fault.window)
 			fault.breakCfg(&f.gatewayCfg)
-			f.restartGateways(1) // with the broken settings
+			f.restartGateways(1) // with the faulty settings
 			f.runScenario(fault.scenario)
 			if f.maxExcess > 0 {
 				found++
 			}
 		}
 		if found < 3 {
-			t.Errorf("%s: found with %d of 5 seeds", fault.name, found)
+			t.Errorf("%s: detected with %d of 5 seeds, want at least 3", fault.name, found)
 		}
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// groupWithStartingReplica is a primary a, a replica b, and a replica c that has started at a time.
+// groupWithStartingReplica returns a primary a, a replica b, and a replica c that started at a given time.
 func groupWithStartingReplica(startedAt time.Duration) []Endpoint {
 	return []Endpoint{
 		{Member: "a", Group: 1, Primary: true},
@@ -17,8 +17,8 @@
 	}
 }
 
-// countReads sends and answers 400 reads, and counts those at the starting replica c and at others. The expected work
-// is 1 ms, and prepare is called before each read.
+// countReads sends and answers 400 reads, and counts the reads at the starting replica c and at other
+// members. It calls prepare before each read, and answers each read after 1 ms.
 func (h *harness) countReads(prepare func()) (starting, warm int) {
 	for range 400 {
 		prepare()
@@ -46,7 +46,7 @@
 	h.router.expectedWork[anyRead] = ms
 	starting, warm := h.countReads(func() {})
 	if starting == 0 || starting > warm/2 {
-		t.Errorf("%d reads at a member with a quarter to two thirds of its capacity, %d at a warm one", starting, warm)
+		t.Errorf("%d reads at a member with 1/4 to 2/3 of its capacity, %d at warm members", starting, warm)
 	}
 }
 
@@ -61,11 +61,11 @@
 		return starting
 	}
 	if short, long := countAt(ms), countAt(8*ms); long < short*3/4 {
-		t.Errorf("a member in slow start got %d reads where latencies are long, %d where they are short", long, short)
+		t.Errorf("a member in slow start got %d reads with long latencies, %d with short ones", long, short)
 	}
 }
 
-// newGateways starts gateways over the same endpoints, each with a seed of its own.
+// newGateways starts n gateways with the same endpoints and different seeds.
 func newGateways(t *testing.T, n int, cfg Config, endpoints ...Endpoint) (gateways []*harness) {
 	for i := range n {
 		h := newHarness(t, cfg, endpoints...)
@@ -84,7 +84,7 @@
 		h.reportAll("a", 0)
 		sent += len(h.membersTried(h.request(nonIdempotentWrite)))
 	}
-	if sent > 30 { // a warm server takes some tens of these writes a second
+	if sent > 30 { // a warm member serves some tens of these writes per second
 		t.Errorf("%d of 300 gateways sent a write at once to a primary that has just started", sent)
 	}
 }
@@ -100,8 +100,8 @@
 		h.router.cfg.SlowStartCapacity)
 }
 
-// sendToReplica offers the starting replica c 5 ms of work in each of 5000 ms, while a warm member answers 1 s of work a
-// second. It returns how often the budget admits it, and calls observe in each step.
+// sendToReplica offers the starting replica c 5 ms of work in each of 5000 ms, while a warm member answers 1
+// s of work per second. It calls observe in each step and returns how often the budget admits the work.
 func (h *harness) sendToReplica(observe func()) (sent int) {
 	member := h.router.members["c"]
 	for range 5000 {
@@ -121,18 +121,19 @@
 func TestSlowStartBudgetUsesTheOverloadFactor(t *testing.T) {
 	h := newHarness(t, testConfig(), groupWithStartingReplica(100*time.Second)...)
 	h.reportAll("a", 10*ms)
-	weightedTime := 0.0 // seconds of work at its slow start weight
+	weighted := 0.0 // seconds, weighted by the slow start weight
 	requests := h.sendToReplica(func() {
-		weightedTime += h.router.slowStartWeight(h.router.members["c"]) * 0.001
+		weighted += h.router.slowStartWeight(h.router.members["c"]) * 0.001
 	})
-	if sent := float64(requests) * 0.005; sent < 1.5*weightedTime || sent > h.router.cfg.OverloadFactor*weightedTime {
-		t.Errorf("%.2f s of work for a replica in slow start whose part of ordinary work is %.2f s", sent, weightedTime)
+	if sent := float64(requests) * 0.005; sent < 1.5*weighted || sent > h.router.cfg.OverloadFactor*weighted {
+		t.Errorf("%.2f s of work sent within %.2f s, weighted by the slow start weight", sent, weighted)
 	}
 }
 
-// TestSlowStartBudgetFollowsCapacity has starting members of the capacity of the warm ones, of half of it, of twice, and
-// of an unknown one: the budget follows the capacity, but a stated capacity, which may be rough, earns no more than a
-// warm member's.
+// TestSlowStartBudgetFollowsCapacity checks the budgets of starting members with the capacity of the warm
+// ones, with half of it, with twice as much, and with an unknown capacity. The budget follows the capacity,
+// but a stated capacity may be imprecise, so the budget never exceeds the budget of a member with the
+// capacity of a warm one.
 func TestSlowStartBudgetFollowsCapacity(t *testing.T) {
 	sent := map[float64]int{}
 	for _, capacity := range []float64{0, 0.5, 1, 2} {
@@ -144,20 +145,20 @@
 		sent[capacity] = h.sendToReplica(func() {})
 	}
 	if ratio := float64(sent[0.5]) / float64(sent[1]); ratio < 0.45 || ratio > 0.55 {
-		t.Errorf("a member of half the capacity is sent %.2f of what a full one is", ratio)
+		t.Errorf("a member with half the capacity is sent %.2f of the work of a full one", ratio)
 	}
 	if sent[2] != sent[1] || sent[0] != sent[1] {
-		t.Errorf("sent by capacity: %v", sent)
+		t.Errorf("requests sent by capacity: %v; want the same number for 0, 1 and 2", sent)
 	}
 }
 
-// TestLargeFleetKeepsASlowStartBudget has 300 gateways, some of which have several times the mean traffic, send a
-// starting member all that their budgets allow, at full load: in no window may it be sent more than N + 3 root of N + 3
-// requests, N being what the settings allow.
+// TestLargeFleetKeepsASlowStartBudget runs 300 gateways at full load, some with several times the mean
+// traffic, which send a starting member all that their budgets allow. In no window may the member be sent
+// more than N + 3*sqrt(N) + 3 requests, where N is the number that the settings allow.
 func TestLargeFleetKeepsASlowStartBudget(t *testing.T) {
 	const (
 		members   = 20
-		perMember = 40.0 // requests a second of a warm member
+		perMember = 40.0 // requests per second of a warm member
 		work      = 25 * ms
 		start     = 100 * time.Second
 	)
@@ -189,17 +190,17 @@
 		weight := fleet[0].router.slowStartWeight(fleet[0].router.members["starting"])
 		allowed := cfg.OverloadFactor * weight * perMember * cfg.OverloadWindow.Seconds()
 		if bound := allowed + 3*math.Sqrt(allowed) + 3; float64(len(sent)) > bound {
-			t.Fatalf("%d requests within %v, %v after its start; %.1f are allowed",
+			t.Fatalf("%d requests within %v, %v after the member's start; %.1f are allowed",
 				len(sent), cfg.OverloadWindow, now-start, bound)
 		}
 		maxSent = max(maxSent, len(sent))
 	}
 	if maxSent < 5 {
-		t.Errorf("%d requests in a window: the budget is not used", maxSent)
+		t.Errorf("at most %d requests in a window: the budget is not used", maxSent)
 	}
 }
 
-// unevenShares are shares of the traffic of which some are several times the mean.
+// unevenShares returns shares of the traffic, some of which are several times the mean.
 func unevenShares(n int) []float64 {
 	rng := rand.New(rand.NewPCG(1, 2))
 	shares := make([]float64, n)
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// TestSnapshotIsRestored has a router learn of a primary and of a member that fails, and passes that to another router
-// as JSON: the other decides alike from its first request on.
+// TestSnapshotIsRestored restores the snapshot of a router that has learned of a primary and of a failing
+// member in another router, encoded as JSON. The second router must decide like the first one from its first
+// request on.
 func TestSnapshotIsRestored(t *testing.T) {
 	h := newHarnessWithHistory(t)
 	snapshot := h.encodedSnapshot()
@@ -25,11 +26,12 @@
 	failing := successor.router.members["c"]
 	got, want := successor.router.unhealthy(failing), h.router.unhealthy(h.router.members["c"])
 	if got != want || failing.failures < maxFailures {
-		t.Errorf("the member that failed is unhealthy: %t, want %t", got, want)
+		t.Errorf("the failing member is unhealthy: %t, want %t", got, want)
 	}
 }
 
-// TestSnapshotOfOtherClassesIsIgnored restores a snapshot under another configuration: nothing of it is taken over.
+// TestSnapshotOfOtherClassesIsIgnored restores a snapshot under a configuration with fewer classes: it must
+// be ignored.
 func TestSnapshotOfOtherClassesIsIgnored(t *testing.T) {
 	h := newHarnessWithHistory(t)
 	cfg := testConfig()
@@ -37,19 +39,20 @@
 	other := newHarness(t, cfg)
 	other.router.Restore(h.encodedSnapshot())
 	if other.router.warmThroughput.sum != 0 {
-		t.Error("what was learned under other classes was taken over")
+		t.Error("a snapshot with other classes was restored")
 	}
 	other.advance(time.Second)
 }
 
-// groupWithoutRoles is a group of three members whose primary is not listed.
+// groupWithoutRoles is a group of three members. The list names none of them as the primary.
 var groupWithoutRoles = []Endpoint{
 	{Member: "a", Group: 1, Capacity: 1},
 	{Member: "b", Group: 1, Capacity: 1},
 	{Member: "c", Group: 1, Capacity: 1},
 }
 
-// newHarnessWithHistory answers requests, of which writes go to the primary b, and then has the replica c fail.
+// newHarnessWithHistory returns a harness after answered requests, whose writes went to the primary b, and
+// after failures of the replica c.
 func newHarnessWithHistory(t *testing.T) *harness {
 	t.Helper()
 	cfg := testConfig()
@@ -73,7 +76,7 @@
 	return h
 }
 
-// encodedSnapshot is the router's snapshot, encoded and decoded.
+// encodedSnapshot returns the router's snapshot after encoding and decoding it.
 func (h *harness) encodedSnapshot() Snapshot {
 	h.Helper()
 	text, err := json.Marshal(h.router.Snapshot())
--- a/routing/validate_test.go
+++ b/routing/validate_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestInvalidConfigurations has configurations that lack what decisions divide by or wait for.
+// TestInvalidConfigurations checks that New rejects configurations without valid values to divide by or wait
+// for.
 func TestInvalidConfigurations(t *testing.T) {
 	for name, change := range map[string]func(*Config){
 		"no classes":                    func(cfg *Config) { cfg.Classes = nil },
@@ -24,13 +25,13 @@
 		cfg := testConfig()
 		change(&cfg)
 		if _, err := New(0, cfg, 1, &recorder{}); !errors.As(err, new(*ConfigError)) {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: error %v, want a *ConfigError", name, err)
 		}
 	}
 }
 
-// TestSlowStartCanBeOff has no settings of slow start: all members are warm, also one whose start lies a little in the
-// future by this clock.
+// TestSlowStartCanBeOff checks that without settings of slow start all members are warm, also a member whose
+// start time is a little in the future on the Router's clock.
 func TestSlowStartCanBeOff(t *testing.T) {
 	cfg := testConfig()
 	cfg.SlowStartCapacity, cfg.SlowStartDuration, cfg.OverloadFactor, cfg.OverloadWindow = 0, 0, 0, 0
--- a/routing/zones_test.go
+++ b/routing/zones_test.go
@@ -8,13 +8,13 @@
 	"cranegate/internal/zones"
 )
 
-// zonedHarness is a harness of three zones with two members each; a1 is the primary of their one group. Members that are
-// alive answer health checks at once.
+// zonedHarness is a harness with three zones of two members each, which form one group with the primary a1.
+// Members that are alive answer health checks at once.
 type zonedHarness struct {
 	*harness
 	alive        map[string]bool
 	connectedAt  map[string]time.Duration // by member: of the connection that answers health checks
-	handledSends int                      // sends that were answered, or ignored by a dead member
+	handledSends int                      // attempts that were answered, or sent to a member that is down
 }
 
 func newZonedHarness(t *testing.T, ownZone string) *zonedHarness {
@@ -39,7 +39,7 @@
 	}
 }
 
-// role is a member's role.
+// role returns a member's role.
 func (h *zonedHarness) role(name string) Role {
 	if name == "a1" {
 		return RolePrimary
@@ -47,7 +47,7 @@
 	return RoleReplica
 }
 
-// advanceAnswering moves the clock on and ends health checks.
+// advanceAnswering moves the clock forward and ends health checks.
 func (h *zonedHarness) advanceAnswering(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.advance(10 * ms)
@@ -59,7 +59,7 @@
 	}
 }
 
-// endHealthCheck has a member answer a health check, or not.
+// endHealthCheck ends a health check: successfully if the member is alive, otherwise by a timeout.
 func (h *zonedHarness) endHealthCheck(name string) {
 	if !h.alive[name] {
 		h.router.HealthChecked(h.now+200*ms, HealthCheckResult{Member: name, Result: ResultTimeout})
@@ -73,9 +73,10 @@
 	})
 }
 
-// sendReads sends reads, which members that are alive answer, and counts the members that their first attempts went to.
+// sendReads sends n reads, which members that are alive answer. It returns the number of first attempts by
+// member.
 func (h *zonedHarness) sendReads(n int) map[string]int {
-	readsByMember := map[string]int{}
+	reads := map[string]int{}
 	for range n {
 		h.advanceAnswering(10 * ms)
 		h.request(anyRead)
@@ -84,7 +85,7 @@
 			number := h.attemptsEnded[sent.request]
 			h.attemptsEnded[sent.request]++
 			if number == 0 {
-				readsByMember[sent.member]++
+				reads[sent.member]++
 			}
 			if h.alive[sent.member] {
 				h.router.Outcome(h.now, Outcome{Request: sent.request, Attempt: number, Member: sent.member,
@@ -92,35 +93,36 @@
 			}
 		}
 	}
-	return readsByMember
+	return reads
 }
 
-// TestReadsPreferTheOwnZone has reads stay in the gateway's own zone as long as that has capacity, and leave it when it
-// is lost.
+// TestReadsPreferTheOwnZone checks that reads stay in the gateway's own zone as long as the zone has
+// capacity, and go to other zones when it is down.
 func TestReadsPreferTheOwnZone(t *testing.T) {
 	h := newZonedHarness(t, "b")
 	h.advanceAnswering(time.Second)
-	if readsByMember := h.sendReads(200); readsByMember["b1"]+readsByMember["b2"] < 195 {
-		t.Errorf("with all zones healthy: %v", readsByMember)
+	if reads := h.sendReads(200); reads["b1"]+reads["b2"] < 195 {
+		t.Errorf("reads by member with all zones healthy: %v", reads)
 	}
 	h.alive["b1"], h.alive["b2"] = false, false
 	h.sendReads(60)
 	if h.router.Zones().Zone("b").State() != zones.Down {
 		t.Fatalf("zone b is %s", h.router.Zones().Zone("b").State())
 	}
-	readsByMember := h.sendReads(100)
-	if readsByMember["b1"]+readsByMember["b2"] > 0 || readsByMember["c1"] < 15 || readsByMember["c2"] < 15 || readsByMember["a2"] < 15 {
-		t.Errorf("with the own zone lost: %v", readsByMember)
+	reads := h.sendReads(100)
+	if reads["b1"]+reads["b2"] > 0 || reads["c1"] < 15 || reads["c2"] < 15 || reads["a2"] < 15 {
+		t.Errorf("reads by member with the own zone down: %v", reads)
 	}
 	reported := slices.ContainsFunc(h.zones, func(change zones.Change) bool {
 		return change.Zone == "b" && change.To == zones.Down
 	})
 	if !reported {
-		t.Error("the loss of the zone was not reported")
+		t.Error("the outage of the zone was not reported")
 	}
 }
 
-// TestPreferredTierDoesNotOverrideFreshness has the members of the preferred tier lag: that does not make them eligible.
+// TestPreferredTierDoesNotOverrideFreshness checks that lagging members of the preferred tier serve no
+// bounded reads.
 func TestPreferredTierDoesNotOverrideFreshness(t *testing.T) {
 	h := newZonedHarness(t, "b")
 	h.advanceAnswering(500 * ms)
@@ -139,8 +141,9 @@
 	}
 }
 
-// TestSurvivingConnectionMeansNoRestart has a member answer again after its zone was lost: it counts as restarted, unless
-// a connection that was established before brings the answer. One that was established since proves nothing.
+// TestSurvivingConnectionMeansNoRestart checks a member that answers again after an outage of its zone. It
+// counts as restarted unless the answer comes over a connection that was established before the outage. A
+// newer connection proves nothing.
 func TestSurvivingConnectionMeansNoRestart(t *testing.T) {
 	for _, survived := range []bool{false, true} {
 		h := newZonedHarness(t, "a")
@@ -152,7 +155,7 @@
 		h.sendReads(300)
 		member := h.router.members["b1"]
 		if !member.zoneState.MemberDown(member.answeredAt) {
-			t.Fatal("zone b is not lost")
+			t.Fatal("zone b is not down")
 		}
 		h.alive["b1"], h.alive["b2"] = true, true
 		if !survived {
@@ -160,13 +163,13 @@
 		}
 		h.sendReads(100)
 		if weight := h.router.slowStartWeight(member); survived != (weight == 1) {
-			t.Errorf("its connections survived: %v, yet its slow start weight is %.2f", survived, weight)
+			t.Errorf("connections survived: %v, but the slow start weight is %.2f", survived, weight)
 		}
 	}
 }
 
-// TestHealthCheckSilenceRestartsAfterAnAnswer has a health check go unanswered before a member answers a request: it must
-// not hide those that go unanswered after it.
+// TestHealthCheckSilenceRestartsAfterAnAnswer checks that a health check that is unanswered when its member
+// answers a request does not hide later health checks that are unanswered.
 func TestHealthCheckSilenceRestartsAfterAnAnswer(t *testing.T) {
 	h := newZonedHarness(t, "a")
 	h.sendReads(20)
@@ -179,7 +182,7 @@
 	h.router.advanceClock(h.now)
 	member.healthCheckSent(h.now)
 	if h.router.healthCheckSilence(member) != 0 {
-		t.Error("a health check that was sent just now counts as unanswered")
+		t.Error("a health check that has just been sent counts as unanswered for some time")
 	}
 	h.now += 50 * ms
 	h.router.advanceClock(h.now)
@@ -188,7 +191,7 @@
 	}
 }
 
-// TestDetectOnlyCanBeReloaded turns the preference of tiers off and on while the router runs.
+// TestDetectOnlyCanBeReloaded turns the preference for tiers off and on while the router runs.
 func TestDetectOnlyCanBeReloaded(t *testing.T) {
 	h := newZonedHarness(t, "b")
 	h.advanceAnswering(time.Second)
@@ -196,18 +199,19 @@
 		if err := h.router.Zones().Configure(zones.Options{OwnZone: "b", DetectOnly: only}); err != nil {
 			t.Fatal(err)
 		}
-		if readsByMember := h.sendReads(200); only != (readsByMember["b1"]+readsByMember["b2"] < 150) {
-			t.Errorf("detect_only = %v: %v", only, readsByMember)
+		if reads := h.sendReads(200); only != (reads["b1"]+reads["b2"] < 150) {
+			t.Errorf("reads by member with detect_only = %v: %v", only, reads)
 		}
 	}
 }
 
-// TestZonesOff has no options of zones: no zone is judged, and health checks use any connection.
+// TestZonesOff checks that without options of zones no health of zones is evaluated, and health checks use
+// any connection.
 func TestZonesOff(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.reportAll("a", 10*ms)
 	h.advance(time.Second)
 	if h.router.Zones() != nil || len(h.zones) > 0 || h.router.members["a"].healthCheckConn() != ConnAny {
-		t.Error("zones are judged though they are off")
+		t.Error("the health of zones is evaluated although zones are off")
 	}
 }
