--- a/internal/hotrestart/frame/format_test.go
+++ b/internal/hotrestart/frame/format_test.go
@@ -9,7 +9,7 @@
 	"cranegate/internal/hotrestart/state"
 )
 
-// TestFrames pins the bytes of each kind of message, which processes of other versions read and write.
+// TestFrames pins the encoding of each kind of message, because processes of other versions read and write the same messages.
 func TestFrames(t *testing.T) {
 	_, regs, err := state.Registers{}.Prepare(state.Change{Host: "db-1", Detach: true}, 7, 1_000)
 	if err != nil {
--- a/internal/hotrestart/frame/frame_test.go
+++ b/internal/hotrestart/frame/frame_test.go
@@ -8,7 +8,7 @@
 	"cranegate/internal/hotrestart/state"
 )
 
-// FuzzRead: any input is read or fails with an error, and what is read can be written and read again.
+// FuzzRead checks that any input is either read or rejected with an error, and that a message that was read can be written and read again.
 func FuzzRead(f *testing.F) {
 	_, regs, _ := state.Registers{}.Prepare(state.Change{Host: "a", Detach: true}, 1, 1)
 	s := regs.Snapshot()
@@ -18,8 +18,8 @@
 		f.Add(b.Bytes())
 	}
 	f.Add([]byte("\xff\xff\xff\xff"))
-	f.Fuzz(func(t *testing.T, text []byte) {
-		m, err := Read(bytes.NewReader(text))
+	f.Fuzz(func(t *testing.T, input []byte) {
+		m, err := Read(bytes.NewReader(input))
 		if err != nil {
 			return
 		}
--- a/internal/hotrestart/listenfd/listenfd.go
+++ b/internal/hotrestart/listenfd/listenfd.go
@@ -1,4 +1,4 @@
-// Package listenfd takes over the listening socket that the platform passes to a new process.
+// Package listenfd opens the listening socket that the platform passes to a starting process as an inherited descriptor.
 package listenfd
 
 import (
@@ -13,10 +13,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Variable is the environment variable that holds the number of the descriptor, such as 5. Without it Listener listens anew.
+// Variable is the environment variable that holds the number of the descriptor, such as 5. If it is unset or empty, Listener opens
+// a new socket.
 const Variable = "PROXY_PASSED_SOCKET"
 
-// acceptTimeout bounds an accept on a socket that another process has set to blocking.
+// acceptTimeout bounds an accept call if another process that shares the socket has set it to blocking.
 const acceptTimeout = 50 * time.Millisecond
 
 // maxStandardStream is the highest descriptor of a standard stream.
@@ -25,22 +26,22 @@
 // Causes of an InheritedSocketError.
 var (
 	ErrNotANumber = errors.New("is not the number of a descriptor; set it to one, such as 5, or unset it")
-	ErrNotOpen    = errors.New("names a descriptor that is not open; have whoever starts this program pass the socket on " +
-		"(without close-on-exec), or unset it")
-	ErrNotTCP       = errors.New("names a descriptor that is not a TCP socket; pass the listening socket on, or unset it")
-	ErrNotListening = errors.New("names a socket that does not listen; call listen on it before the start, or unset it")
-	ErrWrongAddress = errors.New("names a socket that listens elsewhere; pass on the one of the configured address, " +
-		"or correct the address")
+	ErrNotOpen    = errors.New("names a descriptor that is not open; pass the listening socket to this program " +
+		"without close-on-exec, or unset it")
+	ErrNotTCP       = errors.New("names a descriptor that is not a TCP socket; pass the listening socket, or unset it")
+	ErrNotListening = errors.New("names a socket that does not listen; call listen on it before this program starts, or unset it")
+	ErrWrongAddress = errors.New("names a socket that listens at another address; pass the socket of the configured address, " +
+		"or correct the configured address")
 )
 
 // InheritedSocketError reports that the inherited descriptor can't be used.
 type InheritedSocketError struct {
-	Value  string // of Variable
+	Value  string // the value of Variable
 	Cause  error  // one of the errors above
 	Detail string // may be empty
 }
 
-// Error names Variable, and says what to do.
+// Error gives Variable with its value, the cause and the remedy.
 func (e *InheritedSocketError) Error() string {
 	text := fmt.Sprintf("%s=%q %v", Variable, e.Value, e.Cause)
 	if e.Detail != "" {
@@ -52,11 +53,12 @@
 // Unwrap returns the cause.
 func (e *InheritedSocketError) Unwrap() error { return e.Cause }
 
-// Listener returns the inherited listening socket, or a new one at address where Variable is not set or empty. The
-// inherited descriptor is checked before anything is changed, then closed: the returned listener is a duplicate that is
-// closed on exec. Closing either leaves the platform's own copy as it is; shutdown is never called.
-// address is host:port of TCP with a numeric or empty host, or a name that resolves. Errors: *InheritedSocketError, those of net.
-// Call it once, before the program opens other descriptors that it could confuse with it.
+// Listener returns the inherited listening socket, or opens a new one at address if Variable is unset or empty. The inherited
+// descriptor is checked before anything is changed, and is then closed: the returned listener uses a duplicate with
+// close-on-exec. Closing either of them does not affect the platform's own copy, and shutdown is never called.
+// address is host:port of TCP with a numeric or empty host, or a name that resolves. Errors: *InheritedSocketError, and errors
+// of package net.
+// Call it once, before the program opens other descriptors: one of them could get the number in Variable.
 func Listener(env func(string) string, address string) (net.Listener, error) {
 	value := env(Variable)
 	if value == "" {
@@ -81,8 +83,9 @@
 		return nil, &InheritedSocketError{value, ErrWrongAddress, fmt.Sprintf("it listens at %s, not at %s", bound, address)}
 	}
 	unix.CloseOnExec(descriptor)
-	// Whoever starts the next process may set the socket to blocking, which holds for all that share it: an accept that
-	// waits in the kernel then would keep Close waiting for the next client. With a timeout it returns by itself.
+	// The program that starts the next process may set the socket to blocking, which affects every process that shares it.
+	// An accept call would then block in the kernel, and Close would wait until the next client connects. With a timeout
+	// accept returns on its own.
 	timeout := unix.Timeval{Usec: acceptTimeout.Microseconds()}
 	if err := unix.SetsockoptTimeval(descriptor, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &timeout); err != nil {
 		return nil, &InheritedSocketError{value, ErrNotTCP, err.Error()}
@@ -92,7 +95,7 @@
 	return net.FileListener(file)
 }
 
-// parseDescriptor returns the number that a value of Variable holds. Its errors are *InheritedSocketError.
+// parseDescriptor parses a value of Variable. Its errors are of type *InheritedSocketError.
 func parseDescriptor(value string) (int, error) {
 	descriptor, err := strconv.Atoi(value)
 	if err != nil || descriptor < 0 {
@@ -104,7 +107,7 @@
 	return descriptor, nil
 }
 
-// checkListening fails with an *InheritedSocketError unless a descriptor is a listening TCP socket.
+// checkListening returns an *InheritedSocketError unless the descriptor is a listening TCP socket.
 func checkListening(value string, descriptor int) error {
 	if _, err := unix.FcntlInt(uintptr(descriptor), unix.F_GETFD, 0); err != nil {
 		return &InheritedSocketError{value, ErrNotOpen, err.Error()}
@@ -135,11 +138,12 @@
 	case *unix.SockaddrInet6:
 		return netip.AddrPortFrom(netip.AddrFrom16(address.Addr).Unmap(), uint16(address.Port)), nil
 	}
-	return netip.AddrPort{}, errors.New("not of the Internet families")
+	return netip.AddrPort{}, errors.New("neither an IPv4 nor an IPv6 address")
 }
 
-// sameAddress reports whether a socket's address is the wanted one. The wildcards of both families are the same: net.Listen
-// with an empty host listens at [::], which accepts IPv4 as well. Port 0 is never the same, as a bound socket has another.
+// sameAddress reports whether a socket is bound to the configured address, want. The wildcard addresses of IPv4 and IPv6 are
+// the same, because net.Listen with an empty host listens at [::], which accepts IPv4 as well. Port 0 never matches, because
+// a bound socket has another port.
 func sameAddress(bound, want netip.AddrPort) bool {
 	if bound.Port() != want.Port() {
 		return false
--- a/internal/hotrestart/listenfd/listenfd_test.go
+++ b/internal/hotrestart/listenfd/listenfd_test.go
@@ -12,7 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// childAddressVariable has the test binary run as a child that serves one client on the inherited socket of this address.
+// childAddressVariable is the environment variable that makes the test binary run as a child. The child serves one client on the
+// inherited socket, whose address is the variable's value.
 const childAddressVariable = "LISTENFD_TEST"
 
 // testTimeout bounds each wait of a test.
@@ -44,7 +45,8 @@
 	return l.Close()
 }
 
-// TestInheritedByChild: a child serves on the inherited socket, and its end leaves the parent's copy as it was.
+// TestInheritedByChild checks that a child serves on the inherited socket, and that the parent's copy still listens after the child
+// has exited.
 func TestInheritedByChild(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,7 +65,7 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		defer cmd.Process.Kill() // without effect where it has ended
+		defer cmd.Process.Kill() // no effect if it has already exited
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -78,7 +80,7 @@
 	}
 }
 
-// TestInvalidDescriptor: a descriptor that is not a listening TCP socket of the address is rejected with its cause.
+// TestInvalidDescriptor checks that a descriptor that is not a listening TCP socket of the address is rejected, with the right cause.
 func TestInvalidDescriptor(t *testing.T) {
 	const address = "127.0.0.1:1"
 	socket := func(domain, kind int) int {
@@ -119,7 +121,7 @@
 	}
 }
 
-// TestAddresses checks which addresses are the same, and that the returned listener is closed on exec.
+// TestAddresses checks which addresses count as the same, and that the returned listener has close-on-exec.
 func TestAddresses(t *testing.T) {
 	for _, c := range []struct {
 		bound, host string
@@ -146,7 +148,7 @@
 	}
 }
 
-// TestNotInherited: without a descriptor the address is listened on anew.
+// TestNotInherited checks that Listener opens a new socket if Variable is empty.
 func TestNotInherited(t *testing.T) {
 	l, err := Listener(func(string) string { return "" }, "127.0.0.1:0")
 	if err != nil {
@@ -178,7 +180,7 @@
 	raw, _ := l.SyscallConn()
 	raw.Control(func(fd uintptr) {
 		if flags, _ := unix.FcntlInt(fd, unix.F_GETFD, 0); flags&unix.FD_CLOEXEC == 0 {
-			t.Error("not closed on exec")
+			t.Error("the listener's descriptor lacks close-on-exec")
 		}
 	})
 }
--- a/internal/hotrestart/rendezvous/name.go
+++ b/internal/hotrestart/rendezvous/name.go
@@ -1,7 +1,8 @@
-// Package rendezvous manages the folder in which the gateway's processes find each other by their sockets.
+// Package rendezvous manages the folder in which the gateway's processes discover each other by their sockets.
 //
-// Each process has a socket of its own, whose name holds when the process opened it and a nonce; so the names alone tell which process is
-// older, even of one that hangs. A socket gets its name once it accepts connections: the process of one that refuses is dead.
+// Each process registers one socket, whose name contains the time at which the name was created, and a nonce. The names alone
+// therefore show which of two processes is older, even if one of them hangs. A socket gets its name only after it accepts
+// connections. If it refuses a connection, its process has therefore exited or closed the socket.
 package rendezvous
 
 import (
@@ -14,9 +15,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Name identifies a process by its socket's name. The zero Name stands for none.
+// Name is the name of a process's socket, and identifies the process. The zero Name means no process.
 type Name struct {
-	OpenedAt uint64 // ns since the machine's start, which steps of its clock don't change
+	OpenedAt uint64 // ns since the machine booted; unaffected by steps of the wall clock
 	Nonce    uint64 // below 1<<48
 }
 
@@ -33,7 +34,7 @@
 	return Name{OpenedAt: uint64(now.Nano()), Nonce: binary.BigEndian.Uint64(nonce[:]) >> 16}, nil
 }
 
-// Parse parses a file's name; ok is false for one that is no socket's.
+// Parse parses a file name. ok is false if it is not the name of a process's socket.
 func Parse(fileName string) (n Name, ok bool) {
 	match := namePattern.FindStringSubmatch(fileName)
 	if match == nil {
@@ -44,10 +45,10 @@
 	return n, true
 }
 
-// String is the file's name.
+// String returns the file name of the socket.
 func (n Name) String() string { return fmt.Sprintf("cranegate-%016x-%012x.sock", n.OpenedAt, n.Nonce) }
 
-// Before reports whether the process of n is the older one.
+// Before reports whether the process of n is older than the process of o.
 func (n Name) Before(o Name) bool {
 	if n.OpenedAt != o.OpenedAt {
 		return n.OpenedAt < o.OpenedAt
--- a/internal/hotrestart/rendezvous/rendezvous.go
+++ b/internal/hotrestart/rendezvous/rendezvous.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// maxSocketPathBytes bounds a Unix socket's path, without the zero at its end.
+	// maxSocketPathBytes bounds the path of a Unix socket, without the terminating zero byte.
 	maxSocketPathBytes = 107
-	// pendingSuffix ends a socket's name before it accepts connections.
+	// pendingSuffix is appended to a socket's name until the socket accepts connections.
 	pendingSuffix = ".new"
-	// stalePendingAge is the age past which a pending name is of a process that died as it started.
+	// stalePendingAge is the age beyond which a pending socket counts as left over from a process that exited during its start.
 	stalePendingAge = time.Minute
 )
 
-// ErrProcessEnded reports that the process of a name is dead or has closed its socket.
-var ErrProcessEnded = errors.New("no process stands behind this socket")
+// ErrProcessEnded reports that the process of a name has exited or has closed its socket.
+var ErrProcessEnded = errors.New("no process listens on this socket")
 
 // ErrPathTooLong reports that the folder's path is too long for a Unix socket.
-var ErrPathTooLong = errors.New("the path of the folder is too long for a Unix socket and /proc is not there to shorten it; " +
+var ErrPathTooLong = errors.New("the path of the folder is too long for a Unix socket and /proc is not available to shorten it; " +
 	"set TMPDIR to a path of at most 60 bytes")
 
-// Folder is an open folder.
+// Folder is an open folder in which processes register their sockets.
 type Folder struct {
 	dir    string
 	handle *os.File
 }
 
-// Open opens the folder. Errors are those of the system.
+// Open opens the folder. It returns errors of the operating system.
 func Open(dir string) (*Folder, error) {
 	handle, err := os.OpenFile(dir, os.O_RDONLY|syscall.O_DIRECTORY, 0)
 	if err != nil {
@@ -47,7 +47,8 @@
 // Close closes the folder. It removes nothing.
 func (f *Folder) Close() error { return f.handle.Close() }
 
-// path returns a path of a file that the system's calls for sockets accept: a long one goes through the open folder.
+// path returns the path of a file in the folder, for use with a Unix socket. If the path is too long for that, it returns a shorter
+// one through the open folder's descriptor in /proc.
 func (f *Folder) path(name string) (string, error) {
 	if path := filepath.Join(f.dir, name); len(path) <= maxSocketPathBytes {
 		return path, nil
@@ -59,8 +60,8 @@
 	return filepath.Join(folder, name), nil
 }
 
-// Register makes a socket that accepts connections and puts it into the folder. Closing the listener leaves the name; Unregister
-// removes it. Errors: ErrPathTooLong, and those of the system.
+// Register creates a listening socket, and gives it its name in the folder once it accepts connections. Closing the listener does
+// not remove the name; Unregister does. Errors: ErrPathTooLong, and errors of the operating system.
 func (f *Folder) Register(n Name) (*net.UnixListener, error) {
 	socketPath, err := f.path(n.String() + pendingSuffix)
 	if err != nil {
@@ -81,10 +82,10 @@
 	return l, nil
 }
 
-// Unregister removes a name.
+// Unregister removes a name from the folder.
 func (f *Folder) Unregister(n Name) { os.Remove(filepath.Join(f.dir, n.String())) }
 
-// Names lists the sockets of the folder except own, and removes sockets of processes that died before they accepted connections.
+// Names lists the sockets of the folder except own, and removes sockets of processes that exited before they accepted connections.
 func (f *Folder) Names(own Name) ([]Name, error) {
 	entries, err := os.ReadDir(f.dir)
 	if err != nil {
@@ -101,7 +102,7 @@
 	return names, nil
 }
 
-// isStalePending reports whether a file is a pending socket of a process that died as it started.
+// isStalePending reports whether a file is the pending socket of a process that exited during its start.
 func isStalePending(entry fs.DirEntry) bool {
 	fileName, ok := strings.CutSuffix(entry.Name(), pendingSuffix)
 	if !ok {
@@ -114,8 +115,9 @@
 	return err == nil && time.Since(info.ModTime()) > stalePendingAge
 }
 
-// Dial connects to a process. ErrProcessEnded proves that it is dead or has closed; its name is then removed. Any other error
-// proves nothing. A connection to a process that hangs succeeds: it reads what it was sent once it continues.
+// Dial connects to a process. ErrProcessEnded proves that the process has exited or closed its socket; its name is then removed.
+// After any other error the process may still be alive. Connecting to a process that hangs succeeds: the process reads the data
+// that was sent to it after it continues.
 func (f *Folder) Dial(ctx context.Context, n Name) (net.Conn, error) {
 	path, err := f.path(n.String())
 	if err != nil {
--- a/internal/hotrestart/statefile/format_test.go
+++ b/internal/hotrestart/statefile/format_test.go
@@ -9,10 +9,11 @@
 	"cranegate/internal/hotrestart/state"
 )
 
-// goldenFile is the state file as every version of the program reads and writes it: a host that is out and one that is back, and lameduck.
+// goldenFile is a state file with a detached host, an attached host and lameduck. Every version of the program reads and writes this
+// format.
 const goldenFile = `{"format":"cranegate-state","version":1,"sequence":1,"sha256":"d9d7cf282ebd185cd8e1b3f86f5b423b713615a8592f7c4ff909bc51b85751fc","state":{"clock":4,"lameduck":{"on":true,"since":1002,"seq":3,"node":7},"hosts":[{"id":"db-1","on":true,"since":1000,"seq":1,"node":7},{"id":"db-2","on":false,"since":1003,"seq":4,"node":7}]}}`
 
-// TestFileFormat pins the state file's name and bytes, which processes of other versions read and write.
+// TestFileFormat pins the state file's name and content, because processes of other versions read and write the same file.
 func TestFileFormat(t *testing.T) {
 	ctx := context.Background()
 	dir := t.TempDir()
@@ -42,7 +43,7 @@
 	}
 	for name, want := range map[string]string{InvalidName: "cranegate-state.json.bad", replacementName: "cranegate-state.json.new", lockName: "cranegate-state.lock"} {
 		if name != want {
-			t.Errorf("a file beside it is called %s, not %s", name, want)
+			t.Errorf("a file that accompanies the state file is called %s, want %s", name, want)
 		}
 	}
 }
--- a/internal/hotrestart/statefile/lock.go
+++ b/internal/hotrestart/statefile/lock.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// ErrLocked reports that the lock was not free in time.
+// ErrLocked reports that the lock could not be acquired before the context ended.
 var ErrLocked = errors.New("another process holds the lock on the state file and hangs; " +
 	"end the process that does not answer, then call again")
 
-// lockRetryInterval is how often a lock that is held is tried.
+// lockRetryInterval is the time between attempts to acquire a lock that another process holds.
 const lockRetryInterval = 2 * time.Millisecond
 
-// lock waits for the other calls of this process and for the lock among processes, which its holder's death releases. The caller must call
-// unlock once.
+// lock excludes other calls of this process and then acquires the lock among processes, which the system releases when its holder
+// exits. The caller must call unlock once.
 func (f *File) lock(ctx context.Context) (unlock func(), err error) {
 	select {
 	case f.semaphore <- struct{}{}:
--- a/internal/hotrestart/statefile/statefile.go
+++ b/internal/hotrestart/statefile/statefile.go
@@ -1,7 +1,7 @@
-// Package statefile keeps the registers in a file that processes of the gateway write in turn.
+// Package statefile stores the registers in a file that all processes of the gateway read and update.
 //
-// The file is JSON with a format, a version, a sequence number and a checksum. It is replaced atomically, under a lock on
-// a file beside it, after its content was merged. A file that is invalid is renamed to InvalidName.
+// The file is JSON with a format, a version, a sequence number and a checksum. An update merges registers into the content and
+// replaces the file atomically, while it holds a lock on a separate file. An invalid file is renamed to InvalidName.
 package statefile
 
 import (
@@ -22,41 +22,41 @@
 const (
 	// Name is the file's name.
 	Name = "cranegate-state.json"
-	// InvalidName is the name of the last file that was invalid.
+	// InvalidName is the name to which an invalid file is renamed, in place of an earlier one.
 	InvalidName = "cranegate-state.json.bad"
 	// MaxBytes bounds the file.
 	MaxBytes = 1 << 20
 
-	replacementName = "cranegate-state.json.new" // the next file, until it is complete
+	replacementName = "cranegate-state.json.new" // the next version of the file, until it is complete
 	lockName        = "cranegate-state.lock"
 
 	format  = "cranegate-state"
 	version = 1
 )
 
-// InvalidFileError reports that the file was read and is invalid, and what that means to operators.
+// InvalidFileError reports that the file has invalid content or is not a regular file. Its text is for operators.
 type InvalidFileError struct {
 	Path  string // where the file is now
 	Cause error
 }
 
-// Error says what is not known, and what to do.
+// Error describes the consequences and the remedy.
 func (e *InvalidFileError) Error() string {
-	return fmt.Sprintf("the state file can't be used (%v) and was set aside as %s: hosts taken out by hand and lameduck "+
-		"are known from live processes alone; check the list of hosts that are out and call detach again where one is missing",
+	return fmt.Sprintf("the state file is invalid (%v) and is now at %s: detached hosts and lameduck "+
+		"are known only from live processes; check the list of detached hosts, and call detach again for each that is missing",
 		e.Cause, e.Path)
 }
 
 // Unwrap returns the cause.
 func (e *InvalidFileError) Unwrap() error { return e.Cause }
 
-// UnreadableFileError reports that the file could not be read. Its content is unknown, so it stays as it is.
+// UnreadableFileError reports that the file could not be read. Its content is unknown, so it is not changed.
 type UnreadableFileError struct {
 	Path  string
 	Cause error
 }
 
-// Error says what is not known, and what to do.
+// Error describes the consequences and the remedy.
 func (e *UnreadableFileError) Error() string {
 	return fmt.Sprintf("the state file %s could not be read (%v) and was left as it is: hosts taken out by hand and lameduck are known "+
 		"from live processes alone; mend what the system says, and call again where a call got a no", e.Path, e.Cause)
@@ -67,12 +67,12 @@
 
 // Causes of an InvalidFileError.
 var (
-	ErrCorrupt        = errors.New("torn, or not JSON of this format")
-	ErrUnknownVersion = errors.New("of a version that this program does not know")
+	ErrCorrupt        = errors.New("incomplete, or not JSON of this format")
+	ErrUnknownVersion = errors.New("of a version that this program does not support")
 	ErrTooLarge       = errors.New("larger than 1 MiB")
 )
 
-// fileContent is the form of the file, which processes of other versions read and write.
+// fileContent is the JSON form of the file. Processes of other versions read and write it too.
 type fileContent struct {
 	Format   string          `json:"format"`
 	Version  int             `json:"version"`
@@ -81,18 +81,18 @@
 	State    json.RawMessage `json:"state"`
 }
 
-// File is the file in one folder.
+// File is the state file in one folder.
 type File struct {
 	dir       string
 	semaphore chan struct{} // of capacity 1: serializes the calls of this process
 }
 
-// New returns the File of a folder. It does not access it.
+// New returns the File of a folder. It does not access the folder.
 func New(dir string) *File { return &File{dir: dir, semaphore: make(chan struct{}, 1)} }
 
-// Read returns what the file holds; a missing one is empty. With an *InvalidFileError the registers are empty, and the file has
-// been renamed to InvalidName, unless the lock could not be had within ctx: then it is still in place. Other errors,
-// *UnreadableFileError among them, say nothing of its content.
+// Read returns the registers in the file; they are empty if there is no file. With an *InvalidFileError they are empty too, and
+// the file has been renamed to InvalidName, unless the lock could not be acquired before ctx ended: then the file is still in
+// place. After any other error, such as an *UnreadableFileError, the content of the file is unknown.
 func (f *File) Read(ctx context.Context) (state.Registers, error) {
 	registers, _, err := f.load()
 	var invalid *InvalidFileError
@@ -105,14 +105,15 @@
 	}
 	defer unlock()
 	registers, _, err = f.load()
-	if errors.As(err, &invalid) { // unless another process has replaced it meanwhile
+	if errors.As(err, &invalid) { // false if another process has replaced the file meanwhile
 		f.quarantine(invalid)
 	}
 	return registers, err
 }
 
-// Update merges registers into the file and returns what the file then holds. ctx bounds the wait for the lock. With an
-// *InvalidFileError the update was made, and the previous file was renamed to InvalidName; with any other error nothing was changed.
+// Update merges registers into the file and returns the merged registers. ctx bounds the wait for the lock. With an
+// *InvalidFileError the update was written, and the previous file was renamed to InvalidName. With any other error the update was
+// not written.
 func (f *File) Update(ctx context.Context, registers state.Registers) (state.Registers, error) {
 	unlock, err := f.lock(ctx)
 	if err != nil {
@@ -131,7 +132,7 @@
 		return state.Registers{}, err
 	}
 	merged = merged.Trim()
-	if invalid == nil && merged.Equal(stored) { // also where there is no file yet, and nothing to store
+	if invalid == nil && merged.Equal(stored) { // also if there is no file yet and nothing to store
 		return merged, nil
 	}
 	if err := f.replace(merged, sequence+1); err != nil {
@@ -140,7 +141,7 @@
 	return merged, loadErr
 }
 
-// replace writes a new file and puts it in the place of the present one.
+// replace writes a new file and renames it to Name, which replaces the current file atomically.
 func (f *File) replace(registers state.Registers, sequence uint64) error {
 	text, err := encode(registers, sequence)
 	if err != nil {
@@ -158,7 +159,7 @@
 	return os.Rename(path, filepath.Join(f.dir, Name))
 }
 
-// load reads the file. A missing one gives empty registers and sequence 0.
+// load reads the file. If there is no file, it returns empty registers and sequence number 0.
 func (f *File) load() (state.Registers, uint64, error) {
 	path := filepath.Join(f.dir, Name)
 	text, err := readFile(path)
@@ -175,14 +176,14 @@
 	return regs, sequence, nil
 }
 
-// readFile reads a file, or MaxBytes+1 bytes of a larger one. Errors: fs.ErrNotExist, also where another process has just renamed it,
-// *InvalidFileError, *UnreadableFileError, and others of the system.
+// readFile reads a file, but at most MaxBytes+1 bytes. Errors: fs.ErrNotExist, also if another process has just renamed the file,
+// *InvalidFileError, *UnreadableFileError, and other errors of the operating system.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Lstat(path)
 	if err != nil {
 		return nil, err
 	}
-	if !info.Mode().IsRegular() { // a pipe would block, a folder can't be replaced
+	if !info.Mode().IsRegular() { // opening a pipe would block, and a folder can't be replaced
 		return nil, &InvalidFileError{path, fmt.Errorf("%w: not a regular file", ErrCorrupt)}
 	}
 	r, err := os.Open(path)
@@ -208,7 +209,7 @@
 	}
 }
 
-// encode returns the content of a file. It fails with ErrTooLarge.
+// encode returns the content of the file. It fails with ErrTooLarge if the content exceeds MaxBytes.
 func encode(registers state.Registers, sequence uint64) ([]byte, error) {
 	body, err := json.Marshal(registers.Snapshot())
 	if err != nil {
@@ -222,7 +223,7 @@
 	return text, err
 }
 
-// decode returns the registers and sequence number of a file's content. Errors: the causes of InvalidFileError.
+// decode returns the registers and the sequence number in a file's content. Its errors are causes of an InvalidFileError.
 func decode(text []byte) (state.Registers, uint64, error) {
 	if len(text) > MaxBytes {
 		return state.Registers{}, 0, ErrTooLarge
--- a/internal/hotrestart/statefile/statefile_test.go
+++ b/internal/hotrestart/statefile/statefile_test.go
@@ -10,8 +10,8 @@
 	"cranegate/internal/hotrestart/state"
 )
 
-// TestNoFileWithoutChanges: where nothing was ever changed no file is made. Its write would hold the lock, on a slow disk for longer
-// than a call waits for it.
+// TestNoFileWithoutChanges checks that no file is written if nothing was ever changed. On a slow disk such a write would hold the
+// lock for longer than a concurrent call waits for it.
 func TestNoFileWithoutChanges(t *testing.T) {
 	dir := t.TempDir()
 	f := New(dir)
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, Name)); !os.IsNotExist(err) {
-		t.Errorf("a file without changes: %v", err)
+		t.Errorf("a file was written without changes: %v", err)
 	}
 	delta, _, err := state.Registers{}.Prepare(state.Change{Lameduck: true}, 1, 1)
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// detached returns the registers of one detached host.
+// detached returns registers with one detached host.
 func detached(t *testing.T, host string) state.Registers {
 	t.Helper()
 	delta, _, err := state.Registers{}.Prepare(state.Change{Host: host, Detach: true}, 1, 1)
@@ -43,10 +43,10 @@
 	return delta
 }
 
-// TestNoDescriptors reads and writes while no further file can be opened: the file is not taken for invalid, so a detached host in
-// it is neither renamed away nor overwritten, and the caller learns that nothing was read.
+// TestNoDescriptors reads and updates the file while the process lacks the descriptors to open it. A file that can't be opened must
+// not count as invalid: it would be renamed and replaced, and its detached host would be lost. The caller must get an error instead.
 func TestNoDescriptors(t *testing.T) {
-	for files := range 2 { // none; the lock alone
+	for files := range 2 { // descriptors that are left: none, or one for the lock file
 		dir := t.TempDir()
 		if _, err := New(dir).Update(context.Background(), detached(t, "db-0")); err != nil {
 			t.Fatal(err)
