--- a/internal/hotrestart/state/bounds_test.go
+++ b/internal/hotrestart/state/bounds_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// setHost detaches or attaches a host as one process does.
+// setHost detaches or attaches a host in r, as a process does for an admin call.
 func setHost(r *Registers, id string, detach bool) error {
 	delta, next, err := r.Prepare(Change{Host: id, Detach: detach}, 1, 1)
 	if err != nil {
@@ -20,7 +20,8 @@
 	return err
 }
 
-// TestBounds: invalid ids are rejected, and registers stay within their bounds and forget no detached host, however many calls come.
+// TestBounds checks that invalid ids are rejected, and that registers stay within their bounds and retain every detached host, however
+// many calls are made.
 func TestBounds(t *testing.T) {
 	var r Registers
 	for _, id := range []string{strings.Repeat("x", MaxIDBytes+1), "a\x00", "\xff"} {
@@ -43,12 +44,12 @@
 	}
 	text, _ := json.Marshal(r.Snapshot())
 	if len(text) > MaxBytes || !r.Get(Change{Host: "first"}).On || len(r.hosts) > MaxHosts {
-		t.Error("over the bounds, or a detached host was forgotten", len(text), len(r.hosts))
+		t.Error("the bounds are exceeded, or a detached host was dropped", len(text), len(r.hosts))
 	}
 }
 
-// TestThousandHosts detaches 1,024 hosts with the longest ids, and attaches as many others: all registers are kept, tombstones
-// too where ids are of usual length. The next tombstone replaces the oldest, and no detached host is lost.
+// TestThousandHosts detaches 1,024 hosts with the longest ids, and attaches 1,024 others with ids of usual length. All registers must
+// be retained, tombstones included. The next tombstone must replace the oldest one, and no detached host may be lost.
 func TestThousandHosts(t *testing.T) {
 	var r Registers
 	set := func(id string, detach bool) {
@@ -68,28 +69,28 @@
 	}
 	set("one more", false)
 	if _, kept := r.hosts["back0000"]; kept || len(r.hosts) != 2048 || len(r.State().Detached) != 1024 {
-		t.Errorf("%d registers, %d detached, the oldest tombstone kept: %t", len(r.hosts), len(r.State().Detached), kept)
+		t.Errorf("%d registers, %d detached, the oldest tombstone is retained: %t", len(r.hosts), len(r.State().Detached), kept)
 	}
 	text, err := json.Marshal(r.Snapshot())
 	if err != nil || len(text) > MaxBytes {
 		t.Error(err, len(text))
 	}
 	if restored, err := r.Snapshot().Registers(); err != nil || !restored.Equal(r) {
-		t.Error("changed by the snapshot", err)
+		t.Error("the registers changed in a round trip through a snapshot", err)
 	}
 }
 
-// filledRegisters makes registers whose ids have a common length.
+// filledRegisters creates registers for hosts whose ids all have the same length, which grows with padding.
 type filledRegisters struct{ padding int }
 
 func (f filledRegisters) id(kind string, i int) string {
 	return fmt.Sprintf("%s%04d%s", kind, i, strings.Repeat("x", f.padding))
 }
 
-// further is a detach of a host that the registers lack.
-func (f filledRegisters) further() Change { return Change{Host: f.id("more", 0), Detach: true} }
+// newDetach returns a Change that detaches a host without a register.
+func (f filledRegisters) newDetach() Change { return Change{Host: f.id("more", 0), Detach: true} }
 
-// with returns registers of a number of detached hosts and of older tombstones, trimmed.
+// with returns trimmed registers with a number of detached hosts and of tombstones, which are older.
 func (f filledRegisters) with(detached, tombstones int) Registers {
 	r := Registers{hosts: map[string]Entry{}}
 	set := func(id string, on bool) {
@@ -105,26 +106,26 @@
 	return r.Trim()
 }
 
-// maxDetached is how many hosts can be detached beside tombstones.
+// maxDetached returns how many hosts can be detached if there are that many tombstones.
 func (f filledRegisters) maxDetached(tombstones int) int {
 	return sort.Search(MaxHosts, func(detached int) bool {
-		_, _, err := f.with(detached, tombstones).Prepare(f.further(), 1, 1)
+		_, _, err := f.with(detached, tombstones).Prepare(f.newDetach(), 1, 1)
 		return errors.Is(err, ErrFull)
 	})
 }
 
-// TestTombstonesLeaveCapacity: tombstones past minTombstones take no capacity from detached hosts, and nothing that a process writes exceeds what
-// one of an earlier version takes (MaxHosts registers, MaxBytes, which are its bounds too).
+// TestTombstonesLeaveCapacity checks that tombstones beyond minTombstones take no capacity from detached hosts. It also checks that
+// registers that a process writes do not exceed the bounds of processes of earlier versions, which are MaxHosts and MaxBytes too.
 func TestTombstonesLeaveCapacity(t *testing.T) {
 	for _, padding := range []int{0, 100, MaxIDBytes - 8} {
 		t.Run(fmt.Sprintf("ids of %d bytes", 8+padding), func(t *testing.T) {
 			f := filledRegisters{padding}
 			withFew, withMany := f.maxDetached(512), f.maxDetached(1024)
 			if withMany != withFew || withMany < 1024 {
-				t.Errorf("%d hosts can be detached beside 1,024 tombstones, %d beside 512", withMany, withFew)
+				t.Errorf("%d hosts can be detached with 1,024 tombstones, %d with 512", withMany, withFew)
 			}
-			for detached := withMany - 700; padding > 200 && detached < withMany; detached++ { // also right before tombstones are trimmed
-				if _, _, err := f.with(detached, 1024).Prepare(f.further(), 1, 1); err != nil {
+			for detached := withMany - 700; padding > 200 && detached < withMany; detached++ { // also just before tombstones are trimmed
+				if _, _, err := f.with(detached, 1024).Prepare(f.newDetach(), 1, 1); err != nil {
 					t.Fatalf("%d detached and one more: %v", detached, err)
 				}
 			}
@@ -133,7 +134,7 @@
 					checkConcurrentCalls(t, f, detached)
 				}
 			}
-			_, _, err := f.with(withMany, 1024).Prepare(f.further(), 1, 1)
+			_, _, err := f.with(withMany, 1024).Prepare(f.newDetach(), 1, 1)
 			if !errors.Is(err, ErrFull) || !strings.Contains(err.Error(), "attach those") {
 				t.Error(err)
 			}
@@ -142,7 +143,7 @@
 	}
 }
 
-// checkConcurrentCalls detaches hosts as another process does at the same time, and checks the bounds.
+// checkConcurrentCalls detaches hosts as concurrent calls to another process do, and checks that the registers stay within their bounds.
 func checkConcurrentCalls(t *testing.T, f filledRegisters, detached int) {
 	t.Helper()
 	r := f.with(detached, 1024)
@@ -159,6 +160,6 @@
 		t.Errorf("%d detached: %d registers of %d bytes, %d detached", detached, len(r.hosts), r.bytes(), len(r.State().Detached))
 	}
 	if tombstones := len(r.hosts) - detached - calls; tombstones < minTombstones || detached == 0 && tombstones != MaxTombstones {
-		t.Errorf("%d detached: %d tombstones are kept", detached, tombstones)
+		t.Errorf("%d detached: %d tombstones are retained", detached, tombstones)
 	}
 }
--- a/internal/hotrestart/state/entry.go
+++ b/internal/hotrestart/state/entry.go
@@ -1,28 +1,28 @@
-// Package state holds what outlives one process of the gateway: detached database hosts, and lameduck.
+// Package state represents the state that survives a restart of the gateway: detached database hosts, and lameduck.
 //
-// It is a set of last-writer-wins registers that processes copy to each other and merge. The package has no clock, file, socket or
-// goroutine of its own. UpdateSteps and JoinSteps define the orders of steps that make a detach safe; package hotrestart and the
-// model test both follow them.
+// The state is a set of last-writer-wins registers, which processes exchange and merge. The package uses no clock, file, socket or
+// goroutine. UpdateSteps and JoinSteps define the orders of steps that make a detach safe; package hotrestart and the model test
+// both follow them.
 package state
 
-// MaxSeq bounds sequence numbers, so that a corrupt one can't use them up.
+// MaxSeq bounds sequence numbers. A snapshot with a higher one is rejected, so that a corrupt number can't exhaust them.
 const MaxSeq = 1 << 53
 
-// Stamp orders the changes: Seq is one more than any that the process had seen, Node is the process's nonce.
+// Stamp orders changes. Seq is one more than the highest sequence number that the process had seen, Node is the process's nonce.
 type Stamp struct {
 	Seq  uint64 `json:"seq" cbor:"1,keyasint"`
 	Node uint64 `json:"node" cbor:"2,keyasint"`
 }
 
-// Entry is the content of one register. The zero Entry stands for one that was never set.
+// Entry is the content of one register. The zero Entry means that the register was never set.
 type Entry struct {
 	On    bool  `json:"on" cbor:"3,keyasint"`    // the host is detached, or lameduck is on
 	Since int64 `json:"since" cbor:"4,keyasint"` // when it was set, Unix ns
 	Stamp
 }
 
-// After reports whether e takes precedence over f. Sequence numbers count first; of equal ones the one that is on wins, as both calls ran
-// concurrently and a host in doubt stays detached. Nonce and time only make the order total.
+// After reports whether e takes precedence over f. The higher sequence number wins. If both are equal, the calls ran concurrently, and
+// the entry that is on wins, so that a host in doubt stays detached. Nonce and time only make the order total.
 func (e Entry) After(f Entry) bool {
 	switch {
 	case e.Seq != f.Seq:
@@ -35,14 +35,15 @@
 	return e.Since > f.Since
 }
 
-// Change is what an admin call asks for: to detach or attach a host, or to set lameduck where Host is empty.
+// Change is the change that an admin call requests: to detach or attach a host, or to set lameduck if Host is empty.
 type Change struct {
 	Host     string // at most MaxIDBytes of printable UTF-8
 	Detach   bool
-	Lameduck bool // only used where Host is empty
+	Lameduck bool // only used if Host is empty
 }
 
-// Restricts reports whether the change takes something out of service. Such a change is written to the file first.
+// Restricts reports whether the change takes a host or the gateway out of service. Such a change is written to the file before it is
+// applied.
 func (c Change) Restricts() bool {
 	if c.Host == "" {
 		return c.Lameduck
@@ -50,9 +51,9 @@
 	return c.Detach
 }
 
-// State is the meaning of the registers.
+// State is the state that the registers represent.
 type State struct {
-	Detached map[string]int64 // hosts, with the time of the call, Unix ns
+	Detached map[string]int64 // time of the detach call in Unix ns, by host id
 	Lameduck bool
 	Since    int64 // when lameduck was last set, Unix ns; 0: never
 }
--- a/internal/hotrestart/state/model_test.go
+++ b/internal/hotrestart/state/model_test.go
@@ -5,62 +5,62 @@
 	"slices"
 )
 
-// The model runs all interleavings of processes that start, are called and are killed, with messages that arrive in any order, late or
-// never. It uses the registers and the orders of steps that package hotrestart uses.
+// The model explores the interleavings of processes that start, receive admin calls and are killed, with messages that arrive in any
+// order, late or never. It uses the same registers and orders of steps as package hotrestart.
 
 // modelHost is the only host of the model.
 const modelHost = "db1"
 
-// maxModelAttempts is how often a call is attempted that a concurrent call overrules.
+// maxModelAttempts bounds the attempts of a call that concurrent calls overrule.
 const maxModelAttempts = 4
 
 // modelProcess is the state of one process.
 type modelProcess struct {
-	alive     bool
-	joined    int  // steps of a start that are done
-	sends     bool // requests to hosts
-	registers Registers
-	applied   Registers
-	met       []bool      // by process
-	deaths    []bool      // of processes that it has met and does not know to be dead
-	peers     []Registers // what the others said they have applied
+	alive           bool
+	joinStepsDone   int  // number of steps of its start that are done
+	sendsRequests   bool // it may send requests to hosts
+	registers       Registers
+	applied         Registers
+	connected       []bool      // by index of the other process
+	undetectedExits []bool      // exits, of processes that it is connected to, that it has not detected yet
+	peerApplied     []Registers // registers that each other process has acknowledged as applied
 }
 
-// modelMessage identifies a message in flight. A newer one of a kind replaces an unsent one, as on links.
+// modelMessage identifies a message in flight. A newer message of the same kind replaces an unsent one, as on links.
 type modelMessage struct {
 	from, to int
-	ack      bool // an acknowledgement, else an update
+	ack      bool // an acknowledgement; otherwise an update
 }
 
 // modelCall is an admin call.
 type modelCall struct {
-	at            int // the process
-	detach        bool
-	afterPrevious bool // starts after the call before it has ended
-	started       bool
-	step, attempt int
-	delta         Registers
-	ended, ok     bool
+	process          int // index of the process that is called
+	detach           bool
+	afterPrevious    bool // starts after the previous call has ended
+	started          bool
+	step, attempt    int
+	delta            Registers
+	ended, succeeded bool
 }
 
-// modelWorld is one state of everything.
+// modelWorld is one state of the whole model: processes, calls, messages in flight and the file.
 type modelWorld struct {
 	processes []modelProcess
 	calls     []modelCall
 	messages  map[modelMessage]Registers
 	file      Registers
-	kills     int // that may still happen
+	kills     int // number of processes that may still be killed
 }
 
-// newModelWorld returns a world of processes, of which the first live and know each other.
+// newModelWorld returns a world of all processes. The first live ones have started and are connected to each other.
 func newModelWorld(live, all, kills int, calls ...modelCall) *modelWorld {
 	w := &modelWorld{calls: calls, messages: map[modelMessage]Registers{}, kills: kills}
 	for i := range all {
-		p := modelProcess{met: make([]bool, all), deaths: make([]bool, all), peers: make([]Registers, all)}
+		p := modelProcess{connected: make([]bool, all), undetectedExits: make([]bool, all), peerApplied: make([]Registers, all)}
 		if i < live {
-			p.alive, p.joined, p.sends = true, len(JoinSteps()), true
+			p.alive, p.joinStepsDone, p.sendsRequests = true, len(JoinSteps()), true
 			for j := range live {
-				p.met[j] = i != j
+				p.connected[j] = i != j
 			}
 		}
 		w.processes = append(w.processes, p)
@@ -78,34 +78,34 @@
 	}
 	for i := range c.processes {
 		p := &c.processes[i]
-		p.met, p.deaths, p.peers = slices.Clone(p.met), slices.Clone(p.deaths), slices.Clone(p.peers)
+		p.connected, p.undetectedExits, p.peerApplied = slices.Clone(p.connected), slices.Clone(p.undetectedExits), slices.Clone(p.peerApplied)
 	}
 	return c
 }
 
-// key identifies a world among those that were explored.
+// key returns a string that identifies the world, to recognize worlds that were already explored.
 func (w *modelWorld) key() string {
 	b := make([]byte, 0, 256)
 	for i := range w.processes {
 		b = w.appendProcess(b, i)
 	}
 	for _, c := range w.calls {
-		b = append(b, bit(c.started), byte(c.step), byte(c.attempt), bit(c.ended), bit(c.ok))
+		b = append(b, bit(c.started), byte(c.step), byte(c.attempt), bit(c.ended), bit(c.succeeded))
 		b = appendRegisters(b, c.delta)
 	}
 	b = appendRegisters(b, w.file)
 	return string(append(b, byte(w.kills)))
 }
 
-// appendProcess adds a process, with its messages in flight, to a key.
+// appendProcess appends a process, with the messages that it has in flight, to a key.
 func (w *modelWorld) appendProcess(b []byte, i int) []byte {
 	p := w.processes[i]
-	b = append(b, bit(p.alive), byte(p.joined), bit(p.sends))
+	b = append(b, bit(p.alive), byte(p.joinStepsDone), bit(p.sendsRequests))
 	b = appendRegisters(b, p.registers)
 	b = appendRegisters(b, p.applied)
 	for j := range w.processes {
-		b = append(b, bit(p.met[j]), bit(p.deaths[j]))
-		b = appendRegisters(b, p.peers[j])
+		b = append(b, bit(p.connected[j]), bit(p.undetectedExits[j]))
+		b = appendRegisters(b, p.peerApplied[j])
 		for _, ack := range []bool{false, true} {
 			r, ok := w.messages[modelMessage{i, j, ack}]
 			b = append(b, bit(ok))
@@ -136,33 +136,33 @@
 	w.messages[modelMessage{from, to, ack}] = r
 }
 
-// sendAll queues a message to all processes that one has met.
+// sendAll queues a message to every process that the sender is connected to.
 func (w *modelWorld) sendAll(from int, ack bool) {
-	for to, met := range w.processes[from].met {
-		if met {
+	for to, connected := range w.processes[from].connected {
+		if connected {
 			w.send(from, to, ack)
 		}
 	}
 }
 
-// meet has a process connect to another one that lives.
-func (w *modelWorld) meet(i, j int) {
-	if p := &w.processes[i]; i != j && !p.met[j] && w.processes[j].alive {
-		p.met[j] = true
+// connect connects process i to process j if j is alive.
+func (w *modelWorld) connect(i, j int) {
+	if p := &w.processes[i]; i != j && !p.connected[j] && w.processes[j].alive {
+		p.connected[j] = true
 		w.send(i, j, false)
 	}
 }
 
-// discover has a process meet all others whose sockets are registered.
+// discover connects a process to all others whose sockets are registered.
 func (w *modelWorld) discover(i int, joinSteps []JoinStep) {
 	for j, other := range w.processes {
-		if other.joined > slices.Index(joinSteps, RegisterSocket) {
-			w.meet(i, j)
+		if other.joinStepsDone > slices.Index(joinSteps, RegisterSocket) {
+			w.connect(i, j)
 		}
 	}
 }
 
-// merge merges registers into those of a process, and sends them on if they change.
+// merge merges registers into the registers of a process, and sends an update to its peers if any of them changed.
 func (w *modelWorld) merge(i int, r Registers) {
 	p := &w.processes[i]
 	merged, err := p.registers.Merge(r)
@@ -173,13 +173,13 @@
 		return
 	}
 	p.registers = merged
-	if !p.sends {
+	if !p.sendsRequests {
 		p.applied = merged
 	}
 	w.sendAll(i, false)
 }
 
-// apply has a process's program apply its registers.
+// apply makes the program of a process apply its registers.
 func (w *modelWorld) apply(i int) {
 	p := &w.processes[i]
 	p.applied = p.registers
--- a/internal/hotrestart/state/registers.go
+++ b/internal/hotrestart/state/registers.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Registers is an immutable value: its methods return new ones. The zero value is empty.
+// Registers holds the registers of hosts and of lameduck. It is immutable: its methods return new values. The zero value is empty.
 type Registers struct {
 	clock    uint64 // the highest Seq seen
 	lameduck Entry
 	hosts    map[string]Entry // by id
 }
 
-// Get returns the register that a change is about; the zero Entry if it was never set.
+// Get returns the register that a change affects, or the zero Entry if it was never set.
 func (r Registers) Get(c Change) Entry {
 	if c.Host == "" {
 		return r.lameduck
@@ -20,7 +20,7 @@
 	return r.hosts[c.Host]
 }
 
-// State returns the meaning of the registers.
+// State returns the state that the registers represent.
 func (r Registers) State() State {
 	s := State{Detached: map[string]int64{}, Lameduck: r.lameduck.On, Since: r.lameduck.Since}
 	for id, e := range r.hosts {
@@ -31,9 +31,9 @@
 	return s
 }
 
-// Prepare gives a change its stamp. delta holds the changed register alone; next is r with its clock advanced, so that no second change
-// gets this stamp. A host that is detached already keeps its time. now is in Unix ns.
-// Errors: ErrInvalidID, ErrFull (only of a detach: there is always capacity for what does not restrict), ErrClockExhausted.
+// Prepare assigns a stamp to a change. delta contains only the changed register. next is r with its clock advanced, so that no second
+// change gets the same stamp. A register that is already on retains its time. now is in Unix ns.
+// Errors: ErrInvalidID, ErrFull (only for a detach; there is always capacity for changes that do not restrict), ErrClockExhausted.
 func (r Registers) Prepare(c Change, node uint64, now int64) (delta, next Registers, err error) {
 	if c.Host != "" || c.Detach {
 		if err := checkID(c.Host); err != nil {
@@ -62,8 +62,8 @@
 	return delta, next, nil
 }
 
-// Merge takes the later entry of each register. It is commutative, associative and idempotent, and drops nothing.
-// It fails with ErrFull, and returns r, where the result would exceed the bounds.
+// Merge returns registers with the later entry of each register of r and o. It is commutative, associative and idempotent, and drops
+// nothing. If the result would exceed the bounds, it returns r and ErrFull.
 func (r Registers) Merge(o Registers) (Registers, error) {
 	merged := Registers{clock: max(r.clock, o.clock), lameduck: r.lameduck, hosts: maps.Clone(r.hosts)}
 	if o.lameduck.After(merged.lameduck) {
@@ -83,9 +83,10 @@
 	return merged, nil
 }
 
-// Trim drops the oldest tombstones past MaxTombstones, or past minTombstones where detached hosts need the capacity: what a process writes
-// must fit processes of earlier versions, which hold no more than MaxHosts and MaxBytes either. Only a process that has missed
-// minTombstones later calls could detach such a host again: the host would be detached, never attached, by mistake.
+// Trim drops the oldest tombstones beyond MaxTombstones, or beyond minTombstones if detached hosts need the capacity. Registers that a
+// process writes must stay within MaxHosts and MaxBytes, because processes of earlier versions have the same bounds. Only a process
+// that has missed minTombstones later calls could detach the host of a dropped tombstone again. A host can thus be detached by
+// mistake, but never attached.
 func (r Registers) Trim() Registers {
 	r = r.trimTombstones(MaxTombstones)
 	if !r.fits(MaxHosts-reservedRegisters, MaxBytes-reservedRegisters*(maxEntryBytes+2*MaxIDBytes)) {
@@ -94,7 +95,7 @@
 	return r
 }
 
-// trimTombstones drops the oldest tombstones past a number.
+// trimTombstones drops the oldest tombstones beyond maxTombstones.
 func (r Registers) trimTombstones(maxTombstones int) Registers {
 	var tombstones []string
 	for id, e := range r.hosts {
@@ -118,7 +119,7 @@
 	return r
 }
 
-// Covers reports whether r has seen what delta changes, or something later.
+// Covers reports whether r contains, for each register that delta changes, that entry or a later one.
 func (r Registers) Covers(delta Registers) bool {
 	if delta.lameduck.After(r.lameduck) {
 		return false
@@ -131,7 +132,7 @@
 	return true
 }
 
-// Equal reports whether both hold the same registers and clock.
+// Equal reports whether r and o have the same registers and clock.
 func (r Registers) Equal(o Registers) bool {
 	return r.clock == o.clock && r.lameduck == o.lameduck && maps.Equal(r.hosts, o.hosts)
 }
--- a/internal/hotrestart/state/snapshot.go
+++ b/internal/hotrestart/state/snapshot.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Snapshot is the form of Registers in files and messages, which processes of other versions read and write.
+// Snapshot is the serialized form of Registers in files and messages. Processes of other versions read and write it too.
 type Snapshot struct {
 	Clock    uint64 `json:"clock" cbor:"1,keyasint"`
 	Lameduck Entry  `json:"lameduck" cbor:"2,keyasint"`
@@ -19,7 +19,7 @@
 	Entry
 }
 
-// Snapshot returns the registers in their form for files and messages.
+// Snapshot returns the serialized form of the registers.
 func (r Registers) Snapshot() Snapshot {
 	s := Snapshot{Clock: r.clock, Lameduck: r.lameduck, Hosts: []Host{}}
 	for _, id := range slices.Sorted(maps.Keys(r.hosts)) {
@@ -42,7 +42,7 @@
 			return Registers{}, fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 		}
 		if _, duplicate := r.hosts[h.ID]; duplicate {
-			return Registers{}, fmt.Errorf("%w: host %q stands in it twice", ErrInvalidSnapshot, h.ID)
+			return Registers{}, fmt.Errorf("%w: host %q occurs twice", ErrInvalidSnapshot, h.ID)
 		}
 		if h.Seq == 0 || h.Seq > s.Clock {
 			return Registers{}, fmt.Errorf("%w: sequence number out of range", ErrInvalidSnapshot)
