--- a/internal/hotrestart/fdpass/fdpass_test.go
+++ b/internal/hotrestart/fdpass/fdpass_test.go
@@ -15,10 +15,10 @@
 	"cranegate/internal/logging"
 )
 
-// testTimeout bounds what must come; a busy machine may take its time.
+// testTimeout bounds each wait of a test, and allows for a busy machine.
 const testTimeout = time.Minute
 
-// startReceiver runs a receiver until the test ends, and returns the number of connections that it has received.
+// startReceiver runs a receiver until the test ends, and returns the counter of the connections that it has received.
 func startReceiver(t *testing.T, dir string, reserve func(context.Context) (func(), error)) *atomic.Int64 {
 	t.Helper()
 	r, err := Listen(dir)
@@ -44,7 +44,7 @@
 	return received
 }
 
-// dialSender connects one more sender, which stays until the test ends.
+// dialSender connects one more sender, which stays connected until the test ends.
 func dialSender(t *testing.T, dir string) *Sender {
 	t.Helper()
 	s, err := Dial(dir, nil)
@@ -55,7 +55,7 @@
 	return s
 }
 
-// newConn returns a client's connection.
+// newConn returns a client connection.
 func newConn(t *testing.T) Conn {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -71,7 +71,7 @@
 	return Conn{Conn: c, Protocol: "postgres"}
 }
 
-// until waits for a condition.
+// until waits until a condition holds.
 func until(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestThousandSenders has 1,024 processes send a connection, concurrently in that none ends before the last one has sent: every
-// connection is received and acknowledged. The next process learns at once that it keeps its own, and the log says why.
+// TestThousandSenders has 1,024 senders send a connection each, and all of them stay connected until the last one has sent. Every
+// connection must be received and acknowledged. The next sender must get ErrNotPassed at once, and the log must give the reason.
 func TestThousandSenders(t *testing.T) {
 	log := &fake.LogBuffer{}
 	t.Cleanup(logging.Use(logging.New(log, slog.LevelInfo)))
@@ -95,7 +95,7 @@
 	for i := range 1024 {
 		sender := dialSender(t, dir)
 		until(t, "a connection is received", func() bool {
-			if sender.Send(client) != nil { // a busy machine has not answered in 0.3 s
+			if sender.Send(client) != nil { // no acknowledgement within 0.3 s on a busy machine
 				sender = dialSender(t, dir)
 			}
 			return received.Load() > int64(i)
@@ -106,9 +106,9 @@
 		t.Errorf("the log says %q", log)
 	}
 	before := received.Load()
-	late := dialSender(t, dir)
+	rejected := dialSender(t, dir)
 	until(t, "the 1,025th is rejected", func() bool { return strings.Contains(log.String(), "event=fdpass_rejected") })
-	if err := late.Send(client); !errors.Is(err, ErrNotPassed) || received.Load() != before {
+	if err := rejected.Send(client); !errors.Is(err, ErrNotPassed) || received.Load() != before {
 		t.Errorf("the 1,025th: %v, %d received", err, received.Load()-before)
 	}
 	if !strings.Contains(log.String(), fmt.Sprintf("%q", ProcessLimitError{1024})) {
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestRejectedSenderLosesNothing has a process send a connection before it is rejected, as there is no descriptor for its own: that
-// one is received all the same, and the next one is still the sender's.
+// TestRejectedSenderLosesNothing has a sender send a connection before the receiver rejects the sender for lack of a descriptor. That
+// connection must still be received, and the next one must stay with the sender.
 func TestRejectedSenderLosesNothing(t *testing.T) {
 	dir, client := t.TempDir(), newConn(t)
 	reject := make(chan struct{})
@@ -133,7 +133,7 @@
 	second := dialSender(t, dir)
 	sent := make(chan error, 1)
 	go func() { sent <- second.Send(client) }()
-	time.Sleep(50 * time.Millisecond) // it has written; if it has not, it is rejected below, which is as good
+	time.Sleep(50 * time.Millisecond) // usually the send has been written by then; otherwise it is rejected below, which is also valid
 	close(reject)
 	if err := <-sent; err == nil {
 		until(t, "what was sent before is received", func() bool { return received.Load() == 2 })
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestNoPassingToItself: where the newer process could not listen, the socket in the folder is still this process's own. It
-// must not send its clients to itself, for ever.
+// TestNoPassingToItself checks that a process does not pass its clients to itself forever. If the newer process could not listen, the
+// socket in the folder is still this process's own.
 func TestNoPassingToItself(t *testing.T) {
 	dir := t.TempDir()
 	own, err := Listen(dir)
@@ -158,7 +158,7 @@
 	}
 	defer own.listener.Close()
 	if s, err := Dial(dir, own); !errors.Is(err, ErrNoReceiver) {
-		t.Errorf("to itself: %v, %v", s, err)
+		t.Errorf("Dial to the own socket: %v, %v", s, err)
 	}
 	startReceiver(t, dir, nil)
 	s, err := Dial(dir, own)
@@ -167,6 +167,6 @@
 	}
 	defer s.Close()
 	if err := s.Send(newConn(t)); err != nil {
-		t.Errorf("to a newer one: %v", err)
+		t.Errorf("Send to a newer receiver: %v", err)
 	}
 }
--- a/internal/hotrestart/fdpass/format_test.go
+++ b/internal/hotrestart/fdpass/format_test.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestDatagram pins the socket's name and the datagram that goes along with a descriptor: a version, flags, and the front's name.
-// Processes of other versions read and write it.
+// TestDatagram pins the socket's name and the datagram that accompanies a descriptor: a version, flags, and the front's name.
+// Processes of other versions use the same socket and datagrams.
 func TestDatagram(t *testing.T) {
 	dir := t.TempDir()
 	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: filepath.Join(dir, "cranegate-clients.sock"), Net: "unixpacket"})
@@ -23,12 +23,12 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	to, err := l.AcceptUnix()
+	receiver, err := l.AcceptUnix()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer to.Close()
-	to.SetDeadline(time.Now().Add(10 * time.Second))
+	defer receiver.Close()
+	receiver.SetDeadline(time.Now().Add(10 * time.Second))
 	for _, c := range []struct {
 		conn Conn
 		text string
@@ -37,7 +37,7 @@
 		{Conn{Protocol: "postgres", Started: true}, "\x01\x01postgres"},
 		{Conn{Protocol: "mysql", Started: true, Answered: true}, "\x01\x03mysql"},
 	} {
-		client, err := net.Dial("tcp", tcpPeer(t))
+		client, err := net.Dial("tcp", listenerAddress(t))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,7 +46,7 @@
 		sent := make(chan error, 1)
 		go func() { sent <- s.Send(c.conn) }()
 		b, rights := make([]byte, 100), make([]byte, unix.CmsgSpace(4))
-		n, m, _, _, err := to.ReadMsgUnix(b, rights)
+		n, m, _, _, err := receiver.ReadMsgUnix(b, rights)
 		if err != nil || string(b[:n]) != c.text {
 			t.Errorf("sent as %q, %v, want %q", b[:n], err, c.text)
 		}
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		got.Close()
-		if _, err := to.Write([]byte{1}); err != nil {
+		if _, err := receiver.Write([]byte{1}); err != nil {
 			t.Fatal(err)
 		}
 		if err := <-sent; err != nil {
@@ -64,8 +64,8 @@
 	}
 }
 
-// tcpPeer is the address of a listener that takes connections and does nothing.
-func tcpPeer(t *testing.T) string {
+// listenerAddress returns the address of a listener to which connections can be opened. It never reads or writes.
+func listenerAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/hotrestart/fdpass/receiver.go
+++ b/internal/hotrestart/fdpass/receiver.go
@@ -16,24 +16,24 @@
 
 const (
 	maxSenders         = 1024            // processes that send concurrently; two at a time are rare
-	unreservedSenders  = 1               // of them that need nothing from Receiver.Reserve
-	reserveTimeout     = sendTimeout / 2 // a sender waits for its descriptor
+	unreservedSenders  = 1               // senders that need no descriptor from Receiver.Reserve
+	reserveTimeout     = sendTimeout / 2 // of a call of Receiver.Reserve
 	acceptRetryDelay   = sendTimeout / 10
-	descriptorBytes    = 4 // of a descriptor in a control message
+	descriptorBytes    = 4 // size of a descriptor in a control message
 	messageHeaderBytes = 2 // the version and the flags
 )
 
-// Receiver receives connections.
+// Receiver receives client connections from other processes.
 type Receiver struct {
-	// Reserve reserves a descriptor for a process that sends beside another, or returns an error that says what an operator can do;
-	// nil: no limit but the system's. release is called when that process has ended.
+	// Reserve reserves a descriptor for the connection of a sender while another sender is connected. Its error tells an operator
+	// what to do. release is called when the sender's connection has ended. nil: only the system's limit applies.
 	Reserve func(context.Context) (release func(), err error)
 
 	listener   *net.UnixListener
-	socketInfo os.FileInfo // of its socket in the folder, to tell it from others
+	socketInfo os.FileInfo // of this receiver's socket file, to recognize it
 }
 
-// Listen makes this process the one that receives connections in a folder, in place of any before it.
+// Listen makes this process the receiver of connections in a folder. It replaces any earlier receiver.
 func Listen(folder string) (*Receiver, error) {
 	dir, err := os.Open(folder)
 	if err != nil {
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // the path may be another process's by then
+	listener.SetUnlinkOnClose(false) // by then the path may belong to another process's socket
 	info, err := os.Lstat(pendingPath)
 	if err == nil {
 		err = os.Rename(pendingPath, socketPath(dir, socketName))
@@ -67,8 +67,8 @@
 	return err == nil && os.SameFile(info, r.socketInfo)
 }
 
-// Run calls accept for each connection that arrives, until the context ends. A connection for which it returns false is closed: the
-// process that sent it has closed its own copy. accept is called concurrently.
+// Run calls accept for each connection that is received, until the context ends. It closes a connection for which accept returns
+// false. The client is then disconnected, because the sender closes its own copy. accept is called concurrently.
 func (r *Receiver) Run(ctx context.Context, accept func(Conn) bool) error {
 	defer context.AfterFunc(ctx, func() { r.listener.Close() })()
 	var senders atomic.Int32
@@ -86,7 +86,7 @@
 		release, err := r.reserve(ctx, int(senders.Add(1)))
 		if err != nil {
 			slog.Warn("fdpass_rejected", "error", err)
-			sender.CloseRead() // what was sent before this is received; later sends fail
+			sender.CloseRead() // connections that were sent before are still received; later sends fail
 		}
 		group.Go(func() {
 			defer senders.Add(-1)
@@ -98,24 +98,24 @@
 	}
 }
 
-// reserve gives the n-th concurrent sender its descriptor. release is never nil. Errors: ProcessLimitError, and those of Reserve.
+// reserve reserves a descriptor for the n-th concurrent sender. release is never nil. Errors: ProcessLimitError, and errors of Reserve.
 func (r *Receiver) reserve(ctx context.Context, n int) (release func(), err error) {
-	nothing := func() {}
+	noRelease := func() {}
 	switch {
 	case n > maxSenders:
-		return nothing, ProcessLimitError{maxSenders}
+		return noRelease, ProcessLimitError{maxSenders}
 	case n <= unreservedSenders || r.Reserve == nil:
-		return nothing, nil
+		return noRelease, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	if release, err = r.Reserve(ctx); err != nil {
-		return nothing, err
+		return noRelease, err
 	}
 	return release, nil
 }
 
-// receiveFrom receives connections from one process until that ends or sends something invalid.
+// receiveFrom receives connections from one sender until the sender disconnects or sends an invalid message.
 func receiveFrom(sender *net.UnixConn, accept func(Conn) bool) {
 	message := make([]byte, messageHeaderBytes+maxProtocolBytes)
 	rights := make([]byte, unix.CmsgSpace(descriptorBytes))
@@ -146,7 +146,7 @@
 	}
 }
 
-// connFromRights makes a connection of the first descriptor in control messages. Further ones are closed.
+// connFromRights returns a connection for the first descriptor in the control messages, and closes all further descriptors.
 func connFromRights(rights []byte) (net.Conn, error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
@@ -170,7 +170,7 @@
 		}
 	}
 	if conn == nil {
-		return nil, errors.New("no descriptor came")
+		return nil, errors.New("the message has no descriptor")
 	}
 	return conn, nil
 }
--- a/internal/hotrestart/fdpass/sender.go
+++ b/internal/hotrestart/fdpass/sender.go
@@ -19,9 +19,9 @@
 	conn *net.UnixConn // nil once a send has failed
 }
 
-// Dial connects to the process that receives connections in a folder. own is this process's receiver, or nil: where the newer process
-// could not listen, the socket in the folder is still own's, and connections would be sent back for ever. ErrNoReceiver reports
-// that there is no other receiver.
+// Dial connects to the process that receives connections in a folder. own is this process's receiver, or nil. If the newer process
+// could not listen, the socket in the folder is still own's, and this process would pass its connections to itself forever.
+// ErrNoReceiver reports that there is no other receiver.
 func Dial(folder string, own *Receiver) (*Sender, error) {
 	dir, err := os.Open(folder)
 	if err != nil {
@@ -39,9 +39,10 @@
 	return &Sender{conn: conn}, nil
 }
 
-// Send sends a connection. After nil it is the other process's: the caller closes its own copy, and must neither read, write nor shut it
-// down. ErrNotPassed reports that it is still the caller's. Send takes 0.3 s at most, and as long for a send before it; a connection that was written and is not acknowledged
-// counts as sent, as it may have been received, and further sends fail.
+// Send passes a connection to the other process. After nil the connection belongs to that process: the caller closes its own copy,
+// and must not read from it, write to it or shut it down. ErrNotPassed reports that the connection still belongs to the caller.
+// Send takes at most 0.3 s after any earlier send has returned. If a connection was written but not acknowledged, it counts as
+// passed, because the other process may have received it, and further sends fail.
 func (s *Sender) Send(c Conn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// encodeMessage makes the message that goes with a connection's descriptor.
+// encodeMessage encodes the message that accompanies a connection's descriptor.
 func encodeMessage(c Conn) []byte {
 	flags := byte(0)
 	if c.Started {
@@ -87,7 +88,7 @@
 	s.conn = nil
 }
 
-// Close ends the sender. Further sends fail.
+// Close closes the connection to the receiver. Further sends fail.
 func (s *Sender) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
