--- a/internal/hotrestart/apply.go
+++ b/internal/hotrestart/apply.go
@@ -9,12 +9,12 @@
 	"cranegate/internal/hotrestart/statefile"
 )
 
-// Apply has every live process of the gateway apply a change, and writes it to the file for later ones. Once it returns nil none of them
-// sends to a host that was detached. It takes at most 1 s, and less where ctx ends.
+// Apply makes every live process of the gateway apply a change, and writes it to the file for later processes. After it has returned
+// nil none of them sends to a detached host. It takes at most 1 s, or less if ctx ends.
 //
-// With an error the change is not taken back: a host stays detached wherever that could be achieved. Errors: those of
-// state.Registers.Prepare and ErrClosed, when nothing was changed; ErrUnacknowledged (as a *PeerError), ErrNotApplied,
-// ErrNotPersisted, ErrUnverified, which may be joined, and ErrOverruled.
+// An error does not undo the change: a host stays detached in every process that has applied the change. Errors: the errors of
+// state.Registers.Prepare, and ErrClosed if Close was called before, when nothing was changed; ErrUnacknowledged (as a *PeerError),
+// ErrNotApplied, ErrNotPersisted, ErrUnverified, and ErrClosed if Close is called meanwhile, which may be joined; and ErrOverruled.
 func (c *Coordinator) Apply(ctx context.Context, change state.Change) error {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
@@ -35,8 +35,8 @@
 	return ErrOverruled
 }
 
-// attempt makes the change once. overruled reports that another process holds the opposite with a later stamp, set before this
-// call or during it. The clock of this process is past that stamp then.
+// attempt carries out the change once. overruled reports that another process made the opposite change with a later stamp, before this
+// call or during it. The clock of this process is then past that stamp, so that a further attempt gets a later one.
 func (c *Coordinator) attempt(ctx context.Context, change state.Change) (overruled bool, err error) {
 	if err := ctx.Err(); err != nil {
 		return false, err
@@ -63,7 +63,7 @@
 	return c.registers.Get(change).On != change.Restricts(), errors.Join(problems...)
 }
 
-// prepare gives a change its stamp.
+// prepare assigns a stamp to a change.
 func (c *Coordinator) prepare(change state.Change) (delta state.Registers, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +78,7 @@
 	return delta, nil
 }
 
-// updateStep makes one step of a change.
+// updateStep carries out one step of a change.
 func (c *Coordinator) updateStep(ctx context.Context, step state.UpdateStep, delta state.Registers) error {
 	switch step {
 	case state.Persist:
@@ -100,7 +100,8 @@
 	return nil
 }
 
-// persist merges the registers and delta into the file, and takes what else the file held. Its errors are ErrNotPersisted.
+// persist merges the registers and delta into the file, and merges the file's content into the registers. Its errors wrap
+// ErrNotPersisted.
 func (c *Coordinator) persist(ctx context.Context, delta state.Registers) error {
 	ctx, cancel := context.WithTimeout(ctx, lockTimeout)
 	defer cancel()
@@ -126,15 +127,15 @@
 	return nil
 }
 
-// awaitAcks waits until this process's program and every live peer have applied what delta changes.
-// Errors: ErrNotApplied and a *PeerError of ErrUnacknowledged, which may be joined, and ErrClosed.
+// awaitAcks waits until this process's program and every live peer have applied the change in delta.
+// Errors: ErrNotApplied and a *PeerError with ErrUnacknowledged, which may be joined, and ErrClosed.
 func (c *Coordinator) awaitAcks(ctx context.Context, delta state.Registers) error {
 	ctx, cancel := context.WithTimeout(ctx, ackTimeout)
 	defer cancel()
 	for {
 		c.mu.Lock()
 		appliedHere := !c.running || c.applied.Covers(delta)
-		missing := c.peersWithout(delta)
+		missing := c.unacknowledgedPeers(delta)
 		changed, applyErr := c.changed, c.applyErr
 		c.mu.Unlock()
 		if appliedHere && len(missing) == 0 {
@@ -161,8 +162,8 @@
 	}
 }
 
-// peersWithout lists the sockets of peers that have not acknowledged delta. c.mu is held.
-func (c *Coordinator) peersWithout(delta state.Registers) (sockets []string) {
+// unacknowledgedPeers lists the sockets of peers that have not acknowledged delta. c.mu is held.
+func (c *Coordinator) unacknowledgedPeers(delta state.Registers) (sockets []string) {
 	for name, p := range c.peers {
 		if !p.applied.Covers(delta) {
 			sockets = append(sockets, name.String())
--- a/internal/hotrestart/child_test.go
+++ b/internal/hotrestart/child_test.go
@@ -19,23 +19,23 @@
 // Environment variables of a child process.
 const (
 	childDirVariable  = "HOTRESTART_TEST_DIR"
-	killStepVariable  = "HOTRESTART_TEST_KILL" // the step before which it kills itself
-	pauseStepVariable = "HOTRESTART_TEST_STOP" // the step before which it stops itself
+	killStepVariable  = "HOTRESTART_TEST_KILL" // the step before which the child kills itself
+	pauseStepVariable = "HOTRESTART_TEST_STOP" // the step before which the child stops itself
 )
 
-// Commands that a child takes, one a line.
+// Commands to a child, one per line.
 const (
-	detachCommand   = "detach" // and a host
-	attachCommand   = "attach" // and a host
+	detachCommand   = "detach" // followed by a host
+	attachCommand   = "attach" // followed by a host
 	lameduckCommand = "lameduck"
 	readyCommand    = "ready"
 	closeCommand    = "close"
 	statusCommand   = "status"
 )
 
-// childReply is what a child answers to a command.
+// childReply is a child's reply to a command.
 type childReply struct {
-	Detached       []string // hosts that its program holds as detached
+	Detached       []string // hosts whose detach the child has applied
 	Lameduck       bool
 	Older          bool
 	Role           string
@@ -48,7 +48,7 @@
 	Took           time.Duration
 }
 
-// child is a process of the gateway that answers commands.
+// child is a process that runs a Coordinator and replies to commands.
 type child struct {
 	coordinator *Coordinator
 
@@ -58,7 +58,7 @@
 	olderEnded int
 }
 
-// runChild answers each command on the standard input with a line on the standard output.
+// runChild replies to each command on the standard input with a line on the standard output.
 func runChild(dir string) {
 	if step := os.Getenv(killStepVariable); step != "" {
 		beforeStep = signalAtStep(step, syscall.SIGKILL)
@@ -83,7 +83,7 @@
 	}
 }
 
-// signalAtStep returns a beforeStep by which the process sends itself a signal at a step.
+// signalAtStep returns a function for beforeStep that sends a signal to its own process at a step.
 func signalAtStep(at string, s syscall.Signal) func(string) {
 	return func(step string) {
 		if step == at {
--- a/internal/hotrestart/coordinator.go
+++ b/internal/hotrestart/coordinator.go
@@ -1,12 +1,12 @@
-// Package hotrestart carries what outlives a process of the gateway from an older process to a newer one while both live: detached
-// hosts, lameduck, and a blob of the program's own. See docs/design/hotrestart.md.
+// Package hotrestart transfers state from an older process of the gateway to a newer one while both run: detached hosts, lameduck,
+// and a blob that the program defines. See docs/design/hotrestart.md.
 //
 // Every process holds registers (package state), registers a socket in the folder (package rendezvous), exchanges messages with every
-// other live process (package frame), and writes one file (package statefile). Once a detach call has succeeded no process sends to
-// that host, whichever of them was called and whichever dies: the file is written before the folder is searched for newcomers, and a
-// newcomer registers its socket before it reads the file.
+// other live process (package frame), and writes one shared file (package statefile). After a detach call has succeeded no process
+// sends to that host, whichever process was called and whichever exits. The reason is the order of steps: a call writes the file
+// before it searches the folder for starting processes, and a starting process registers its socket before it reads the file.
 //
-// Nothing exists (no file, socket or goroutine) until Open is called.
+// No file, socket or goroutine exists until Open is called.
 package hotrestart
 
 import (
@@ -25,77 +25,77 @@
 // maxUnconfirmed bounds the errors that Unconfirmed returns.
 const maxUnconfirmed = 32
 
-// rejectionLogInterval is the least time between log lines about rejected processes and connections, which try again.
+// rejectionLogInterval is the minimum time between log lines about rejected processes and connections, because these retry.
 const rejectionLogInterval = time.Second
 
-// Coordinator keeps one process's registers in agreement with those of the gateway's other processes. All methods are safe for
-// concurrent use.
+// Coordinator synchronizes the registers of this process with the registers of the gateway's other processes. All methods are safe
+// for concurrent use.
 type Coordinator struct {
 	opt        Options
 	name       rendezvous.Name
 	folder     *rendezvous.Folder
 	file       *statefile.File
 	listener   *net.UnixListener
-	lifetime   context.Context // until Close
+	lifetime   context.Context // ends at Close
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
-	inherited  []byte     // set by Open
+	inherited  []byte     // blob of the youngest older process; set by Open
 	exportMu   sync.Mutex // serializes calls of Options.Export
 
-	mu        sync.Mutex    // guards what follows
-	changed   chan struct{} // closed and renewed whenever one of the fields below changes
+	mu        sync.Mutex    // guards the fields below
+	changed   chan struct{} // closed and replaced whenever one of the fields below changes
 	registers state.Registers
-	applied   state.Registers // what the program has applied; before Run equal to registers, which Run applies first
+	applied   state.Registers // registers that the program has applied; until Run starts equal to registers, because Run applies them first
 	running   bool
 	serving   bool
 	opening   bool // Open is waiting for the blobs of older processes
 	closed    bool
-	hadOlder  bool // there was an older process: OnOlderEnded is still to be called, unless it was already
+	hadOlder  bool // there was an older process: OnOlderEnded is called once when none is left
 
-	applyErr      error // of the last OnState
-	writePending  bool  // the file may lack part of registers, or hold more
-	writtenByPeer bool  // registers have changed by a live peer, which writes the file itself
+	applyErr      error // error of the last call of OnState
+	writePending  bool  // the file may lack some of registers, or contain others that registers lack
+	changedByPeer bool  // registers were changed by a live peer, which writes them to the file itself
 
 	peers             map[rendezvous.Name]*peer
-	linkCount         int       // connections to peers, and accepted ones that may be peers'
-	unreservedCount   int       // those among them without a descriptor from Options.Reserve
+	linkCount         int       // connections to peers, and accepted connections, which may be from peers
+	unreservedCount   int       // connections among them without a descriptor from Options.Reserve
 	rejectionLoggedAt time.Time // see rejectionLogInterval
 	unconfirmed       []error
 }
 
-// State returns what is known: learned at Open, and since.
+// State returns the state that this process has received so far, during Open and since.
 func (c *Coordinator) State() state.State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.registers.State()
 }
 
-// Older reports whether an older process lives, also one that hangs.
+// Older reports whether an older process is alive, even if it hangs.
 func (c *Coordinator) Older() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hasOlder()
 }
 
-// Role returns which of the gateway's processes this one is.
+// Role returns the role of this process among the gateway's processes.
 func (c *Coordinator) Role() state.Role {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return state.RoleOf(c.hasOlder(), c.hasNewerReady())
 }
 
-// Inherited returns what the Export of the youngest older process gave at Open; nil if none did.
+// Inherited returns the blob that the youngest older process exported during Open, or nil if there was none.
 func (c *Coordinator) Inherited() []byte { return c.inherited }
 
-// Unconfirmed returns what could not be confirmed so far: a *statefile.InvalidFileError, a *PeerError of ErrUnresponsive, and other
-// failures outside of calls. Each is a sentence for operators. At most 32 are kept, the first ones.
+// Unconfirmed returns the errors because of which the state may be incomplete: a *statefile.InvalidFileError, a *PeerError with
+// ErrUnresponsive, and other failures outside of calls. Each text is a sentence for operators. Only the first 32 are retained.
 func (c *Coordinator) Unconfirmed() []error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]error(nil), c.unconfirmed...)
 }
 
-// Ready announces that this process serves: every older one is notified, and its OnSuperseded is called.
+// Ready announces to the other processes that this one accepts clients. Every older process then calls its OnSuperseded.
 func (c *Coordinator) Ready() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,8 +103,8 @@
 	c.queueAll(sendReady)
 }
 
-// Close removes the socket, so that the others know that this process has ended, and waits for all goroutines but those of Run, which
-// end by themselves. Call it when the last request is answered. Further calls do nothing.
+// Close removes the socket, which shows the other processes that this one has ended, and waits for all goroutines except the
+// goroutines of Run, which end on their own. Call it after the last request was answered. Further calls do nothing.
 func (c *Coordinator) Close() error {
 	c.mu.Lock()
 	if c.closed {
@@ -123,13 +123,13 @@
 
 // The methods below must be called with c.mu held.
 
-// broadcast wakes all who wait for a change.
+// broadcast wakes all goroutines that wait for a change.
 func (c *Coordinator) broadcast() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// queueAll has messages sent on all links.
+// queueAll queues messages on all links.
 func (c *Coordinator) queueAll(messages messageSet) {
 	for _, p := range c.peers {
 		for l := range p.links {
@@ -172,7 +172,7 @@
 	c.opt.Counters.Add("handover_doubts", 1)
 }
 
-// reject counts a connection or a process that is not accepted, and logs the reason, once per rejectionLogInterval at most.
+// reject counts a rejected connection or process, and logs the reason at most once per rejectionLogInterval.
 func (c *Coordinator) reject(reason error) {
 	c.opt.Counters.Add("handover_refused", 1)
 	if now := time.Now(); now.Sub(c.rejectionLoggedAt) >= rejectionLogInterval {
@@ -181,7 +181,7 @@
 	}
 }
 
-// merge merges registers into those of this process. It notifies all peers and reports true where that changes any.
+// merge merges registers into the registers of this process. If any of these change, it sends an update to all peers and returns true.
 func (c *Coordinator) merge(registers state.Registers) (changed bool, err error) {
 	merged, err := c.registers.Merge(registers)
 	if err != nil {
--- a/internal/hotrestart/coordinator_test.go
+++ b/internal/hotrestart/coordinator_test.go
@@ -19,7 +19,7 @@
 	"cranegate/internal/metrics"
 )
 
-// TestInvalidFile: whatever stands in the file's place, the start continues, reports it, and calls succeed.
+// TestInvalidFile checks that Open succeeds and reports the file if its content is invalid or it is a folder, and that calls succeed.
 func TestInvalidFile(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty":           "",
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestUnusableFolder: Open fails in a folder that is missing or not writable, and works over a long path.
+// TestUnusableFolder checks that Open fails in a folder that is missing or not writable, and succeeds in one with a long path.
 func TestUnusableFolder(t *testing.T) {
 	var folderErr *FolderError
 	if _, err := Open(context.Background(), Options{Dir: filepath.Join(t.TempDir(), "none")}); !errors.As(err, &folderErr) {
@@ -74,14 +74,14 @@
 	}
 	first := openCoordinator(t, Options{Dir: longPath})
 	if second := openCoordinator(t, Options{Dir: longPath}); !second.Older() {
-		t.Fatal("not found over a long path")
+		t.Fatal("the first process was not discovered over a long path")
 	}
 	if err := first.Apply(context.Background(), detachDB1); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestStaleSockets: sockets of dead processes are neither peers nor kept, also where there are many.
+// TestStaleSockets checks that many sockets of ended processes do not count as peers, and that they are removed.
 func TestStaleSockets(t *testing.T) {
 	dir := t.TempDir()
 	for i := range 40 {
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestRemovedFolder: a detach that can't be written is applied, and its error says what is missing.
+// TestRemovedFolder checks that a detach that can't be written is applied, and that its error reports the failed steps.
 func TestRemovedFolder(t *testing.T) {
 	dir := t.TempDir()
 	c := openCoordinator(t, Options{Dir: dir})
@@ -114,11 +114,11 @@
 		t.Fatal(err)
 	}
 	if len(c.State().Detached) != 1 {
-		t.Fatal("the change is not applied")
+		t.Fatal("the change was not applied")
 	}
 }
 
-// TestNotApplied: where one program can't apply a change calls to neither process succeed.
+// TestNotApplied checks that calls to either process fail while the program of one process can't apply a change.
 func TestNotApplied(t *testing.T) {
 	dir := t.TempDir()
 	var fail atomic.Bool
@@ -149,7 +149,8 @@
 	}
 }
 
-// TestBlobSize: a blob at the bound arrives, a larger one does not, and both leave the start in time.
+// TestBlobSize checks that a blob of the maximum size is transferred and a larger one is not, and that in both cases the older process
+// responds before Open's timeout.
 func TestBlobSize(t *testing.T) {
 	for _, x := range []struct{ size, want int }{{frame.MaxBlobBytes, frame.MaxBlobBytes}, {frame.MaxBlobBytes + 1, 0}} {
 		dir := t.TempDir()
@@ -160,8 +161,8 @@
 	}
 }
 
-// TestInvalidPeers: whoever sends nothing or no valid message to the socket keeps no call from success. A process in the folder that
-// accepts connections and is silent does, within bounds.
+// TestInvalidPeers checks that connections on which nothing or an invalid message is sent do not make a call fail. If a process in the
+// folder accepts connections but never responds, the call must fail, and within its time limit.
 func TestInvalidPeers(t *testing.T) {
 	dir := t.TempDir()
 	c := openCoordinator(t, Options{Dir: dir})
@@ -188,14 +189,15 @@
 	}
 }
 
-// TestCallerWritesFirst holds a call up before its write. The process that got the change as an update must not write it meanwhile, as it
-// would keep the lock from the call, and must in the end, as the call may never come to it.
+// TestCallerWritesFirst delays a call before it writes the file. The process that received the change as an update must not write the
+// file during the time that a call can take, because it would hold the lock that the call needs. It must write the file after that,
+// because the call may never do so.
 func TestCallerWritesFirst(t *testing.T) {
 	dir := t.TempDir()
 	openCoordinator(t, Options{Dir: dir})
 	caller := openCoordinator(t, Options{Dir: dir})
 	started := time.Now()
-	written := time.Duration(0) // after the start of the call; 0: never
+	written := time.Duration(0) // time of the write since the start of the call; 0: never
 	beforeStep = func(step string) {
 		for step == state.Persist.String() && written == 0 && time.Since(started) < testTimeout {
 			if _, err := os.Stat(filepath.Join(dir, statefile.Name)); err == nil {
@@ -209,12 +211,12 @@
 		t.Error(err)
 	}
 	if written < applyTimeout {
-		t.Errorf("the other process wrote %v after the call began (0: never), want it to wait for %v", written, applyTimeout)
+		t.Errorf("the other process wrote the file %v after the call began (0: never), want at least %v", written, applyTimeout)
 	}
 }
 
-// TestUnreadableFileIsReadAgain opens while the state file can't be opened for want of descriptors: that is reported, and a detached host
-// in the file is applied as soon as there are some again.
+// TestUnreadableFileIsReadAgain calls Open while the state file can't be opened because no descriptors are left. Open must report this.
+// A detached host in the file must be applied after descriptors become available.
 func TestUnreadableFileIsReadAgain(t *testing.T) {
 	dir := t.TempDir()
 	delta, _, err := state.Registers{}.Prepare(state.Change{Host: "db-0", Detach: true}, 1, 1)
@@ -247,7 +249,7 @@
 	go func() { runDone <- c.Run(ctx) }()
 	for end := time.Now().Add(testTimeout); len(c.State().Detached) != 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the detached host does not come back: %v", c.State().Detached)
+			t.Fatalf("the detached host was not read from the file: %v", c.State().Detached)
 		}
 	}
 	cancel()
--- a/internal/hotrestart/errors.go
+++ b/internal/hotrestart/errors.go
@@ -10,7 +10,7 @@
 
 // Errors of Open and Apply. Their texts are for operators.
 var (
-	// ErrUnacknowledged reports that a live process did not acknowledge the change in time.
+	// ErrUnacknowledged reports that a live process did not acknowledge the change within ackTimeout.
 	ErrUnacknowledged = errors.New("another live process of this gateway did not acknowledge the change within 500 ms: " +
 		"it holds here, but the other one may still send to the host; it takes the change as soon as it goes on; " +
 		"call again, or end the process that hangs")
@@ -20,7 +20,7 @@
 	// ErrNotApplied reports that this process has not applied the change yet.
 	ErrNotApplied = errors.New("the change is known but does not hold in this process yet: it may still send to the host; " +
 		"it goes on trying; call again to learn whether it holds")
-	// ErrOverruled reports that opposite calls to another process at the same time took precedence.
+	// ErrOverruled reports that concurrent opposite calls to another process took precedence in every attempt.
 	ErrOverruled = errors.New("an opposite call to another process of this gateway won; look at what is out, then call again")
 	// ErrUnverified reports that the folder could not be searched for processes that have just started.
 	ErrUnverified = errors.New("the folder ($TMPDIR) could not be searched for other processes of this gateway: one that has " +
@@ -32,9 +32,9 @@
 		"and give each gateway a folder of its own", maxPeers)
 	// ErrTooManyConnections reports that maxLinks connections to other processes are open.
 	ErrTooManyConnections = fmt.Errorf("%d connections of other processes of this gateway are open: end those that are left over", maxLinks)
-	// ErrUnresponsive reports that an older process lives and did not answer at the start.
-	ErrUnresponsive = errors.New("an older process lives and did not answer: every host whose detach call succeeded is known from the state file, " +
-		"what the older one has learned of hosts is not; nothing needs to be done, or end it if it hangs")
+	// ErrUnresponsive reports that an older process is alive and did not respond during Open.
+	ErrUnresponsive = errors.New("an older process is alive but did not respond: all hosts whose detach call succeeded are known " +
+		"from the state file, but the observations of that process are not; nothing needs to be done, or end it if it hangs")
 )
 
 // FolderError reports that the folder can't be used. Open returns it instead of a Coordinator.
@@ -43,10 +43,10 @@
 	Cause error
 }
 
-// Error says what to do.
+// Error describes the consequences and the remedy.
 func (e *FolderError) Error() string {
-	return fmt.Sprintf("the folder %q can't be used (%v): hosts taken out by hand and lameduck are not known, and calls would "+
-		"not outlive this process; set TMPDIR to a folder that exists and is writable, then start again", e.Dir, e.Cause)
+	return fmt.Sprintf("the folder %q can't be used (%v): detached hosts and lameduck are not known, and the effect of calls would "+
+		"end with this process; set TMPDIR to a folder that exists and is writable, then restart", e.Dir, e.Cause)
 }
 
 // Unwrap returns the cause.
@@ -66,14 +66,14 @@
 // Unwrap returns the cause.
 func (e *PeerError) Unwrap() error { return e.Cause }
 
-// BlobSizeError reports a blob that is too large to be sent to a newer process, which learns its content anew.
+// BlobSizeError reports a blob that is too large to be sent to a newer process, which then starts without it.
 type BlobSizeError struct{ Bytes int }
 
-// Error gives the size and the bound.
+// Error gives the size, the maximum and the consequence.
 func (e BlobSizeError) Error() string {
-	return fmt.Sprintf("what this process knows takes %d bytes, %d are the most that a newer process is told; it starts without it, and "+
-		"learns anew; nothing needs to be done", e.Bytes, frame.MaxBlobBytes)
+	return fmt.Sprintf("the state for a newer process takes %d bytes, more than the maximum of %d; the newer process starts without it and "+
+		"makes its own observations; nothing needs to be done", e.Bytes, frame.MaxBlobBytes)
 }
 
-// withCause adds a cause to one of the errors above; errors.Is and errors.As find both.
+// withCause adds a cause to one of the errors above; errors.Is and errors.As match both.
 func withCause(err, cause error) error { return fmt.Errorf("%w: %w", err, cause) }
--- a/internal/hotrestart/fakepeers_test.go
+++ b/internal/hotrestart/fakepeers_test.go
@@ -21,7 +21,7 @@
 	"cranegate/internal/metrics"
 )
 
-// fakePeers are many processes in one folder, as far as another one sees them: each accepts connections, says who it is, and
+// fakePeers simulates many processes in one folder, as another process sees them. Each accepts connections, sends Hello, and
 // acknowledges every update.
 type fakePeers struct {
 	t          *testing.T
@@ -46,12 +46,12 @@
 	return f
 }
 
-// name is that of the i-th, which is newer than any real process.
+// name returns the name of the i-th process, which is newer than any real process.
 func (f *fakePeers) name(i int) rendezvous.Name {
 	return rendezvous.Name{OpenedAt: 1<<63 + uint64(i), Nonce: uint64(i)}
 }
 
-// start has one more process live until the test ends.
+// start starts the i-th process, which accepts connections until the test ends.
 func (f *fakePeers) start(i int) {
 	f.t.Helper()
 	l, err := net.Listen("unix", filepath.Join(f.dir, f.name(i).String()))
@@ -71,7 +71,7 @@
 	})
 }
 
-// add has a connection closed when the test ends.
+// add registers a connection to be closed when the test ends.
 func (f *fakePeers) add(conn net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,14 +97,14 @@
 	}
 }
 
-// captureLog has the log written to the returned buffer until the test ends.
+// captureLog redirects the log to the returned buffer until the test ends.
 func captureLog(t *testing.T) *fake.LogBuffer {
 	l := &fake.LogBuffer{}
 	t.Cleanup(logging.Use(logging.New(l, slog.LevelInfo)))
 	return l
 }
 
-// mustApply repeats a call until it succeeds: on a busy machine a thousand processes may not all acknowledge within its time.
+// mustApply repeats a call until it succeeds. On a busy machine a thousand processes may not all acknowledge before the call's timeout.
 func mustApply(t *testing.T, c *Coordinator, change state.Change) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); ; {
@@ -118,25 +118,25 @@
 	}
 }
 
-// descriptorReserve counts the descriptors that Options.Reserve gives out.
-type descriptorReserve struct{ reserved, maxReserved atomic.Int64 }
+// descriptorCounter counts the descriptors that its method reserve, used as Options.Reserve, has reserved.
+type descriptorCounter struct{ reserved, maxReserved atomic.Int64 }
 
-func (d *descriptorReserve) reserve(context.Context) (release func(), err error) {
+func (d *descriptorCounter) reserve(context.Context) (release func(), err error) {
 	if n := d.reserved.Add(1); n > d.maxReserved.Load() {
 		d.maxReserved.Store(n)
 	}
 	return func() { d.reserved.Add(-1) }, nil
 }
 
-// TestThousandProcesses has a process live beside 1,024 others in one folder: a change is acknowledged by all of them, each over one
-// connection. With one more a call reports that there are too many, and what to do.
+// TestThousandProcesses runs a process with 1,024 others in one folder. All of them must acknowledge a change, each over one connection.
+// With one more process a call must report that there are too many, and the remedy.
 func TestThousandProcesses(t *testing.T) {
 	dir, log := t.TempDir(), captureLog(t)
-	var descriptors descriptorReserve
+	var descriptors descriptorCounter
 	counters := &metrics.Counters{}
 	c := openCoordinator(t, Options{Dir: dir, Counters: counters, Reserve: descriptors.reserve})
 	if descriptors.reserved.Load() != 0 {
-		t.Error("a process that is alone has reserved descriptors")
+		t.Error("descriptors are reserved although there is no other process")
 	}
 	peers := newFakePeers(t, dir)
 	for i := range 1024 {
@@ -161,7 +161,7 @@
 	t.Logf("%d descriptors reserved at once", descriptors.maxReserved.Load())
 }
 
-// countPeers counts the peers that a coordinator knows, those that have applied a change, and the links.
+// countPeers counts the peers of a coordinator, the peers that have applied a change, and the links.
 func countPeers(c *Coordinator, change state.Change) (known, applied, links int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,8 +173,8 @@
 	return len(c.peers), applied, c.linkCount
 }
 
-// TestNoDescriptorsForLinks has processes start for whose connections there is no descriptor: they are not connected to, the log says
-// why, and a call reports that they have not acknowledged. Once there are descriptors it succeeds.
+// TestNoDescriptorsForLinks starts processes for whose connections no descriptor can be reserved. They must not be connected to, the log
+// must give the reason, and a call must report that they have not acknowledged it. After descriptors become available it must succeed.
 func TestNoDescriptorsForLinks(t *testing.T) {
 	dir, log := t.TempDir(), captureLog(t)
 	errFull := errors.New("raise limits.sockets")
--- a/internal/hotrestart/harness_test.go
+++ b/internal/hotrestart/harness_test.go
@@ -18,7 +18,7 @@
 	"cranegate/internal/hotrestart/state"
 )
 
-// testTimeout bounds each wait of a test; a busy machine may take its time.
+// testTimeout bounds each wait of a test, and allows for a busy machine.
 const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
@@ -30,7 +30,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// detachDB1 is a change for tests that need just one.
+// detachDB1 is a change for tests that need only one.
 var detachDB1 = state.Change{Host: "db1", Detach: true}
 
 // openCoordinator opens a Coordinator that runs until the test ends.
@@ -55,7 +55,7 @@
 	return c
 }
 
-// childProcess is a child seen from the test.
+// childProcess is the test's side of a child process.
 type childProcess struct {
 	t      *testing.T
 	cmd    *exec.Cmd
@@ -118,12 +118,12 @@
 	p.t.Helper()
 	for end := time.Now().Add(testTimeout); !isStopped(p.cmd.Process.Pid); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatal("it did not stop")
+			p.t.Fatal("the child did not stop")
 		}
 	}
 }
 
-// receive waits for a reply; ok is false when the child died or hangs.
+// receive waits for a reply. ok is false if the child has exited or hangs.
 func (p *childProcess) receive() (r childReply, ok bool) {
 	select {
 	case line, open := <-p.lines:
@@ -167,11 +167,11 @@
 	}
 }
 
-// expectDeath waits for the end of a child that kills itself.
-func (p *childProcess) expectDeath() {
+// expectKilled waits until a child that kills itself has exited.
+func (p *childProcess) expectKilled() {
 	p.t.Helper()
 	if r, ok := p.receive(); ok {
-		p.t.Fatalf("it should have died: %+v", r)
+		p.t.Fatalf("the child replied, but should have been killed: %+v", r)
 	}
 }
 
@@ -187,5 +187,5 @@
 	p.t.Fatalf("%s: %+v", what, r)
 }
 
-// has reports whether a host is detached.
-func (r childReply) has(host string) bool { return slices.Contains(r.Detached, host) }
+// hasDetached reports whether a host is detached.
+func (r childReply) hasDetached(host string) bool { return slices.Contains(r.Detached, host) }
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -10,8 +10,8 @@
 	"cranegate/internal/hotrestart/state"
 )
 
-// messageSet is a set of messages that a link still has to send. Their content is made when they are sent, from the state at that
-// moment, so nothing piles up behind a slow peer.
+// messageSet is a set of kinds of messages that a link still has to send. A message is built when it is sent, from the state at that
+// time, so that no queue grows while a peer is slow.
 type messageSet int
 
 const (
@@ -22,8 +22,8 @@
 	sendReady
 )
 
-// link is one connection to a peer. There may be two to the same one, where both connected at once: then both carry the same
-// messages, which does no harm.
+// link is one connection to a peer. If both processes connect at the same time, there are two links to the same peer. Both then carry
+// the same messages, which is harmless because merging is idempotent.
 type link struct {
 	coordinator *Coordinator
 	peer        *peer
@@ -36,7 +36,7 @@
 	return &link{coordinator: c, peer: p, conn: conn, wake: make(chan struct{}, 1)}
 }
 
-// queue has messages sent. The coordinator's mu is held.
+// queue adds messages to pending and wakes the writer. The coordinator's mu is held.
 func (l *link) queue(messages messageSet) {
 	l.pending |= messages
 	select {
@@ -83,7 +83,7 @@
 	}
 }
 
-// pendingMessages makes the queued messages, in the order in which they are sent.
+// pendingMessages removes messages from pending and builds them, in the order in which they are to be sent.
 func (l *link) pendingMessages() []frame.Message {
 	c := l.coordinator
 	c.mu.Lock()
@@ -91,13 +91,13 @@
 	c.mu.Unlock()
 	var blob []byte
 	if blobPending {
-		blob = c.exportBlob() // without mu, as it calls the program
+		blob = c.exportBlob() // without mu, because it calls the program
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sending := l.pending
 	if sending&sendBlob != 0 && !blobPending {
-		sending &= sendHello // the blob was queued meanwhile: it is sent next time, with what follows it
+		sending &= sendHello // the blob was queued meanwhile: the next call returns it, with the messages that follow it
 	}
 	l.pending &^= sending
 	if l.pending != 0 {
@@ -106,7 +106,7 @@
 	return l.messages(sending, blob)
 }
 
-// messages makes a set of messages. The coordinator's mu is held.
+// messages builds the messages of a set. The coordinator's mu is held.
 func (l *link) messages(set messageSet, blob []byte) (messages []frame.Message) {
 	c := l.coordinator
 	if set&sendHello != 0 {
@@ -133,7 +133,7 @@
 	return frame.Message{Kind: kind, Registers: &snapshot}
 }
 
-// exportBlob returns what Options.Export gives; nil where that is too large.
+// exportBlob returns the blob of Options.Export, or nil if it is too large.
 func (c *Coordinator) exportBlob() []byte {
 	if c.opt.Export == nil {
 		return nil
@@ -149,7 +149,7 @@
 	return blob
 }
 
-// read handles messages until the connection ends or one is invalid.
+// read handles messages until the connection ends or a message is invalid.
 func (l *link) read() {
 	for {
 		m, err := frame.Read(l.conn)
@@ -162,7 +162,7 @@
 	}
 }
 
-// handle handles one message. After an error the connection can't be used any more.
+// handle handles one message. After an error the connection must be closed.
 func (l *link) handle(m frame.Message) error {
 	var registers state.Registers
 	if m.Registers != nil {
@@ -189,7 +189,7 @@
 			return err
 		}
 		p.receivedRegisters = true
-		if c.applied.Covers(c.registers) { // else the acknowledgement follows once they are applied
+		if c.applied.Covers(c.registers) { // otherwise applyLoop acknowledges them after it has applied them
 			l.queue(sendAck)
 		}
 	case frame.Acknowledge:
@@ -197,7 +197,7 @@
 			return err
 		}
 		var err error
-		if p.applied, err = p.applied.Merge(registers); err != nil { // merged, as one of two links may be behind the other
+		if p.applied, err = p.applied.Merge(registers); err != nil { // merged, because one of two links may be behind the other
 			p.applied = registers
 		}
 	}
@@ -213,13 +213,13 @@
 	}
 }
 
-// mergeFromPeer merges what a peer sent. That peer writes the file itself. c.mu is held.
+// mergeFromPeer merges registers that a peer sent. The peer writes them to the file itself. c.mu is held.
 func (c *Coordinator) mergeFromPeer(registers state.Registers) error {
 	changed, err := c.merge(registers)
 	if err != nil {
 		c.addUnconfirmed(err)
 		return err
 	}
-	c.writtenByPeer = c.writtenByPeer || changed
+	c.changedByPeer = c.changedByPeer || changed
 	return nil
 }
--- a/internal/hotrestart/open.go
+++ b/internal/hotrestart/open.go
@@ -11,12 +11,13 @@
 	"cranegate/internal/hotrestart/statefile"
 )
 
-// beforeStep is called with the name of each step of a start or a change. Tests set it, in processes that end or stop there.
+// beforeStep is called with the name of each step of a start or a change, before the step. Tests set it to kill, stop or delay a process
+// there.
 var beforeStep func(step string)
 
-// Open registers this process in the folder, reads the file, and asks every older process for its registers and blob. It takes at
-// most 1 s, also where one hangs, and applies nothing. What could not be learned is in Unconfirmed.
-// Errors: *FolderError, rendezvous.ErrPathTooLong, ErrTooManyProcesses, and the end of ctx.
+// Open registers this process in the folder, reads the file, and requests the registers and the blob of every older process. It takes
+// at most 1 s, even if a process hangs, and applies nothing. Unconfirmed returns the failures to read the file or to get responses.
+// Errors: *FolderError, rendezvous.ErrPathTooLong, ErrTooManyProcesses, and the error of ctx if it is canceled.
 func Open(ctx context.Context, o Options) (*Coordinator, error) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
@@ -50,7 +51,7 @@
 	return c, nil
 }
 
-// join makes the steps of a start.
+// join carries out the steps of a start.
 func (c *Coordinator) join(ctx context.Context) error {
 	for _, step := range state.JoinSteps() {
 		if beforeStep != nil {
@@ -66,7 +67,7 @@
 			if err = c.discoverPeers(); err == nil {
 				err = c.awaitOlder(ctx)
 			}
-		case state.ApplyState: // Run makes it
+		case state.ApplyState: // Run carries it out
 		}
 		if err != nil {
 			return err
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// readFile takes what the file holds. A failure is in Unconfirmed.
+// readFile merges the registers in the file. A failure is added to Unconfirmed.
 func (c *Coordinator) readFile(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, lockTimeout)
 	defer cancel()
@@ -101,34 +102,34 @@
 	}
 	var unreadable *statefile.UnreadableFileError
 	if errors.As(err, &unreadable) {
-		c.writePending = true // Run merges with the file until that succeeds, and so takes what it holds
+		c.writePending = true // Run retries until it has merged the file's content
 	}
 	if _, err := c.merge(registers); err != nil {
 		c.addUnconfirmed(err)
 	}
 }
 
-// discoverPeers searches the folder for processes that this one has not met.
+// discoverPeers searches the folder for processes that this one does not know yet, and adds them as peers.
 func (c *Coordinator) discoverPeers() error {
 	names, err := c.folder.Names(c.name)
 	if err != nil {
 		return err
 	}
-	if len(names) >= maxPeers { // sockets of dead processes do not count
-		names = slices.DeleteFunc(names, c.removeIfDead)
+	if len(names) >= maxPeers { // sockets of ended processes do not count
+		names = slices.DeleteFunc(names, c.removeIfEnded)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names {
-		if _, err := c.peerNamed(name); err != nil {
+		if _, err := c.peerByName(name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// removeIfDead reports whether the process of a name is dead. Its socket is then removed.
-func (c *Coordinator) removeIfDead(name rendezvous.Name) bool {
+// removeIfEnded reports whether the process of a name has ended. If so, it removes the process's socket.
+func (c *Coordinator) removeIfEnded(name rendezvous.Name) bool {
 	conn, err := c.dial(name)
 	if err == nil {
 		conn.Close()
@@ -136,12 +137,12 @@
 	return errors.Is(err, rendezvous.ErrProcessEnded)
 }
 
-// awaitOlder waits until all older processes have sent their registers and blobs, at most until ctx's deadline. It fails only where ctx
+// awaitOlder waits until all older processes have sent their registers and blobs, at most until ctx's deadline. It fails only if ctx
 // is canceled.
 func (c *Coordinator) awaitOlder(ctx context.Context) error {
 	for expired := false; ; {
 		c.mu.Lock()
-		c.takeBlob()
+		c.selectInherited()
 		unresponsive := c.unresponsiveOlder()
 		if len(unresponsive) == 0 || expired {
 			c.finishOpening(unresponsive)
@@ -161,7 +162,7 @@
 	}
 }
 
-// unresponsiveOlder lists the sockets of older processes that have not sent their registers and blob. c.mu is held.
+// unresponsiveOlder lists the sockets of older processes that have not sent both their registers and their blob. c.mu is held.
 func (c *Coordinator) unresponsiveOlder() (sockets []string) {
 	for name, p := range c.peers {
 		if name.Before(c.name) && !(p.receivedRegisters && p.receivedBlob) {
@@ -171,9 +172,9 @@
 	return sockets
 }
 
-// takeBlob takes the blob of the youngest older process that has sent one. It stays where that process ends before the others
-// have responded. c.mu is held.
-func (c *Coordinator) takeBlob() {
+// selectInherited sets inherited to the blob of the youngest older process that has sent one. inherited remains set if that process
+// ends before the others have responded. c.mu is held.
+func (c *Coordinator) selectInherited() {
 	var youngest rendezvous.Name
 	for name, p := range c.peers {
 		if p.blob != nil && name.Before(c.name) && youngest.Before(name) {
@@ -182,7 +183,7 @@
 	}
 }
 
-// finishOpening records the older processes that did not respond. c.mu is held.
+// finishOpening ends the wait of Open, and records the older processes that did not respond. c.mu is held.
 func (c *Coordinator) finishOpening(unresponsive []string) {
 	c.hadOlder, c.opening = c.hasOlder(), false
 	if len(unresponsive) > 0 {
--- a/internal/hotrestart/peers.go
+++ b/internal/hotrestart/peers.go
@@ -11,22 +11,23 @@
 	"cranegate/internal/hotrestart/state"
 )
 
-// peer is another process that is not known to be dead. The coordinator's mu guards it.
+// peer is another process that is not known to have ended. The coordinator's mu guards it.
 type peer struct {
 	name              rendezvous.Name
 	links             map[*link]struct{}
-	applied           state.Registers // what its program is known to have applied
-	ready             bool            // it serves
+	applied           state.Registers // registers that it has acknowledged as applied
+	ready             bool            // its listeners accept clients
 	receivedRegisters bool            // it has sent its registers
 
-	wantBlob     bool // it is older than this process, which starts
+	wantBlob     bool // it is older than this process, which is starting and requests its blob
 	receivedBlob bool
 	blob         []byte
 }
 
-// peerNamed returns the peer of a name. A link to a new one is maintained until it is known to be dead. c.mu is held.
+// peerByName returns the peer of a name. If there is none, it adds one, whose link is maintained until the peer is known to have ended.
+// c.mu is held.
 // Errors: ErrClosed, ErrTooManyProcesses.
-func (c *Coordinator) peerNamed(name rendezvous.Name) (*peer, error) {
+func (c *Coordinator) peerByName(name rendezvous.Name) (*peer, error) {
 	if p, ok := c.peers[name]; ok {
 		return p, nil
 	}
@@ -44,8 +45,8 @@
 	return p, nil
 }
 
-// maintainLink keeps a connection to a peer. The peer is dead when its socket refuses one, and only then: the end of a
-// connection alone proves nothing.
+// maintainLink reconnects to a peer whenever there is no link to it. Only rendezvous.ErrProcessEnded proves that the peer has ended; the
+// end of a connection alone does not.
 func (c *Coordinator) maintainLink(p *peer) {
 	for delay := minRetryDelay; c.lifetime.Err() == nil; {
 		c.mu.Lock()
@@ -61,7 +62,7 @@
 		}
 		started := time.Now()
 		if err := c.connect(p); errors.Is(err, rendezvous.ErrProcessEnded) {
-			c.forget(p)
+			c.removePeer(p)
 			return
 		}
 		if time.Since(started) > maxConnectDelay {
@@ -95,8 +96,8 @@
 	return c.folder.Dial(ctx, name)
 }
 
-// reserveLink gives a connection its descriptor: one of unreservedLinks, or one of Options.Reserve. The caller must call release once.
-// An error is logged and counted.
+// reserveLink reserves a descriptor for a connection: one of unreservedLinks, or one from Options.Reserve. The caller must call release
+// once. An error is logged and counted.
 func (c *Coordinator) reserveLink() (release func(), err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,8 +141,8 @@
 	return c.opt.Reserve(ctx)
 }
 
-// forget removes a peer that is dead, and has the file read for what it wrote last.
-func (c *Coordinator) forget(p *peer) {
+// removePeer removes a peer that has ended, and makes persistLoop read the file for the peer's last changes.
+func (c *Coordinator) removePeer(p *peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.peers, p.name)
@@ -169,9 +170,9 @@
 			}
 			continue
 		}
-		release, err := c.reserveLink() // others wait in the socket's queue meanwhile
+		release, err := c.reserveLink() // meanwhile further connections wait in the socket's queue
 		if err != nil {
-			conn.Close() // the other process tries again
+			conn.Close() // the other process retries
 			continue
 		}
 		c.goroutines.Go(func() {
@@ -181,7 +182,7 @@
 	}
 }
 
-// serveIncoming reads who has connected, and serves the link until it ends.
+// serveIncoming reads the Hello message of an accepted connection, and serves the link until it ends.
 func (c *Coordinator) serveIncoming(conn net.Conn) {
 	stop := context.AfterFunc(c.lifetime, func() { conn.Close() })
 	defer stop()
@@ -197,7 +198,7 @@
 	}
 	conn.SetReadDeadline(time.Time{})
 	c.mu.Lock()
-	p, err := c.peerNamed(name)
+	p, err := c.peerByName(name)
 	if err != nil {
 		c.mu.Unlock()
 		conn.Close()
@@ -210,17 +211,17 @@
 	l.serve()
 }
 
-// addLink adds a connection to a peer's. c.mu is held.
+// addLink adds a link to its peer, and queues its first messages. c.mu is held.
 func (c *Coordinator) addLink(l *link) {
 	l.peer.links[l] = struct{}{}
 	if !c.opening && l.peer.name.Before(c.name) {
-		c.hadOlder = true // it has the earlier name, but registered its socket after this process
+		c.hadOlder = true // its name is older, but it registered its socket after this process did
 	}
 	l.queue(sendHello | sendUpdate)
 	c.broadcast()
 }
 
-// sleep waits, and returns false if Close came first.
+// sleep waits for d. It returns false if Close is called first.
 func (c *Coordinator) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/hotrestart/run.go
+++ b/internal/hotrestart/run.go
@@ -9,9 +9,9 @@
 	"cranegate/internal/hotrestart/state"
 )
 
-// Run has the program apply what is learned, calls the other On functions, and writes pending changes to the file, until ctx ends or
-// Close is called. Call it once, and let it run as long as the process sends to hosts: without it nothing is applied, and calls to other
-// processes are not acknowledged. It returns nil.
+// Run makes the program apply changes by Options.OnState, calls the other On functions, and writes pending changes to the file, until
+// ctx ends or Close is called. Call it once, and let it run as long as the process sends to hosts. After it has returned this process
+// neither applies changes nor acknowledges them to other processes. It returns nil.
 func (c *Coordinator) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -27,7 +27,7 @@
 	return group.Wait()
 }
 
-// applyLoop has the program apply the newest registers, and then acknowledges them to all peers.
+// applyLoop makes the program apply the latest registers, and then acknowledges them to all peers.
 func (c *Coordinator) applyLoop(ctx context.Context) {
 	for first := true; ctx.Err() == nil; {
 		c.mu.Lock()
@@ -55,14 +55,15 @@
 	}
 }
 
-// peerSummary is what notifyLoop reports of the other processes.
+// peerSummary describes the other processes, as far as notifyLoop reports it.
 type peerSummary struct {
 	newerAlive bool
 	newerReady bool
 	olderEnded bool
 }
 
-// summarize returns the summary that follows another one, and a channel that is closed when it may have changed.
+// summarize returns the current summary, and a channel that is closed when it may have changed. Once true,
+// olderEnded stays true.
 func (c *Coordinator) summarize(previous peerSummary) (peerSummary, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,15 +95,16 @@
 	}
 }
 
-// persistLoop writes what could not be written before, and takes what a dead process wrote last. What came from a live peer is that
-// peer's to write: on a slow disk this process would hold the lock for as long as the peer's call waits for it. It is written here once
-// the peer has ended, or after applyTimeout without further changes, which is as long as a call may take.
+// persistLoop retries failed writes of the file, and merges the last changes that an ended process wrote to it. Changes from a live
+// peer are left for that peer to write: on a slow disk this process would hold the lock for as long as the peer's call waits for it.
+// This process writes them after the peer has ended, or after applyTimeout without further changes, which is the longest that a call
+// takes.
 func (c *Coordinator) persistLoop(ctx context.Context) {
-	var peerWriteDeadline <-chan time.Time // nil: no peer has a change to write
+	var peerWriteDeadline <-chan time.Time // nil: no changes are left for a peer to write
 	for delay := minRetryDelay; ctx.Err() == nil; {
 		c.mu.Lock()
-		pending, byPeer, changed := c.writePending, c.writtenByPeer, c.changed
-		c.writePending, c.writtenByPeer = false, false
+		pending, byPeer, changed := c.writePending, c.changedByPeer, c.changed
+		c.writePending, c.changedByPeer = false, false
 		c.mu.Unlock()
 		if byPeer {
 			peerWriteDeadline = time.After(applyTimeout)
--- a/internal/hotrestart/state/model_events_test.go
+++ b/internal/hotrestart/state/model_events_test.go
@@ -217,7 +217,7 @@
 			return fmt.Sprintf("in process %d the host is still detached after the attach call succeeded", i)
 		}
 		if last && firstAlive >= 0 && !agree(p.applied, w.processes[firstAlive].applied) {
-			return "the live processes differ after the last event"
+			return "the live processes do not agree in the end"
 		}
 		firstAlive = i
 	}
--- a/internal/hotrestart/state/model_test.go
+++ b/internal/hotrestart/state/model_test.go
@@ -43,7 +43,7 @@
 	ended, succeeded bool
 }
 
-// modelWorld is one state of the whole model: processes, calls, messages in flight and the file.
+// modelWorld is one state of the model: processes, calls, messages in flight and the file.
 type modelWorld struct {
 	processes []modelProcess
 	calls     []modelCall
@@ -52,14 +52,15 @@
 	kills     int // number of processes that may still be killed
 }
 
-// newModelWorld returns a world of all processes. The first live ones have started and are connected to each other.
-func newModelWorld(live, all, kills int, calls ...modelCall) *modelWorld {
+// newModelWorld returns a world with a total number of processes. The first of them, as many as running says, have started and are
+// connected to each other.
+func newModelWorld(running, total, kills int, calls ...modelCall) *modelWorld {
 	w := &modelWorld{calls: calls, messages: map[modelMessage]Registers{}, kills: kills}
-	for i := range all {
-		p := modelProcess{connected: make([]bool, all), undetectedExits: make([]bool, all), peerApplied: make([]Registers, all)}
-		if i < live {
+	for i := range total {
+		p := modelProcess{connected: make([]bool, total), undetectedExits: make([]bool, total), peerApplied: make([]Registers, total)}
+		if i < running {
 			p.alive, p.joinStepsDone, p.sendsRequests = true, len(JoinSteps()), true
-			for j := range live {
+			for j := range running {
 				p.connected[j] = i != j
 			}
 		}
--- a/internal/hotrestart/statefile/statefile.go
+++ b/internal/hotrestart/statefile/statefile.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// Name is the file's name.
+	// Name is the name of the state file.
 	Name = "cranegate-state.json"
 	// InvalidName is the name to which an invalid file is renamed, in place of an earlier one.
 	InvalidName = "cranegate-state.json.bad"
-	// MaxBytes bounds the file.
+	// MaxBytes bounds the size of the file.
 	MaxBytes = 1 << 20
 
 	replacementName = "cranegate-state.json.new" // the next version of the file, until it is complete
--- a/internal/hotrestart/statefile/statefile_test.go
+++ b/internal/hotrestart/statefile/statefile_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestNoDescriptors reads and updates the file while the process lacks the descriptors to open it. A file that can't be opened must
-// not count as invalid: it would be renamed and replaced, and its detached host would be lost. The caller must get an error instead.
+// not count as invalid: it would be renamed and replaced, and its detached host would be lost. The operation must fail instead.
 func TestNoDescriptors(t *testing.T) {
 	for files := range 2 { // descriptors that are left: none, or one for the lock file
 		dir := t.TempDir()
