--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -15,7 +15,7 @@
 
 // readDatagrams receives datagrams until the socket is closed.
 func (t *Transport) readDatagrams(ctx context.Context) error {
-	b := make([]byte, membership.MaxDatagram+membership.Overhead+1) // longer datagrams are truncated and fail to open
+	b := make([]byte, membership.MaxDatagram+membership.SealOverhead+1) // longer datagrams are truncated and fail to open
 	for {
 		n, _, err := t.udp.ReadFromUDPAddrPort(b)
 		if ctx.Err() != nil {
@@ -83,7 +83,7 @@
 		return
 	}
 	length := int64(binary.BigEndian.Uint32(header[:]))
-	if length > membership.MaxStream+membership.Overhead {
+	if length > membership.MaxStream+membership.SealOverhead {
 		t.options.Counters.Add("peers_malformed", 1)
 		return
 	}
--- a/internal/gossip/seal.go
+++ b/internal/gossip/seal.go
@@ -31,7 +31,7 @@
 )
 
 // Header and authentication tag (16 bytes) fit into the overhead that membership leaves.
-const _ = uint(membership.Overhead - headerBytes - 16)
+const _ = uint(membership.SealOverhead - headerBytes - 16)
 
 var errNotSealed = errors.New("gossip: not sealed with a key of this fleet")
 
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -38,7 +38,7 @@
 	if got, err := b.open(whole); err != nil || !bytes.Equal(got, text) {
 		t.Fatalf("%q, %v", got, err)
 	}
-	if len(whole) > len(text)+membership.Overhead || bytes.Contains(whole, text[1:]) {
+	if len(whole) > len(text)+membership.SealOverhead || bytes.Contains(whole, text[1:]) {
 		t.Errorf("%d bytes for %d, or in the clear", len(whole), len(text))
 	}
 	if bytes.Equal(whole, a.seal(text)) {
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -8,12 +8,12 @@
 )
 
 // Bounds of encoded messages in bytes. MaxDatagram bounds every message but StateRequest and StateResponse, which go over a
-// stream and are bounded by MaxStream. Overhead is left for encryption: with it a datagram stays within 1,200 bytes.
+// stream and are bounded by MaxStream. SealOverhead is left for encryption: with it a datagram stays within 1,200 bytes.
 const (
-	Overhead    = 48
-	MaxDatagram = 1200 - Overhead
-	MaxStream   = 256 << 10
-	version     = 1 // of the encoding; the first byte of each message
+	SealOverhead = 48
+	MaxDatagram  = 1200 - SealOverhead
+	MaxStream    = 256 << 10
+	version      = 1 // of the encoding; the first byte of each message
 )
 
 // ErrMalformed is returned by Decode for input that no member of this version writes.
