--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -223,7 +223,7 @@
 	t.options.Counters.Add("peers_changes_to_"+c.Member.State.String(), 1)
 	slog.Info("member_changed", "name", c.Member.Name, "incarnation", formatIncarnation(c.Member.Incarnation), "address", c.Member.Addr,
 		"zone", c.Member.Zone, "from", from, "to", c.Member.State.String(), "reporter", c.Reporter, "reason", c.Reason,
-		"after", c.SinceHeard.Round(time.Millisecond).String())
+		"after", c.SinceLastChange.Round(time.Millisecond).String())
 }
 
 // formatIncarnation formats an incarnation for logs and the members' page.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -86,10 +86,10 @@
 
 // Change is a change of a member's state, or a new member.
 type Change struct {
-	Member     MemberState
-	From       State
-	Reporter   string        // name of the member that reported it, "" for this node itself
-	Reason     string        // for logs
-	SinceHeard time.Duration // since the previous change of the member
-	New        bool
+	Member          MemberState
+	From            State
+	Reporter        string        // name of the member that reported it, "" for this node itself
+	Reason          string        // for logs
+	SinceLastChange time.Duration // since the previous change of the member
+	New             bool
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -94,7 +94,7 @@
 		n.countLive(member, isLive)
 	}
 	n.changes = append(n.changes, Change{Member: n.memberState(member), From: old, Reporter: reporter, Reason: reason,
-		SinceHeard: n.now - member.stateSince})
+		SinceLastChange: n.now - member.stateSince})
 	member.stateSince = n.now
 	n.lastChange = n.now
 }
