--- a/internal/gossip/goroutines_test.go
+++ b/internal/gossip/goroutines_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails the run if a goroutine has not ended with its owner.
+// TestMain fails the run if a test leaves a goroutine running.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -15,13 +15,13 @@
 
 // readDatagrams receives datagrams until the socket is closed.
 func (t *Transport) readDatagrams(ctx context.Context) error {
-	b := make([]byte, membership.MaxDatagram+membership.SealOverhead+1) // longer datagrams are truncated and fail to open
+	b := make([]byte, membership.MaxDatagram+membership.SealOverhead+1) // longer datagrams are truncated and fail to decrypt or decode
 	for {
 		n, _, err := t.udp.ReadFromUDPAddrPort(b)
 		if ctx.Err() != nil {
 			return nil
 		}
-		if err != nil { // of one datagram, as after an ICMP error
+		if err != nil { // concerns one datagram, for example after an ICMP error
 			time.Sleep(time.Millisecond)
 			continue
 		}
@@ -30,7 +30,7 @@
 	}
 }
 
-// deliver opens and decodes a message and puts it into the actor's mailbox. If the mailbox is full it is dropped.
+// deliver decrypts and decodes a message and puts it into the actor's mailbox. If the mailbox is full, it drops the message.
 func (t *Transport) deliver(b []byte, stream bool) {
 	text, err := t.sealer.open(b)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// receiveStream reads one full state exchange. Memory grows with the bytes received, not with the announced length.
+// receiveStream reads one full state message. Memory grows with the bytes received, not with the announced length.
 func (t *Transport) receiveStream(conn net.Conn) {
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(streamTimeout))
--- a/internal/gossip/seal.go
+++ b/internal/gossip/seal.go
@@ -24,18 +24,18 @@
 
 const (
 	keyBytes      = 32
-	maxKeys       = 2 // the one in use, and another while keys are rotated
-	sealedVersion = 2 // first byte of a sealed message; others begin with the version of membership's encoding
+	maxKeys       = 2 // the key in use, and a second one during a rotation
+	sealedVersion = 2 // first byte of a sealed message; unsealed ones begin with the version of membership's encoding
 	saltBytes     = 16
 	headerBytes   = 1 + saltBytes + 8 // version, salt and message count
 )
 
-// Header and authentication tag (16 bytes) fit into the overhead that membership leaves.
+// Fails to compile unless the header and the authentication tag (16 bytes) fit into SealOverhead.
 const _ = uint(membership.SealOverhead - headerBytes - 16)
 
 var errNotSealed = errors.New("gossip: not sealed with a key of this fleet")
 
-// ReadKeys reads a key file: one or two lines of 64 hexadecimal digits, the first of which seals. Text after # is ignored.
+// ReadKeys reads a key file: one or two lines of 64 hexadecimal digits. The first key seals. Text after # is ignored.
 // Errors never contain a key.
 func ReadKeys(path string) (Keys, error) {
 	text, err := os.ReadFile(path)
@@ -49,20 +49,21 @@
 			continue
 		}
 		key, err := hex.DecodeString(line)
-		if err != nil || len(key) != keyBytes { // err would show the key
+		if err != nil || len(key) != keyBytes { // err would reveal a part of the key
 			return nil, fmt.Errorf("reading the keys of the fleet: line %d is not %d hexadecimal digits", i+1, 2*keyBytes)
 		}
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 || len(keys) > maxKeys {
-		return nil, fmt.Errorf("reading the keys of the fleet: the file has %d, allowed are 1 to %d", len(keys), maxKeys)
+		return nil, fmt.Errorf("reading the keys of the fleet: the file has %d keys, but 1 to %d are allowed", len(keys), maxKeys)
 	}
 	return keys, nil
 }
 
-// sealer encrypts and authenticates messages with AES-256-GCM. Each start of a process derives a key of its own from the
-// shared key, a random salt that every message carries, and the fleet's name. So a plain message count is a nonce that
-// never repeats, and messages of another fleet fail to open. It is safe for concurrent use.
+// sealer encrypts and authenticates messages with AES-256-GCM. At each start, a process derives its own key from the
+// shared key, a random salt that every message carries, and the fleet's name. Because each start has another key, the
+// message count can serve as the nonce: it never repeats under one key. Because the key depends on the fleet's name,
+// messages of another fleet can't be decrypted. A sealer is safe for concurrent use.
 type sealer struct {
 	fleet string
 	salt  [saltBytes]byte
@@ -70,16 +71,17 @@
 	keys  atomic.Pointer[keySet]
 }
 
-// keySet is the shared keys with the keys derived from them.
+// keySet holds the shared keys and the keys derived from them.
 type keySet struct {
 	shared Keys
 	own    cipher.AEAD // nil if nothing is sealed
 
 	mu       sync.Mutex
-	peerKeys map[[saltBytes]byte]cipher.AEAD // by salt; only of senders whose messages have opened
+	peerKeys map[[saltBytes]byte]cipher.AEAD // by salt; only of senders of whom a message was decrypted
 }
 
-// maxPeerKeys bounds the cached keys of other members: those of the largest fleet. Past it the cache is cleared.
+// maxPeerKeys bounds the number of cached keys of other members: one for each member of the largest fleet. A full cache is
+// cleared before the next key is added.
 const maxPeerKeys = 1024
 
 // peerKey returns the cached key of another sender, or nil.
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// derive derives the key of the sender with this salt.
+// derive returns the cipher of the sender with this salt.
 func (s *sealer) derive(shared, salt []byte) (cipher.AEAD, error) {
 	key, err := hkdf.Key(sha256.New, shared, salt, "cranegate members, fleet "+s.fleet, keyBytes)
 	if err != nil {
@@ -145,8 +147,8 @@
 	return set.own.Seal(out, nonce(out), message, out[:headerBytes])
 }
 
-// open decrypts a message. It returns errNotSealed where the message is not sealed with a key of this fleet, or is one of
-// this sealer's own.
+// open decrypts a message. It returns errNotSealed if the message is not sealed with a key of this fleet, or if this sealer
+// sealed it itself.
 func (s *sealer) open(message []byte) ([]byte, error) {
 	set := s.keys.Load()
 	if set.own == nil {
@@ -160,7 +162,7 @@
 	}
 	salt := [saltBytes]byte(message[1:])
 	if salt == s.salt {
-		return nil, errNotSealed // our own message, reflected
+		return nil, errNotSealed // this sealer's own message, sent back to it
 	}
 	if aead := set.peerKey(salt); aead != nil {
 		if text, err := aead.Open(nil, nonce(message), message[headerBytes:], message[:headerBytes]); err == nil {
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -9,7 +9,7 @@
 )
 
 // send encodes and seals a message. Datagrams are queued for flush; full state exchanges go over a stream of their own.
-// Errors are counted only: a member may announce any address.
+// Errors are counted but not logged, because a member may announce any address.
 func (t *Transport) send(m membership.Message) {
 	encoded, encodeErr := membership.Encode(m)
 	to, addressErr := netip.ParseAddrPort(m.To)
@@ -51,11 +51,12 @@
 	}
 }
 
-// sendStream sends one full state exchange: its length in four bytes, big-endian, and the sealed message.
+// sendStream sends one full state message over a new stream: the length of the sealed message in four bytes, big-endian,
+// followed by the sealed message.
 func (t *Transport) sendStream(to netip.AddrPort, payload []byte) {
 	d := net.Dialer{Timeout: dialTimeout}
 	if ip := t.Addr().Addr().Unmap(); !ip.IsUnspecified() {
-		d.LocalAddr = &net.TCPAddr{IP: ip.AsSlice()} // like datagrams, from the listening address
+		d.LocalAddr = &net.TCPAddr{IP: ip.AsSlice()} // the same source address as for datagrams
 	}
 	conn, err := d.Dial("tcp", to.String())
 	if err == nil {
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -1,8 +1,9 @@
 // Package gossip is the transport of the membership protocol: it sends and receives the messages of a membership.Node as
 // datagrams, and full state exchanges over streams. Messages are sealed with the fleet's keys.
 //
-// One goroutine, the actor, owns the node. Readers pass it messages through a bounded mailbox and drop what does not fit:
-// the protocol tolerates lost messages. The gateway never waits for this package; Options.OnSizeChange reports changes.
+// One goroutine, the actor, owns the node. Readers pass messages to it through a bounded mailbox. They drop a message when
+// the mailbox is full, because the protocol tolerates lost messages. Requests of clients never wait for this package:
+// Options.OnSizeChange reports changes.
 package gossip
 
 import (
@@ -27,19 +28,19 @@
 	maxQueued       = 1024                 // datagrams that wait to be sent
 	burstSize       = 32                   // datagrams sent at once
 	burstInterval   = 2 * time.Millisecond // between two bursts: at most 16,000 datagrams a second
-	maxStreamsIn    = 16                   // at a time
+	maxStreamsIn    = 16                   // handled at a time
 	maxStreamsOut   = 8
 	dialTimeout     = time.Second
-	streamTimeout   = 3 * time.Second // for one whole exchange
+	streamTimeout   = 3 * time.Second // for one full state exchange
 	leaveTimeout    = 200 * time.Millisecond
 	fullLogInterval = time.Minute // between two log lines about a full fleet
 )
 
 // Options are the settings of a Transport.
 type Options struct {
-	Members  membership.Options // Addr is where the other members reach this one
+	Members  membership.Options // Addr is the address at which other members reach this one
 	Listen   string             // the address for datagrams and streams
-	Keys     Keys               // with none, messages are not sealed
+	Keys     Keys               // without keys, messages are not sealed
 	Counters *metrics.Counters
 
 	// OnSizeChange is called by the actor when the number of gateways to assume, or this gateway's share of fleet-wide
@@ -62,10 +63,10 @@
 	// Owned by the actor.
 	node           *membership.Node
 	queue          []datagram
-	size           int // as last reported
-	budgetShare    float64
-	loggedRejected int           // rejected members as of the last log line,
-	lastFullLog    time.Duration // and its time
+	size           int           // last reported to OnSizeChange
+	budgetShare    float64       // last reported to OnSizeChange
+	loggedRejected int           // number of rejected members in the last fleet_full log line
+	lastFullLog    time.Duration // time of that log line
 }
 
 // callBacklog is the number of calls that may wait for the actor.
@@ -77,8 +78,8 @@
 	payload []byte
 }
 
-// Listen opens the sockets; Run serves them. It fails where the address can't be listened on, or an option or key is
-// invalid.
+// Listen opens the sockets; Run serves them. It fails if the address can't be listened on, or if an option or a key
+// is invalid.
 func Listen(opt Options) (*Transport, error) {
 	t := &Transport{
 		options:   opt,
@@ -131,7 +132,7 @@
 	return err
 }
 
-// ErrStopped is returned by calls after the actor has stopped.
+// ErrStopped is returned by methods that need the actor after it has stopped.
 var ErrStopped = errors.New("gossip: stopped")
 
 // runActor is the goroutine that owns the node.
@@ -140,7 +141,7 @@
 	defer tick.Stop()
 	nextBurst := time.NewTimer(burstInterval)
 	defer nextBurst.Stop()
-	waiting := false // for nextBurst
+	waiting := false // true while the queue waits for nextBurst
 	for {
 		select {
 		case <-ctx.Done():
@@ -206,12 +207,13 @@
 	slog.Warn("fleet_full", "error", FleetFullError{1 + len(t.node.Members())}, "rejected", rejected)
 }
 
-// FleetFullError says that a gateway was not added to the view because the view is full.
+// FleetFullError reports that a gateway was not added to the view because the view is full.
 type FleetFullError struct{ Gateways int }
 
-// Error names the bound and what an operator can do.
+// Error states the limit and what an operator can do.
 func (e FleetFullError) Error() string {
-	return fmt.Sprintf("the fleet has %d gateways, the most that one may have; end some, or give those beyond a fleet (fleet.fleet) of their own", e.Gateways)
+	return fmt.Sprintf("the fleet has %d gateways, the largest number allowed; stop some, or give the others a different fleet name (fleet.fleet)",
+		e.Gateways)
 }
 
 // logChange logs and counts a change of a member.
@@ -254,7 +256,7 @@
 	}
 }
 
-// Reload replaces the join addresses and the keys. With an invalid key nothing changes.
+// Reload replaces the join addresses and the keys. If a key is invalid, it changes nothing.
 func (t *Transport) Reload(ctx context.Context, join []string, keys Keys) error {
 	if err := t.sealer.replace(keys); err != nil {
 		return err
@@ -266,15 +268,15 @@
 func (t *Transport) Drain() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	t.callActor(ctx, t.node.Drain) // fails only after Run has ended, when there is nobody to tell
+	t.callActor(ctx, t.node.Drain) // an error means that Run has ended, or that the actor did not answer within leaveTimeout
 }
 
-// Leave announces that this gateway stops, and returns once that is sent. It takes at most leaveTimeout.
+// Leave announces that this gateway stops, and returns when the announcement is sent. It takes at most leaveTimeout.
 func (t *Transport) Leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	t.callActor(ctx, func() {
-		t.queue = nil // nothing else matters now
+		t.queue = nil // the announcement goes first; other messages no longer matter
 		t.node.Leave()
 		t.collect()
 		t.flush()
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -16,11 +16,11 @@
 	"cranegate/internal/metrics"
 )
 
-const patience = 20 * time.Second
+const eventuallyTimeout = 20 * time.Second
 
-func key(b byte) []byte { return bytes.Repeat([]byte{b}, keyBytes) }
+func testKey(b byte) []byte { return bytes.Repeat([]byte{b}, keyBytes) }
 
-func seals(t *testing.T, fleet string, keys ...[]byte) *sealer {
+func newTestSealer(t *testing.T, fleet string, keys ...[]byte) *sealer {
 	t.Helper()
 	s, err := newSealer(fleet, keys)
 	if err != nil {
@@ -29,51 +29,52 @@
 	return s
 }
 
-// TestSeal holds what is opened against what may be: nothing but the words of the same fleet, unchanged and whole, sealed with
-// a key that both know.
+// TestSeal checks that a sealer opens only unchanged, complete messages of its own fleet that another sealer sealed with a
+// shared key.
 func TestSeal(t *testing.T) {
 	text := []byte("\x01some words")
-	a, b := seals(t, "f", key(1)), seals(t, "f", key(1))
-	whole := a.seal(text)
-	if got, err := b.open(whole); err != nil || !bytes.Equal(got, text) {
+	a, b := newTestSealer(t, "f", testKey(1)), newTestSealer(t, "f", testKey(1))
+	sealed := a.seal(text)
+	if got, err := b.open(sealed); err != nil || !bytes.Equal(got, text) {
 		t.Fatalf("%q, %v", got, err)
 	}
-	if len(whole) > len(text)+membership.SealOverhead || bytes.Contains(whole, text[1:]) {
-		t.Errorf("%d bytes for %d, or in the clear", len(whole), len(text))
+	if len(sealed) > len(text)+membership.SealOverhead || bytes.Contains(sealed, text[1:]) {
+		t.Errorf("%d bytes sealed from a message of %d, or the message is readable", len(sealed), len(text))
 	}
-	if bytes.Equal(whole, a.seal(text)) {
-		t.Error("the same words are sealed alike")
+	if bytes.Equal(sealed, a.seal(text)) {
+		t.Error("the same message is sealed identically twice")
 	}
-	for i := range whole {
-		if _, err := b.open(whole[:i]); err == nil {
-			t.Errorf("cut at byte %d it opens", i)
+	for i := range sealed {
+		if _, err := b.open(sealed[:i]); err == nil {
+			t.Errorf("truncated to %d bytes, it is opened", i)
 		}
 		for bit := range 8 {
-			bad := bytes.Clone(whole)
+			bad := bytes.Clone(sealed)
 			bad[i] ^= 1 << bit
 			if _, err := b.open(bad); err == nil {
-				t.Errorf("with bit %d of byte %d flipped it opens", bit, i)
+				t.Errorf("with bit %d of byte %d flipped, it is opened", bit, i)
 			}
 		}
 	}
-	for name, s := range map[string]*sealer{"another key": seals(t, "f", key(2)), "another fleet": seals(t, "g", key(1)), "no key": seals(t, "f"), "the sender": a} {
-		if _, err := s.open(whole); !errors.Is(err, errNotSealed) {
+	for name, s := range map[string]*sealer{"another key": newTestSealer(t, "f", testKey(2)), "another fleet": newTestSealer(t, "g", testKey(1)), "no key": newTestSealer(t, "f"), "the sender": a} {
+		if _, err := s.open(sealed); !errors.Is(err, errNotSealed) {
 			t.Errorf("%s opens it: %v", name, err)
 		}
 	}
 	if _, err := b.open(text); !errors.Is(err, errNotSealed) {
-		t.Errorf("what is not sealed is taken: %v", err)
+		t.Errorf("an unsealed message is accepted: %v", err)
 	}
 }
 
-// TestKeysReplaced replaces the key as the operators' page says, one member after the other: all understand each other all along.
+// TestKeysReplaced rotates the key in the documented order, one gateway after the other: add the new key, make it the first,
+// remove the old one. After each step, both gateways must be able to open each other's messages.
 func TestKeysReplaced(t *testing.T) {
-	a, b := seals(t, "f", key(1)), seals(t, "f", key(1))
+	a, b := newTestSealer(t, "f", testKey(1)), newTestSealer(t, "f", testKey(1))
 	for _, step := range []struct {
-		of   *sealer
-		keys Keys
-	}{{a, Keys{key(1), key(2)}}, {b, Keys{key(1), key(2)}}, {a, Keys{key(2), key(1)}}, {b, Keys{key(2), key(1)}}, {a, Keys{key(2)}}, {b, Keys{key(2)}}} {
-		if err := step.of.replace(step.keys); err != nil {
+		target *sealer
+		keys   Keys
+	}{{a, Keys{testKey(1), testKey(2)}}, {b, Keys{testKey(1), testKey(2)}}, {a, Keys{testKey(2), testKey(1)}}, {b, Keys{testKey(2), testKey(1)}}, {a, Keys{testKey(2)}}, {b, Keys{testKey(2)}}} {
+		if err := step.target.replace(step.keys); err != nil {
 			t.Fatal(err)
 		}
 		for _, pair := range [][2]*sealer{{a, b}, {b, a}} {
@@ -85,8 +86,8 @@
 }
 
 func TestReadKeys(t *testing.T) {
-	good := strings.Repeat("0aF1", 16)
-	for text, want := range map[string]int{good: 1, "# old\n" + good + "  # in use\n\n" + good + "\n": 2, "": 0, good[1:]: 0, good + "\n" + good + "\n" + good: 0, "password": 0} {
+	validKey := strings.Repeat("0aF1", 16)
+	for text, want := range map[string]int{validKey: 1, "# old\n" + validKey + "  # in use\n\n" + validKey + "\n": 2, "": 0, validKey[1:]: 0, validKey + "\n" + validKey + "\n" + validKey: 0, "password": 0} {
 		path := filepath.Join(t.TempDir(), "key")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -96,30 +97,30 @@
 			t.Errorf("%q: %d keys, %v", text, len(keys), err)
 		}
 		if err != nil && strings.Contains(err.Error(), "password") {
-			t.Errorf("the fault shows the key: %v", err)
+			t.Errorf("the error contains the key: %v", err)
 		}
 	}
 }
 
-func listen(t *testing.T, name string, keys Keys, join ...string) *Transport {
+func newTestTransport(t *testing.T, name string, keys Keys, join ...string) *Transport {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
-	p, err := Listen(Options{Listen: l.Addr().String(), Keys: keys, Counters: &metrics.Counters{},
+	transport, err := Listen(Options{Listen: l.Addr().String(), Keys: keys, Counters: &metrics.Counters{},
 		Members: membership.Options{Fleet: "f", Name: name, Addr: l.Addr().String(), Join: join, Seed: uint64(len(name)) + uint64(name[0])}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return transport
 }
 
-func run(t *testing.T, p *Transport) {
+func runTransport(t *testing.T, transport *Transport) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- p.Run(ctx) }()
+	go func() { ended <- transport.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
@@ -128,18 +129,18 @@
 	})
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(eventuallyTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not in %v", what, patience)
+			t.Fatalf("%s: not in %v", what, eventuallyTimeout)
 		}
 	}
 }
 
-func states(t *testing.T, p *Transport) map[string]string {
+func memberStates(t *testing.T, transport *Transport) map[string]string {
 	t.Helper()
-	v, err := p.View(context.Background())
+	v, err := transport.View(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,16 +151,16 @@
 	return s
 }
 
-// TestSockets has two gateways meet, one with another key try in vain, and one leave. Meanwhile somebody sends what is no
-// message.
+// TestSockets starts two gateways, which must find each other, and a third with another key, which must not be accepted. Then
+// one drains and leaves. Malformed datagrams and a stream of excessive length arrive before that.
 func TestSockets(t *testing.T) {
-	a := listen(t, "a", Keys{key(1)})
-	b := listen(t, "bb", Keys{key(1)}, a.Addr().String())
-	c := listen(t, "ccc", Keys{key(9)}, a.Addr().String())
-	counted := make(chan int, 64)
-	a.options.OnSizeChange = func(n int, _ float64) { counted <- n }
-	for _, p := range []*Transport{a, b, c} {
-		run(t, p)
+	a := newTestTransport(t, "a", Keys{testKey(1)})
+	b := newTestTransport(t, "bb", Keys{testKey(1)}, a.Addr().String())
+	c := newTestTransport(t, "ccc", Keys{testKey(9)}, a.Addr().String())
+	sizes := make(chan int, 64)
+	a.options.OnSizeChange = func(n int, _ float64) { sizes <- n }
+	for _, transport := range []*Transport{a, b, c} {
+		runTransport(t, transport)
 	}
 	for range 100 {
 		conn, err := net.Dial("udp", a.Addr().String())
@@ -175,73 +176,74 @@
 	}
 	defer stream.Close()
 	stream.Write(binary.BigEndian.AppendUint32(nil, 1<<31))
-	stream.SetReadDeadline(time.Now().Add(patience))
+	stream.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 	if n, err := stream.Read(make([]byte, 1)); n > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a stream of 2 GiB is waited for: %v", err)
+		t.Errorf("a stream that announces 2 GiB is not closed: %v", err)
 	}
-	eventually(t, "a and b meet", func() bool { return states(t, a)["bb"] == "alive" && states(t, b)["a"] == "alive" })
+	eventually(t, "a and b meet", func() bool { return memberStates(t, a)["bb"] == "alive" && memberStates(t, b)["a"] == "alive" })
 	eventually(t, "what does not open is counted", func() bool { return a.options.Counters.Get("peers_unopened") > 0 })
-	eventually(t, "a counts on two", func() bool { return <-counted == 2 })
-	if s := states(t, a); len(s) != 1 {
-		t.Errorf("a knows %v", s)
+	eventually(t, "a counts on two", func() bool { return <-sizes == 2 })
+	if s := memberStates(t, a); len(s) != 1 {
+		t.Errorf("a has the members %v, want b only", s)
 	}
-	if s := states(t, c); len(s) != 0 {
-		t.Errorf("the one with another key knows %v", s)
+	if s := memberStates(t, c); len(s) != 0 {
+		t.Errorf("the gateway with another key has the members %v, want none", s)
 	}
 	b.Drain()
-	eventually(t, "a hears that b drains", func() bool { return states(t, a)["bb"] == "draining" })
+	eventually(t, "a hears that b drains", func() bool { return memberStates(t, a)["bb"] == "draining" })
 	b.Leave()
-	eventually(t, "a hears that b left", func() bool { return states(t, a)["bb"] == "left" })
+	eventually(t, "a hears that b left", func() bool { return memberStates(t, a)["bb"] == "left" })
 }
 
-// TestFullMailbox hands messages to an actor that does not run: nobody waits for it.
+// TestFullMailbox delivers messages while the actor does not run: deliver must not block, and drops what does not fit.
 func TestFullMailbox(t *testing.T) {
-	p := listen(t, "a", nil)
-	defer p.udp.Close()
-	defer p.tcp.Close()
+	transport := newTestTransport(t, "a", nil)
+	defer transport.udp.Close()
+	defer transport.tcp.Close()
 	b, err := membership.Encode(membership.Message{Kind: membership.Ping, Fleet: "f", From: membership.MemberState{Incarnation: 1, Name: "x", Addr: "127.0.0.1:1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range mailboxSize + 10 {
-		p.deliver(b, false)
+		transport.deliver(b, false)
 	}
-	p.deliver(b, true)     // a ping does not come by a stream
-	p.deliver(b[:9], true) // and half a message not at all
-	if full, bad := p.options.Counters.Get("peers_mail_dropped"), p.options.Counters.Get("peers_malformed"); full != 10 || bad != 2 {
-		t.Errorf("%d dropped, %d malformed", full, bad)
+	transport.deliver(b, true)     // a ping must not come over a stream
+	transport.deliver(b[:9], true) // a truncated message
+	if dropped, malformed := transport.options.Counters.Get("peers_mail_dropped"), transport.options.Counters.Get("peers_malformed"); dropped != 10 || malformed != 2 {
+		t.Errorf("%d dropped, %d malformed", dropped, malformed)
 	}
 }
 
-// TestPeerKeysAreCached opens the words of many starts: their keys are kept in bounded room, and those of strangers not at all.
+// TestPeerKeysAreCached opens messages of many starts: the cache of their keys must stay within its bound, and a message with
+// another shared key must not add to it.
 func TestPeerKeysAreCached(t *testing.T) {
-	s, stranger := seals(t, "f", key(1)), seals(t, "f", key(2))
+	s, stranger := newTestSealer(t, "f", testKey(1)), newTestSealer(t, "f", testKey(2))
 	for range maxPeerKeys + 10 {
-		if _, err := s.open(seals(t, "f", key(1)).seal([]byte("\x01x"))); err != nil {
+		if _, err := s.open(newTestSealer(t, "f", testKey(1)).seal([]byte("\x01x"))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	kept := len(s.keys.Load().peerKeys)
-	if _, err := s.open(stranger.seal([]byte("\x01x"))); err == nil || kept == 0 || kept > maxPeerKeys || len(s.keys.Load().peerKeys) != kept {
-		t.Errorf("%d keys kept, then %d: %v", kept, len(s.keys.Load().peerKeys), err)
+	cached := len(s.keys.Load().peerKeys)
+	if _, err := s.open(stranger.seal([]byte("\x01x"))); err == nil || cached == 0 || cached > maxPeerKeys || len(s.keys.Load().peerKeys) != cached {
+		t.Errorf("%d keys cached, then %d after a message with another shared key: %v", cached, len(s.keys.Load().peerKeys), err)
 	}
 }
 
-// BenchmarkOpen opens a message of a known start.
+// BenchmarkOpen measures opening a message whose sender's key is cached.
 func BenchmarkOpen(b *testing.B) {
 	text := bytes.Repeat([]byte{1}, 300)
-	from, err := newSealer("f", Keys{key(1)})
+	from, err := newSealer("f", Keys{testKey(1)})
 	if err != nil {
 		b.Fatal(err)
 	}
-	to, err := newSealer("f", Keys{key(1)})
+	to, err := newSealer("f", Keys{testKey(1)})
 	if err != nil {
 		b.Fatal(err)
 	}
-	whole := from.seal(text)
+	sealed := from.seal(text)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := to.open(whole); err != nil {
+		if _, err := to.open(sealed); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// View is this gateway's view of its fleet, as GET /members shows it. The JSON keys are an interface of that page.
+// View is this gateway's view of its fleet, as GET /members returns it. Operators' tools depend on the JSON keys.
 type View struct {
 	Self        Member   `json:"self"`
 	Members     []Member `json:"members"`
-	Isolated    bool     `json:"cut"`       // it hears no other member
-	Unanswered  bool     `json:"unheard"`   // no other member answers it
+	Isolated    bool     `json:"cut"`       // no message of another member arrives
+	Unanswered  bool     `json:"unheard"`   // no other member answers this gateway
 	Conflicts   []string `json:"conflicts"` // names that two or more live members share
-	LiveShare   float64  `json:"share"`     // of the last settled view that is reachable
+	LiveShare   float64  `json:"share"`     // share of the last settled view that is reachable
 	Size        int      `json:"size"`      // number of gateways to assume
-	BudgetShare float64  `json:"part"`      // of fleet-wide budgets that this gateway may use
+	BudgetShare float64  `json:"part"`      // share of fleet-wide budgets that this gateway may use
 	Rejected    int      `json:"refused"`   // members not added because the view is full
 }
 
@@ -26,16 +26,16 @@
 	Address     string  `json:"address"`
 	Incarnation string  `json:"start"` // identifies one start of the process
 	State       string  `json:"state"`
-	Age         float64 `json:"age_s"` // since its last sign of life; of a failed member: since its first unanswered probe
+	Age         float64 `json:"age_s"` // seconds since the last sign of life; of a failed member: since the first unanswered probe
 	Suspect     bool    `json:"suspect"`
-	Indirect    bool    `json:"unreached"` // it answers others, but not this gateway
+	Indirect    bool    `json:"unreached"` // its last answer reached this gateway only through another member
 }
 
 // View returns this gateway's present view of its fleet. It returns ErrStopped after Run has ended, or ctx's error.
 func (t *Transport) View(ctx context.Context) (v View, err error) {
 	err = t.callActor(ctx, func() {
 		n := t.node
-		n.Tick(t.now()) // up to date even if the process was suspended until now
+		n.Tick(t.now()) // so that the view is current even if the process was suspended until now
 		v = View{
 			Self:        newMember(n.Self()),
 			Members:     []Member{},
--- a/internal/membership/budget.go
+++ b/internal/membership/budget.go
@@ -1,7 +1,7 @@
 package membership
 
-// LiveShare returns the share of the last settled view that is reachable, as far as this side knows. With a half or
-// less this node may be on the minority side of a partition. Members that left on their own count as reachable.
+// LiveShare returns the share of the last settled view that is reachable, as far as this node knows. At a half or less,
+// this node may be on the minority side of a partition. Members that announced that they left count as reachable.
 func (n *Node) LiveShare() float64 {
 	reachable := 0
 	for incarnation := range n.settledView {
@@ -13,16 +13,20 @@
 	return float64(reachable) / float64(len(n.settledView))
 }
 
-// Size returns the number of gateways to assume when a budget is divided. It grows at once. It shrinks only by members
-// that left, or have been failed for removalDelay, and only on a side with more than half of the last settled view.
+// Size returns the number of gateways to assume when a budget is divided. It grows as soon as a member is added. It
+// shrinks only by members that left or that failed at least removalDelay ago, and only on a side of a partition that holds
+// more than half of the last settled view.
 func (n *Node) Size() int { return n.size }
 
 // BudgetShare returns the share of a fleet-wide budget that this gateway may use. The shares of all gateways never sum
 // to more than 1, also during a partition: a side with less than half of the last settled view uses nothing after
-// minorityTimeout, and the other side shrinks, and so uses more, only after removalDelay, which is longer than it takes
-// to detect a partition plus minorityTimeout. With exactly half, neither side shrinks and both go on. A node that
-// starts, returns from a minority side, or was suspended for minorityTimeout waits until all others count it again. A
-// node that has met nobody yet uses nothing.
+// minorityTimeout. The other side reduces its Size, which increases its shares, only after removalDelay, which is longer
+// than minorityTimeout plus the time to detect a partition. If each side holds exactly half, neither reduces its Size and
+// both continue to use their shares.
+//
+// A node that starts, returns from a minority side, or was suspended for minorityTimeout uses nothing until all others
+// count it again. A node that has not yet received another member's full state uses nothing either, unless it has no
+// address of another gateway to contact.
 func (n *Node) BudgetShare() float64 {
 	inMinority := n.minoritySince > 0 && n.now-n.minoritySince >= minorityTimeout
 	if !n.joined || n.now < n.noBudgetBefore || inMinority {
@@ -31,8 +35,9 @@
 	return 1 / float64(n.size)
 }
 
-// updateSize maintains Size, BudgetShare and the settled view. A view settles once nothing has changed for settleDelay
-// on a side that holds more than half of the previous view, so that of two sides at most one moves on to a new view.
+// updateSize updates the settled view and the values behind Size and BudgetShare. A view settles when nothing has changed
+// for settleDelay on a side that holds more than half of the previous settled view, so that at most one side of a
+// partition gets a new settled view.
 func (n *Node) updateSize() {
 	live := n.liveMembers()
 	share := n.LiveShare()
@@ -71,8 +76,8 @@
 	}
 }
 
-// adoptView adopts the settled view of the first member that sends its full state: a node that starts on the minority
-// side of a partition must know that it does.
+// adoptView adopts the settled view of the first member that sends its full state, so that a node that starts on the
+// minority side of a partition recognises this.
 func (n *Node) adoptView(members []MemberState) {
 	if n.joined {
 		return
--- a/internal/membership/caps_test.go
+++ b/internal/membership/caps_test.go
@@ -8,52 +8,52 @@
 	"time"
 )
 
-// TestThousandMembers has a node hear of 1,023 others whose names, zones and addresses are as long as any may be: with it they
-// are a fleet of 1,024, its rows fit the stream that carries them, and whoever reads them knows as many. One more is refused
-// and counted, and displaces nobody.
+// TestThousandMembers sends a node messages from 1,023 others whose names, zones and addresses have the maximum length. The
+// node must count a fleet of 1,024, its full state must fit into MaxStream, and a node that receives this state must count
+// 1,024 too. One more member must be rejected and counted as rejected, without evicting another.
 func TestThousandMembers(t *testing.T) {
-	long := func(c string, i int) string { return fmt.Sprintf("%04d%s", i, strings.Repeat(c, maxNameBytes-4)) }
-	row := func(i int) MemberState {
-		return MemberState{Incarnation: Incarnation(math.MaxUint64 - uint64(i)), Name: long("n", i), Zone: long("z", i), Addr: long("a", i), Heartbeat: math.MaxUint64 - 1000}
+	longText := func(c string, i int) string { return fmt.Sprintf("%04d%s", i, strings.Repeat(c, maxNameBytes-4)) }
+	memberNumber := func(i int) MemberState {
+		return MemberState{Incarnation: Incarnation(math.MaxUint64 - uint64(i)), Name: longText("n", i), Zone: longText("z", i), Addr: longText("a", i), Heartbeat: math.MaxUint64 - 1000}
 	}
-	fresh := func(i int) *Node {
-		n, err := New(0, Options{Fleet: long("f", 0), Name: long("n", i), Zone: long("z", i), Addr: long("a", i), Seed: uint64(i)})
+	newNode := func(i int) *Node {
+		n, err := New(0, Options{Fleet: longText("f", 0), Name: longText("n", i), Zone: longText("z", i), Addr: longText("a", i), Seed: uint64(i)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return n
 	}
-	n := fresh(5000)
+	n := newNode(5000)
 	for i := range 1023 {
-		n.Step(time.Millisecond, Message{Kind: Ping, Fleet: long("f", 0), From: row(i), Seq: 1})
+		n.Step(time.Millisecond, Message{Kind: Ping, Fleet: longText("f", 0), From: memberNumber(i), Seq: 1})
 	}
 	if n.liveMembers() != 1024 || n.Size() > 1024 || n.Rejected() != 0 {
-		t.Fatalf("%d members are there, %d refused", n.liveMembers(), n.Rejected())
+		t.Fatalf("%d live members, %d rejected; want 1024 and 0", n.liveMembers(), n.Rejected())
 	}
 	n.Tick(300 * time.Millisecond)
 	if n.Size() != 1024 {
-		t.Errorf("counts on %d", n.Size())
+		t.Errorf("size %d, want 1024", n.Size())
 	}
-	n.Step(400*time.Millisecond, Message{Kind: Ping, Fleet: long("f", 0), From: row(1023), Seq: 1})
-	if n.liveMembers() != 1024 || n.Rejected() != 1 || n.table[row(1023).Incarnation] != nil {
-		t.Errorf("%d members with the 1,025th, %d refused", n.liveMembers(), n.Rejected())
+	n.Step(400*time.Millisecond, Message{Kind: Ping, Fleet: longText("f", 0), From: memberNumber(1023), Seq: 1})
+	if n.liveMembers() != 1024 || n.Rejected() != 1 || n.table[memberNumber(1023).Incarnation] != nil {
+		t.Errorf("after the 1,025th: %d live members, %d rejected; want 1024 and 1", n.liveMembers(), n.Rejected())
 	}
 	n.Ready()
-	n.send(Message{Kind: StateResponse, To: long("a", 1), Target: 1, Seq: math.MaxUint64})
+	n.send(Message{Kind: StateResponse, To: longText("a", 1), Target: 1, Seq: math.MaxUint64})
 	out, _ := n.Ready()
 	b, err := Encode(out[0])
 	if err != nil || len(b) > MaxStream {
 		t.Fatal(err, len(b))
 	}
-	t.Logf("1,024 rows of the longest names take %d bytes of %d", len(b), MaxStream)
+	t.Logf("1,024 members with the longest names take %d of %d bytes", len(b), MaxStream)
 	m, err := Decode(b)
 	if err != nil || len(m.Members) != 1023 {
 		t.Fatal(err, len(m.Members))
 	}
-	reader := fresh(6000) // one that takes a place of its own
+	reader := newNode(6000) // occupies a place in its table itself
 	m.Members = m.Members[1:]
 	reader.Step(time.Millisecond, m)
 	if reader.liveMembers() != 1024 || reader.Rejected() != 0 {
-		t.Errorf("the reader knows %d, %d refused", reader.liveMembers(), reader.Rejected())
+		t.Errorf("the receiver of the full state has %d live members, %d rejected", reader.liveMembers(), reader.Rejected())
 	}
 }
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -23,17 +23,17 @@
 		m.Members = n.Members()
 	} else {
 		overhead := messageOverheadBytes + len(m.Fleet) + memberBytes(m.From) + memberBytes(m.Subject)
-		m.Members = n.gossip(MaxDatagram - overhead)
+		m.Members = n.pickGossip(MaxDatagram - overhead)
 	}
 	m.ViewHash = n.viewHash()
 	n.outbox = append(n.outbox, m)
 }
 
-// viewHash identifies the set of members that this node takes for live.
-func (n *Node) viewHash() uint64 { return n.liveHash + mix(n.self.Incarnation) }
+// viewHash identifies the set of members that this node considers live.
+func (n *Node) viewHash() uint64 { return n.liveHash + hashIncarnation(n.self.Incarnation) }
 
-// mix is splitmix64's finalizer. Different sets have different sums of it with high probability.
-func mix(incarnation Incarnation) uint64 {
+// hashIncarnation hashes an incarnation with splitmix64's finalizer. The sums of the hashes of different sets differ with high probability.
+func hashIncarnation(incarnation Incarnation) uint64 {
 	x := uint64(incarnation)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -45,8 +45,8 @@
 	return memberOverheadBytes + len(m.Name) + len(m.Zone) + len(m.Addr)
 }
 
-// gossip returns the member states that were sent least often, as many as fit into bytesLeft.
-func (n *Node) gossip(bytesLeft int) (members []MemberState) {
+// pickGossip returns the member states that were sent least often, as many as fit into bytesLeft, and counts them as sent.
+func (n *Node) pickGossip(bytesLeft int) (members []MemberState) {
 	candidates := n.disseminating
 	slices.SortStableFunc(candidates, func(a, b *entry) int { return cmp.Compare(b.transmitsLeft, a.transmitsLeft) })
 	for _, member := range candidates[:min(len(candidates), maxGossipMembers)] {
@@ -72,7 +72,8 @@
 	member.transmitsLeft = int(math.Ceil(retransmitFactor * max(1, math.Log10(fleetSize))))
 }
 
-// sync exchanges the full state with a member, at most once in minSyncInterval. Without a member it is put off.
+// sync exchanges the full state with a member, at most once in minSyncInterval. If that is too early, or member is nil, it
+// schedules another exchange.
 func (n *Node) sync(member *entry) {
 	if member == nil || n.lastSync > 0 && n.now-n.lastSync < minSyncInterval {
 		n.nextSync = min(n.nextSync, n.now+minSyncInterval)
--- a/internal/membership/failuredetector.go
+++ b/internal/membership/failuredetector.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// suspicion is this node's own attempt to reach a member that did not answer.
+// suspicion records this node's attempts to reach a member that left a probe unanswered.
 type suspicion struct {
-	since          time.Duration // the first unanswered probe
+	since          time.Duration // when the first probe went unanswered
 	nextAttempt    time.Duration
 	attempts       int
-	confirmedBy    map[Incarnation]bool // helpers that got no answer either
-	othersAnswered int                  // answers of other members since
+	confirmedBy    map[Incarnation]bool // helpers that reported Unreachable
+	othersAnswered int                  // answers from other members since then
 }
 
-// relay is a ping on behalf of another member.
+// relay tracks the pings to a member on behalf of another member.
 type relay struct {
 	seq          uint64 // of the pings
 	requesterSeq uint64 // of the PingRequest
-	requester    string // address of the member that asked
+	requester    string // address of the member that sent the PingRequest
 	subject      Incarnation
 	subjectAddr  string
 	attempts     int
-	nextAttempt  time.Duration // of the next ping, or the end
+	nextAttempt  time.Duration // time of the next ping or, after the last one, of the report
 }
 
-// advance moves the clock. If it jumps, this process was suspended and only its own silence is explained by that:
-// suspicions start over, and no verdicts are given until the others have had time to speak.
+// advance moves the clock. A jump by more than stallThreshold means that this process was suspended, so that missing answers
+// are no evidence against other members: suspicions start over, and no member is declared failed until the others have had
+// time to send messages.
 func (n *Node) advance(now time.Duration) {
 	gap := now - n.now
 	n.now = max(n.now, now)
@@ -36,8 +37,8 @@
 	}
 	n.lastHeard = now
 	n.lastAnswer = now
-	n.noVerdictsBefore = now + maxSuspicionTimeout
-	if gap >= minorityTimeout { // the others may have gone on without it
+	n.noFailuresBefore = now + maxSuspicionTimeout
+	if gap >= minorityTimeout { // the others may have removed this node from their settled views
 		n.noBudgetBefore = now + 2*minorityTimeout
 	}
 	for _, e := range n.members {
@@ -47,7 +48,7 @@
 	}
 }
 
-// newSuspicion starts a suspicion at a time.
+// newSuspicion returns a suspicion that starts at the time from.
 func (n *Node) newSuspicion(from time.Duration) *suspicion {
 	return &suspicion{since: from, confirmedBy: map[Incarnation]bool{}}
 }
@@ -80,7 +81,7 @@
 	}
 }
 
-// runRelays repeats the pings on behalf of others and reports those that stayed unanswered.
+// runRelays repeats the pings on behalf of other members and reports the members that did not answer.
 func (n *Node) runRelays() {
 	remaining := n.relays[:0]
 	for _, relay := range n.relays {
@@ -137,8 +138,8 @@
 	n.send(Message{Kind: Ping, To: e.Addr, Target: e.Incarnation, Seq: seq})
 }
 
-// checkSuspect retries a suspect and marks it failed once that was in vain for long enough. A node that gets no answers
-// from others, or was suspended, gives no verdict.
+// checkSuspect probes a suspect again and declares it failed when its suspicion has expired. A node that gets no answers
+// from other members, or was suspended, declares no member failed.
 func (n *Node) checkSuspect(member *entry) {
 	suspicion := member.suspicion
 	if n.now >= suspicion.nextAttempt {
@@ -148,7 +149,7 @@
 			n.probeSuspect(member)
 		}
 	}
-	if !n.options.PlainSWIM && (n.Isolated() || n.Unanswered()) { // this node is at fault: the attempts so far prove nothing
+	if !n.options.PlainSWIM && (n.Isolated() || n.Unanswered()) { // the fault may be on this node's side: earlier attempts are no evidence
 		suspicion.since = n.now
 		suspicion.othersAnswered = 0
 		clear(suspicion.confirmedBy)
@@ -184,7 +185,8 @@
 	}
 }
 
-// suspicionExpired reports whether a suspicion has lasted long enough for a verdict. Confirmations of helpers shorten it.
+// suspicionExpired reports whether a suspicion has lasted long enough to declare the member failed. Confirmations by
+// helpers shorten the timeout.
 func (n *Node) suspicionExpired(s *suspicion) bool {
 	confirmations := time.Duration(min(len(s.confirmedBy), maxConfirmations))
 	timeout := maxSuspicionTimeout - (maxSuspicionTimeout-minSuspicionTimeout)*confirmations/maxConfirmations
@@ -194,16 +196,16 @@
 		return false
 	case n.options.PlainSWIM:
 		return true
-	case n.now < n.noVerdictsBefore:
+	case n.now < n.noFailuresBefore:
 		return false
 	case n.liveMembers() > 2:
-		return s.othersAnswered > 0 // otherwise this node itself may be the one that is cut off
+		return s.othersAnswered > 0 // without an answer, this node itself may be the one that is cut off
 	}
-	return lasted >= 2*maxSuspicionTimeout
+	return lasted >= 2*maxSuspicionTimeout // in a fleet of two, no other member can answer
 }
 
-// reconnect pings one failed member and one of the join addresses: after a partition, and where all known members are
-// gone, somebody has to speak first.
+// reconnect pings one failed member and one of the join addresses. Live members only probe members that they consider
+// live, so without these pings the sides of a partition, and a node that knows no live member, would not find the others.
 func (n *Node) reconnect() {
 	if member := n.pickMember(nil, func(member *entry) bool { return member.State == Failed }); member != nil {
 		n.ping(member)
--- a/internal/membership/interleaving_test.go
+++ b/internal/membership/interleaving_test.go
@@ -9,30 +9,32 @@
 	"time"
 )
 
-// choice is one step of a small fleet: a message that arrives, or what befalls one, a member or a link; or a tick.
-type choice struct {
-	kind string // "take", "lose", "double", "pause", "cut" or "tick"
-	a, b int
+// fleetStep is one step of a steppedFleet: the delivery of a message, a fault, or a tick.
+type fleetStep struct {
+	// kind is "take" (a message is delivered), "lose", "double" (it is delivered and stays queued), "pause" (of a member),
+	// "cut" (of a link) or "tick".
+	kind string
+	a, b int // the link from a to b; of a pause: member a
 }
 
-// small is three members whose every step is chosen. Messages of one link keep their order; none is under way for more than
-// two ticks, which stands for the longest delay.
-type small struct {
-	nodes  []*Node
-	now    time.Duration
-	links  map[[2]int][]waiting
-	spent  map[string]bool // each thing that can go wrong does so once
-	asleep [3]time.Duration
-	cut    [2]int
-	cutTo  time.Duration
-	failed int
-	parts  float64
+// steppedFleet is a fleet of three members in which the test chooses every step. Messages of one link keep their order. No
+// message to a running member is delayed by more than two ticks, the assumed maximum.
+type steppedFleet struct {
+	nodes          []*Node
+	now            time.Duration
+	links          map[[2]int][]queuedMessage
+	usedFaults     map[string]bool // kinds of faults that have occurred; each occurs at most once
+	pausedUntil    [3]time.Duration
+	cutLink        [2]int
+	cutUntil       time.Duration
+	declaredFailed int
+	maxBudgetSum   float64
 }
 
-func newSmall(plain bool) *small {
-	s := &small{links: map[[2]int][]waiting{}, spent: map[string]bool{}}
+func newSteppedFleet(plainSWIM bool) *steppedFleet {
+	s := &steppedFleet{links: map[[2]int][]queuedMessage{}, usedFaults: map[string]bool{}}
 	for i := range 3 {
-		n, err := New(0, Options{Name: fmt.Sprint("g", i), Zone: fmt.Sprint("z", i), Addr: fmt.Sprint("a", i), Join: []string{"a0", "a1"}, Gateways: 3, Seed: uint64(i + 11), PlainSWIM: plain})
+		n, err := New(0, Options{Name: fmt.Sprint("g", i), Zone: fmt.Sprint("z", i), Addr: fmt.Sprint("a", i), Join: []string{"a0", "a1"}, Gateways: 3, Seed: uint64(i + 11), PlainSWIM: plainSWIM})
 		if err != nil {
 			panic(err)
 		}
@@ -41,107 +43,108 @@
 	for s.now < 8*time.Second {
 		s.round()
 	}
-	s.parts = 0
+	s.maxBudgetSum = 0
 	return s
 }
 
-func (s *small) flush(i int) {
+func (s *steppedFleet) collect(i int) {
 	out, changes := s.nodes[i].Ready()
 	for _, c := range changes {
 		if c.Member.State == Failed {
-			s.failed++
+			s.declaredFailed++
 		}
 	}
 	for _, m := range out {
 		link := [2]int{i, int(m.To[1] - '0')}
-		if s.now < s.cutTo && link == s.cut {
+		if s.now < s.cutUntil && link == s.cutLink {
 			continue
 		}
-		s.links[link] = append(s.links[link], waiting{s.now, m})
+		s.links[link] = append(s.links[link], queuedMessage{s.now, m})
 	}
 }
 
-func (s *small) isRunning(i int) bool { return s.now >= s.asleep[i] }
+func (s *steppedFleet) isRunning(i int) bool { return s.now >= s.pausedUntil[i] }
 
-// choices are the steps that are possible now.
-func (s *small) choices() (out []choice) {
-	late := false
-	for _, l := range pairs {
-		if q := s.links[l]; len(q) > 0 && s.isRunning(l[1]) {
-			out = append(out, choice{"take", l[0], l[1]})
-			late = late || s.now-q[0].at >= 2*tick
+// possibleSteps returns the steps that are possible now.
+func (s *steppedFleet) possibleSteps() (out []fleetStep) {
+	deliveryOverdue := false
+	for _, link := range allLinks {
+		if queue := s.links[link]; len(queue) > 0 && s.isRunning(link[1]) {
+			out = append(out, fleetStep{"take", link[0], link[1]})
+			deliveryOverdue = deliveryOverdue || s.now-queue[0].at >= 2*tick
 			for _, kind := range []string{"lose", "double"} {
-				if !s.spent[kind] {
-					out = append(out, choice{kind, l[0], l[1]})
+				if !s.usedFaults[kind] {
+					out = append(out, fleetStep{kind, link[0], link[1]})
 				}
 			}
 		}
-		if !s.spent["cut"] {
-			out = append(out, choice{"cut", l[0], l[1]})
+		if !s.usedFaults["cut"] {
+			out = append(out, fleetStep{"cut", link[0], link[1]})
 		}
 	}
 	for i := range s.nodes {
-		if !s.spent["pause"] {
-			out = append(out, choice{"pause", i, 0})
+		if !s.usedFaults["pause"] {
+			out = append(out, fleetStep{"pause", i, 0})
 		}
 	}
-	if !late {
-		out = append(out, choice{"tick", 0, 0})
+	if !deliveryOverdue {
+		out = append(out, fleetStep{"tick", 0, 0})
 	}
 	return out
 }
 
-func (s *small) step(c choice) {
+func (s *steppedFleet) apply(c fleetStep) {
 	link := [2]int{c.a, c.b}
 	switch c.kind {
 	case "take", "lose", "double":
-		m := s.links[link][0].m
-		if c.kind != "double" { // a double is taken, and stays
+		m := s.links[link][0].message
+		if c.kind != "double" { // a duplicated message stays queued
 			s.links[link] = s.links[link][1:]
 		}
 		if c.kind != "lose" {
 			s.nodes[c.b].Step(s.now, m)
-			s.flush(c.b)
+			s.collect(c.b)
 		}
 	case "pause":
-		s.asleep[c.a] = s.now + 900*time.Millisecond
+		s.pausedUntil[c.a] = s.now + 900*time.Millisecond
 	case "cut":
-		s.cut, s.cutTo = link, s.now+4*time.Second
+		s.cutLink, s.cutUntil = link, s.now+4*time.Second
 	case "tick":
 		s.now += tick
-		parts := 0.0
+		budgetSum := 0.0
 		for i, n := range s.nodes {
 			if s.isRunning(i) {
 				n.Tick(s.now)
-				s.flush(i)
-				parts += n.BudgetShare()
+				s.collect(i)
+				budgetSum += n.BudgetShare()
 			}
 		}
-		s.parts = max(s.parts, parts)
+		s.maxBudgetSum = max(s.maxBudgetSum, budgetSum)
 	}
 	if c.kind != "take" && c.kind != "tick" {
-		s.spent[c.kind] = true
+		s.usedFaults[c.kind] = true
 	}
 }
 
-// round is a tick after which all messages arrive.
-func (s *small) round() {
-	s.step(choice{kind: "tick"})
-	for more := true; more; {
-		more = false
-		for _, l := range pairs {
-			if len(s.links[l]) > 0 && s.isRunning(l[1]) {
-				s.step(choice{"take", l[0], l[1]})
-				more = true
+// round applies a tick and then delivers all messages to running members.
+func (s *steppedFleet) round() {
+	s.apply(fleetStep{kind: "tick"})
+	for delivered := true; delivered; {
+		delivered = false
+		for _, link := range allLinks {
+			if len(s.links[link]) > 0 && s.isRunning(link[1]) {
+				s.apply(fleetStep{"take", link[0], link[1]})
+				delivered = true
 			}
 		}
 	}
 }
 
-// state sums up all that the future hangs on, but for the random choices to come, which the same past leaves alike.
-func (s *small) state() string {
+// fingerprint returns everything that determines the further run, except the state of the random generators, which is the
+// same after the same steps.
+func (s *steppedFleet) fingerprint() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.now, s.spent, s.asleep, s.cut, s.cutTo)
+	fmt.Fprint(&b, s.now, s.usedFaults, s.pausedUntil, s.cutLink, s.cutUntil)
 	for _, n := range s.nodes {
 		fmt.Fprint(&b, "|", n.seq, n.self.Heartbeat, n.lastHeard, n.lastAnswer, n.nextProbe, n.probeOrder, len(n.disseminating), n.pendingProbes, n.previousProbes, n.relays)
 		for _, e := range n.members {
@@ -151,70 +154,71 @@
 			}
 		}
 	}
-	for _, l := range pairs {
-		for _, w := range s.links[l] {
-			fmt.Fprint(&b, "/", l, w.at, w.m)
+	for _, link := range allLinks {
+		for _, w := range s.links[link] {
+			fmt.Fprint(&b, "/", link, w.at, w.message)
 		}
 	}
 	return b.String()
 }
 
-// TestAllInterleavings plays every order of steps of three members up to a depth, in which one message is lost, one comes
-// twice, one member stands still for 0.9 s and one link is cut in one direction for 4 s, each at any step or not at all. What
-// follows runs its course for 6 s: nobody is held as failed, and parts of a budget are together at most 1.
+// TestAllInterleavings applies every sequence of steps of three members up to a depth. In a sequence, one message may be
+// lost, one message duplicated, one member paused for 0.9 s and one link cut in one direction for 4 s, each at any step or
+// not at all. The fleet then runs for 6 s without further faults. No member may be declared failed, and the shares of a
+// budget may never sum to more than 1.
 func TestAllInterleavings(t *testing.T) {
 	t.Parallel()
 	depth := 4
 	if d, err := strconv.Atoi(os.Getenv("MEMBERS_DEPTH")); err == nil {
 		depth = d
 	}
-	x := interleave(depth, false)
-	t.Logf("depth %d: %d states, %d runs to the end", depth, x.states, x.ends)
-	for _, text := range x.wrong {
+	result := exploreInterleavings(depth, false)
+	t.Logf("depth %d: %d states, %d complete runs", depth, result.states, result.runs)
+	for _, text := range result.violations {
 		t.Error(text)
 	}
-	if x.ends < 100 {
-		t.Errorf("only %d runs: nothing was tried", x.ends)
+	if result.runs < 100 {
+		t.Errorf("only %d complete runs, want at least 100", result.runs)
 	}
-	if y := interleave(2, true); len(y.wrong) == 0 {
-		t.Errorf("members that give verdicts after one trial are not found out in %d runs", y.ends)
+	if plainResult := exploreInterleavings(2, true); len(plainResult.violations) == 0 {
+		t.Errorf("no run of %d found a fault in members that declare failures after one attempt", plainResult.runs)
 	}
 }
 
-// explored is what all interleavings have come to.
-type explored struct {
-	states, ends int
-	wrong        []string
+// exploration is the result of running all interleavings.
+type exploration struct {
+	states, runs int
+	violations   []string
 }
 
-func interleave(depth int, plain bool) (x explored) {
+func exploreInterleavings(depth int, plainSWIM bool) (result exploration) {
 	seen := map[string]bool{}
-	var walk func(path []choice)
-	walk = func(path []choice) {
-		s := newSmall(plain)
+	var explore func(path []fleetStep)
+	explore = func(path []fleetStep) {
+		s := newSteppedFleet(plainSWIM)
 		for _, c := range path {
-			s.step(c)
+			s.apply(c)
 		}
-		key := s.state()
+		key := s.fingerprint()
 		if seen[key] {
 			return
 		}
 		seen[key] = true
 		if len(path) < depth {
-			for _, c := range s.choices() {
-				walk(append(path[:len(path):len(path)], c))
+			for _, c := range s.possibleSteps() {
+				explore(append(path[:len(path):len(path)], c))
 			}
 			return
 		}
-		x.ends++
+		result.runs++
 		for end := s.now + 6*time.Second; s.now < end; {
 			s.round()
 		}
-		if s.failed > 0 || s.parts > 1+1e-9 {
-			x.wrong = append(x.wrong, fmt.Sprintf("after %v: %d verdicts, parts %.3f", path, s.failed, s.parts))
+		if s.declaredFailed > 0 || s.maxBudgetSum > 1+1e-9 {
+			result.violations = append(result.violations, fmt.Sprintf("after %v: %d members declared failed, budget shares sum to %.3f", path, s.declaredFailed, s.maxBudgetSum))
 		}
 	}
-	walk(nil)
-	x.states = len(seen)
-	return x
+	explore(nil)
+	result.states = len(seen)
+	return result
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -15,10 +15,10 @@
 	rng     *rand.Rand
 	self    MemberState
 	now     time.Duration
-	seq     uint64 // of the last message that wants an answer
+	seq     uint64 // sequence number of the last message that expects an answer
 
 	table         map[Incarnation]*entry
-	members       []*entry // the table in order of incarnation: random draws must not depend on a map's order
+	members       []*entry // the table's entries in order of incarnation: random draws must not depend on a map's order
 	disseminating []*entry // members whose state is still attached to messages
 	liveOthers    int      // members that have neither failed nor left
 	liveHash      uint64   // sum of their hashed incarnations
@@ -32,17 +32,17 @@
 	nextReconnect    time.Duration
 	nextSync         time.Duration // next full state exchange
 	lastSync         time.Duration
-	noVerdictsBefore time.Duration // set after this process was suspended
+	noFailuresBefore time.Duration // no member is declared failed until then; set after a suspension of this process
 
 	probeOrder     []Incarnation          // members to probe, shuffled in each round
 	pendingProbes  map[uint64]Incarnation // unanswered probes of this probe interval, by sequence number
-	previousProbes map[uint64]Incarnation // unanswered probes of the interval before
+	previousProbes map[uint64]Incarnation // unanswered probes of the previous interval
 	relays         []relay
 
 	settledView    map[Incarnation]bool // the last settled view of the fleet
-	joined         bool                 // a member has sent its full state, or there is nobody to contact
-	minoritySince  time.Duration        // since when this may be the minority side of a partition; 0 if it is not
-	noBudgetBefore time.Duration        // no share of budgets is used before
+	joined         bool                 // a member has sent its full state, or there is no other address to contact
+	minoritySince  time.Duration        // since when this node may be on the minority side of a partition; 0 if it is not
+	noBudgetBefore time.Duration        // this node uses no share of a budget until then
 	size           int                  // see Size
 
 	outbox  []Message
@@ -52,8 +52,8 @@
 // defaultProbeInterval is the default of Options.ProbeInterval.
 const defaultProbeInterval = 250 * time.Millisecond
 
-// New returns a node of a process that has just started. It fails where a name or address is missing or too long, or
-// where an option is negative.
+// New returns a node for a process that has just started. It fails if the name or the address is missing, if a text is
+// too long, or if an option is negative.
 func New(now time.Duration, o Options) (*Node, error) {
 	if o.Name == "" || o.Addr == "" {
 		return nil, errors.New("membership: a name and an address are required")
@@ -107,18 +107,18 @@
 	return members
 }
 
-// memberState returns what is gossiped of a member. Suspicions are local and not part of it.
+// memberState returns the state of a member to be gossiped. Suspicions are local and not part of it.
 func (n *Node) memberState(e *entry) MemberState {
-	r := e.MemberState
-	r.Settled = n.settledView[e.Incarnation]
-	r.Age = max(0, n.now-e.lastHeard)
-	if r.State == Failed {
-		r.Age = n.now - e.unreachableSince
+	state := e.MemberState
+	state.Settled = n.settledView[e.Incarnation]
+	state.Age = max(0, n.now-e.lastHeard)
+	if state.State == Failed {
+		state.Age = n.now - e.unreachableSince
 	}
-	return r
+	return state
 }
 
-// Suspects returns the members that this node is trying to reach after a probe went unanswered.
+// Suspects returns the members that left a probe unanswered and that this node is still trying to reach.
 func (n *Node) Suspects() (out []Incarnation) {
 	for _, e := range n.members {
 		if e.suspicion != nil {
@@ -128,7 +128,8 @@
 	return out
 }
 
-// Indirect returns the members that answered this node through other members only, which tells about links.
+// Indirect returns the live members whose last answer reached this node only through another member, which points to a
+// fault of the direct link.
 func (n *Node) Indirect() (out []Incarnation) {
 	for _, e := range n.members {
 		if e.indirect && e.State < Failed {
@@ -153,15 +154,16 @@
 	return out
 }
 
-// Isolated reports whether the node takes itself for cut off: it has heard nobody for isolationTimeout.
+// Isolated reports whether this node considers itself cut off, because no message arrived for isolationTimeout.
 func (n *Node) Isolated() bool { return n.liveMembers() > 1 && n.now-n.lastHeard > isolationTimeout }
 
-// Unanswered reports whether the node hears others but gets no answers: its own messages do not arrive.
+// Unanswered reports whether this node receives messages but no answers, which means that its own messages do not arrive.
 func (n *Node) Unanswered() bool {
 	return n.liveMembers() > 1 && !n.Isolated() && n.now-n.lastAnswer > 2*isolationTimeout
 }
 
-// Join replaces the addresses to contact. If they name nobody else, there is nobody to wait for.
+// Join replaces the addresses to contact. If none of them belongs to another gateway, the node does not wait for a full
+// state before it uses its share of budgets.
 func (n *Node) Join(addrs []string) {
 	n.options.Join = addrs
 	n.joined = n.joined || !slices.ContainsFunc(addrs, func(a string) bool { return a != n.self.Addr })
@@ -170,7 +172,7 @@
 // Drain announces that this gateway accepts no new work.
 func (n *Node) Drain() { n.self.State = Draining }
 
-// Leave announces that this gateway stops. The messages that Ready returns next are to be sent before it does.
+// Leave announces that this gateway stops. The caller must send the messages that Ready returns next before it stops.
 func (n *Node) Leave() {
 	n.self.State = Left
 	for range 2 * indirectProbes {
--- a/internal/membership/ring_test.go
+++ b/internal/membership/ring_test.go
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// deviation is one fault of a run.
-type deviation struct {
+// fault is one fault that a test injects.
+type fault struct {
 	kind  string // "loss", "twice", "late", "pause" or "cut"
-	at    int    // the message's number, or the tick
-	a, b  int    // the member that stands still, or the direction of the cut
-	ticks int    // ticks that it lasts
+	at    int    // number of the message, or of the first tick
+	a, b  int    // the link from a to b that is cut; of a pause: member a
+	ticks int    // duration of a pause or a cut
 }
 
-// ring is a few members on a network without loss, apart from the deviations.
-type ring struct {
-	nodes      []*Node
-	now        time.Duration
-	sent       int
-	waiting    []waiting
-	deviations []deviation
-	failed     []string
-	maxBudget  float64 // parts of a budget
+// testFleet is a few members on a network without faults other than the injected ones.
+type testFleet struct {
+	nodes          []*Node
+	now            time.Duration
+	messagesSent   int
+	queue          []queuedMessage
+	faults         []fault
+	declaredFailed []string
+	maxBudgetSum   float64 // largest sum of the members' budget shares
 }
 
-type waiting struct {
-	at time.Duration
-	m  Message
+// queuedMessage is a message in transit.
+type queuedMessage struct {
+	at      time.Duration // time of arrival in a testFleet, of sending in a steppedFleet
+	message Message
 }
 
 const (
@@ -36,93 +37,93 @@
 	transitTime = 2 * time.Millisecond
 )
 
-func newRing(t *testing.T, n int, devs ...deviation) *ring {
-	r := &ring{deviations: devs}
+func newTestFleet(t *testing.T, n int, faults ...fault) *testFleet {
+	fleet := &testFleet{faults: faults}
 	for i := range n {
-		x, err := New(0, Options{Name: fmt.Sprint("g", i), Zone: fmt.Sprint("z", i), Addr: fmt.Sprint("a", i), Join: []string{"a0", "a1"},
+		node, err := New(0, Options{Name: fmt.Sprint("g", i), Zone: fmt.Sprint("z", i), Addr: fmt.Sprint("a", i), Join: []string{"a0", "a1"},
 			Gateways: n, Seed: uint64(i + 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.nodes = append(r.nodes, x)
+		fleet.nodes = append(fleet.nodes, node)
 	}
-	return r
+	return fleet
 }
 
-func (r *ring) stopped(i, tickNo int) bool {
-	return slices.ContainsFunc(r.deviations, func(d deviation) bool {
+func (f *testFleet) isPaused(i, tickNo int) bool {
+	return slices.ContainsFunc(f.faults, func(d fault) bool {
 		return d.kind == "pause" && d.a == i && tickNo >= d.at && tickNo < d.at+d.ticks
 	})
 }
 
-func (r *ring) collect(tickNo int, from *Node) {
+func (f *testFleet) collect(tickNo int, from *Node) {
 	out, changes := from.Ready()
 	for _, c := range changes {
 		if c.Member.State == Failed && !c.New {
-			r.failed = append(r.failed, fmt.Sprintf("%s failed %s at %v", from.Self().Name, c.Member.Name, r.now))
+			f.declaredFailed = append(f.declaredFailed, fmt.Sprintf("%s failed %s at %v", from.Self().Name, c.Member.Name, f.now))
 		}
 	}
 	for _, m := range out {
-		r.sent++
-		at, copies := r.now+transitTime, 1
-		for _, d := range r.deviations {
+		f.messagesSent++
+		at, copies := f.now+transitTime, 1
+		for _, d := range f.faults {
 			switch cut := d.kind == "cut" && tickNo >= d.at && tickNo < d.at+d.ticks; {
-			case cut && m.From.Addr == fmt.Sprint("a", d.a) && m.To == fmt.Sprint("a", d.b), d.kind == "loss" && d.at == r.sent:
+			case cut && m.From.Addr == fmt.Sprint("a", d.a) && m.To == fmt.Sprint("a", d.b), d.kind == "loss" && d.at == f.messagesSent:
 				copies = 0
-			case d.kind == "late" && d.at == r.sent:
+			case d.kind == "late" && d.at == f.messagesSent:
 				at += 700 * time.Millisecond
-			case d.kind == "twice" && d.at == r.sent:
-				r.waiting = append(r.waiting, waiting{at + 3*time.Second, m})
+			case d.kind == "twice" && d.at == f.messagesSent:
+				f.queue = append(f.queue, queuedMessage{at + 3*time.Second, m})
 			}
 		}
 		if copies > 0 {
-			r.waiting = append(r.waiting, waiting{at, m})
+			f.queue = append(f.queue, queuedMessage{at, m})
 		}
 	}
 }
 
-// run advances the ring by a number of ticks. Messages arrive between them.
-func (r *ring) run(ticks int) {
-	first := int(r.now / tick)
+// run advances the fleet by a number of ticks and delivers messages between them.
+func (f *testFleet) run(ticks int) {
+	first := int(f.now / tick)
 	for k := first; k < first+ticks; k++ {
-		r.now = time.Duration(k+1) * tick
-		for i, n := range r.nodes {
-			if !r.stopped(i, k) {
-				n.Tick(r.now)
-				r.collect(k, n)
+		f.now = time.Duration(k+1) * tick
+		for i, n := range f.nodes {
+			if !f.isPaused(i, k) {
+				n.Tick(f.now)
+				f.collect(k, n)
 			}
 		}
-		end := r.now + tick - transitTime
+		end := f.now + tick - transitTime
 		for {
-			i := -1
-			for j, w := range r.waiting {
-				if w.at <= end && (i < 0 || w.at < r.waiting[i].at) {
-					i = j
+			earliest := -1
+			for j, w := range f.queue {
+				if w.at <= end && (earliest < 0 || w.at < f.queue[earliest].at) {
+					earliest = j
 				}
 			}
-			if i < 0 {
+			if earliest < 0 {
 				break
 			}
-			w := r.waiting[i]
-			r.waiting = slices.Delete(r.waiting, i, i+1)
-			for to, n := range r.nodes {
-				if n.Self().Addr != w.m.To {
+			w := f.queue[earliest]
+			f.queue = slices.Delete(f.queue, earliest, earliest+1)
+			for to, n := range f.nodes {
+				if n.Self().Addr != w.message.To {
 					continue
 				}
-				if r.stopped(to, k) {
-					w.at = r.now + 2*tick // it waits in the socket
-					r.waiting = append(r.waiting, w)
+				if f.isPaused(to, k) {
+					w.at = f.now + 2*tick // as if it waited in the socket's buffer
+					f.queue = append(f.queue, w)
 					continue
 				}
-				r.now = max(r.now, w.at)
-				n.Step(r.now, w.m)
-				r.collect(k, n)
+				f.now = max(f.now, w.at)
+				n.Step(f.now, w.message)
+				f.collect(k, n)
 			}
 		}
-		parts := 0.0
-		for _, n := range r.nodes {
-			parts += n.BudgetShare()
+		budgetSum := 0.0
+		for _, n := range f.nodes {
+			budgetSum += n.BudgetShare()
 		}
-		r.maxBudget = max(r.maxBudget, parts)
+		f.maxBudgetSum = max(f.maxBudgetSum, budgetSum)
 	}
 }
--- a/internal/membership/step.go
+++ b/internal/membership/step.go
@@ -37,8 +37,8 @@
 	n.handle(m, sender)
 }
 
-// addSender adds the sender of a message to the table and exchanges the full state with it. It returns nil where the
-// sender has left or was not added.
+// addSender adds the sender of a message to the table and exchanges the full state with it. It returns nil if the sender
+// has left or could not be added.
 func (n *Node) addSender(m Message, fullState bool) *entry {
 	if m.From.State >= Failed {
 		return nil
@@ -61,7 +61,7 @@
 		n.send(Message{Kind: Ack, To: m.From.Addr, Target: m.From.Incarnation, Seq: m.Seq})
 	case Ack:
 		n.handleAck(m, sender)
-	case WrongIncarnation: // another incarnation listens at its address
+	case WrongIncarnation: // another incarnation listens at the target's address
 		old := n.table[m.Target]
 		if old != nil && old.State < Failed && m.From.Addr == old.Addr {
 			n.markFailed(old, n.now, m.From.Name, "replaced by another incarnation")
@@ -81,7 +81,8 @@
 	}
 }
 
-// handlePingRequest tries to reach a member on behalf of the sender. A recent sign of life is reported at once.
+// handlePingRequest pings a member on behalf of the sender. If this node already has a recent sign of life of the member,
+// it also reports that at once.
 func (n *Node) handlePingRequest(m Message) {
 	if m.Target != n.self.Incarnation || m.Subject.Incarnation == n.self.Incarnation {
 		return
@@ -89,15 +90,18 @@
 	if e := n.table[m.Subject.Incarnation]; e != nil && e.State < Failed && n.now-e.lastHeard < minSuspicionTimeout {
 		n.send(Message{Kind: Ack, To: m.From.Addr, Seq: m.Seq, Subject: n.memberState(e)})
 	}
-	same := func(r relay) bool { return r.subject == m.Subject.Incarnation && r.requester == m.From.Addr }
-	if len(n.relays) < maxRelays && !slices.ContainsFunc(n.relays, same) {
+	sameRelay := func(other relay) bool {
+		return other.subject == m.Subject.Incarnation && other.requester == m.From.Addr
+	}
+	if len(n.relays) < maxRelays && !slices.ContainsFunc(n.relays, sameRelay) {
 		n.relays = append(n.relays, relay{seq: n.nextSeq(), requesterSeq: m.Seq, requester: m.From.Addr,
 			subject: m.Subject.Incarnation, subjectAddr: m.Subject.Addr})
 		n.runRelays()
 	}
 }
 
-// recordAnswer records that a member answered this node: messages arrive in both directions.
+// recordAnswer records that a member answered this node, which shows that messages arrive in both directions. The answer
+// counts in the suspicions of all other members.
 func (n *Node) recordAnswer(sender *entry) {
 	n.lastAnswer = n.now
 	for _, member := range n.members {
@@ -107,7 +111,7 @@
 	}
 }
 
-// handleAck processes the answer to one of this node's pings, or one that another member relays.
+// handleAck processes the answer to one of this node's pings, or an answer that another member relays.
 func (n *Node) handleAck(m Message, from *entry) {
 	if m.Subject.Incarnation != 0 && m.Subject.Incarnation != from.Incarnation { // relayed
 		n.recordAnswer(from)
@@ -134,7 +138,8 @@
 	n.recordAnswer(from)
 }
 
-// recordAlive records a sign of life of a member as of a time; direct means that the member itself spoke to this node.
+// recordAlive records a sign of life that a member gave at the time at. If direct is true, this node received it from the
+// member itself.
 func (n *Node) recordAlive(member *entry, update MemberState, at time.Duration, direct bool) {
 	if member.State == Left || update.Heartbeat <= member.Heartbeat && !(direct && member.lastHeard == 0) {
 		return
@@ -143,8 +148,8 @@
 	member.lastHeard = max(member.lastHeard, at)
 	if member.suspicion != nil && (direct || member.lastHeard > member.suspicion.since+ageTolerance) {
 		member.suspicion = nil
-		for _, out := range []map[uint64]Incarnation{n.pendingProbes, n.previousProbes} {
-			maps.DeleteFunc(out, func(_ uint64, s Incarnation) bool { return s == member.Incarnation })
+		for _, probes := range []map[uint64]Incarnation{n.pendingProbes, n.previousProbes} {
+			maps.DeleteFunc(probes, func(_ uint64, probed Incarnation) bool { return probed == member.Incarnation })
 		}
 	}
 	switch {
@@ -152,11 +157,11 @@
 		n.setState(member, Left, "", "announced")
 		n.disseminate(member)
 	case member.State == Failed && member.lastHeard > member.unreachableSince+ageTolerance:
-		was := member.stateSince
+		failedAt := member.stateSince
 		n.setState(member, update.State, "", "heard again")
 		n.disseminate(member)
-		if direct && n.now-was > maxSuspicionTimeout {
-			n.sync(member) // a whole side of a partition may have returned with it
+		if direct && n.now-failedAt > maxSuspicionTimeout {
+			n.sync(member) // other members may have become reachable with it, after a partition
 		}
 	case update.State == Draining && member.State == Alive:
 		n.setState(member, Draining, "", "announced")
@@ -164,7 +169,7 @@
 	}
 }
 
-// handleGossip processes what another member reports of a member.
+// handleGossip processes the state of a member that another member reports.
 func (n *Node) handleGossip(update MemberState, reporter string) {
 	if update.Incarnation == n.self.Incarnation || update.Age < 0 || update.State > Left {
 		return
@@ -180,7 +185,7 @@
 		n.setState(member, Left, reporter, "announced")
 		n.disseminate(member)
 	case update.State == Failed && member.State < Failed && !n.options.PlainSWIM && member.lastHeard > at+ageTolerance:
-		n.disseminate(member) // it was heard since: the verdict is outdated
+		n.disseminate(member) // the report is outdated: the member has given a sign of life since
 	case update.State == Failed && member.State < Failed:
 		n.markFailed(member, at, reporter, "reported")
 	case update.State < Failed:
@@ -188,7 +193,8 @@
 	}
 }
 
-// addReported adds a member that another one reports: a live one, or a failed one of the reporter's settled view.
+// addReported adds a member that another member reports, if it was alive recently or is a failed member of the reporter's
+// settled view.
 func (n *Node) addReported(update MemberState, at time.Duration) {
 	recentlyAlive := update.State < Failed && update.Age < forgetDelay
 	failedInView := update.State == Failed && update.Settled
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -8,13 +8,13 @@
 
 // entry is one member in the table.
 type entry struct {
-	MemberState                    // its Age is unused
-	lastHeard        time.Duration // latest sign of life, seen here or elsewhere
-	stateSince       time.Duration // of the last change of its state
-	unreachableSince time.Duration // of a failed member: its first unanswered probe
-	transmitsLeft    int           // messages to which its state is still attached
+	MemberState                    // its Age is unused; see memberState
+	lastHeard        time.Duration // latest sign of life, received by this node or reported
+	stateSince       time.Duration // time of the last change of its state
+	unreachableSince time.Duration // of a failed member: time of its first unanswered probe
+	transmitsLeft    int           // number of further messages to which its state is attached
 	suspicion        *suspicion
-	indirect         bool // its last answer came through another member only
+	indirect         bool // its last answer reached this node only through another member
 }
 
 // liveMembers returns the number of members that have neither failed nor left, including this one.
@@ -24,15 +24,15 @@
 func (n *Node) countLive(member *entry, live bool) {
 	if live {
 		n.liveOthers++
-		n.liveHash += mix(member.Incarnation)
+		n.liveHash += hashIncarnation(member.Incarnation)
 	} else {
 		n.liveOthers--
-		n.liveHash -= mix(member.Incarnation)
+		n.liveHash -= hashIncarnation(member.Incarnation)
 	}
 }
 
-// addMember adds a member to the table. It returns nil where the state is invalid or the table is full of live members;
-// members that failed or left are evicted.
+// addMember adds a member to the table. If the table is full, a member that failed or left is evicted. addMember returns
+// nil if the state is invalid or the table is full of live members.
 func (n *Node) addMember(state MemberState) *entry {
 	if state.Incarnation == 0 || state.Name == "" || state.Addr == "" {
 		return nil
@@ -64,7 +64,7 @@
 	return member
 }
 
-// removeMember forgets a member.
+// removeMember removes a member from the table.
 func (n *Node) removeMember(member *entry) {
 	if member.State < Failed {
 		n.countLive(member, false)
@@ -74,7 +74,7 @@
 	n.members = slices.DeleteFunc(n.members, func(other *entry) bool { return other == member })
 }
 
-// markFailed records the verdict that a member has failed, this node's own or a reported one.
+// markFailed records that a member has failed, as declared by this node or reported by another member.
 func (n *Node) markFailed(member *entry, unreachableSince time.Duration, reporter, reason string) {
 	member.unreachableSince = unreachableSince
 	member.suspicion = nil
@@ -99,8 +99,8 @@
 	n.lastChange = n.now
 }
 
-// pickMember draws one of the members that accept allows, preferably of a zone that is not among usedZones; nil if
-// there is none.
+// pickMember returns a random member that accept allows, preferably from a zone that is not among usedZones. It returns
+// nil if there is none.
 func (n *Node) pickMember(usedZones []string, accept func(*entry) bool) *entry {
 	var preferred, fallback []*entry
 	for _, member := range n.members {
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -7,16 +7,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of encoded messages in bytes. MaxDatagram bounds every message but StateRequest and StateResponse, which go over a
-// stream and are bounded by MaxStream. SealOverhead is left for encryption: with it a datagram stays within 1,200 bytes.
+// Bounds of encoded messages in bytes. StateRequest and StateResponse, which go over a stream, are bounded by MaxStream, and
+// all other messages by MaxDatagram. SealOverhead is reserved for encryption: a sealed datagram has at most 1,200 bytes.
 const (
-	SealOverhead = 48
-	MaxDatagram  = 1200 - SealOverhead
-	MaxStream    = 256 << 10
-	version      = 1 // of the encoding; the first byte of each message
+	SealOverhead    = 48
+	MaxDatagram     = 1200 - SealOverhead
+	MaxStream       = 256 << 10
+	encodingVersion = 1 // first byte of each encoded message
 )
 
-// ErrMalformed is returned by Decode for input that no member of this version writes.
+// ErrMalformed is returned by Decode for input that is not a valid message.
 var ErrMalformed = errors.New("membership: malformed message")
 
 var (
@@ -33,20 +33,20 @@
 	return mode
 }
 
-// Encode encodes a message. It fails if the result exceeds the bound of the message's kind.
+// Encode encodes a message. It fails if the result exceeds the size limit of the message's kind.
 func Encode(m Message) ([]byte, error) {
 	b, err := encoder.Marshal(m)
 	if err != nil {
 		return nil, fmt.Errorf("membership: encoding: %w", err)
 	}
-	b = append([]byte{version}, b...)
+	b = append([]byte{encodingVersion}, b...)
 	if len(b) > m.Kind.maxBytes() {
-		return nil, fmt.Errorf("membership: the message has %d bytes, %d are allowed", len(b), m.Kind.maxBytes())
+		return nil, fmt.Errorf("membership: the message has %d bytes, more than the limit of %d", len(b), m.Kind.maxBytes())
 	}
 	return b, nil
 }
 
-// maxBytes returns the bound of an encoded message of this kind.
+// maxBytes returns the size limit of an encoded message of this kind.
 func (k Kind) maxBytes() int {
 	if k == StateRequest || k == StateResponse {
 		return MaxStream
@@ -55,9 +55,9 @@
 }
 
 // Decode decodes a message strictly: every length and count is checked before it is used. Unknown fields are ignored. It
-// returns ErrMalformed for anything else than a valid message.
+// returns ErrMalformed for anything but a valid message.
 func Decode(b []byte) (m Message, err error) {
-	if len(b) < 2 || len(b) > MaxStream || b[0] != version {
+	if len(b) < 2 || len(b) > MaxStream || b[0] != encodingVersion {
 		return m, ErrMalformed
 	}
 	if err := decoder.Unmarshal(b[1:], &m); err != nil {
@@ -79,7 +79,7 @@
 	return m, nil
 }
 
-// valid reports whether a member's state is complete and within all bounds.
+// valid reports whether a member's state is complete and its values are within their bounds.
 func (m MemberState) valid() bool {
 	return m.Incarnation != 0 && m.State <= Left && m.Age >= 0 && m.Name != "" && m.Addr != "" &&
 		max(len(m.Name), len(m.Zone), len(m.Addr)) <= maxNameBytes
