--- a/cmd/cranegate/admin_test.go
+++ b/cmd/cranegate/admin_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestDetachAndAttach detaches a replica and attaches it again, while discovery goes on listing it: it gets nothing once the
-// detach call has returned, and is used again after.
+// TestDetachAndAttach detaches a replica and attaches it again while discovery still lists it as serving. It must get no request once the
+// detach call has returned, and must be used again after the attach call.
 func TestDetachAndAttach(t *testing.T) {
 	h := startGateway(t, nil)
 	client := h.dialClient()
@@ -48,7 +48,7 @@
 }
 
 // TestLameduck drains the clients and accepts clients again. The empty query, by which balancers check the frontend, fails at once; a
-// client that goes on sending has each answer, and then the end of its connection; an idle one is closed.
+// client that keeps sending gets each answer before its connection is closed, and an idle client's connection is closed.
 func TestLameduck(t *testing.T) {
 	h := startGateway(t, nil)
 	idle, busy, balancer := h.dialClient(), h.dialClient(), h.dialClient()
@@ -62,7 +62,7 @@
 		id := fmt.Sprint("b", i)
 		r, err := busy.Ask(fmt.Sprintf(readQuery, id, id))
 		if err != nil {
-			break // between requests: below it is checked that no host ran a request without an answer
+			break // closed between requests: the check below shows that no host ran an unanswered request
 		}
 		if answers++; r.Outcome != "served" {
 			t.Errorf("%s: %+v", id, r)
@@ -82,6 +82,6 @@
 	}
 	time.Sleep(2500 * time.Millisecond)
 	if r, err := again.Ask(";"); err != nil || r.Outcome != "empty" {
-		t.Errorf("a client that came after: %+v, %v", r, err)
+		t.Errorf("a client that connected after the drain: %+v, %v", r, err)
 	}
 }
--- a/cmd/cranegate/admincontrol.go
+++ b/cmd/cranegate/admincontrol.go
@@ -16,7 +16,7 @@
 	errLameduckLocked = errors.New("stopping: clients are not taken again; start the gateway anew")
 )
 
-// control is the gateway as admin.Control: what admin calls act on.
+// control implements admin.Control for the gateway.
 type control gateway
 
 // Ready returns nil if this process can serve.
@@ -36,7 +36,7 @@
 // Attach lets a database host serve again, in all processes of this gateway.
 func (c *control) Attach(ctx context.Context, id string) error { return c.setDetached(ctx, id, false) }
 
-// setDetached overrides a host of any fleet. Its error is an override.UnknownHostError where no endpoint list has the host.
+// setDetached detaches or attaches a host in all fleets. It fails with an override.UnknownHostError if no endpoint list has the host.
 func (c *control) setDetached(ctx context.Context, id string, detached bool) error {
 	known, err := (*gateway)(c).knowsHost(ctx, id)
 	if err != nil {
--- a/cmd/cranegate/adminlistener.go
+++ b/cmd/cranegate/adminlistener.go
@@ -14,10 +14,10 @@
 	"cranegate/internal/config"
 )
 
-// Concurrent callers at each address, beside one that waits to be served. Together with the agent-check's they fit into
-// checkDescriptors; the platform's admin address has descriptors of its own.
+// Limits on concurrent callers at each address, not counting one that waits to be served. The callers at the operator's addresses and
+// at the agent-check fit into checkDescriptors; the descriptors of the platform's admin address are counted separately.
 const (
-	maxAdminCallers         = 24 // at the platform's admin address, which small limits lower
+	maxAdminCallers         = 24 // at the platform's admin address; fewer under a low descriptor limit
 	maxHealthCallers        = 12 // at the operator's [health]
 	maxOperatorAdminCallers = 6  // at the operator's [admin]
 )
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// serveAdmin serves admin calls and the pages of counters and members at an address. name stands in logs and errors.
+// serveAdmin serves admin calls and the pages of counters and members at an address. name appears in logs and errors.
 func (g *gateway) serveAdmin(name, address string, maxCallers int) error {
 	pages := map[string]admin.Page{"/counters": g.countersPage, "/members": g.membersPage}
 	server := admin.New((*control)(g), &g.serializer, pages, maxCallers)
--- a/cmd/cranegate/cli.go
+++ b/cmd/cranegate/cli.go
@@ -15,7 +15,7 @@
 
 // Bounds of a call from the command line.
 const (
-	// callTimeout bounds a whole call. A running gateway answers within a second unless it is overloaded.
+	// callTimeout bounds a call from the connect to the end of the response. A running gateway answers within a second unless it is overloaded.
 	callTimeout      = 3 * time.Second
 	maxResponseBytes = 4 << 20 // a thousand members take less
 	maxHeaderBytes   = 16 << 10
@@ -25,13 +25,13 @@
 const (
 	exitRejected    = 1
 	exitUnreachable = 2
-	exitUsage       = 80 // Kong's own for mistakes on the command line
+	exitUsage       = 80 // the code with which Kong reports errors on the command line
 )
 
-// gatewayFlags name the running gateway that a command calls.
+// gatewayFlags select the running gateway that a command calls.
 type gatewayFlags struct {
-	Admin    string `placeholder:"ADDRESS" help:"Address and port of the running gateway's admin address, or of its [admin]; without it and --operator PROXY_ADMIN."`
-	Operator string `placeholder:"FILE" env:"CRANEGATE_OPERATOR" help:"Its operator's file, whose [admin] names that address."`
+	Admin    string `placeholder:"ADDRESS" help:"Admin address of the running gateway, as host:port. Without it the [admin] of --operator is called, or else PROXY_ADMIN."`
+	Operator string `placeholder:"FILE" env:"CRANEGATE_OPERATOR" help:"The running gateway's operator's file, whose [admin] names an admin address."`
 }
 
 // NoAddressError reports that neither a flag nor PROXY_ADMIN names a gateway to call.
@@ -54,7 +54,7 @@
 
 // Error says what to check.
 func (e UnreachableError) Error() string {
-	return fmt.Sprintf("no gateway answers at %s (%v); see that it runs and that this is its admin address, then ask again", e.Address, e.Cause)
+	return fmt.Sprintf("no gateway answers at %s (%v); check that it runs and that this is its admin address, then repeat the call", e.Address, e.Cause)
 }
 
 // Unwrap returns the cause.
@@ -66,13 +66,13 @@
 // RejectedError reports that the gateway rejected a call.
 type RejectedError struct {
 	Status int    // of HTTP
-	Reason string // the gateway's own text, which says what can be done
+	Reason string // the response's body, which says what can be done
 }
 
-// Error is the gateway's own text, if it sent any.
+// Error returns the gateway's text or, if it sent none, the status.
 func (e RejectedError) Error() string {
 	if e.Reason == "" {
-		return fmt.Sprintf("no: status %d and no words; see that this is a gateway's admin address", e.Status)
+		return fmt.Sprintf("rejected with HTTP status %d and an empty response; check that this is a gateway's admin address", e.Status)
 	}
 	return e.Reason
 }
@@ -83,13 +83,13 @@
 // ResponseTooLargeError reports a response of more than maxResponseBytes.
 type ResponseTooLargeError struct{}
 
-// Error gives the bound.
+// Error names the bound.
 func (ResponseTooLargeError) Error() string {
-	return fmt.Sprintf("its answer is longer than %d bytes", maxResponseBytes)
+	return fmt.Sprintf("the response is longer than %d bytes", maxResponseBytes)
 }
 
-// adminAddress returns the gateway's admin address: that of --admin, of the operator's file, or of PROXY_ADMIN, in this order. It fails
-// with NoAddressError, or as the file does.
+// adminAddress returns the gateway's admin address from --admin, the operator's file or PROXY_ADMIN, in this order. It fails with
+// NoAddressError, or with the error of loading the operator's file.
 func (f gatewayFlags) adminAddress() (string, error) {
 	if f.Admin != "" {
 		return f.Admin, nil
@@ -109,7 +109,8 @@
 	return "", NoAddressError{}
 }
 
-// call makes an admin call and returns the body of a 200 response. It fails with NoAddressError, UnreachableError or RejectedError.
+// call makes an admin call and returns the body of a 200 response. It fails with an error of adminAddress,
+// UnreachableError or RejectedError.
 func (f gatewayFlags) call(method, path string) ([]byte, error) {
 	address, err := f.adminAddress()
 	if err != nil {
--- a/cmd/cranegate/cli_members.go
+++ b/cmd/cranegate/cli_members.go
@@ -36,7 +36,7 @@
 // printMembers prints warnings, the most severe first, and a table of the members.
 func printMembers(out io.Writer, view gossip.View) error {
 	printWarnings(out, view)
-	fmt.Fprintf(out, "%d gateways are counted on; of a common budget this one uses %.4f.\n", view.Size, view.BudgetShare)
+	fmt.Fprintf(out, "%d gateways are counted on; this one uses %.4f of each fleet-wide budget.\n", view.Size, view.BudgetShare)
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "NAME\tZONE\tADDRESS\tSTATE\tHEARD\tLINK")
 	fmt.Fprintf(table, "%s\t%s\t%s\t%s\t-\tthis gateway\n", view.Self.Name, view.Self.Zone, view.Self.Address, view.Self.State)
@@ -58,16 +58,16 @@
 func printWarnings(out io.Writer, view gossip.View) {
 	switch {
 	case view.Isolated:
-		fmt.Fprintln(out, "THIS GATEWAY HEARS NOBODY: it is the one that is cut off.")
+		fmt.Fprintln(out, "THIS GATEWAY RECEIVES NOTHING FROM OTHER MEMBERS: it is cut off from the fleet.")
 	case view.Unanswered:
-		fmt.Fprintln(out, "NOBODY ANSWERS THIS GATEWAY: what it sends does not arrive.")
+		fmt.Fprintln(out, "NO MEMBER ANSWERS THIS GATEWAY: its messages do not arrive.")
 	case view.LiveShare <= 0.5:
-		fmt.Fprintf(out, "THIS MAY BE THE LESSER SIDE OF A CUT: %.0f%% of the last settled view is here.\n", 100*view.LiveShare)
+		fmt.Fprintf(out, "THIS MAY BE THE MINORITY SIDE OF A PARTITION: it reaches %.0f%% of the last settled view.\n", 100*view.LiveShare)
 	}
 	for _, name := range view.Conflicts {
-		fmt.Fprintf(out, "TWO LIVE PROCESSES ARE CALLED %q: end one of them.\n", name)
+		fmt.Fprintf(out, "TWO LIVE PROCESSES HAVE THE NAME %q: stop one of them.\n", name)
 	}
 	if view.Rejected > 0 {
-		fmt.Fprintf(out, "%d members were refused: there are as many as there may be.\n", view.Rejected)
+		fmt.Fprintf(out, "%d members were not added: the fleet has its maximum number of members.\n", view.Rejected)
 	}
 }
--- a/cmd/cranegate/cli_test.go
+++ b/cmd/cranegate/cli_test.go
@@ -29,7 +29,7 @@
 	return cmd.ProcessState.ExitCode(), out.String()
 }
 
-// TestCommands makes each call on the command line: accepted, rejected, and with no gateway there.
+// TestCommands runs each command with calls that are accepted, that are rejected, and that reach no gateway.
 func TestCommands(t *testing.T) {
 	h := startGateway(t, nil)
 	foreign := listenLoopback(t)
@@ -74,10 +74,10 @@
 	h.launch(exec.Command(program, "-operator", path))
 	h.until("a yes", func() bool { code, _ := runCommand(t, "", "ready", "--operator", path); return code == 0 })
 	if code, text := runCommand(t, "", "host", "detach", "--operator", path, "db-1"); code != 1 || !strings.Contains(text, "db-1") {
-		t.Errorf("a host of no fleet: exit %d, %q", code, text)
+		t.Errorf("detaching a host that no fleet has: exit %d, %q", code, text)
 	}
 	if adminStatus("GET", admin, "/counters") != 200 {
-		t.Error("no counters")
+		t.Error("/counters was not served")
 	}
 	if code, text := runCommand(t, "", "lameduck", "on", "--operator", path); code != 0 {
 		t.Errorf("lameduck: exit %d, %q", code, text)
--- a/cmd/cranegate/descriptors.go
+++ b/cmd/cranegate/descriptors.go
@@ -8,29 +8,29 @@
 	"cranegate/internal/frontend/connlimit"
 )
 
-// Descriptors that are set aside beside those for clients and database hosts, which can't use them.
+// Descriptors that are set aside. Connections of clients and to database hosts can't use them.
 const (
-	runtimeDescriptors    = 8  // standard streams, the poller's two, and files that are read at times
+	runtimeDescriptors    = 8  // standard streams, two of the network poller, and files that are read occasionally
 	hotRestartDescriptors = 12 // the folder and its two listeners, two links and two senders of another process, the state's files
 	frontendDescriptors   = 3  // per frontend: its listener, a duplicate of a shared one, and the client that is being accepted
-	discoveryDescriptors  = 2  // per frontend: the connection, and the one that takes its place
-	listenerDescriptors   = 2  // per admin address: its listener, and the caller that waits to be served
+	discoveryDescriptors  = 2  // per frontend: the connection, and its replacement
+	listenerDescriptors   = 2  // per admin address: its listener, and a caller that waits to be served
 	checkDescriptors      = 32 // the operator's addresses with all their callers
 	gossipDescriptors     = 32 // the other gateways
 
-	maxDescriptors = 1024 // used at most, also where the limits allow more
+	maxDescriptors = 1024 // upper bound, even if the limits allow more
 )
 
 // TooFewDescriptorsError reports that the limit on descriptors leaves none for clients and database hosts. The operator can raise
-// limits.sockets or the limit on open files (ulimit -n), or turn off what the operator's file configures beside the frontends.
+// limits.sockets or the limit on open files (ulimit -n), or turn off what the operator's file configures in addition to the frontends.
 type TooFewDescriptorsError struct {
-	Limit int // that is set
-	Min   int // that this configuration needs
+	Limit int // the limit in force
+	Min   int // the lowest limit with which this configuration runs
 }
 
 // Error says what to raise.
 func (e TooFewDescriptorsError) Error() string {
-	return fmt.Sprintf("%d descriptors are too few, %d is the least; raise limits.sockets or the limit on open files (ulimit -n)", e.Limit, e.Min)
+	return fmt.Sprintf("the limit of %d descriptors is too low, at least %d are needed; raise limits.sockets or the limit on open files (ulimit -n)", e.Limit, e.Min)
 }
 
 // descriptorUsers says which parts of the program need descriptors.
@@ -43,14 +43,14 @@
 
 // descriptorAllocation divides the limit on descriptors.
 type descriptorAllocation struct {
-	limit        int // in all
+	limit        int // the limit that is divided
 	adminCallers int // at the platform's admin address
 	clients      int // connections of all frontends
 	backendConns int // connections to the database hosts of each protocol
 }
 
-// allocateDescriptors divides the lower of the configured limit and the system's limit on open files, which is 0 where it is not
-// known. It fails with a TooFewDescriptorsError.
+// allocateDescriptors divides the lower of the configured limit and openFiles, the system's limit on open files or 0 if that is unknown.
+// It fails with a TooFewDescriptorsError.
 func allocateDescriptors(limits config.Limits, openFiles int, users descriptorUsers) (descriptorAllocation, error) {
 	frontends := max(1, users.frontends)
 	limit := limits.Sockets
@@ -70,13 +70,13 @@
 	forBackends := remaining - allocation.clients - connlimit.RejectQueueSize(allocation.clients)
 	allocation.backendConns = max(1, forBackends/frontends)
 	if allocation.backendConns*frontends > allocation.clients {
-		// More connections than clients are of no use: a client without a free one waits.
+		// More connections than clients are of no use: a client that finds no free connection waits.
 		allocation.backendConns = max(1, allocation.clients/frontends)
 	}
 	return allocation, nil
 }
 
-// setAsideDescriptors is the sum of what is not for clients and database hosts.
+// setAsideDescriptors returns the number of descriptors that clients and database hosts can't use.
 func setAsideDescriptors(users descriptorUsers, frontends, adminCallers int) int {
 	n := runtimeDescriptors + frontends*(frontendDescriptors+discoveryDescriptors)
 	if users.admin {
@@ -91,8 +91,8 @@
 	return n
 }
 
-// maxClientsWithin is the largest number of clients, at least 1, that leaves as many descriptors for hosts, beside those for clients
-// that are being rejected.
+// maxClientsWithin returns the largest number of clients, at least 1, that leaves the same number of descriptors for hosts after those
+// for clients that are being rejected.
 func maxClientsWithin(descriptors int) int {
 	for clients := descriptors / 2; clients > 1; clients-- {
 		if clients+connlimit.RejectQueueSize(clients)+clients <= descriptors {
@@ -102,7 +102,7 @@
 	return 1
 }
 
-// openFilesLimit is the system's limit on this process's descriptors; 0 where it is not known.
+// openFilesLimit returns the system's limit on this process's descriptors, or 0 if it is unknown.
 func openFilesLimit() int {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
--- a/cmd/cranegate/descriptors_test.go
+++ b/cmd/cranegate/descriptors_test.go
@@ -18,7 +18,7 @@
 	"cranegate/internal/frontend/connlimit"
 )
 
-// idleConns are clients and admin callers that hold their connections without using them, and connect again when those end.
+// idleConns are clients and admin callers that keep their connections open without using them, and connect again once they are closed.
 type idleConns struct {
 	h      *harness
 	stop   chan struct{}
@@ -39,11 +39,11 @@
 	c.group.Wait()
 }
 
-// run connects again and again until end is called. Every eighth is an admin caller.
+// run connects again and again until end is called. Every eighth index is an admin caller.
 func (c *idleConns) run(index int) {
-	address, hold := c.h.postgresAddress, c.holdClient
+	address, open := c.h.postgresAddress, c.openClient
 	if index%8 == 7 {
-		address, hold = c.h.adminAddress, c.holdAdminCaller
+		address, open = c.h.adminAddress, c.openAdminCall
 	}
 	for n := 0; ; n++ {
 		select {
@@ -59,19 +59,19 @@
 			<-c.stop
 			conn.Close()
 		}()
-		hold(conn, index, n)
+		open(conn, index, n)
 		io.Copy(io.Discard, conn)
 		conn.Close()
 	}
 }
 
-// holdAdminCaller sends half of a call.
-func (c *idleConns) holdAdminCaller(conn net.Conn, _, _ int) {
+// openAdminCall sends an incomplete call.
+func (c *idleConns) openAdminCall(conn net.Conn, _, _ int) {
 	io.WriteString(conn, "GET /counters HTTP/1.1\r\n")
 }
 
-// holdClient says nothing, only starts up, or sends one request, depending on its index.
-func (c *idleConns) holdClient(conn net.Conn, index, n int) {
+// openClient sends nothing, only starts a session, or also sends one request, depending on the index.
+func (c *idleConns) openClient(conn net.Conn, index, n int) {
 	if index%3 == 0 {
 		return
 	}
@@ -85,16 +85,17 @@
 	}
 }
 
-// TestIdleClientsLeaveDescriptorsForDiscovery has hundreds of clients that say nothing, only start up, or are idle after a request,
-// and callers that finish nothing at the admin address, while discovery is down. Once that is back its endpoint list is read
-// and a request is served by the host that is not draining, under few descriptors; the limit is never exceeded.
-func TestIdleClientsLeaveDescriptorsForDiscovery(t *testing.T) {
+// TestIdleClientsDoNotStarveDiscovery runs the program with few descriptors while discovery is down, and opens up to hundreds of
+// connections: clients that send nothing, that only start a session or that are idle after a request, and admin callers that complete no
+// call. Once discovery is back its endpoint list must be read, and a request be served by the host that is not draining. The limit must
+// never be exceeded.
+func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
 	for _, x := range []struct{ sockets, files int }{{40, 40}, {64, 64}, {128, 128}, {1024, 100}} {
-		t.Run(fmt.Sprintf("%d of %d", x.sockets, x.files), func(t *testing.T) { idleClientsLeaveDescriptors(t, x.sockets, x.files) })
+		t.Run(fmt.Sprintf("%d of %d", x.sockets, x.files), func(t *testing.T) { idleClientsDoNotStarveDiscovery(t, x.sockets, x.files) })
 	}
 }
 
-func idleClientsLeaveDescriptors(t *testing.T, sockets, files int) {
+func idleClientsDoNotStarveDiscovery(t *testing.T, sockets, files int) {
 	h := startGateway(t, nil)
 	down := freeAddress(t)
 	h.config["discovery"] = down
@@ -130,12 +131,12 @@
 		h.cmd.Process.Signal(syscall.SIGUSR1)
 		return h.logged("list_changes=1")
 	})
-	if took := time.Since(discoveryBack); took > 12*time.Second { // 6 s on a machine that does nothing else
+	if took := time.Since(discoveryBack); took > 12*time.Second { // 6 s on an idle machine
 		t.Errorf("the endpoint list was read after %v", took)
 	}
 	untilSampled("a request is served", func() bool { return h.servesPostgres("last") })
 	if n := h.hosts[1].Ran("last"); n > 0 {
-		t.Errorf("it ran %d times at the draining host", n)
+		t.Errorf("the request ran %d times at the draining host", n)
 	}
 	if h.logged("too many open files") || maxOpen > min(sockets, files) {
 		t.Errorf("%d descriptors were open", maxOpen)
--- a/cmd/cranegate/fleet.go
+++ b/cmd/cranegate/fleet.go
@@ -23,13 +23,14 @@
 	"cranegate/routing"
 )
 
-// Names of the fleets, which logs, counters and the state handed to a newer process use.
+// Names of the fleets in logs, counters and the state that is handed to a newer process.
 const (
 	postgresName = "postgres"
 	mysqlName    = "mysql"
 )
 
-// firstPollTimeout is how long a starting process waits for discovery's endpoint list where it has one from elsewhere.
+// firstPollTimeout is how long a starting process waits for discovery's endpoint list if it already has one from the configuration
+// or from an older process.
 const firstPollTimeout = 500 * time.Millisecond
 
 // fleet is the configuration of the database hosts of one protocol and of the frontend that serves them.
@@ -70,8 +71,8 @@
 	}
 }
 
-// mysqlFleet is the fleet of the operator's [mysql]. Prepares are a class of their own, so that their short round trips
-// are not taken for those of statements.
+// mysqlFleet is the fleet of the operator's [mysql]. Prepares form a separate class, so that their short round trips
+// are not mistaken for the latency of statements.
 func mysqlFleet(operator *config.Operator) fleet {
 	settings, configured := *operator.Settings, operator.MySQL
 	settings.Routing.Classes = append(slices.Clone(settings.Routing.Classes), routing.Class{
@@ -106,13 +107,13 @@
 
 func listenTCP(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// listenInherited takes over the listening socket that the platform passed to this process, or listens anew without one.
+// listenInherited takes over the listening socket that the platform passed to this process. Without one it opens a new listener.
 func listenInherited(address string) (net.Listener, error) {
 	return listenfd.Listener(os.Getenv, address)
 }
 
-// startFleets starts the actors of all fleets and has them hold the state that an older process handed over. Nothing is sent
-// to a host before that.
+// startFleets starts the actors of all fleets and applies the state that an older process handed over. Nothing is sent to a host
+// before it returns.
 func (g *gateway) startFleets(fleets []fleet, operator *config.Operator) error {
 	for i := range fleets {
 		f := &fleets[i]
@@ -186,7 +187,7 @@
 }
 
 // serveFleets watches the endpoint lists of all fleets and returns once each frontend listens. Fleets start concurrently, so
-// that one without an endpoint list keeps no other waiting.
+// that a fleet without an endpoint list does not delay the others.
 func (g *gateway) serveFleets(fleets []fleet) error {
 	watchingSince := time.Now()
 	for _, f := range fleets {
@@ -222,9 +223,9 @@
 	g.actors.Go(func() error { return running.watcher.Run(g.lifetime) })
 }
 
-// serveFleet starts a fleet's frontend once routing knows endpoints. Without any it does not listen: a gateway that rejects
-// everything would get its share of clients beside others that serve. Discovery is waited for first, up to firstPollTimeout after
-// watchingSince, as its list replaces what the configuration says.
+// serveFleet starts a fleet's frontend once routing has endpoints. Until then it does not listen: clients would connect to a gateway
+// that rejects all requests although other gateways serve. Before it listens it also waits for discovery's first endpoint list, which
+// replaces the configured one, but not longer than firstPollTimeout after watchingSince.
 func (g *gateway) serveFleet(f fleet, watchingSince time.Time) error {
 	running := g.fleets[f.name]
 	select {
@@ -247,7 +248,7 @@
 	return nil
 }
 
-// knowsHost reports whether the endpoint list of any fleet has a host.
+// knowsHost reports whether a host is in the endpoint list of any fleet.
 func (g *gateway) knowsHost(ctx context.Context, id string) (bool, error) {
 	known := false
 	for _, f := range g.fleets {
--- a/cmd/cranegate/fleet_test.go
+++ b/cmd/cranegate/fleet_test.go
@@ -52,9 +52,9 @@
 		t.Fatal(err)
 	}
 	if out, err := exec.Command(program, "check", files[0]).CombinedOutput(); err == nil || !strings.Contains(string(out), "name") {
-		t.Errorf("a file with a fault is in order: %s", out)
+		t.Errorf("check accepts a faulty file: %s", out)
 	}
 	if out, err := exec.Command(program, "members").CombinedOutput(); err == nil {
-		t.Errorf("members asks nobody and shows %s", out)
+		t.Errorf("members succeeds without an address: %s", out)
 	}
 }
--- a/cmd/cranegate/format_test.go
+++ b/cmd/cranegate/format_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// updateGolden writes the golden files anew: go test ./cmd/cranegate -run 'TestHelp|TestCounterNames' -update. What they hold is an interface of
-// the program; a change of it is told in CHANGELOG.md.
+// updateGolden rewrites the golden file: go test ./cmd/cranegate -run TestHelp -update. The golden file pins an interface of the program;
+// each change of it belongs in CHANGELOG.md.
 var updateGolden = flag.Bool("update", false, "write the golden files anew")
 
-// compareGolden compares a text with a file of testdata.
+// compareGolden compares a text with a file in testdata.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -42,11 +42,12 @@
 	compareGolden(t, "help.txt", all.String())
 }
 
-// goldenHandoffState is what one process tells the next.
+// goldenHandoffState is a state as one process sends it to a newer one.
 const goldenHandoffState = `{"lists":{"postgres":{"rev":1,"all":true,"targets":[{"uid":"db-1","endpoint":"127.0.0.1:1","az":"z","pod_group":2,` +
 	`"state":"SERVING","capacity_hint":3,"boot_ms":4,"replication":"primary"}]}},"starts":{"postgres":{"db-1":"2026-12-03T07:00:00Z"}},"learned":{}}`
 
-// TestHandoffStateFormat pins what one process tells the next: processes of other versions read and write it.
+// TestHandoffStateFormat pins the format of the state that one process sends to a newer one, because processes of other versions read
+// and write it.
 func TestHandoffStateFormat(t *testing.T) {
 	var k handoffState
 	if err := json.Unmarshal([]byte(goldenHandoffState), &k); err != nil {
@@ -57,7 +58,7 @@
 	}
 }
 
-// TestCounterNames pins the names of /counters: each stands in the source still.
+// TestCounterNames checks that each name in testdata/counters.txt, or part of a name, is still in the source.
 func TestCounterNames(t *testing.T) {
 	source := productSource(t)
 	names, err := os.ReadFile(filepath.Join("testdata", "counters.txt"))
@@ -66,12 +67,12 @@
 	}
 	for name := range strings.Lines(string(names)) {
 		if name = strings.TrimSpace(name); !strings.Contains(source, `"`+name+`"`) {
-			t.Errorf("no counter is called %s, or begins so", name)
+			t.Errorf("the source has no counter name, or part of one, %s", name)
 		}
 	}
 }
 
-// productSource is the source of the program, without tests.
+// productSource returns the source of the program, without tests.
 func productSource(t *testing.T) string {
 	t.Helper()
 	var source strings.Builder
--- a/cmd/cranegate/frontends_test.go
+++ b/cmd/cranegate/frontends_test.go
@@ -11,7 +11,7 @@
 	"cranegate/internal/mysqlwire"
 )
 
-// TestBothFrontends serves reads, writes and prepared statements of both protocols, each run once.
+// TestBothFrontends sends reads and writes in both protocols, of which each must run once, and a prepared statement.
 func TestBothFrontends(t *testing.T) {
 	h := startGateway(t, nil)
 	client := h.dialClient()
@@ -48,7 +48,8 @@
 	h.untilLogged("event=counters")
 }
 
-// TestHAProxyChecks speaks as HAProxy's mysql-check and pgsql-check do: the login and the quit message in one segment.
+// TestHAProxyChecks sends what HAProxy's mysql-check sends, the login and the quit message in one segment, and the startup message of its
+// pgsql-check.
 func TestHAProxyChecks(t *testing.T) {
 	h := startGateway(t, nil)
 	post41 := "\x00\x82\x00\x00\x00\x00\x00\x01\x21" + strings.Repeat("\x00", 23) + "haproxy\x00\x00"
@@ -69,7 +70,7 @@
 	}
 }
 
-// TestDrainingHostGetsNoRequests guards the watch on discovery: a draining host gets nothing new.
+// TestDrainingHostGetsNoRequests checks that changes in discovery are followed: a draining host gets no new request.
 func TestDrainingHostGetsNoRequests(t *testing.T) {
 	h := startGateway(t, nil)
 	client := h.dialClient()
--- a/cmd/cranegate/gateway.go
+++ b/cmd/cranegate/gateway.go
@@ -24,16 +24,16 @@
 )
 
 const (
-	maxMemoryMB = 192 // used at most, also where the platform allows more
+	maxMemoryMB = 192 // upper bound, even if the platform allows more
 
-	// minShutdownTimeout is how long a graceful shutdown waits for clients: past request deadlines of up to 3 s, and
-	// before the platform kills the process.
+	// minShutdownTimeout is how long a graceful shutdown waits for clients. It exceeds request deadlines of up to 3 s and
+	// ends before the platform kills the process.
 	minShutdownTimeout = 3550 * time.Millisecond
-	// shutdownDeadlineGrace is how far past the longest request deadline a shutdown waits where that deadline is longer,
-	// so that no accepted request is given up by the gateway itself.
+	// shutdownDeadlineGrace is added to the longest request deadline. A shutdown waits for the sum if that exceeds
+	// minShutdownTimeout, so that the gateway itself abandons no accepted request.
 	shutdownDeadlineGrace = 550 * time.Millisecond
-	// finalAnswerGrace is left for answers that became due together with the shutdown timeout in a process that got
-	// no processor time.
+	// finalAnswerGrace is a second wait after the shutdown timeout. A process that got no processor time uses it to send
+	// the answers of requests whose deadline passed together with the timeout.
 	finalAnswerGrace = 100 * time.Millisecond
 )
 
@@ -50,8 +50,8 @@
 	serializer      admin.Serializer   // orders the admin calls of all admin addresses
 
 	stopping  context.Context         // ends when a graceful shutdown begins
-	lifetime  context.Context         // outlives stopping, as accepted requests are still answered
-	actors    *errgroup.Group         // goroutines that live as long as lifetime
+	lifetime  context.Context         // ends after stopping, because accepted requests are still answered
+	actors    *errgroup.Group         // goroutines that run until lifetime ends
 	frontends *errgroup.Group         // listeners with their sessions; they end some time after stopping
 	fleets    map[string]runningFleet // by the fleet's name
 	gossip    *gossip.Transport       // nil without a fleet of gateways in the operator's file
@@ -69,7 +69,7 @@
 	reload          func() (*config.Platform, *config.Operator, error) // reads the configuration again
 }
 
-// run serves until stopping ends and every accepted request is answered.
+// run serves until the context stopping is done and every accepted request is answered.
 func run(stopping context.Context, opt runOptions) error {
 	platform, operator := opt.platform, opt.operator
 	fleets, limits := configuredFleets(platform, operator)
@@ -89,7 +89,7 @@
 	opt.logs.Count(g.counters)
 	g.actors.Go(func() error { g.logCounters(opt.counterInterval); return nil })
 	defer g.counters.Log("counters")
-	if operator != nil { // balancers get an answer before the frontends can serve, and until the program ends
+	if operator != nil { // first, as balancers need answers before the frontends serve and until the program ends
 		if err := g.serveChecks(operator); err != nil {
 			return err
 		}
@@ -123,7 +123,7 @@
 
 func hasGossip(operator *config.Operator) bool { return operator != nil && operator.Fleet != nil }
 
-// configuredFleets lists the fleets of both configuration files, and the limits with the memory bounded by maxMemoryMB.
+// configuredFleets returns the fleets of both configuration files, and the limits with the memory bounded by maxMemoryMB.
 func configuredFleets(platform *config.Platform, operator *config.Operator) ([]fleet, config.Limits) {
 	var fleets []fleet
 	var limits config.Limits
@@ -173,8 +173,8 @@
 	return g
 }
 
-// becomeReady announces that this process serves, unless it is stopping already: then a frontend may not have started, and
-// an older process must not leave its clients to this one.
+// becomeReady announces that this process serves. It does nothing if the process is already stopping: a frontend may not have
+// started then, and an older process must not hand its clients over to this one.
 func (g *gateway) becomeReady(allocation descriptorAllocation) {
 	if g.stopping.Err() != nil {
 		return
@@ -185,7 +185,7 @@
 		"clients", allocation.clients, "servers", allocation.backendConns)
 }
 
-// shutDown waits until the frontends have answered what they accepted, at most until the shutdown timeout.
+// shutDown waits until the frontends have answered all accepted requests, at most for the shutdown timeout and finalAnswerGrace.
 func (g *gateway) shutDown() error {
 	g.status.Set(agentcheck.Draining)
 	slog.Info("stopping")
--- a/cmd/cranegate/gossip.go
+++ b/cmd/cranegate/gossip.go
@@ -7,8 +7,8 @@
 	"cranegate/internal/gossip"
 )
 
-// startGossip exchanges heartbeats with the other gateways of the fleet. The number of live gateways sets this one's part of
-// shared connection and polling budgets.
+// startGossip starts the exchange of heartbeats with the other gateways of the fleet. The fleet's size sets this gateway's share of the
+// fleet-wide connection and polling budgets.
 func (g *gateway) startGossip(operator *config.Operator) error {
 	opt := operator.Fleet.Options(operator.Seed)
 	opt.Counters = g.counters
--- a/cmd/cranegate/handoff.go
+++ b/cmd/cranegate/handoff.go
@@ -11,10 +11,10 @@
 	"cranegate/routing"
 )
 
-// exportTimeout bounds how long a newer process waits for the state that it is handed.
+// exportTimeout bounds how long exportState collects the state, for which a newer process waits.
 const exportTimeout = 300 * time.Millisecond
 
-// handoffState is what a process hands to the next, beside detached hosts and lameduck. Its JSON form is shared with processes of
+// handoffState is what a process hands to a newer one, in addition to detached hosts and lameduck. Its JSON form is shared with processes of
 // other versions. All maps are keyed by the fleet's name.
 type handoffState struct {
 	EndpointLists map[string]discovery.Snapshot   `json:"lists"`
@@ -22,7 +22,8 @@
 	Learned       map[string]routing.Snapshot     `json:"learned"`
 }
 
-// exportState returns the state for a newer process: what the cores tell within exportTimeout. It is nil where that can't be encoded.
+// exportState returns the state for a newer process, with what the cores return within exportTimeout. It returns nil if the state can't
+// be encoded.
 func (g *gateway) exportState() []byte {
 	ctx, cancel := context.WithTimeout(g.lifetime, exportTimeout)
 	defer cancel()
@@ -48,9 +49,9 @@
 	return text
 }
 
-// encode returns the state as JSON. Where that is longer than maxBytes it leaves out the latency samples of single hosts, then all
-// observations of hosts, which a newer process makes again soon. Endpoint lists and start times stay in any case, also past maxBytes:
-// without them requests wait, and hosts that are warming up get too much.
+// encode returns the state as JSON. If that is longer than maxBytes, it leaves out the latency samples of hosts and then, if needed, all
+// observations of hosts, because a newer process soon collects them again. Endpoint lists and start times always stay, even beyond
+// maxBytes: without them requests would wait, and hosts that are warming up would get too many requests.
 func (s handoffState) encode(maxBytes int) ([]byte, error) {
 	text, err := json.Marshal(s)
 	for _, reduce := range []func(routing.Snapshot) routing.Snapshot{withoutSamples, withoutMembers} {
--- a/cmd/cranegate/handoff_test.go
+++ b/cmd/cranegate/handoff_test.go
@@ -12,7 +12,7 @@
 	"cranegate/routing"
 )
 
-// newHandoffState is the state of a process with a number of hosts, each with window latency samples.
+// newHandoffState returns the state of a process with a number of hosts, and with window latency samples for each.
 func newHandoffState(hosts, window int) handoffState {
 	s := handoffState{
 		EndpointLists: map[string]discovery.Snapshot{},
@@ -45,9 +45,9 @@
 	return m
 }
 
-// TestHandoffStateSize encodes the state of up to 2,500 hosts and sends it in a frame. With 1,024 hosts all are in the endpoint list, with
-// their start times and what was learned of them; latency samples are left out where they take too much. With many more hosts what was
-// learned is left out, and the endpoint list stays.
+// TestHandoffStateSize encodes the state of up to 2,500 hosts and sends it in a frame. The state of 1,024 hosts keeps the endpoint list,
+// the start times and the observations of all of them; latency samples are left out where they take too many bytes. With many more hosts
+// the observations are left out, and the endpoint list and the start times stay.
 func TestHandoffStateSize(t *testing.T) {
 	for _, c := range []struct{ hosts, window, wantLearned, wantWindow int }{
 		{100, 8, 100, 8},
@@ -67,7 +67,7 @@
 		learned := received.Learned["postgres"]
 		hosts, starts := len(received.EndpointLists["postgres"].Targets), len(received.StartTimes["postgres"])
 		if hosts != c.hosts || starts != c.hosts || len(learned.Members) != c.wantLearned || len(learned.ExpectedLatency) != 2 {
-			t.Fatalf("%+v: %d hosts, %d starts, %d learned of, expected latencies %v", c, hosts, starts, len(learned.Members), learned.ExpectedLatency)
+			t.Fatalf("%+v: %d hosts, %d start times, %d with observations, expected latencies %v", c, hosts, starts, len(learned.Members), learned.ExpectedLatency)
 		}
 		for id, m := range learned.Members {
 			if len(m.LatencyWindow) != c.wantWindow {
--- a/cmd/cranegate/harness_client_test.go
+++ b/cmd/cranegate/harness_client_test.go
@@ -38,7 +38,7 @@
 	return address
 }
 
-// dial connects until the end of the test.
+// dial connects to an address. The connection is closed at the end of the test.
 func (h *harness) dial(address string) net.Conn {
 	h.t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -72,8 +72,8 @@
 	return c
 }
 
-// askPostgres has a new client send one query. Its error is also that of a connection which is rejected.
-func askPostgres(address, query string) (fake.Reply, error) {
+// queryPostgres sends one query from a new client. It fails if the connection is rejected.
+func queryPostgres(address, query string) (fake.Reply, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return fake.Reply{}, err
@@ -89,7 +89,7 @@
 
 // servesPostgres reports whether a read by a new PostgreSQL client is served.
 func (h *harness) servesPostgres(id string) bool {
-	reply, err := askPostgres(h.postgresAddress, fmt.Sprintf(readQuery, id, id))
+	reply, err := queryPostgres(h.postgresAddress, fmt.Sprintf(readQuery, id, id))
 	return err == nil && reply.Outcome == "served"
 }
 
@@ -142,7 +142,7 @@
 	return string(line), r.StatusCode
 }
 
-// counters returns the page of the program's counters.
+// counters returns the program's /counters page.
 func (h *harness) counters() string {
 	h.t.Helper()
 	r, err := http.Get("http://" + h.healthAddress + "/counters")
@@ -154,7 +154,7 @@
 	return string(b)
 }
 
-// adminStatus makes an admin call and returns the response's status; 0: there is no response.
+// adminStatus makes an admin call and returns the response's status, or 0 if there is no response.
 func adminStatus(method, address, path string) int {
 	request, err := http.NewRequest(method, "http://"+address+path, nil)
 	if err != nil {
@@ -177,7 +177,7 @@
 	}
 }
 
-// untilCounted waits for a counter with its value on the page of counters.
+// untilCounted waits until the /counters page contains a text, such as reloads=1.
 func (h *harness) untilCounted(counter string) {
 	h.t.Helper()
 	h.until(counter, func() bool { return strings.Contains(h.counters(), counter) })
--- a/cmd/cranegate/harness_test.go
+++ b/cmd/cranegate/harness_test.go
@@ -17,13 +17,13 @@
 	"cranegate/internal/fake"
 )
 
-// These tests start the program and speak to it over sockets on loopback. Waits are bounded but never timed closely, so that a busy
-// machine changes no result.
+// These tests start the program and connect to it over loopback. The bounds of waits are generous, so that a busy machine changes
+// no result.
 
 // testTimeout bounds each wait of a test.
 const testTimeout = 20 * time.Second
 
-const linkFlag = "-ldflags=-linkmode=external" // as the deploy file has it
+const linkFlag = "-ldflags=-linkmode=external" // as in deploy/balancer.toml
 
 // program is the path of the program under test, which TestMain builds.
 var program string
@@ -57,7 +57,7 @@
 	agentCheckAddress string
 	healthAddress     string
 	adminAddress      string
-	inheritedListener net.Listener // for PostgreSQL clients; nil: the program makes its own
+	inheritedListener net.Listener // for PostgreSQL clients; nil: the program opens its own
 
 	config     map[string]any // the content of the file at configPath, which PROXY_CONFIG names
 	configPath string
@@ -65,12 +65,12 @@
 	log        *fake.LogBuffer
 }
 
-// startGateway runs the program beside two hosts, which serve both protocols.
+// startGateway runs the program with two hosts, which serve both protocols.
 func startGateway(t *testing.T, act func(id, text string, prepare bool) fake.Act) *harness {
 	return startGatewayWithListener(t, nil, act)
 }
 
-// startGatewayWithListener passes the program a listening socket for PostgreSQL clients; nil: it makes its own.
+// startGatewayWithListener passes the program a listening socket for PostgreSQL clients; nil: it opens its own.
 func startGatewayWithListener(t *testing.T, inherited net.Listener, act func(id, text string, prepare bool) fake.Act) *harness {
 	h := &harness{
 		t:                 t,
@@ -125,7 +125,7 @@
 	return tables.String()
 }
 
-// loadExampleConfig takes the configuration of examples/ and sets this harness's addresses and hosts in it.
+// loadExampleConfig loads examples/config.json and replaces its addresses and hosts with the harness's.
 func (h *harness) loadExampleConfig(discoveryAddress string) {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -183,7 +183,7 @@
 	cmd.Wait()
 }
 
-// launchNewer starts a newer process of the program with the PostgreSQL frontend alone, as the others' addresses are in use.
+// launchNewer starts a newer process with only the PostgreSQL frontend, because the addresses of the other listeners are in use.
 func (h *harness) launchNewer(adminAddress string) *exec.Cmd {
 	h.t.Helper()
 	newer := exec.Command(program)
@@ -192,7 +192,7 @@
 	return newer
 }
 
-// restartWithConfig kills the program and starts it with its configuration changed, alone in a folder of its own.
+// restartWithConfig kills the program and starts it with a changed configuration, without the operator's file, in a new folder.
 func (h *harness) restartWithConfig(change func(config map[string]any)) {
 	h.t.Helper()
 	kill(h.cmd)
@@ -204,7 +204,7 @@
 	h.launch(h.cmd)
 }
 
-// restartWithFileLimit kills the program and starts it with the configuration as it is now and the PostgreSQL frontend alone,
+// restartWithFileLimit kills the program and starts it with the harness's present configuration and only the PostgreSQL frontend,
 // under a limit on open files.
 func (h *harness) restartWithFileLimit(files int) {
 	h.t.Helper()
@@ -221,15 +221,15 @@
 	h.t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			h.t.Fatalf("waited in vain for: %s", what)
+			h.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// logged reports whether a text stands in the program's log.
+// logged reports whether the program's log contains a text.
 func (h *harness) logged(text string) bool { return strings.Contains(h.log.String(), text) }
 
-// untilLogged waits for a text in the program's log.
+// untilLogged waits until the program's log contains a text.
 func (h *harness) untilLogged(text string) {
 	h.t.Helper()
 	h.until(text, func() bool { return h.logged(text) })
--- a/cmd/cranegate/hotrestart.go
+++ b/cmd/cranegate/hotrestart.go
@@ -14,35 +14,35 @@
 	"cranegate/internal/hotrestart/state"
 )
 
-// importTimeout bounds how long a starting process waits for its cores to hold the start times that an older one handed over.
+// importTimeout bounds how long a starting process waits until its cores have applied the start times from an older process.
 const importTimeout = time.Second
 
-// hotRestart is what this process shares with older and newer processes of the same gateway.
+// hotRestart is the part of the gateway that cooperates with its older and newer processes.
 type hotRestart struct {
 	coordinator *hotrestart.Coordinator // nil: hot restart is disabled
 	folder      string                  // shared by all processes of this gateway
 	inherited   handoffState            // from an older process
-	maxClients  int                     // client connections of the whole gateway
+	maxClients  int                     // limit on client connections of all processes of this gateway
 
 	lameduckMu sync.Mutex // serializes changes of the limiter's draining
 
-	mu            sync.Mutex       // guards what follows
-	detached      map[string]bool  // hosts that the cores hold as detached; nil before the first applyState
+	mu            sync.Mutex       // guards the fields below
+	detached      map[string]bool  // hosts that are detached in the cores; nil before the first applyState
 	applied       chan struct{}    // closed when applyState has succeeded for the first time
-	olderAlive    bool             // an older process lives
-	newerAlive    bool             // a newer process lives
-	newerServing  bool             // and serves
+	olderAlive    bool             // an older process is running
+	newerAlive    bool             // a newer process is running
+	newerServing  bool             // the newer process serves
 	serving       bool             // this process serves
-	receiver      *fdpass.Receiver // takes connections from an older process; nil: none
+	receiver      *fdpass.Receiver // accepts connections from an older process; nil: none
 	sender        *fdpass.Sender   // hands connections to the newer process; nil: none
-	reservedBytes int              // of the memory budget, left to the other process
+	reservedBytes int              // part of the budget that is left to the other process
 }
 
-// openHotRestart learns what an older process of this gateway knows. Where the folder can't be used the gateway serves all the
-// same, and logs that detached hosts are not carried over.
+// openHotRestart reads the state that older processes of this gateway hand over. If the folder can't be used, it logs that hot restart
+// is disabled: the gateway still serves, but detached hosts are not carried over.
 func (g *gateway) openHotRestart(folder string) {
 	if folder == "" {
-		slog.Warn("hotrestart_disabled", "reason", "TMPDIR is not set: hosts taken out by hand are not known to a process that follows")
+		slog.Warn("hotrestart_disabled", "reason", "TMPDIR is not set: a newer process will not know which hosts are detached")
 		return
 	}
 	g.applied = make(chan struct{})
@@ -54,7 +54,7 @@
 		OnNewerExists: g.onNewerProcess,
 		OnSuperseded:  g.onSuperseded,
 		OnRestored:    g.onRestored,
-		OnOlderEnded:  g.onOlderProcessGone,
+		OnOlderEnded:  g.onOlderProcessEnded,
 		Counters:      g.counters,
 	})
 	if err != nil {
@@ -74,15 +74,14 @@
 	slog.Info("hotrestart_opened", "older", g.olderAlive, "out", len(known.Detached), "lameduck", known.Lameduck)
 }
 
-// closeHotRestart lets the other processes know that this one has ended.
+// closeHotRestart notifies the other processes that this one has ended.
 func (g *gateway) closeHotRestart() {
 	if g.coordinator != nil {
 		g.coordinator.Close()
 	}
 }
 
-// applyInherited has the cores hold the start times and overrides that an older process handed over. Nothing is sent to hosts before
-// it returns.
+// applyInherited sets the start times and overrides from an older process in the cores. Nothing is sent to hosts before it returns.
 func (g *gateway) applyInherited() {
 	if g.coordinator == nil {
 		return
@@ -102,7 +101,7 @@
 	}
 }
 
-// announceReady has older processes leave their clients to this one, which serves.
+// announceReady notifies older processes that this one serves, so that they hand their clients over to it.
 func (g *gateway) announceReady() {
 	if g.coordinator == nil {
 		return
@@ -115,8 +114,8 @@
 	g.updateLimitsLocked()
 }
 
-// receiveConnections accepts open client connections from an older process. Where it can't listen for them the older process
-// closes its connections, and clients connect again.
+// receiveConnections accepts open client connections from an older process. If it can't listen for them, the older
+// process closes its client connections, and the clients connect again.
 func (g *gateway) receiveConnections() {
 	receiver, err := fdpass.Listen(g.folder)
 	if err != nil {
@@ -135,7 +134,8 @@
 	})
 }
 
-// applyState has all cores and frontends hold a state. The coordinator calls it one at a time.
+// applyState applies the detached hosts of a state in all cores, and its lameduck flag to the clients. The coordinator makes one call at
+// a time.
 func (g *gateway) applyState(ctx context.Context, s state.State) error {
 	g.mu.Lock()
 	current := g.detached
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// updateOverrides detaches in a core the hosts that are new in next, and attaches those that it lacks.
+// updateOverrides detaches in a core the hosts that are in next but not in current, and attaches those that are only in current.
 func updateOverrides(ctx context.Context, c *core.Core, current, next map[string]bool) error {
 	for id := range next {
 		if current[id] {
@@ -182,7 +182,7 @@
 	return nil
 }
 
-// setDraining drains the clients, or accepts clients again, as a state demands. g.lameduckMu is held.
+// setDraining drains the clients if a state's lameduck flag is set, and accepts clients again if not. g.lameduckMu is held.
 func (g *gateway) setDraining(s state.State) {
 	if s.Lameduck {
 		g.limiter.Drain()
@@ -191,7 +191,7 @@
 	}
 }
 
-// onNewerProcess notes whether a newer process lives.
+// onNewerProcess records whether a newer process is running, and updates the limits.
 func (g *gateway) onNewerProcess(alive bool) {
 	slog.Info("newer_process", "alive", alive)
 	g.mu.Lock()
@@ -200,7 +200,7 @@
 	g.updateLimitsLocked()
 }
 
-// onSuperseded leaves new clients to a newer process that serves, and hands it the open connections.
+// onSuperseded stops accepting clients, because a newer process serves, and hands the open connections to that process.
 func (g *gateway) onSuperseded() {
 	slog.Info("superseded")
 	for _, f := range g.fleets {
@@ -223,8 +223,8 @@
 	g.updateLimitsLocked()
 }
 
-// onRestored accepts clients again after the newer process that served has ended. Clients that came meanwhile wait in the queue of the
-// listening socket, which no other process accepts from then.
+// onRestored accepts clients again after the newer process that served has ended. Clients that connected in between wait in the queue
+// of the listening socket, from which no process accepts until then.
 func (g *gateway) onRestored() {
 	slog.Info("restored")
 	g.mu.Lock()
@@ -246,8 +246,8 @@
 	}
 }
 
-// connectionSender returns a fleet's frontend.Server.Pass: it hands a client's connection to the newer process, and reports whether
-// that took it.
+// connectionSender returns the frontend.Server.Transfer of a fleet, which hands a client's connection to the newer process and reports
+// whether that process accepted it.
 func (g *gateway) connectionSender(fleetName string) func(conn net.Conn, started, answered bool) bool {
 	return func(conn net.Conn, started, answered bool) bool {
 		g.mu.Lock()
@@ -260,8 +260,8 @@
 	}
 }
 
-// onOlderProcessGone takes the whole of the limits again.
-func (g *gateway) onOlderProcessGone() {
+// onOlderProcessEnded updates the limits after the last older process has ended.
+func (g *gateway) onOlderProcessEnded() {
 	slog.Info("older_process_gone")
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/cmd/cranegate/hotrestart_test.go
+++ b/cmd/cranegate/hotrestart_test.go
@@ -15,10 +15,10 @@
 	"cranegate/internal/fake"
 )
 
-// maxAttempts is how often a loadClients client sends one request, each time on a connection of its own.
+// maxAttempts is how often a client of loadClients sends one request at most, each time on a new connection.
 const maxAttempts = 4
 
-// loadClients are clients that send one read after the other.
+// loadClients are clients that send reads one after another.
 type loadClients struct {
 	h          *harness
 	count      int
@@ -37,7 +37,7 @@
 	return l
 }
 
-// end stops the clients after their present request. It may be called once.
+// end stops the clients after their current requests. It may be called only once.
 func (l *loadClients) end() {
 	close(l.stop)
 	l.group.Wait()
@@ -108,9 +108,9 @@
 	return false
 }
 
-// TestHotRestartUnderLoad starts the program again beside itself three times under load, on a listening socket that both
-// inherit. Every request has its answer, and no connection ends: they pass to the newer process. A detached host stays detached
-// until the last process attaches it.
+// TestHotRestartUnderLoad replaces the running process by a newer one three times under load, on a listening socket that both
+// inherit. Every request must get its answer, and no client connection may end: each passes to the newer process. A detached host must
+// stay detached until it is attached, which happens after the second replacement.
 func TestHotRestartUnderLoad(t *testing.T) {
 	h := startGatewayWithListener(t, listenLoopback(t), nil)
 	load := h.startLoad(8)
@@ -140,8 +140,8 @@
 	t.Logf("%d requests", load.requests.Load())
 }
 
-// TestMySQLRestoredAfterFailedHotRestart has a newer process without the MySQL frontend take over and die. Meanwhile no client
-// is left waiting at that frontend's address; then the older process serves both frontends again.
+// TestMySQLRestoredAfterFailedHotRestart kills a newer process, without the MySQL frontend, after it has taken over. Until then the MySQL
+// address must refuse clients instead of leaving them waiting; afterwards the older process must serve both frontends again.
 func TestMySQLRestoredAfterFailedHotRestart(t *testing.T) {
 	h := startGatewayWithListener(t, listenLoopback(t), nil)
 	newer := h.launchNewer(freeAddress(t))
@@ -158,7 +158,8 @@
 	h.expectServed(h.dialClient(), "pg")
 }
 
-// TestInvalidInheritedSocket passes the program descriptors that are no listening socket at its address: it names the variable and exits.
+// TestInvalidInheritedSocket starts the program with descriptors that are not a listening socket at its address. It must exit with an
+// error that names the variable.
 func TestInvalidInheritedSocket(t *testing.T) {
 	h := startGateway(t, nil)
 	for _, number := range []string{"five", "77", "1"} {
--- a/cmd/cranegate/main.go
+++ b/cmd/cranegate/main.go
@@ -37,7 +37,7 @@
 }
 
 func main() {
-	if len(os.Args) == 1 { // the platform's start, on part of a core: without the cost of a parser
+	if len(os.Args) == 1 { // as the platform starts it, on part of a core: avoid the cost of the parser
 		runCmd{Operator: os.Getenv("CRANEGATE_OPERATOR")}.Run()
 		return
 	}
@@ -47,7 +47,7 @@
 	ctx.FatalIfErrorf(ctx.Run())
 }
 
-// acceptSingleDashFlags rewrites -operator and -counters, as earlier versions had them, to two dashes.
+// acceptSingleDashFlags rewrites -operator and -counters, the spelling of earlier versions, to two dashes.
 func acceptSingleDashFlags(args []string) {
 	for i, arg := range args {
 		if i > 0 && (strings.HasPrefix(arg, "-operator") || strings.HasPrefix(arg, "-counters")) {
@@ -69,7 +69,7 @@
 	defer logs.Flush(flushTimeout)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	reloadSignals := make(chan os.Signal, 1) // one pending signal stands for all that come meanwhile
+	reloadSignals := make(chan os.Signal, 1) // one pending signal covers all that arrive before it is handled
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	if err := r.serve(ctx, logs, reloadSignals); err != nil {
 		slog.Error("ended", "error", err)
@@ -120,8 +120,8 @@
 	return "off"
 }
 
-// loadConfig reads the configuration files at two paths; an empty path gives nil. Settings that the operator's file lacks come from the
-// platform's.
+// loadConfig reads the platform's configuration, with the function read, and the operator's file. An empty path gives a nil result.
+// Settings that the operator's file lacks come from the platform's configuration.
 func loadConfig(platformPath, operatorPath string, read func(string) (*config.Platform, error)) (platform *config.Platform, operator *config.Operator, err error) {
 	if platformPath == "" && operatorPath == "" {
 		return nil, nil, errors.New("neither PROXY_CONFIG nor an operator's file is given")
--- a/cmd/cranegate/readiness_test.go
+++ b/cmd/cranegate/readiness_test.go
@@ -17,17 +17,17 @@
 	"cranegate/internal/fake"
 )
 
-// readyTimeout is the longest from the start of a process to the first empty query that is answered.
+// readyTimeout is the maximum time from the start of a process to its first answer to an empty query.
 const readyTimeout = 10 * time.Second
 
 // manyHosts is the number of hosts of the large cases.
 const manyHosts = 300
 
-// startMany starts a number of processes of the program at once, each with a configuration of its own, and returns how long after its
-// start each answered an empty query.
+// startMany starts n processes of the program at once, each with its own configuration, and returns how long after its start each
+// answered an empty query.
 func (h *harness) startMany(n int) []time.Duration {
 	h.t.Helper()
-	took := make(chan time.Duration, n)
+	durations := make(chan time.Duration, n)
 	for range n {
 		h.postgresAddress, h.configPath = freeAddress(h.t), filepath.Join(h.t.TempDir(), "config.json")
 		h.config["listen"], h.config["admin"] = h.postgresAddress, freeAddress(h.t)
@@ -36,11 +36,11 @@
 		h.cmd.Env = append(h.cmd.Environ(), "PROXY_CONFIG="+h.configPath, "TMPDIR="+filepath.Dir(h.configPath))
 		started, address := time.Now(), h.postgresAddress
 		h.launch(h.cmd)
-		go func() { took <- untilAnswered(address, started) }()
+		go func() { durations <- untilAnswered(address, started) }()
 	}
 	var all []time.Duration
 	for range n {
-		all = append(all, <-took)
+		all = append(all, <-durations)
 	}
 	return all
 }
@@ -48,7 +48,7 @@
 // untilAnswered waits until an empty query is answered at an address, or for testTimeout, and returns how long that took since started.
 func untilAnswered(address string, started time.Time) time.Duration {
 	for time.Since(started) < testTimeout {
-		if r, err := askPostgres(address, ";"); err == nil && r.Outcome == "empty" {
+		if r, err := queryPostgres(address, ";"); err == nil && r.Outcome == "empty" {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -56,7 +56,7 @@
 	return time.Since(started)
 }
 
-// answerCall answers one of discovery's calls; call counts them from 0. healthy would answer it without a fault.
+// answerCall answers one call to discovery. Calls are numbered from 0. healthy answers them without a fault.
 type answerCall func(rw http.ResponseWriter, r *http.Request, call int64, healthy http.Handler)
 
 // readinessCase is one start of the program.
@@ -101,7 +101,7 @@
 	healthy.ServeHTTP(rw, r)
 }
 
-// answerPartially stops in the middle of the first endpoint list, and answers without a fault from then on.
+// answerPartially stalls in the middle of the first endpoint list, and answers later calls without a fault.
 func answerPartially(rw http.ResponseWriter, r *http.Request, call int64, healthy http.Handler) {
 	if call > 0 {
 		healthy.ServeHTTP(rw, r)
@@ -115,9 +115,9 @@
 	<-r.Context().Done()
 }
 
-// TestReadyWithFaultyDiscovery starts the program beside each kind of discovery, with and without a list of its own, and
-// seven at once on half a core: each answers the empty query in time, and serves. Without an endpoint list it can't, so it
-// listens once discovery is back.
+// TestReadyWithFaultyDiscovery starts the program with each kind of discovery, with and without hosts in its configuration, and
+// seven processes at once on half a core. Each must answer the empty query within readyTimeout, and serve. Without an endpoint list the
+// program can't serve, so it listens once discovery is back.
 func TestReadyWithFaultyDiscovery(t *testing.T) {
 	for _, c := range readinessCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -147,7 +147,7 @@
 	h.until("a request is served", func() bool { return h.servesPostgres("r") })
 }
 
-// startDiscovery has the case's discovery listen. One that is down comes back after a second where the configuration lists no hosts.
+// startDiscovery starts the case's discovery. If it is down and the configuration lists no hosts, it comes back after a second.
 func (c readinessCase) startDiscovery(h *harness) {
 	down := freeAddress(h.t)
 	h.config["discovery"] = down
@@ -168,7 +168,7 @@
 	}
 }
 
-// configure sets what the case says in the configuration.
+// configure sets the hosts, cores and number of gateways of the case in the configuration.
 func (c readinessCase) configure(h *harness) {
 	if c.listed {
 		h.config["known"] = discovery.Snapshot{Rev: 0, All: true, Targets: h.targets}
@@ -183,8 +183,8 @@
 	}
 }
 
-// TestFrontendsStartIndependently starts the program with both frontends, PostgreSQL's without an endpoint list and with discovery
-// down: the MySQL frontend serves, and PostgreSQL's does once discovery is back.
+// TestFrontendsStartIndependently starts the program with both frontends while the PostgreSQL fleet has no endpoint list and discovery
+// is down. The MySQL frontend must serve meanwhile, and the PostgreSQL frontend once discovery is back.
 func TestFrontendsStartIndependently(t *testing.T) {
 	h := startGateway(t, nil)
 	kill(h.cmd)
--- a/cmd/cranegate/reload.go
+++ b/cmd/cranegate/reload.go
@@ -9,7 +9,7 @@
 	"cranegate/routing"
 )
 
-// handleReloads reads the configuration again at each signal, until lifetime ends. A faulty configuration is logged and changes nothing.
+// handleReloads reads the configuration again at each signal, until lifetime ends. An invalid configuration is logged and changes nothing.
 func (g *gateway) handleReloads(signals <-chan os.Signal, reload func() (*config.Platform, *config.Operator, error)) {
 	for {
 		select {
@@ -29,8 +29,8 @@
 	}
 }
 
-// applyReload applies what a running process can change: the addresses of discovery, the hosts of a fleet that the operator's
-// file lists itself, the tiers of zones, and the addresses and keys of the other gateways. Everything else holds from the start on.
+// applyReload applies the settings that a running process can change: the addresses of discovery, MySQL hosts that the operator's file
+// lists, the options of zones, and the addresses and keys of the other gateways. All other settings stay as they were at the start.
 func (g *gateway) applyReload(platform *config.Platform, operator *config.Operator) {
 	if operator != nil {
 		g.reloadOperator(operator)
--- a/cmd/cranegate/reload_test.go
+++ b/cmd/cranegate/reload_test.go
@@ -13,7 +13,7 @@
 	"cranegate/internal/fake"
 )
 
-// TestReloadOfZones has a running program take new tiers, reject a faulty table, and log that a reload can't turn zones on.
+// TestReloadOfZones checks that a reload applies new tiers, rejects an invalid table, and logs that it can't turn zones on.
 func TestReloadOfZones(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		h := startGateway(t, nil)
@@ -52,33 +52,33 @@
 	}
 }
 
-// recordedDiscovery is a discovery service that records the list versions of its callers.
+// recordedDiscovery is a discovery service that records which list version each call names.
 type recordedDiscovery struct {
 	fake.Discovery
-	mu    sync.Mutex
-	after []string // the versions that the calls named, in order
+	mu       sync.Mutex
+	versions []string // list versions, in the order of the calls
 }
 
 func (d *recordedDiscovery) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	d.after = append(d.after, r.FormValue("after"))
+	d.versions = append(d.versions, r.FormValue("after"))
 	d.mu.Unlock()
 	d.Discovery.ServeHTTP(rw, r)
 }
 
-// firstAfter returns the version of the first call; ok is false before that.
-func (d *recordedDiscovery) firstAfter() (version string, ok bool) {
+// firstVersion returns the list version that the first call named; ok is false before the first call.
+func (d *recordedDiscovery) firstVersion() (version string, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.after) == 0 {
+	if len(d.versions) == 0 {
 		return "", false
 	}
-	return d.after[0], true
+	return d.versions[0], true
 }
 
-// TestReload guards what a SIGHUP is for: the program lives on, follows the address that the new file names though
-// the environment names another, keeps clients and the list's version, and passes over a faulty file. A SIGTERM right behind a SIGHUP
-// still ends it in order.
+// TestReload checks the reload at SIGHUP: the program keeps running, calls the discovery address in the new file although the environment
+// names another, keeps its clients and the list's version, and ignores a faulty file. A SIGTERM right after a SIGHUP still leads to a
+// clean exit.
 func TestReload(t *testing.T) {
 	h := startGateway(t, nil)
 	client := h.dialClient()
@@ -99,9 +99,9 @@
 	}
 	h.writeConfig()
 	h.cmd.Process.Signal(syscall.SIGHUP)
-	h.until("a call to the new address", func() bool { _, called := next.firstAfter(); return called })
-	if version, _ := next.firstAfter(); version != "1" {
-		t.Errorf("the new address was asked for changes after %q", version)
+	h.until("a call to the new address", func() bool { _, called := next.firstVersion(); return called })
+	if version, _ := next.firstVersion(); version != "1" {
+		t.Errorf("the first call at the new address asked for changes after version %q", version)
 	}
 	h.targets[1].State = "DRAINING"
 	next.Set(h.targets)
--- a/cmd/cranegate/sharedlimits.go
+++ b/cmd/cranegate/sharedlimits.go
@@ -2,16 +2,16 @@
 
 import "runtime/debug"
 
-// updateLimits applies this process's part of the gateway's limits.
+// updateLimits applies this process's share of the gateway's limits.
 func (g *gateway) updateLimits() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.updateLimitsLocked()
 }
 
-// updateLimitsLocked applies this process's part of the gateway's limits; g.mu is held. While another process lives each has half of
-// the memory and of the connections to hosts, and no idle client is evicted: a request that crosses the eviction
-// would be lost, and there are two processes to take it.
+// updateLimitsLocked applies this process's share of the gateway's limits; g.mu is held. While another process runs, each has half of
+// the memory and of the connections to hosts, and no idle client is evicted: a request that its client sends during the eviction would
+// be lost, although two processes could serve it.
 func (g *gateway) updateLimitsLocked() {
 	shared := g.olderAlive || g.newerAlive
 	memoryBytes := runtimeMemoryBytes(g.limits)
@@ -29,8 +29,8 @@
 	g.reserveBudgetLocked(shared)
 }
 
-// clientSlotsLocked is this process's part of the client connections. Clients move from the older process to the newer one once that
-// serves, and so does most of the limit.
+// clientSlotsLocked returns this process's share of the limit on client connections. Once the newer process serves, clients move to it
+// from the older one, and so does most of the limit.
 func (g *gateway) clientSlotsLocked() int {
 	switch {
 	case g.newerAlive && g.newerServing:
@@ -43,8 +43,8 @@
 	return g.maxClients
 }
 
-// reserveBudgetLocked leaves half of the budget for clients' bytes to the other process while there is one. Where the budget has not that
-// much free, the next change of the limits tries again.
+// reserveBudgetLocked leaves half of the budget for buffered client bytes to the other process while there is one. If less than that is
+// free, it is tried again at the next change of the limits.
 func (g *gateway) reserveBudgetLocked(shared bool) {
 	bytes := g.limits.MemoryMB << 20 / 8
 	switch {
--- a/cmd/cranegate/shutdown_test.go
+++ b/cmd/cranegate/shutdown_test.go
@@ -13,10 +13,10 @@
 	"cranegate/internal/pgwire"
 )
 
-// slowWrite is a write that its host answers only when the test lets it.
+// slowWrite is a write whose host answers only after finish has been called.
 type slowWrite struct {
-	arrived chan struct{} // closed when the host has it
-	release chan struct{} // closed by the test
+	arrived chan struct{} // closed when the host has received the write
+	release chan struct{} // closed by finish
 	reply   chan fake.Reply
 }
 
@@ -26,7 +26,7 @@
 	return &slowWrite{arrived: make(chan struct{}), release: make(chan struct{}), reply: make(chan fake.Reply, 1)}
 }
 
-// act is the hosts' behaviour.
+// act decides what a host does with a statement.
 func (s *slowWrite) act(id, _ string, _ bool) fake.Act {
 	if id == slowID {
 		close(s.arrived)
@@ -35,7 +35,7 @@
 	return fake.Serve
 }
 
-// send sends the write and returns once its host has it.
+// send sends the write and returns once its host has received it.
 func (s *slowWrite) send(client *fake.PostgresClient) {
 	go func() {
 		r, _ := client.Ask(fmt.Sprintf(writeQuery, slowID, slowID))
@@ -53,7 +53,7 @@
 	}
 }
 
-// sendSignals sends signals, each once the effect of the one before is over.
+// sendSignals sends signals one by one. After each it sends SIGUSR1 and waits until the program has logged its counters.
 func (h *harness) sendSignals(signals ...syscall.Signal) {
 	h.t.Helper()
 	for _, s := range signals {
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestGracefulShutdown guards the shutdown after SIGTERM: accepted requests are answered, new clients are accepted for a while,
+// TestGracefulShutdown checks the shutdown after SIGTERM: accepted requests are answered, new clients are accepted for a while,
 // balancers see the drain, idle clients are closed, and the program exits with 0.
 func TestGracefulShutdown(t *testing.T) {
 	slow := newSlowWrite()
@@ -76,7 +76,7 @@
 	if late, err := fake.DialPostgres(h.dial(h.postgresAddress), fmt.Sprintf(readQuery, "late", "late")); err != nil {
 		t.Errorf("a client that connects after the signal: %v", err)
 	} else if r, err := late.Read(); err != nil || r.Outcome != "served" {
-		t.Errorf("its request: %+v, %v", r, err)
+		t.Errorf("the request of a client that connects after the signal: %+v, %v", r, err)
 	}
 	if line, status := h.checks(); line != "drain\n" || status != 503 {
 		t.Errorf("checks after the signal: %q, %d", line, status)
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestRepeatedSignals sends a program that is stopping further signals: it still answers what it has accepted.
+// TestRepeatedSignals sends further signals to a program that is stopping. It must still answer the accepted request.
 func TestRepeatedSignals(t *testing.T) {
 	slow := newSlowWrite()
 	h := startGateway(t, slow.act)
@@ -103,8 +103,8 @@
 	h.expectCleanExit()
 }
 
-// TestShutdownBeforeFirstEndpoints stops a program that knows no host, as discovery accepts its call and is silent: it never listens
-// for clients, and ends at once.
+// TestShutdownBeforeFirstEndpoints stops a program that has no endpoints because discovery accepts its call and never answers. The
+// program must never listen for clients, and must exit at once.
 func TestShutdownBeforeFirstEndpoints(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 		h := startGateway(t, nil)
@@ -127,17 +127,18 @@
 		h.cmd.Process.Signal(s)
 		h.expectCleanExit()
 		if h.logged("event=listening front=postgres") || !h.logged("event=stopping") {
-			t.Errorf("it listened, or did not end by itself:\n%s", h.log)
+			t.Errorf("it listened for clients, or did not log that it was stopping:\n%s", h.log)
 		}
 		if c, err := net.Dial("tcp", h.postgresAddress); err == nil {
 			c.Close()
-			t.Error("somebody still listens")
+			t.Error("something still listens at the PostgreSQL address")
 		}
 	}
 }
 
-// TestShutdownWhileHostsHang stops a program whose hosts take requests and never answer, with deadlines from 0.4 s to 5 s. Each
-// request has its answer, also where its deadline is past the platform's kill; and the program does not give up clients.
+// TestShutdownWhileHostsHang stops a program whose hosts accept requests and never answer, with request deadlines from 0.4 s to 5 s.
+// Each request must get an answer, even if its deadline is later than the time at which the platform kills the process, and the program
+// must not abandon clients.
 func TestShutdownWhileHostsHang(t *testing.T) {
 	for _, deadline := range []float64{0.4, 2, 5} {
 		t.Run(fmt.Sprint(deadline, " s"), func(t *testing.T) { shutDownWhileHostsHang(t, deadline) })
@@ -185,6 +186,6 @@
 	}
 	h.expectCleanExit()
 	if h.logged("event=stopped_with_clients") {
-		t.Error("it was cut short")
+		t.Error("the shutdown timed out with open clients")
 	}
 }
--- a/cmd/cranegate/startup_test.go
+++ b/cmd/cranegate/startup_test.go
@@ -14,13 +14,13 @@
 	"cranegate/internal/fake"
 )
 
-// TestDrainingHostUnusedFromStart starts the program with a configuration that lists a host as serving, beside a discovery that lists it
-// as draining and is slow to answer: nothing is sent there, from the first request on. Beside a silent discovery it serves.
+// TestDrainingHostUnusedFromStart starts the program with a configuration that lists a host as serving, while discovery lists it as
+// draining and answers slowly: no request may be sent to the host, not even the first. If discovery never answers, the host is used.
 func TestDrainingHostUnusedFromStart(t *testing.T) {
 	const draining = 1 // reads go there first
 	for _, silent := range []bool{false, true} {
 		h := startGateway(t, nil)
-		h.targets = slices.Clone(h.targets) // the configuration keeps its own
+		h.targets = slices.Clone(h.targets) // the configuration keeps the unchanged list
 		h.targets[draining].State = "DRAINING"
 		h.discovery.Set(h.targets)
 		slowDiscovery := listenLoopback(t)
@@ -53,14 +53,14 @@
 			}
 			sent += h.hosts[draining].Ran(id)
 		}
-		if (sent > 0) != silent { // with a silent discovery the host is used, which shows that the test would see a send
+		if (sent > 0) != silent { // with a silent discovery the host is used, which shows that the test detects sends
 			t.Errorf("silent %t: %d of the first reads were sent to a draining host", silent, sent)
 		}
 	}
 }
 
 // TestBuildMatchesDeployFile checks that the program is built as the deploy file says: one process, linked dynamically against the C
-// library, that can't start others.
+// library, that can't start other processes.
 func TestBuildMatchesDeployFile(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -80,6 +80,6 @@
 		t.Errorf("linked against %v, %v", libs, err)
 	}
 	if out, err := exec.Command("go", "list", "-deps", ".").Output(); err != nil || slices.Contains(strings.Fields(string(out)), "os/exec") {
-		t.Errorf("the program can start others, %v", err)
+		t.Errorf("the program can start processes, %v", err)
 	}
 }
--- a/cmd/cranegate/unchecked_test.go
+++ b/cmd/cranegate/unchecked_test.go
@@ -15,37 +15,38 @@
 	"cranegate/internal/sqlcomment"
 )
 
-// Settings of the tests, and how much later than it was sent a busy machine may deliver a statement to its host.
+// stalenessBound and keyWindow are settings of the program under test. deliveryDelay is how long a busy machine may take to deliver a
+// statement to its host.
 const (
 	stalenessBound = 500 * time.Millisecond
 	keyWindow      = time.Second
 	deliveryDelay  = time.Second
 )
 
-// uncheckedHost is a member of a group whose hosts check the freshness of no read: it answers from what it has, and tells its position
-// in load reports alone.
+// uncheckedHost is a host of a group whose hosts do not check the freshness of reads: it answers from the data that it has applied, and
+// reports its position only in load reports.
 type uncheckedHost struct {
 	fake.Host
-	primary atomic.Bool
-	stuckAt atomic.Int64 // applied up to this, in Unix ms; 0: all
+	primary  atomic.Bool
+	pausedAt atomic.Int64 // position at which replication is paused, in Unix ms; 0: not paused
 }
 
 func (h *uncheckedHost) position() int64 {
-	if at := h.stuckAt.Load(); at > 0 {
+	if at := h.pausedAt.Load(); at > 0 {
 		return at
 	}
 	return time.Now().UnixMilli()
 }
 
-// stick has the host apply no more, and returns once what it has is older than any bound.
-func (h *uncheckedHost) stick() {
-	h.stuckAt.Store(time.Now().UnixMilli())
+// pauseReplication pauses replication to the host, and returns once the host's data is older than any staleness bound.
+func (h *uncheckedHost) pauseReplication() {
+	h.pausedAt.Store(time.Now().UnixMilli())
 	time.Sleep(stalenessBound + deliveryDelay)
 }
 
-// startUnchecked starts the program as a deployment would whose endpoint list shows no roles, whose hosts check no read and tell positions
-// in load reports alone, and whose writes carry an idempotency key that is good for keyWindow. The last of its three hosts is the primary.
-// act decides what each statement meets at its host.
+// startUnchecked starts the program in a deployment whose endpoint list has no roles, whose hosts do not check reads and report their
+// positions only in load reports, and whose writes carry an idempotency key that is valid for keyWindow. The last of the three hosts is
+// the primary. act decides what a host does with a statement.
 func startUnchecked(t *testing.T, act func(host *uncheckedHost, s *sqlcomment.Statement) fake.Act) (*harness, []*uncheckedHost) {
 	h := startGateway(t, nil)
 	var hosts []*uncheckedHost
@@ -82,7 +83,7 @@
 	return h
 }
 
-// setUnchecked sets classes and a domain whose hosts check no read.
+// setUnchecked sets the classes, and a domain whose hosts do not check reads.
 func setUnchecked(settings map[string]any) {
 	class := func(name string, deadline, late float64, repeat string) map[string]any {
 		return map[string]any{"name": name, "aimS": deadline / 2, "deadlineS": deadline, "points": 1, "lateWorth": late, "repeat": repeat}
@@ -100,17 +101,17 @@
 	settings["rules"].(map[string]any)["askWithinS"] = 6
 }
 
-// freshnessCheck judges the reads that hosts get.
+// freshnessCheck records the reads that reach hosts, and those for which a host's data is too old.
 type freshnessCheck struct {
 	hosts      []*uncheckedHost
 	hostsKnown sync.WaitGroup  // done once hosts is set
-	reads      [3]atomic.Int64 // of the classes with a need of freshness, by host
+	reads      [3]atomic.Int64 // reads with a freshness requirement, by host
 	faults     sync.Map        // by request id
 	served     atomic.Int64
 	unserved   atomic.Int64
 }
 
-// act is the hosts' behaviour.
+// act decides what a host does with a statement.
 func (c *freshnessCheck) act(host *uncheckedHost, s *sqlcomment.Statement) fake.Act {
 	c.hostsKnown.Wait()
 	now := time.Now()
@@ -136,7 +137,7 @@
 		default:
 		}
 		after := ""
-		if class == "session" { // written just now
+		if class == "session" { // it needs a write made just now
 			after = fmt.Sprintf(",after=%d", time.Now().UnixMilli())
 		}
 		client.SetDeadline(time.Now().Add(testTimeout))
@@ -154,9 +155,9 @@
 	}
 }
 
-// TestUncheckedReadsAreFresh has one host stop applying, and later another. No bounded read reaches a host whose data is older than
-// its bound, and no session read one that lacks the position that it needs; reads of any age go on there, and a host that has caught up is
-// read again. Every request gets one answer.
+// TestUncheckedReadsAreFresh pauses replication to one replica, and later to the other. No bounded read may reach a host whose data is
+// older than its bound, and no session read a host that lacks the position it needs. Reads of class any continue there, and a host that
+// has caught up gets reads again. Every request gets one answer.
 func TestUncheckedReadsAreFresh(t *testing.T) {
 	check := &freshnessCheck{}
 	check.hostsKnown.Add(1)
@@ -176,11 +177,11 @@
 	}
 	untilRead("reads at a replica", 0)
 	untilRead("reads at the other", 1)
-	hosts[0].stick()
+	hosts[0].pauseReplication()
 	untilRead("reads beside one that is stuck", 1)
-	hosts[1].stick()
+	hosts[1].pauseReplication()
 	untilRead("reads at the primary", 2)
-	hosts[0].stuckAt.Store(0)
+	hosts[0].pausedAt.Store(0)
 	untilRead("reads at one that has caught up", 0)
 	close(stop)
 	group.Wait()
@@ -188,26 +189,26 @@
 		t.Errorf("%v: %v", id, what)
 		return true
 	})
-	t.Logf("%d served, %d others", check.served.Load(), check.unserved.Load())
+	t.Logf("%d reads were served, %d were not", check.served.Load(), check.unserved.Load())
 	if check.served.Load() < 50 {
 		t.Errorf("%d reads were served, %d were not", check.served.Load(), check.unserved.Load())
 	}
 }
 
-// brokenWrites has hosts reset the connection on the first attempt of some writes, depending on the beginning of the request's id.
-type brokenWrites struct {
+// resetWrites has the primary reset the connection on the first attempt of some writes, depending on the prefix of the request's id.
+type resetWrites struct {
 	mu        sync.Mutex
 	attempts  map[string]int // by request id, at the primary
 	atReplica int
 }
 
 const (
-	brokenSoon = "soon" // within the key's window
-	brokenLate = "late" // past it
+	resetWithinWindow = "soon" // reset within the key's window
+	resetAfterWindow  = "late" // reset after it
 )
 
-// act is the hosts' behaviour.
-func (b *brokenWrites) act(host *uncheckedHost, s *sqlcomment.Statement) fake.Act {
+// act decides what a host does with a statement.
+func (b *resetWrites) act(host *uncheckedHost, s *sqlcomment.Statement) fake.Act {
 	b.mu.Lock()
 	if !host.primary.Load() {
 		b.atReplica++
@@ -218,20 +219,21 @@
 	first := b.attempts[s.ID] == 1
 	b.mu.Unlock()
 	switch {
-	case first && strings.HasPrefix(s.ID, brokenSoon):
+	case first && strings.HasPrefix(s.ID, resetWithinWindow):
 		return fake.Reset
-	case first && strings.HasPrefix(s.ID, brokenLate):
+	case first && strings.HasPrefix(s.ID, resetAfterWindow):
 		time.Sleep(keyWindow + 200*time.Millisecond)
 		return fake.Reset
 	}
 	return fake.Serve
 }
 
-// TestUncheckedWrites: the primary is found though no endpoint list names it; a write that broke is retried inside its key's window and
-// not past it; no write runs at a replica; a new primary is found as the old one rejects writes.
+// TestUncheckedWrites checks that the primary is found although no endpoint list names it, that a write whose connection was reset is
+// retried within its key's window and not after it, that no write runs at a replica, and that a new primary is found once the old one
+// rejects writes.
 func TestUncheckedWrites(t *testing.T) {
-	broken := &brokenWrites{attempts: map[string]int{}}
-	h, hosts := startUnchecked(t, broken.act)
+	writes := &resetWrites{attempts: map[string]int{}}
+	h, hosts := startUnchecked(t, writes.act)
 	client := h.dialClient()
 	write := func(id string) (reply fake.Reply, runs int) {
 		t.Helper()
@@ -249,8 +251,8 @@
 		runs        int
 	}{
 		{"plain", "served", 1},
-		{brokenSoon, "served", 2},
-		{brokenLate, "failed", 1},
+		{resetWithinWindow, "served", 2},
+		{resetAfterWindow, "failed", 1},
 	} {
 		if r, runs := write(c.id); r.Outcome != c.outcome || runs != c.runs {
 			t.Errorf("write %q got %+v and ran %d times, want %s and %d", c.id, r, runs, c.outcome, c.runs)
@@ -270,9 +272,9 @@
 	})
 	client.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 	if kind, _, err := pgwire.ReadMessage(client.Conn); err == nil {
-		t.Errorf("message %q behind the last answer", kind)
+		t.Errorf("message %q after the last answer", kind)
 	}
-	if broken.atReplica == 0 {
-		t.Error("no write met a replica: the search for a primary was not tried")
+	if writes.atReplica == 0 {
+		t.Error("no write was sent to a replica, so the search for the primary was not tested")
 	}
 }
