--- a/cmd/cranelab/logs.go
+++ b/cmd/cranelab/logs.go
@@ -15,15 +15,15 @@
 )
 
 type logsCmd struct {
-	Dir     string   `arg:"" type:"existingdir" help:"Folder with a file of log lines for each gateway."`
-	Columns []string `help:"Counters that are shown; a name that ends in * stands for the sum of all that begin so."`
+	Dir     string   `arg:"" type:"existingdir" help:"Folder with one log file for each gateway."`
+	Columns []string `help:"Counters to show; a name that ends in * is the sum of all counters with that prefix."`
 }
 
 var defaultColumns = []string{"requests", "served", "refused", "failed", "attempts", "attempts_ok", "attempts_timed_out",
 	"attempts_turned_away", "attempts_not_connected", "attempts_reset", "server_connects", "server_connections_no_room", "probes", "list_*"}
 
-// Run prints what all gateways did, second by second: the growth of the counters that they log while they run with
-// -counters 1s, summed over the gateways.
+// Run prints a table with the increase of counters in each second, summed over all gateways. The gateways log their counters while they
+// run with -counters 1s.
 func (c logsCmd) Run() error {
 	files, err := filepath.Glob(filepath.Join(c.Dir, "*"))
 	if err != nil {
@@ -45,13 +45,13 @@
 	return t.print(os.Stdout, columns)
 }
 
-// totals is the growth of counters by Unix second, over all gateways.
+// totals holds the increase of counters by Unix second, summed over all gateways.
 type totals struct {
 	bySecond map[int64]map[string]int64
 	gateways int
 }
 
-// read adds one gateway's log. Counters that fall show a process that started anew.
+// read adds one gateway's log. Counters that fall show that its process was started again.
 func (t *totals) read(name string) error {
 	f, err := os.Open(name)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return lines.Err()
 }
 
-// parseCounters reads a line of counters, whatever stands before its date.
+// parseCounters reads a log line with counters. Text before its time is ignored.
 func parseCounters(line string) (at time.Time, counters map[string]int64, ok bool) {
 	head, tail, found := strings.Cut(line, " event=counters")
 	if !found {
@@ -106,7 +106,7 @@
 	return at, counters, true
 }
 
-// parseTime reads the time that stands before an event: time=T level=L, or a date and a time as older programs wrote them.
+// parseTime reads the time before an event: time=T level=L, or the date and time of an older log format.
 func parseTime(words []string) (at time.Time, ok bool) {
 	if len(words) < 2 {
 		return at, false
@@ -119,7 +119,7 @@
 	return at, err == nil
 }
 
-// print writes the table. The first second holds all that was counted before it.
+// print writes the table. The first second also contains everything that was counted before it.
 func (t *totals) print(out io.Writer, columns []string) error {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "%d gateways\t%s\t\n", t.gateways, strings.Join(columns, "\t"))
--- a/cmd/cranelab/logs_test.go
+++ b/cmd/cranelab/logs_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestLogsAreSummed adds the logs of two gateways, one of which starts anew, and passes over lines that are no counters.
+// TestLogsAreSummed adds the logs of two gateways, one of which is started again. Lines without counters are ignored.
 func TestLogsAreSummed(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -37,6 +37,6 @@
 		t.Errorf("got %v\nwant %v", got, want)
 	}
 	if err := (logsCmd{Dir: t.TempDir()}).Run(); err == nil {
-		t.Error("a folder without logs gives a table")
+		t.Error("a folder without logs is accepted")
 	}
 }
--- a/cmd/cranelab/main.go
+++ b/cmd/cranelab/main.go
@@ -1,4 +1,4 @@
-// Command cranelab runs experiments with the gateway's decisions on a modelled fleet and saves their results.
+// Command cranelab runs experiments with the gateway's routing decisions on a simulated fleet and saves their results.
 // Its exit status is 0 if all claims hold, 1 if one does not, and 2 if the experiment could not run.
 package main
 
@@ -24,7 +24,7 @@
 	"cranegate/internal/zones"
 )
 
-// errClaims reports that an experiment ran and a claim does not hold.
+// errClaims reports that an experiment ran and a claim does not hold, or that a soak run broke a rule or missed a defect.
 var errClaims = errors.New("a claim does not hold")
 
 var cli struct {
@@ -32,14 +32,14 @@
 	Run    runCmd    `cmd:"" help:"Run an experiment and check its claims."`
 	Up     upCmd     `cmd:"" help:"Start fake database hosts in three zones with a gateway and both frontends, and show them."`
 	Logs   logsCmd   `cmd:"" help:"Sum the counters in the logs of many gateways, second by second."`
-	Soak   soakCmd   `cmd:"" help:"Run real processes under randomised faults, and check what they do."`
+	Soak   soakCmd   `cmd:"" help:"Run real processes under random faults, and check that they break no rule."`
 	Report reportCmd `cmd:"" help:"Write tables and charts of the results in a folder."`
 }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	k, err := kong.New(&cli, kong.Name("cranelab"), kong.Description("Experiments with cranegate's decisions on a modelled fleet."),
+	k, err := kong.New(&cli, kong.Name("cranelab"), kong.Description("Experiments with cranegate's routing on a simulated fleet."),
 		kong.BindTo(ctx, (*context.Context)(nil)))
 	if err != nil {
 		fail(err)
@@ -74,17 +74,17 @@
 }
 
 type runCmd struct {
-	Experiment    string  `arg:"" help:"Name of the experiment, or all: those of 300 gateways are run by name alone."`
-	Seed          uint64  `default:"1" help:"First seed; a scenario is drawn from its seed alone."`
-	Seeds         int     `default:"20" help:"How many scenarios are run for each load."`
-	Short         bool    `help:"Three scenarios, and the large fleet a fifth as large."`
+	Experiment    string  `arg:"" help:"Name of the experiment, or all. Experiments with 300 gateways, and those whose names begin with gateways-, run only by name."`
+	Seed          uint64  `default:"1" help:"First seed; a scenario is determined by its seed."`
+	Seeds         int     `default:"20" help:"Number of scenarios for each load, with consecutive seeds."`
+	Short         bool    `help:"Short form: at most three scenarios, and the large fleet at a fifth of its size."`
 	Out           string  `help:"Folder for NAME/result.json." type:"path"`
 	JSON          bool    `name:"json" help:"Print the result as JSON instead of a table."`
 	Overprovision float64 `default:"0" help:"Factor by which the usable part of a tier is scaled; 0 for the default."`
-	Driver        string  `enum:"virtual,sockets,processes" default:"virtual" help:"virtual: the decision module, or the members, in virtual time. sockets: real gateways in real time. processes: days of members with real processes, and relays between them."`
-	Gateway       string  `type:"existingfile" help:"Program to compare with the one of this build, on sockets; this one without zones by default."`
-	Logs          string  `type:"path" help:"File for what the gateways write, on sockets."`
-	Break         string  `enum:",cold-room,no-drains,old-reads,two-runs" default:"" help:"A defect made on purpose, which the claims should show: cold-room, no-drains, old-reads or two-runs."`
+	Driver        string  `enum:"virtual,sockets,processes" default:"virtual" help:"virtual: the routing or membership code in virtual time. sockets: real gateways in real time. processes: the experiments members-* and gateways-* with real processes, and relays between them."`
+	Gateway       string  `type:"existingfile" help:"Gateway program to compare this build's with, on sockets; by default this build's, without zones."`
+	Logs          string  `type:"path" help:"File for the gateways' logs, with real gateways."`
+	Break         string  `enum:",cold-room,no-drains,old-reads,two-runs" default:"" help:"A deliberate defect, which the claims should detect: cold-room, no-drains, old-reads or two-runs."`
 	Members       []int   `help:"Numbers of members to run the membership scenarios with; 10, 80, 300 and 1000 by default."`
 	DetectOnly    bool    `help:"Detect zone outages, but do not distribute reads among tiers."`
 }
@@ -96,7 +96,7 @@
 		return err
 	}
 	if c.Driver == "processes" && !strings.HasPrefix(c.Experiment, "members-") && !strings.HasPrefix(c.Experiment, "gateways-") {
-		return errors.New("only days of members and gateways are played with processes")
+		return errors.New("only the experiments members-* and gateways-* can run with the driver processes")
 	}
 	options, cleanup, err := c.options()
 	if err != nil {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// experiments returns the experiments to run. Those of 300 gateways or of several gateway processes run only by name.
+// experiments returns the experiments to run. Experiments with 300 gateways or with several gateway processes run only by name.
 func (c runCmd) experiments() ([]experiment.Experiment, error) {
 	if c.Experiment != "all" {
 		e, err := experiment.Find(c.Experiment)
@@ -131,11 +131,11 @@
 	}), nil
 }
 
-// maxSlowSeeds is the maximum number of seeds of the short form, and in real time.
+// maxSlowSeeds is the maximum number of seeds in the short form and in real time.
 const maxSlowSeeds = 3
 
 // options converts the flags. It finds or builds the gateway's program and opens the log file, if they are needed;
-// cleanup removes the one and closes the other.
+// cleanup removes a program that was built and closes the file.
 func (c runCmd) options() (o experiment.Options, cleanup func(), err error) {
 	o = experiment.Options{
 		Seed:    c.Seed,
@@ -153,7 +153,7 @@
 	if c.Driver == "virtual" {
 		return o, func() {}, nil
 	}
-	program, removeProgram, err := gateway()
+	program, removeProgram, err := gatewayProgram()
 	if err != nil {
 		return o, nil, err
 	}
@@ -164,7 +164,7 @@
 	file, err := os.Create(c.Logs)
 	if err != nil {
 		removeProgram()
-		return o, nil, fmt.Errorf("keeping the logs: %w", err)
+		return o, nil, fmt.Errorf("creating the log file: %w", err)
 	}
 	o.Logs = file
 	return o, func() { file.Close(); removeProgram() }, nil
@@ -210,14 +210,14 @@
 // save writes a result to result.json in dir, which it creates.
 func save(dir string, r *experiment.Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return fmt.Errorf("keeping the result: %w", err)
+		return fmt.Errorf("saving the result: %w", err)
 	}
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		return fmt.Errorf("keeping the result: %w", err)
+		return fmt.Errorf("saving the result: %w", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "result.json"), append(text, '\n'), 0o644); err != nil {
-		return fmt.Errorf("keeping the result: %w", err)
+		return fmt.Errorf("saving the result: %w", err)
 	}
 	return nil
 }
--- a/cmd/cranelab/main_test.go
+++ b/cmd/cranelab/main_test.go
@@ -12,7 +12,7 @@
 	"cranegate/internal/experiment"
 )
 
-// run runs the program and gives what it prints and its exit code.
+// run runs the program and returns its output and exit code.
 func run(t *testing.T, program string, args ...string) (out string, code int) {
 	t.Helper()
 	text, err := exec.Command(program, args...).CombinedOutput()
@@ -24,7 +24,7 @@
 	return string(text), 0
 }
 
-// TestCommandLine runs an experiment, keeps its result, draws the report, and makes each mistake once.
+// TestCommandLine runs an experiment, saves its result, draws the report, and checks the exit code of several invalid calls.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "cranelab")
--- a/cmd/cranelab/report.go
+++ b/cmd/cranelab/report.go
@@ -32,7 +32,7 @@
 {{if .Series}}<p><img src="{{.Experiment}}/worth.svg" alt="worth by second"></p>{{end}}
 {{end}}`))
 
-// Run draws a chart for each result and writes index.html.
+// Run draws a chart for each result that has series, and writes index.html.
 func (c reportCmd) Run() error {
 	paths, err := filepath.Glob(filepath.Join(c.Dir, "*", "result.json"))
 	if err != nil {
@@ -69,7 +69,7 @@
 	return out.Close()
 }
 
-// chart draws the earned fraction of the priority weight by second.
+// chart draws the earned fraction of the requested priority weight by second.
 func chart(r *experiment.Result, path string) error {
 	p := plot.New()
 	p.Title.Text = r.Experiment
--- a/cmd/cranelab/soak.go
+++ b/cmd/cranelab/soak.go
@@ -11,15 +11,15 @@
 )
 
 type soakCmd struct {
-	Seed     uint64        `default:"1" help:"First seed; the faults are drawn from it."`
-	Seeds    int           `default:"1" help:"How many seeds are run, one after the other."`
+	Seed     uint64        `default:"1" help:"First seed; it determines the faults."`
+	Seeds    int           `default:"1" help:"Number of consecutive seeds to run, one after another."`
 	Short    bool          `help:"The short form, as CI runs it."`
-	Gateways int           `help:"Gateways of the fleet; 0 for those of the form."`
-	For      time.Duration `help:"How long faults are drawn for; 0 for the form's time."`
-	Only     []string      `help:"Kinds of faults that are drawn; all by default, and with a defect those under which it shows."`
+	Gateways int           `help:"Number of gateways; 0 for the default of the short or long form."`
+	For      time.Duration `help:"How long faults occur; 0 for the default of the short or long form."`
+	Only     []string      `help:"Kinds of faults; all by default or, with a defect, those under which it shows."`
 	Keep     string        `type:"path" help:"Folder for the gateways' logs, at level debug."`
-	Defect   string        `help:"A defect put into the gateway on purpose, which the runs should find."`
-	Defects  bool          `help:"All defects, one at a time: the command fails unless each is found."`
+	Defect   string        `help:"A deliberate defect of the gateway, which the runs should find."`
+	Defects  bool          `help:"Run with each defect in turn; the command fails unless each is found."`
 	List     bool          `help:"List the defects."`
 }
 
@@ -47,7 +47,7 @@
 	return err
 }
 
-// options returns the options of the short or long form, as changed by the flags.
+// options returns the options of the short or long form, with the flags applied.
 func (c soakCmd) options() soak.Options {
 	o := soak.Long
 	if c.Short {
@@ -63,11 +63,11 @@
 	return o
 }
 
-// runSeeds runs all seeds and returns their findings. A nil defect leaves the gateway as it is.
+// runSeeds runs all seeds and returns their findings. With a nil defect the gateway is not modified.
 func (c soakCmd) runSeeds(ctx context.Context, defect *soak.Defect) (found []soak.Finding, err error) {
 	dir, err := os.MkdirTemp("", "cranelab")
 	if err != nil {
-		return nil, fmt.Errorf("making a folder: %w", err)
+		return nil, fmt.Errorf("creating a temporary folder: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	o := c.options()
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// host has the routers of all instances, by the instances' names.
-type host struct {
+// instanceServer holds the routers of all instances, by the instances' names.
+type instanceServer struct {
 	routers map[string]*routing.Router
 	writer  *simwire.Writer
 }
@@ -29,7 +29,7 @@
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
-	h := &host{routers: map[string]*routing.Router{}, writer: simwire.NewWriter(out)}
+	server := &instanceServer{routers: map[string]*routing.Router{}, writer: simwire.NewWriter(out)}
 	for {
 		batch, err := reader.Batch()
 		if errors.Is(err, io.EOF) {
@@ -39,47 +39,47 @@
 			return fmt.Errorf("reading a batch: %w", err)
 		}
 		for _, event := range batch.Events {
-			if err := h.handle(batch.Now, event); err != nil {
+			if err := server.handle(batch.Now, event); err != nil {
 				return err
 			}
 		}
-		if err := h.writer.End(); err != nil {
+		if err := server.writer.End(); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
 	}
 }
 
-// handle passes one event to its instance. A panic there is reported as a bug of the instance, with its text.
-func (h *host) handle(now time.Duration, event simwire.Event) (err error) {
+// handle passes one event to its instance. A panic there is reported as a bug of the instance, with the panic's text.
+func (s *instanceServer) handle(now time.Duration, event simwire.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.writer.Bug(event.Instance, fmt.Sprint(p))
+			s.writer.Bug(event.Instance, fmt.Sprint(p))
 		}
 	}()
 	switch payload := event.Payload.(type) {
 	case simwire.InstanceOpened:
-		return h.open(now, event.Instance, payload)
+		return s.open(now, event.Instance, payload)
 	case simwire.InstanceClosed:
-		delete(h.routers, event.Instance)
+		delete(s.routers, event.Instance)
 		return nil
 	}
-	if router := h.routers[event.Instance]; router != nil {
+	if router := s.routers[event.Instance]; router != nil {
 		dispatch(router, now, event.Payload)
 	}
 	return nil
 }
 
-// open makes an instance.
-func (h *host) open(now time.Duration, instance string, opened simwire.InstanceOpened) error {
-	router, err := routing.New(now, opened.Config, opened.Seed, &simwire.Actions{Writer: h.writer, Instance: instance})
+// open creates an instance.
+func (s *instanceServer) open(now time.Duration, instance string, opened simwire.InstanceOpened) error {
+	router, err := routing.New(now, opened.Config, opened.Seed, &simwire.Actions{Writer: s.writer, Instance: instance})
 	if err != nil {
 		return fmt.Errorf("opening %s: %w", instance, err)
 	}
-	h.routers[instance] = router
+	s.routers[instance] = router
 	return nil
 }
 
-// dispatch passes one event to a router. Others, such as datagrams, are none of a router's.
+// dispatch passes one event to a router. Events that are not for routers, such as datagrams, are ignored.
 func dispatch(router *routing.Router, now time.Duration, payload any) {
 	switch payload := payload.(type) {
 	case routing.EndpointList:
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -11,7 +11,7 @@
 	"classes.1.deadlineS=3 classes.1.points=4 classes.1.repeat=once discovery=automatic domain.guards=refuse " +
 	"domain.needsByClass=any,write domain.positions=true domain.roleInList=start policyLimits.maxAttempts=3"
 
-// conversation is the input of one instance: a list, a read and a write, and their answers.
+// conversation is the input of one instance: an endpoint list, a read and a write, and their answers.
 const conversation = "tick 5\nopen_instance gateway/0 42 " + settingsLine + `
 list 0 2
 entry on east std 1 1 - a:1 4
@@ -28,7 +28,7 @@
 over_to_you
 `
 
-// TestConversation checks where the attempts of one instance go.
+// TestConversation checks to which hosts the attempts of one instance go.
 func TestConversation(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(strings.NewReader(conversation), &out); err != nil {
@@ -39,17 +39,17 @@
 		t.Fatalf("%d replies:\n%s", len(replies)-1, out.String())
 	}
 	if !strings.Contains(replies[1], "try gateway/0 1 5.600000 b:1\n") {
-		t.Errorf("the read goes to the replica: %q", replies[1])
+		t.Errorf("the read did not go to the replica: %q", replies[1])
 	}
 	if !strings.Contains(replies[1], "try gateway/0 2 5.600000 a:1\n") {
-		t.Errorf("the write goes to the listed primary: %q", replies[1])
+		t.Errorf("the write did not go to the listed primary: %q", replies[1])
 	}
 	if !strings.Contains(replies[2], "try gateway/0 2 5.600000 b:1\n") {
-		t.Errorf("the write follows the answer that names the primary: %q", replies[2])
+		t.Errorf("the write was not retried at the host whose answer names it as primary: %q", replies[2])
 	}
 }
 
-// TestInstancesAreIndependent runs two instances beside each other: each acts as it does alone.
+// TestInstancesAreIndependent runs two instances side by side: each must act as it does alone.
 func TestInstancesAreIndependent(t *testing.T) {
 	var alone, both bytes.Buffer
 	if err := serve(strings.NewReader(conversation), &alone); err != nil {
@@ -73,7 +73,7 @@
 			}
 		}
 		if got.String() != alone.String() {
-			t.Errorf("%s acts differently beside another:\n%s\nalone:\n%s", name, got.String(), alone.String())
+			t.Errorf("%s acts differently next to another instance:\n%s\nalone:\n%s", name, got.String(), alone.String())
 		}
 	}
 }
--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -1,5 +1,5 @@
-// Command toyserver runs a group of three fake database hosts, in both protocols, and a fake discovery service on loopback,
-// to try the gateway with. See ../README.md.
+// Command toyserver runs a group of three fake database hosts, which serve both protocols, and a fake discovery service on
+// loopback, for trying out the gateway. See ../README.md.
 package main
 
 import (
@@ -35,7 +35,7 @@
 	log.Fatal(http.Serve(l, endpoints))
 }
 
-// serve accepts connections on a port of loopback.
+// serve accepts connections on a loopback port and passes each to handle.
 func serve(port int, handle func(net.Conn)) {
 	l, err := net.Listen("tcp", fmt.Sprint("127.0.0.1:", port))
 	if err != nil {
