--- a/internal/consensus/codec/codec.go
+++ b/internal/consensus/codec/codec.go
@@ -23,11 +23,11 @@
 )
 
 var (
-	// ErrMalformed is returned by Decode for an input that no gateway of this version encodes. If one gateway sends such
-	// inputs repeatedly, it runs another version: run the same version on both.
+	// ErrMalformed is returned by Decode for an input that Encode of this version cannot have produced. If a gateway sends
+	// such inputs repeatedly, it runs another version; run the same version on the sender and the receiver.
 	ErrMalformed = errors.New("consensus: malformed encoding")
-	// ErrTooLarge means that an encoded value would exceed its limit. Send less at a time.
-	ErrTooLarge = errors.New("consensus: encoding over its limit")
+	// ErrTooLarge means that an encoded value would exceed its size limit. Split the value into smaller ones.
+	ErrTooLarge = errors.New("consensus: encoded value exceeds its size limit")
 )
 
 var (
@@ -42,7 +42,7 @@
 	}.DecMode())
 )
 
-// mustBuild panics on an error of the fixed options above.
+// mustBuild returns mode. It panics if err reports that the fixed options above are invalid.
 func mustBuild[T any](mode T, err error) T {
 	if err != nil {
 		panic(err)
@@ -50,7 +50,7 @@
 	return mode
 }
 
-// Encode encodes a value in at most maxBytes, or returns ErrTooLarge.
+// Encode encodes a value, or returns ErrTooLarge if the encoded value would be longer than maxBytes.
 func Encode(v any, maxBytes int) ([]byte, error) {
 	body, err := encoder.Marshal(v)
 	if err != nil {
@@ -62,8 +62,8 @@
 	return append([]byte{Version}, body...), nil
 }
 
-// Decode decodes what Encode returned into v, a pointer. It returns ErrMalformed for any other input and for one of more
-// than maxBytes.
+// Decode decodes the output of Encode into the value that v points to. It returns ErrMalformed for any other input, and
+// for an input longer than maxBytes.
 func Decode(encoded []byte, v any, maxBytes int) error {
 	if len(encoded) < 2 || len(encoded) > maxBytes || encoded[0] != Version {
 		return fmt.Errorf("%w: %d bytes", ErrMalformed, len(encoded))
--- a/internal/consensus/codec/codec_test.go
+++ b/internal/consensus/codec/codec_test.go
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		if again, _ := Encode(decoded, testMaxBytes); !bytes.Equal(encoded, again) {
-			t.Fatalf("%v, %v", original, decoded)
+			t.Fatalf("the decoded value encodes to other bytes: original %v, decoded %v", original, decoded)
 		}
 		if _, err := Encode(original, len(encoded)-1); !errors.Is(err, ErrTooLarge) {
 			t.Fatal(err)
--- a/internal/consensus/lease/lease.go
+++ b/internal/consensus/lease/lease.go
@@ -1,8 +1,9 @@
-// Package lease is the lease holder's side of a lease on the replicated state: whether this process may act on the state
-// it knows, by its own monotonic clock. It reads no clock; the caller passes the current time.
+// Package lease implements the holder's side of a lease on the replicated state: it decides, by the monotonic clock of this
+// process, whether the process may act on its local copy of the state. It reads no clock; the caller passes the current
+// time.
 //
-// The clock must continue while the process and the machine are suspended (CLOCK_BOOTTIME on Linux; the monotonic reading
-// of time.Now stops while a machine is suspended), and may run too fast or too slow by a third.
+// The clock must advance while the process or the machine is suspended (CLOCK_BOOTTIME on Linux; the monotonic reading of
+// time.Now stops while a machine is suspended). It may run too fast or too slow by a third.
 package lease
 
 import (
@@ -15,58 +16,58 @@
 
 // Durations, each measured on the clock of the process that waits.
 const (
-	// Duration is how long a lease is valid, from when its holder requested it.
+	// Duration is how long a lease is valid, counted from the time at which its holder requested it.
 	Duration = 6 * time.Second
 	// RenewInterval is the time between two requests for a renewal.
 	RenewInterval = time.Second
-	// MaxStall limits the time between the check of an operation and its last byte. Beyond it End returns ErrStalled, and
-	// the receiver must reject the operation by its log index.
+	// MaxStall limits the time between the check of an operation and its last byte. If an operation takes longer, and its
+	// lease has expired when it ends, End returns ErrStalled, and the receiver must reject the operation by its log index.
 	MaxStall = 1500 * time.Millisecond
-	// ExpiryWait is how long the leader waits after it saw a renewal until that lease, and the operations that it
-	// permitted, have certainly ended. The factor 2 covers a holder's clock that is slow by a third, which takes 3/2 s for
-	// each second, and a leader's that is fast by a third, which counts 4/3 s for one.
+	// ExpiryWait is how long the leader waits after it saw a renewal of a lease. After that time the lease, and the
+	// operations that it permitted, have certainly ended. The factor 2 is 3/2 times 4/3: a holder's clock that is slow by
+	// a third needs 3/2 s to count one second, and a leader's clock that is fast by a third counts 4/3 s in one second.
 	ExpiryWait = 2 * (Duration + MaxStall)
 )
 
 const (
-	maxOutstandingRounds = 16 // requests whose renewal may still arrive
+	maxOutstandingRounds = 16 // requests for a renewal that may still be answered
 	maxOperations        = 4096
 )
 
 var (
-	// ErrNoLease means that this gateway may not act on the state now, because it has not reached a voter for too long. It
-	// recovers by itself when a voter is reached; if it persists, check the network to the voters.
+	// ErrNoLease means that this gateway may not act on the state now, because it has not reached a voter for too long. The
+	// gateway gets a lease again when it reaches a voter; if the error persists, check the network to the voters.
 	ErrNoLease = errors.New("consensus: no lease on the replicated state")
-	// ErrTooManyOperations means that maxOperations are in progress. End some first.
+	// ErrTooManyOperations means that maxOperations are in progress. Call End for some of them first.
 	ErrTooManyOperations = errors.New("consensus: too many operations in progress")
-	// ErrStalled means that the process stalled between the check and the last byte of an operation for longer than
-	// MaxStall and beyond the end of its lease: the operation may have happened after a restriction was complete. Its
-	// receiver must have rejected it by its log index; if the receiver can't, treat the outcome as unknown.
+	// ErrStalled means that more than MaxStall passed between the check and the last byte of an operation, and that the
+	// lease expired meanwhile. The operation may have happened after a restriction was complete. Its receiver must have
+	// rejected it by its log index; if the receiver can't do that, treat the outcome as unknown.
 	ErrStalled = errors.New("consensus: stalled between the check and the last byte of an operation")
 )
 
 // Holder is one gateway's lease. It is not safe for concurrent use.
 type Holder struct {
 	id             uint64
-	round          uint64                   // of the latest request
-	requestedAt    map[uint64]time.Duration // by round, for the latest maxOutstandingRounds
+	round          uint64                   // sequence number of the latest request
+	requestedAt    map[uint64]time.Duration // by round, of the latest maxOutstandingRounds requests
 	validUntil     time.Duration
 	renewedRound   uint64 // the latest round that was renewed
 	now            time.Duration
-	operations     map[uint64]int // in progress, by the log index that they depend on
+	operations     map[uint64]int // number of operations in progress, by Operation.Index
 	operationCount int
 }
 
-// New makes a holder without a lease. The identity must be new with every start of the process.
+// New returns a holder that has no lease yet. The identity must be a new one at every start of the process.
 func New(id uint64) *Holder {
 	return &Holder{id: id, requestedAt: map[uint64]time.Duration{}, operations: map[uint64]int{}}
 }
 
-// advance sets the current time. Time never goes back.
+// advance sets the current time. It ignores a time earlier than the current one.
 func (h *Holder) advance(now time.Duration) { h.now = max(h.now, now) }
 
-// Acknowledge makes the next request for a renewal. It acknowledges appliedIndex, or the lowest log index that an
-// operation in progress depends on.
+// Acknowledge returns the next request for a renewal. The request acknowledges appliedIndex or, if it is lower, the lowest
+// log index that an operation in progress depends on.
 func (h *Holder) Acknowledge(now time.Duration, appliedIndex uint64) statemachine.Ack {
 	h.advance(now)
 	h.round++
@@ -78,8 +79,8 @@
 	return statemachine.Ack{Holder: h.id, Round: h.round, Index: appliedIndex}
 }
 
-// ObserveState updates the lease from the local state after entries were applied. A lease counts from when it was
-// requested, never from when the renewal arrived.
+// ObserveState updates the lease from the local state after entries were applied. The duration of a lease counts from the
+// time of its request, never from the arrival of the renewal.
 func (h *Holder) ObserveState(state *statemachine.State) {
 	latest, ok := state.Lease(h.id)
 	if !ok {
@@ -92,24 +93,24 @@
 	}
 }
 
-// Valid reports whether the lease is valid, and for how long on this clock.
+// Valid reports whether the lease is valid, and how long it remains valid on the clock of this process.
 func (h *Holder) Valid(now time.Duration) (remaining time.Duration, ok bool) {
 	h.advance(now)
 	return h.validUntil - h.now, h.now < h.validUntil
 }
 
-// Operation is an operation that a check permitted.
+// Operation is an operation that Begin permitted.
 type Operation struct {
-	Index      uint64 // the log index that it depends on; it goes with the operation so that the receiver can reject it
+	Index      uint64 // log index of the state that permits it; sent with it, so that the receiver can reject it
 	LeaseUntil time.Duration
 	startedAt  time.Duration
 }
 
-// Begin is called immediately before the first byte of an operation, with the log index of the state that permits it. If
-// it returns ErrNoLease or ErrTooManyOperations, no byte may be sent.
+// Begin checks the lease and starts an operation. It must be called immediately before the first byte of the operation,
+// with the log index of the state that permits it. If it returns ErrNoLease or ErrTooManyOperations, no byte may be sent.
 func (h *Holder) Begin(now time.Duration, index uint64) (Operation, error) {
 	if remaining, ok := h.Valid(now); !ok {
-		return Operation{}, fmt.Errorf("%w: ended %v ago", ErrNoLease, -remaining)
+		return Operation{}, fmt.Errorf("%w: expired %v ago", ErrNoLease, -remaining)
 	}
 	if h.operationCount >= maxOperations {
 		return Operation{}, ErrTooManyOperations
@@ -119,8 +120,8 @@
 	return Operation{Index: index, LeaseUntil: h.validUntil, startedAt: h.now}, nil
 }
 
-// End is called after the last byte of an operation, or when it was abandoned. Until then Acknowledge acknowledges no
-// index beyond the operation's. It returns ErrStalled if the operation may have come too late.
+// End ends an operation. It must be called after the last byte, or when the operation is abandoned; until then Acknowledge
+// acknowledges no index beyond the operation's. End returns ErrStalled if the operation may have happened too late.
 func (h *Holder) End(now time.Duration, operation Operation) error {
 	h.advance(now)
 	h.operations[operation.Index]--
--- a/internal/consensus/lease/lease_test.go
+++ b/internal/consensus/lease/lease_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	applyRenewal(t, state, h.Acknowledge(time.Second, 0))
-	h.Acknowledge(4*time.Second, 0) // gets no response
+	h.Acknowledge(4*time.Second, 0) // this request gets no response
 	h.ObserveState(state)
 	if remaining, ok := h.Valid(5 * time.Second); !ok || remaining != Duration-4*time.Second {
 		t.Fatal(remaining, ok)
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	if ack := h.Acknowledge(time.Second, 5); ack.Index != 1 {
-		t.Errorf("acknowledged %d during an operation that depends on 1", ack.Index)
+		t.Errorf("acknowledged index %d during an operation that depends on index 1", ack.Index)
 	}
 	if err := h.End(time.Second, operation); err != nil {
 		t.Error(err)
--- a/internal/consensus/quorum/quorum.go
+++ b/internal/consensus/quorum/quorum.go
@@ -1,5 +1,5 @@
-// Package quorum chooses the voters of the cluster: a pure function of the available gateways, so that everybody who sees
-// the same gateways chooses the same voters.
+// Package quorum chooses the voters of the cluster. The choice is a pure function of the available gateways, so that all
+// gateways that see the same candidates choose the same voters.
 package quorum
 
 import (
@@ -12,24 +12,25 @@
 // identityContext precedes the hashed identity of a gateway.
 const identityContext = "cranegate council\x00"
 
-// Gateway is one start of one process that may vote.
+// Gateway identifies one start of a gateway process that may become a voter.
 type Gateway struct {
 	Name string
 	Zone string
-	// Start distinguishes the starts of a gateway. A gateway with a disk keeps the one in its file; one without draws a new
-	// one at random each time, so that it never votes under an identity whose votes it has forgotten.
-	Start uint64
+	// StartID distinguishes the starts of a gateway. A gateway with a disk uses the ID stored in its file at every start. A
+	// gateway without a disk draws a random one at each start, so that it never votes under an identity whose votes it no
+	// longer knows.
+	StartID uint64
 }
 
-// ID is the identity of this start of this gateway in the cluster, never 0.
+// ID returns the identity in the cluster of this start of the gateway. It is never 0.
 func (g Gateway) ID() uint64 {
-	identity := binary.BigEndian.AppendUint64([]byte(identityContext), g.Start)
+	identity := binary.BigEndian.AppendUint64([]byte(identityContext), g.StartID)
 	hash := sha256.Sum256(append(identity, g.Name...))
 	return max(binary.BigEndian.Uint64(hash[:8]), 1)
 }
 
-// Size is the number of voters among some gateways: 5 from five on, else 3 or, with fewer than three, one. An even number
-// of voters tolerates no more failures than the odd number below it.
+// Size returns the number of voters of a cluster with a number of gateways: 5 with five or more gateways, 3 with three or
+// four, one with one or two. An even number of voters tolerates no more failures than the odd number below it.
 func Size(gateways int) int {
 	switch {
 	case gateways >= 5:
@@ -40,8 +41,9 @@
 	return min(gateways, 1)
 }
 
-// Choose chooses voters: one of each zone in turn, larger zones first, names in order. Of two starts of one name it
-// chooses the higher. It returns fewer than size if there are fewer candidates.
+// Choose chooses up to size voters. It takes one gateway of each zone in turn, larger zones first, and the gateways of a
+// zone in the order of their names. If two candidates have the same name, it takes the one with the higher StartID. It
+// returns fewer than size voters if there are fewer names.
 func Choose(candidates []Gateway, size int) []Gateway {
 	var voters []Gateway
 	for len(voters) < size {
@@ -54,14 +56,15 @@
 	return voters
 }
 
-// Replacement is the replacement of one voter. An empty Add means that no candidate is available.
+// Replacement names a voter to remove and the gateway to add in its place. An empty Add means that no candidate is
+// available.
 type Replacement struct {
 	Add    Gateway
 	Remove uint64
 }
 
-// NextReplacement returns the next replacement if some voters have failed for good: one at a time, the lowest identity
-// first; a failed identity is never added again. ok is false if no voter has failed or no candidate is available.
+// NextReplacement returns the replacement of the permanently failed voter with the lowest identity; voters are replaced one
+// at a time. A failed identity is never added again. ok is false if no voter has failed or no candidate is available.
 func NextReplacement(voters []Gateway, failed map[uint64]bool, candidates []Gateway) (replacement Replacement, ok bool) {
 	hasFailed := func(g Gateway) bool { return failed[g.ID()] }
 	voters = slices.SortedFunc(slices.Values(voters), func(a, b Gateway) int { return cmp.Compare(a.ID(), b.ID()) })
@@ -75,9 +78,9 @@
 	return Replacement{Add: add, Remove: voters[i].ID()}, ok
 }
 
-// nextVoter returns the candidate to add to some voters.
+// nextVoter returns the best candidate to add to voters, or false if every candidate has the name of a voter.
 func nextVoter(candidates, voters []Gateway) (Gateway, bool) {
-	votersIn, gatewaysIn := map[string]int{}, map[string]int{} // by zone
+	votersIn, gatewaysIn := map[string]int{}, map[string]int{} // number by zone
 	isVoter := map[string]bool{}                               // by name
 	for _, g := range voters {
 		votersIn[g.Zone]++
@@ -96,7 +99,7 @@
 			cmp.Compare(gatewaysIn[b.Zone], gatewaysIn[a.Zone]),
 			cmp.Compare(a.Zone, b.Zone),
 			cmp.Compare(a.Name, b.Name),
-			cmp.Compare(b.Start, a.Start),
+			cmp.Compare(b.StartID, a.StartID),
 		)
 	}), true
 }
--- a/internal/consensus/quorum/quorum_test.go
+++ b/internal/consensus/quorum/quorum_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// newFleet makes gateways in zones of some sizes.
+// newFleet returns gateways in zones of the given sizes.
 func newFleet(zoneSizes ...int) (all []Gateway) {
 	for zone, size := range zoneSizes {
 		for i := range size {
-			all = append(all, Gateway{Name: fmt.Sprintf("g%d-%d", zone, i), Zone: fmt.Sprint("z", zone), Start: uint64(10*zone + i + 1)})
+			all = append(all, Gateway{Name: fmt.Sprintf("g%d-%d", zone, i), Zone: fmt.Sprint("z", zone), StartID: uint64(10*zone + i + 1)})
 		}
 	}
 	return all
@@ -37,16 +37,16 @@
 		}
 		for zone, count := range votersIn {
 			if count > c.maxPerZone {
-				t.Errorf("%v: %d voters of %s", c.zoneSizes, count, zone)
+				t.Errorf("zones of %v gateways: %d voters in zone %s", c.zoneSizes, count, zone)
 			}
 		}
 		if len(voters) != min(c.size, len(gateways)) {
-			t.Errorf("%v: %d voters", c.zoneSizes, len(voters))
+			t.Errorf("zones of %v gateways: %d voters", c.zoneSizes, len(voters))
 		}
 		for range 20 {
 			rand.Shuffle(len(gateways), func(i, j int) { gateways[i], gateways[j] = gateways[j], gateways[i] })
 			if !reflect.DeepEqual(Choose(gateways, c.size), voters) {
-				t.Fatalf("%v: the choice depends on the order", c.zoneSizes)
+				t.Fatalf("zones of %v gateways: the choice depends on the order of the candidates", c.zoneSizes)
 			}
 		}
 	}
@@ -56,16 +56,16 @@
 	gateways := newFleet(3, 3, 3)
 	voters := Choose(gateways, 3)
 	if _, ok := NextReplacement(voters, nil, gateways); ok {
-		t.Error("a replacement though no voter has failed")
+		t.Error("NextReplacement returned a replacement although no voter has failed")
 	}
 	failed := map[uint64]bool{voters[0].ID(): true}
 	restarted := voters[0]
-	restarted.Start = 99 // the same gateway, restarted without its disk
+	restarted.StartID = 99 // the same gateway, restarted without its disk
 	replacement, ok := NextReplacement(voters, failed, append(gateways, restarted))
 	if !ok || replacement.Remove != voters[0].ID() || replacement.Add.Zone != voters[0].Zone || failed[replacement.Add.ID()] {
-		t.Errorf("%+v %v", replacement, ok)
+		t.Errorf("NextReplacement returned %+v, %v", replacement, ok)
 	}
 	if replacement.Add != restarted || restarted.ID() == voters[0].ID() {
-		t.Errorf("%+v was added in place of the restarted gateway", replacement.Add)
+		t.Errorf("NextReplacement adds %+v, not the restarted gateway", replacement.Add)
 	}
 }
--- a/internal/consensus/raftlog/harness_test.go
+++ b/internal/consensus/raftlog/harness_test.go
@@ -59,13 +59,13 @@
 func (h *harness) set(seq uint64, size int) error {
 	h.t.Helper()
 	command := statemachine.Command{
-		Key:         statemachine.Key{Client: 5, Seq: seq},
-		BornIndex:   h.voter.state.Index,
-		ReceivedSeq: seq - 1,
-		Op:          statemachine.Set,
-		Name:        "x",
-		Value:       make([]byte, size),
-		AnyVersion:  true,
+		Key:          statemachine.Key{Client: 5, Seq: seq},
+		CreatedIndex: h.voter.state.Index,
+		ReceivedSeq:  seq - 1,
+		Op:           statemachine.Set,
+		Name:         "x",
+		Value:        make([]byte, size),
+		AnyVersion:   true,
 	}
 	data, err := command.Encode()
 	if err != nil {
--- a/internal/consensus/raftlog/message.go
+++ b/internal/consensus/raftlog/message.go
@@ -82,14 +82,14 @@
 
 // Response is the result of a Request: Key and Result for a command, ReadID and Reading for a read.
 type Response struct {
-	Key     statemachine.Key    `cbor:"1,keyasint,omitzero"`
-	Result  statemachine.Result `cbor:"2,keyasint,omitzero"`
-	ReadID  uint64              `cbor:"3,keyasint,omitempty"`
-	Reading Reading             `cbor:"4,keyasint,omitzero"`
+	Key        statemachine.Key    `cbor:"1,keyasint,omitzero"`
+	Result     statemachine.Result `cbor:"2,keyasint,omitzero"`
+	ReadID     uint64              `cbor:"3,keyasint,omitempty"`
+	ReadResult ReadResult          `cbor:"4,keyasint,omitzero"`
 }
 
-// Reading is the value of a register and how fresh it is.
-type Reading struct {
+// ReadResult is the value of a register and how fresh it is.
+type ReadResult struct {
 	Register statemachine.Register `cbor:"1,keyasint"`
 	Found    bool                  `cbor:"2,keyasint,omitempty"`
 	Settled  bool                  `cbor:"3,keyasint,omitempty"` // in force at every lease holder; see statemachine.State.Get
--- a/internal/consensus/raftlog/reads.go
+++ b/internal/consensus/raftlog/reads.go
@@ -39,9 +39,9 @@
 // seed of its start, so that a result for another voter, or for a request before a restart, is not mistaken for its
 // own.
 func (v *Voter) requestReadIndex() {
-	readWaits := slices.ContainsFunc(v.pendingReads, func(r pendingRead) bool { return r.sequence == v.readIndexSequence+1 })
+	hasWaitingRead := slices.ContainsFunc(v.pendingReads, func(r pendingRead) bool { return r.sequence == v.readIndexSequence+1 })
 	hasLeader := v.rawNode.BasicStatus().Lead != 0
-	if !hasLeader || !readWaits && v.tick%readIndexTicks != 0 {
+	if !hasLeader || !hasWaitingRead && v.tick%readIndexTicks != 0 {
 		return
 	}
 	v.readIndexSequence++
@@ -89,14 +89,14 @@
 		if r.sequence > v.confirmation.sequence {
 			return false
 		}
-		response := &Response{ReadID: r.id, Reading: reading(v.state, r.register, v.age())}
+		response := &Response{ReadID: r.id, ReadResult: readRegister(v.state, r.register, v.age())}
 		v.send(Message{To: r.from, Kind: ResponseKind, Response: response})
 		return true
 	})
 }
 
-// reading reads a register from a state of the given age.
-func reading(state *statemachine.State, register string, age time.Duration) Reading {
+// readRegister reads a register from a state of the given age.
+func readRegister(state *statemachine.State, register string, age time.Duration) ReadResult {
 	value, settled, found := state.Get(register)
-	return Reading{Register: value, Found: found, Settled: settled, Index: state.Index, Age: age}
+	return ReadResult{Register: value, Found: found, Settled: settled, Index: state.Index, Age: age}
 }
--- a/internal/consensus/raftlog/replica.go
+++ b/internal/consensus/raftlog/replica.go
@@ -154,13 +154,13 @@
 }
 
 // Read returns a register from the local copy, with its log index and an upper bound of its age.
-func (r *Replica) Read(now time.Duration, register string) Reading {
+func (r *Replica) Read(now time.Duration, register string) ReadResult {
 	r.now = max(r.now, now)
 	age := UnknownAge
 	if r.confirmed {
 		age = r.now - r.confirmedAt
 	}
-	return reading(r.state, register, age)
+	return readRegister(r.state, register, age)
 }
 
 // Begin checks the lease immediately before the first byte of an operation that the local state permits; see
--- a/internal/consensus/simulation/checker_test.go
+++ b/internal/consensus/simulation/checker_test.go
@@ -14,8 +14,8 @@
 
 // Limits after the recovery.
 const (
-	maxAgeAtEnd         = 10 * time.Second // of what a replica reads
-	maxRestrictionAtEnd = 30 * time.Second // that a restriction is incomplete
+	maxAgeAtEnd            = 10 * time.Second // of what a replica reads
+	maxRestrictionAgeAtEnd = 30 * time.Second // that a restriction is incomplete
 )
 
 // checker sees every message, every applied entry and the true time, and records violated invariants.
@@ -29,14 +29,14 @@
 	restrictions []restriction
 	votes        map[voteKey]uint64 // the candidate
 
-	operations         int
-	rejected           int // operations for want of a lease
-	stalled            int // operations that End called stalled
-	settledReads       int
-	completed          int           // restrictions
-	longestRestriction time.Duration // from proposal to completion
-	commands           int
-	renewals           int
+	operations            int
+	rejectedOperations    int // operations for want of a lease
+	stalledOperations     int // operations that End called stalled
+	settledReads          int
+	completedRestrictions int           // restrictions
+	longestRestriction    time.Duration // from proposal to completion
+	commands              int
+	renewals              int
 }
 
 // restriction is a Restrict in the log; completedAt is 0 while it is incomplete.
@@ -112,11 +112,11 @@
 func (c *checker) recordCompletions() {
 	for i := range c.restrictions {
 		r := &c.restrictions[i]
-		if r.completedAt != 0 || c.state.HasPendingRestriction(r.index) {
+		if r.completedAt != 0 || c.state.HasIncompleteRestriction(r.index) {
 			continue
 		}
 		r.completedAt = c.fleet.now
-		c.completed++
+		c.completedRestrictions++
 		c.longestRestriction = max(c.longestRestriction, r.completedAt-r.proposedAt)
 	}
 }
@@ -171,7 +171,7 @@
 // rejects a stalled operation by its log index.
 func (c *checker) checkOperation(gateway *gateway, sent *operation, err error) {
 	if err != nil {
-		c.stalled++
+		c.stalledOperations++
 		return
 	}
 	c.operations++
@@ -196,12 +196,12 @@
 	}
 	for _, r := range c.restrictions {
 		age := c.fleet.now - r.proposedAt
-		if r.completedAt == 0 && age > maxRestrictionAtEnd && c.fleet.recoveryTime >= maxRestrictionAtEnd {
+		if r.completedAt == 0 && age > maxRestrictionAgeAtEnd && c.fleet.recoveryTime >= maxRestrictionAgeAtEnd {
 			c.fail("the restriction at %d, of %v, is incomplete", r.index, r.proposedAt)
 		}
 	}
-	if count := len(c.restrictions); count == 0 || count-c.completed > 1 {
-		c.fail("%d restrictions, %d complete, %d operations", count, c.completed, c.operations)
+	if count := len(c.restrictions); count == 0 || count-c.completedRestrictions > 1 {
+		c.fail("%d restrictions, %d complete, %d operations", count, c.completedRestrictions, c.operations)
 	}
 	c.checkLinearizable()
 }
--- a/internal/consensus/simulation/client_test.go
+++ b/internal/consensus/simulation/client_test.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	firstClientID  = 1000
-	retryInterval  = 700 * time.Millisecond
-	maxIdleMillis  = 3000 // between a response and the next request
-	maxOwnedMillis = 6000 // between two changes of the owner, instead
+	firstClientID      = 1000
+	retryInterval      = 700 * time.Millisecond
+	maxIdleMillis      = 3000 // between a response and the next request
+	maxOwnershipMillis = 6000 // between two changes of the owner, instead
 )
 
 // client sends one request at a time and retries it with the same key until it gets a response. The first client moves the
@@ -22,7 +22,7 @@
 type client struct {
 	fleet        *fleet
 	id           uint64
-	movesOwner   bool
+	changesOwner bool
 	seq          uint64
 	lastReadID   uint64
 	knownIndex   uint64 // the latest log index that it knows
@@ -37,8 +37,8 @@
 	operations   []porcupine.Operation
 }
 
-func newClient(f *fleet, id uint64, movesOwner bool) *client {
-	return &client{fleet: f, id: id, movesOwner: movesOwner}
+func newClient(f *fleet, id uint64, changesOwner bool) *client {
+	return &client{fleet: f, id: id, changesOwner: changesOwner}
 }
 
 // step retries the pending request, or starts the next one.
@@ -54,7 +54,7 @@
 	}
 	c.waiting, c.startedAt = true, c.fleet.now
 	c.register = fmt.Sprint("k", c.fleet.rng.IntN(2))
-	c.isRead = !c.movesOwner && c.fleet.rng.IntN(3) == 0
+	c.isRead = !c.changesOwner && c.fleet.rng.IntN(3) == 0
 	if !c.isRead {
 		c.seq++
 		c.command = c.nextCommand()
@@ -66,7 +66,7 @@
 	rng := c.fleet.rng
 	command := statemachine.Command{
 		Key:             statemachine.Key{Client: c.id, Seq: c.seq},
-		BornIndex:       c.knownIndex,
+		CreatedIndex:    c.knownIndex,
 		ReceivedSeq:     c.seq - 1,
 		Op:              statemachine.Set,
 		Name:            c.register,
@@ -74,7 +74,7 @@
 		AnyVersion:      rng.IntN(2) == 0,
 		ExpectedVersion: uint64(rng.IntN(4)) + uint64(len(c.operations))/2,
 	}
-	if !c.movesOwner {
+	if !c.changesOwner {
 		return command
 	}
 	command.Name, command.AnyVersion = ownerRegister, true
@@ -109,17 +109,17 @@
 	}
 	result := operationOutput{known: true, code: response.Result.Code, version: response.Result.Version}
 	if c.isRead {
-		result.version = response.Reading.Register.Version
-		result.value = string(response.Reading.Register.Value)
-		c.knownIndex = max(c.knownIndex, response.Reading.Index)
+		result.version = response.ReadResult.Register.Version
+		result.value = string(response.ReadResult.Register.Value)
+		c.knownIndex = max(c.knownIndex, response.ReadResult.Index)
 	}
 	c.knownIndex = max(c.knownIndex, response.Result.Index)
 	c.record(c.fleet.now, result)
 	c.waiting = false
 	c.idleUntil = c.fleet.now + time.Duration(c.fleet.rng.IntN(maxIdleMillis))*time.Millisecond
-	if c.movesOwner && response.Result.Code == statemachine.OK {
+	if c.changesOwner && response.Result.Code == statemachine.OK {
 		c.ownerChanges++
-		c.idleUntil = c.fleet.now + time.Duration(c.fleet.rng.IntN(maxOwnedMillis))*time.Millisecond
+		c.idleUntil = c.fleet.now + time.Duration(c.fleet.rng.IntN(maxOwnershipMillis))*time.Millisecond
 	}
 }
 
--- a/internal/consensus/simulation/fleet_test.go
+++ b/internal/consensus/simulation/fleet_test.go
@@ -50,7 +50,7 @@
 	identities   map[uint64]quorum.Gateway
 	clients      []*client
 	checker      *checker
-	starts       uint64 // of processes, each with a new identity
+	lastStartID  uint64 // of processes, each with a new identity
 	replacements int    // proposed while the new voter was a learner
 	sentCount    int
 }
@@ -102,8 +102,8 @@
 
 // assignIdentity gives a gateway a new identity.
 func (f *fleet) assignIdentity(g *gateway) {
-	f.starts++
-	g.Start = f.starts
+	f.lastStartID++
+	g.StartID = f.lastStartID
 	g.id = g.ID()
 	f.identities[g.id] = g.Gateway
 }
--- a/internal/consensus/simulation/gateway_test.go
+++ b/internal/consensus/simulation/gateway_test.go
@@ -52,7 +52,7 @@
 	}
 	folder := filepath.Join(f.folder, gateway.Name)
 	os.MkdirAll(folder, 0o700)
-	file, err := store.Open(folder, store.Owner{Name: gateway.Name, ClusterID: f.clusterID, Start: gateway.Start})
+	file, err := store.Open(folder, store.Owner{Name: gateway.Name, ClusterID: f.clusterID, StartID: gateway.StartID})
 	if err == nil && initial.Snapshot != nil {
 		err = file.Save(raftlog.Update{HardState: initial.HardState, Snapshot: initial.Snapshot, MustSync: true})
 	}
@@ -85,8 +85,8 @@
 	gateway.clockRate = f.drawClockRate()
 	gateway.clock = time.Duration(f.rng.Int64N(int64(time.Hour)))
 	gateway.tickedAt = gateway.clock
-	f.starts++ // the lease holder's identity is always new
-	holder := quorum.Gateway{Name: gateway.Name + " holds", Start: f.starts}
+	f.lastStartID++ // the lease holder's identity is always new
+	holder := quorum.Gateway{Name: gateway.Name + " holds", StartID: f.lastStartID}
 	gateway.replica = raftlog.NewReplica(f.clusterID, holder.ID(), f.rng.Uint64(), f.currentVoters())
 	gateway.replica.State().InjectedFaults = f.injectedFaults
 }
@@ -189,7 +189,7 @@
 	}
 	permitted, err := gateway.replica.Begin(gateway.clock)
 	if err != nil {
-		f.checker.rejected++
+		f.checker.rejectedOperations++
 		return
 	}
 	wait := time.Duration(0)
--- a/internal/consensus/simulation/linearizability_test.go
+++ b/internal/consensus/simulation/linearizability_test.go
@@ -74,7 +74,7 @@
 
 // record adds the pending request to the history, with its response. Changes of the owner are left out.
 func (c *client) record(returnedAt time.Duration, output operationOutput) {
-	if c.movesOwner {
+	if c.changesOwner {
 		return
 	}
 	input := operationInput{register: c.register, isRead: c.isRead}
--- a/internal/consensus/simulation/network_test.go
+++ b/internal/consensus/simulation/network_test.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	lostPercent        = 8
-	duplicatedPercent  = 4
-	delayedPercent     = 5
-	delayFactor        = 100 // of a delayed message
-	maxDelayMillis     = 30  // of any other message
-	messagesPerEncoded = 16  // one of so many messages is encoded and decoded
+	lostPercent       = 8
+	duplicatedPercent = 4
+	delayedPercent    = 5
+	delayFactor       = 100 // of a delayed message
+	maxDelayMillis    = 30  // of any other message
+	encodeInterval    = 16  // one of so many messages is encoded and decoded
 )
 
 // delivery is a message in flight.
@@ -36,7 +36,7 @@
 func (f *fleet) sendMessage(message raftlog.Message) {
 	f.checker.checkVotes(message)
 	f.sentCount++
-	if f.sentCount%messagesPerEncoded == 0 {
+	if f.sentCount%encodeInterval == 0 {
 		decoded, err := encodeAndDecode(message)
 		if err != nil {
 			f.checker.fail("encoding a message: %v", err)
--- a/internal/consensus/simulation/norace_test.go
+++ b/internal/consensus/simulation/norace_test.go
@@ -2,4 +2,4 @@
 
 package simulation
 
-const raceDetector = false
+const raceDetectorEnabled = false
--- a/internal/consensus/simulation/race_test.go
+++ b/internal/consensus/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// raceDetector reports whether the race detector is on, which makes a run ten times as long: scenarios are shorter then.
-const raceDetector = true
+// raceDetectorEnabled reports whether the race detector is on, which makes a run ten times as long: scenarios are shorter then.
+const raceDetectorEnabled = true
--- a/internal/consensus/simulation/runs_test.go
+++ b/internal/consensus/simulation/runs_test.go
@@ -14,7 +14,7 @@
 // parallelRuns is the number of fleets that TestSeeds runs at a time.
 const parallelRuns = 2
 
-func scenarioOf(seed int) scenario {
+func newScenario(seed int) scenario {
 	result := scenario{
 		voters:       3,
 		replicas:     5 + seed*7%16,
@@ -25,7 +25,7 @@
 	if seed%2 == 1 {
 		result.voters = 5
 	}
-	if raceDetector {
+	if raceDetectorEnabled {
 		result.faultTime, result.recoveryTime = 14*time.Second, 11*time.Second
 	}
 	return result
@@ -40,9 +40,9 @@
 
 func (t *totals) add(f *fleet) {
 	t.operations += f.checker.operations
-	t.rejected += f.checker.rejected
-	t.stalled += f.checker.stalled
-	t.restrictions += f.checker.completed
+	t.rejected += f.checker.rejectedOperations
+	t.stalled += f.checker.stalledOperations
+	t.restrictions += f.checker.completedRestrictions
 	t.replacements += f.replacements
 	t.commands += f.checker.commands
 	t.renewals += f.checker.renewals
@@ -59,7 +59,7 @@
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
 				for seed := first; seed < *seeds; seed += parallelRuns {
-					fleet := newFleet(scenarioOf(seed))
+					fleet := newFleet(newScenario(seed))
 					fleet.run()
 					for _, failure := range fleet.checker.failures {
 						t.Errorf("seed %d: %s", seed, failure)
@@ -72,14 +72,14 @@
 		}
 	})
 	t.Logf("%d fleets: %+v, the longest restriction took %v", *seeds, sum, sum.longestRestriction)
-	if sum.operations == 0 || sum.rejected == 0 || sum.stalled == 0 && !raceDetector || sum.replacements == 0 {
+	if sum.operations == 0 || sum.rejected == 0 || sum.stalled == 0 && !raceDetectorEnabled || sum.replacements == 0 {
 		t.Error("the runs did not cover every case")
 	}
 }
 
 // TestRunsAreReproducible runs one seed twice.
 func TestRunsAreReproducible(t *testing.T) {
-	a, b := newFleet(scenarioOf(3)), newFleet(scenarioOf(3))
+	a, b := newFleet(newScenario(3)), newFleet(newScenario(3))
 	a.run()
 	b.run()
 	stateA, stateB := a.checker.state, b.checker.state
@@ -90,7 +90,7 @@
 
 // TestFileStores runs with files, which are opened anew at each crash.
 func TestFileStores(t *testing.T) {
-	s := scenarioOf(6)
+	s := newScenario(6)
 	s.folder, s.faultTime, s.recoveryTime = t.TempDir(), 20*time.Second, 20*time.Second
 	f := newFleet(s)
 	f.run()
@@ -126,7 +126,7 @@
 // firstFailure returns the first failure of 20 fleets with an injected fault, "" if there is none.
 func firstFailure(inject func(*scenario)) string {
 	for seed := range 20 {
-		s := scenarioOf(seed)
+		s := newScenario(seed)
 		inject(&s)
 		f := newFleet(s)
 		f.run()
--- a/internal/consensus/simulation/votes_test.go
+++ b/internal/consensus/simulation/votes_test.go
@@ -70,7 +70,7 @@
 // votes once. Without it, it is another voter, which the request does not reach. Under its old identity without the disk it
 // votes twice, which the checker detects.
 func TestVoteOncePerTerm(t *testing.T) {
-	gateway := quorum.Gateway{Name: "g1", Start: 1}
+	gateway := quorum.Gateway{Name: "g1", StartID: 1}
 	clusterID, bootstrap, err := raftlog.Bootstrap([]uint64{gateway.ID(), 2, 3})
 	if err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 	}
 
 	restarted := gateway
-	restarted.Start = 2
+	restarted.StartID = 2
 	err = harness.requestVote(restarted, gateway.ID(), 3, store.NewMemory(raftlog.PersistedState{}))
 	if !errors.Is(err, raftlog.ErrMisdirected) {
 		t.Errorf("without its disk: %v", err)
--- a/internal/consensus/statemachine/apply.go
+++ b/internal/consensus/statemachine/apply.go
@@ -22,8 +22,8 @@
 }
 
 // applyOnce applies a request that was not applied before; a retry gets the stored result. A request can't be applied
-// twice: it is rejected more than MaxRequestAge entries after BornIndex, and its client is stored for MaxRequestAge entries
-// after the request was applied, which was after BornIndex.
+// twice: it is rejected more than MaxRequestAge entries after CreatedIndex, and its client is stored for MaxRequestAge entries
+// after the request was applied, which was after CreatedIndex.
 func (s *State) applyOnce(command Command) Result {
 	if s.InjectedFaults.SkipDeduplication {
 		return s.execute(command)
@@ -31,7 +31,7 @@
 	if result, ok := s.StoredResult(command.Key); ok {
 		return result
 	}
-	if command.BornIndex > s.Index || s.Index-command.BornIndex > MaxRequestAge {
+	if command.CreatedIndex > s.Index || s.Index-command.CreatedIndex > MaxRequestAge {
 		return Result{Code: Expired, Index: s.Index}
 	}
 	client := s.findOrAddClient(command.Key.Client)
--- a/internal/consensus/statemachine/command.go
+++ b/internal/consensus/statemachine/command.go
@@ -39,7 +39,7 @@
 // Command is proposed for the replicated log.
 type Command struct {
 	Key             Key    `cbor:"1,keyasint,omitzero"`
-	BornIndex       uint64 `cbor:"2,keyasint,omitempty"` // a log index that the client knew when it made Key
+	CreatedIndex    uint64 `cbor:"2,keyasint,omitempty"` // a log index that the client knew when it made Key
 	ReceivedSeq     uint64 `cbor:"3,keyasint,omitempty"` // the client has all responses up to this sequence number and retries none of them
 	Op              Op     `cbor:"4,keyasint"`
 	Name            string `cbor:"5,keyasint,omitempty"` // of the register
--- a/internal/consensus/statemachine/leases.go
+++ b/internal/consensus/statemachine/leases.go
@@ -61,7 +61,7 @@
 	s.restrictions = slices.DeleteFunc(s.restrictions, func(r Restriction) bool { return r.Index <= acknowledged })
 	for _, register := range s.registers {
 		pending := register.Pending
-		if pending == nil || s.HasPendingRestriction(pending.Index) {
+		if pending == nil || s.HasIncompleteRestriction(pending.Index) {
 			continue
 		}
 		s.registerBytes -= len(register.Value)
--- a/internal/consensus/statemachine/registers.go
+++ b/internal/consensus/statemachine/registers.go
@@ -42,7 +42,7 @@
 		return NotFound
 	case command.Op != Withdraw && register != nil && register.Pending != nil:
 		return Busy
-	case command.Op == Remove && register.Restricts && s.HasPendingRestriction(register.Index):
+	case command.Op == Remove && register.Restricts && s.HasIncompleteRestriction(register.Index):
 		return Busy
 	case command.Op == Restrict && len(s.restrictions) >= MaxRestrictions:
 		return Full
@@ -61,7 +61,7 @@
 	}
 	version := changed.Version
 	changed.Version++
-	if command.Op == Relax && s.HasPendingRestriction(s.Index) {
+	if command.Op == Relax && s.HasIncompleteRestriction(s.Index) {
 		changed.Pending = &PendingValue{Value: bytes.Clone(command.Value), Index: s.Index}
 	} else {
 		changed.Value = bytes.Clone(command.Value)
--- a/internal/consensus/statemachine/state.go
+++ b/internal/consensus/statemachine/state.go
@@ -80,12 +80,12 @@
 		return Register{Name: name}, true, false
 	}
 	r = *stored
-	isRestricting := r.Restricts && s.HasPendingRestriction(r.Index)
+	isRestricting := r.Restricts && s.HasIncompleteRestriction(r.Index)
 	return r, r.Pending == nil && !isRestricting, true
 }
 
-// HasPendingRestriction reports whether a restriction at or before a log index is incomplete.
-func (s *State) HasPendingRestriction(index uint64) bool {
+// HasIncompleteRestriction reports whether a restriction at or before a log index is incomplete.
+func (s *State) HasIncompleteRestriction(index uint64) bool {
 	return len(s.restrictions) > 0 && s.restrictions[0].Index <= index
 }
 
--- a/internal/consensus/statemachine/statemachine_test.go
+++ b/internal/consensus/statemachine/statemachine_test.go
@@ -14,7 +14,7 @@
 	}
 	command := Command{
 		Key:             Key{rapid.Uint64Range(1, 4).Draw(t, "client"), rapid.Uint64Range(1, 12).Draw(t, "seq")},
-		BornIndex:       rapid.Uint64Range(0, index).Draw(t, "born"),
+		CreatedIndex:    rapid.Uint64Range(0, index).Draw(t, "born"),
 		Op:              Op(rapid.IntRange(int(Set), int(Remove)).Draw(t, "op")),
 		Name:            rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
 		Value:           rapid.SliceOfN(rapid.Byte(), 0, 4).Draw(t, "value"),
@@ -107,7 +107,7 @@
 	size := 0
 	for _, register := range s.registers {
 		size += register.bytes()
-		if register.Pending != nil && !s.HasPendingRestriction(register.Pending.Index) {
+		if register.Pending != nil && !s.HasIncompleteRestriction(register.Pending.Index) {
 			t.Fatal("a pending value waits for nothing")
 		}
 	}
--- a/internal/consensus/store/errors.go
+++ b/internal/consensus/store/errors.go
@@ -8,25 +8,26 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Errors of a file. Each names what the operator can do.
+// Errors of Open, Load, Save and Close. Each message says what the operator can do.
 var (
 	// ErrDamaged means that the file is damaged. Move it away: the gateway then joins as a new voter, and the cluster
-	// replaces the old one. Never restore an older copy: the votes cast since it was made would be forgotten.
+	// replaces the old one. Never restore an older copy of the file: it lacks the votes cast since the copy was made.
 	ErrDamaged = errors.New("consensus: the file is damaged; move it away and start again, as a new voter; never restore an older copy")
 	// ErrFull means that the disk is full, or that the file has reached MaxFileBytes. Free disk space, or move a file of
 	// that size away (the gateway is then a new voter), and start again. No acknowledged write is lost.
-	ErrFull = errors.New("consensus: no room on the disk or in the file; make room and start again")
+	ErrFull = errors.New("consensus: the disk is full or the file has reached its size limit; make room and start again")
 	// ErrWrongOwner means that the file is not a consensus file, or belongs to another gateway or another cluster.
 	// Configure another folder.
-	ErrWrongOwner = errors.New("consensus: the file belongs to something else; name another folder")
+	ErrWrongOwner = errors.New("consensus: the file is not the consensus file of this gateway and cluster; configure another folder")
 	// ErrInUse means that another process has the file open. Stop that process, or configure another folder.
-	ErrInUse = errors.New("consensus: another process has the file open; end it or name another folder")
-	// ErrUnusable means that the disk failed otherwise, or that the folder can't be written. The wrapped error has the details.
-	ErrUnusable = errors.New("consensus: the folder can't be read or written; look at its rights and at the disk")
+	ErrInUse = errors.New("consensus: another process has the file open; stop it or configure another folder")
+	// ErrUnusable means that the disk failed in another way, or that the folder can't be read or written. The wrapped error
+	// has the details.
+	ErrUnusable = errors.New("consensus: the folder can't be read or written; check its permissions and the disk")
 )
 
-// classify wraps an error in the error of this package that names the operator's remedy. An error that has one
-// already, and nil, are returned as they are.
+// classify wraps an error in the matching error of this package, whose message says what the operator can do. It returns
+// nil, and an error that wraps one of them already, unchanged.
 func classify(err error) error {
 	if err == nil {
 		return nil
@@ -58,7 +59,7 @@
 	return false
 }
 
-// recoverDamage turns a panic, which bbolt raises over a damaged page, into ErrDamaged. It is deferred.
+// recoverDamage turns a panic into ErrDamaged; bbolt panics when it reads a damaged page. Callers must defer it.
 func recoverDamage(err *error) {
 	if p := recover(); p != nil {
 		*err = fmt.Errorf("%w: %v", ErrDamaged, p)
--- a/internal/consensus/store/records.go
+++ b/internal/consensus/store/records.go
@@ -20,7 +20,7 @@
 	return string(binary.BigEndian.AppendUint64(nil, index))
 }
 
-// deleteEntries deletes the log entries whose index matches.
+// deleteEntries deletes the log entries for whose index match returns true.
 func deleteEntries(entries *bbolt.Bucket, match func(index uint64) bool) error {
 	var keys [][]byte
 	cursor := entries.Cursor()
@@ -37,6 +37,7 @@
 	return nil
 }
 
+// putProto stores an encoded message, preceded by its checksum.
 func putProto(bucket *bbolt.Bucket, key string, message proto.Message) error {
 	data, err := proto.Marshal(message)
 	if err != nil {
@@ -45,7 +46,8 @@
 	return putChecked(bucket, key, data)
 }
 
-// getProto decodes a value into message. It returns ErrDamaged if the value is missing or its checksum does not match.
+// getProto decodes a value into message. It returns ErrDamaged if the value is missing, its checksum does not match, or it
+// can't be decoded.
 func getProto(bucket *bbolt.Bucket, key string, message proto.Message) error {
 	data, err := getChecked(bucket, key)
 	if err == nil {
@@ -57,7 +59,7 @@
 	return nil
 }
 
-// putChecked stores a value after its checksum.
+// putChecked stores a value, preceded by its checksum.
 func putChecked(bucket *bbolt.Bucket, key string, data []byte) error {
 	checksum := crc32.Checksum(data, castagnoli)
 	return bucket.Put([]byte(key), append(binary.BigEndian.AppendUint32(nil, checksum), data...))
@@ -68,7 +70,7 @@
 func getChecked(bucket *bbolt.Bucket, key string) ([]byte, error) {
 	stored := bucket.Get([]byte(key))
 	if len(stored) < checksumBytes || crc32.Checksum(stored[checksumBytes:], castagnoli) != binary.BigEndian.Uint32(stored) {
-		return nil, fmt.Errorf("%w: checksum of %q", ErrDamaged, key)
+		return nil, fmt.Errorf("%w: missing value or wrong checksum at key %q", ErrDamaged, key)
 	}
 	return stored[checksumBytes:], nil
 }
--- a/internal/consensus/store/store.go
+++ b/internal/consensus/store/store.go
@@ -10,7 +10,7 @@
 	"cranegate/internal/consensus/raftlog"
 )
 
-// Store persists the Updates of a voter. An error is final for the voter: the caller must not call Advance or send
+// Store persists the Updates of a voter. After an error the voter can't go on: the caller must not call Advance or send
 // anything, and must restart the voter from Load or under a new identity.
 type Store interface {
 	Load() (raftlog.PersistedState, error)
@@ -18,10 +18,10 @@
 	Close() error
 }
 
-// Memory holds a voter's state as long as the process runs. The zero value is empty.
+// Memory keeps a voter's state in memory, as long as the process runs. The zero value is empty.
 type Memory struct{ state raftlog.PersistedState }
 
-// NewMemory makes a Memory that holds a state, such as the result of raftlog.Bootstrap.
+// NewMemory returns a Memory that holds a state, such as the result of raftlog.Bootstrap.
 func NewMemory(state raftlog.PersistedState) *Memory { return &Memory{state: state} }
 
 // Load returns the saved state. The error is always nil.
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// retainEntries copies the entries whose index matches into a new slice; a caller of Load may still use the old one.
+// retainEntries copies the entries for whose index match returns true into a new slice, because a caller of Load may still
+// use the old one.
 func (m *Memory) retainEntries(match func(index uint64) bool) {
 	var retained []*pb.Entry
 	for _, entry := range m.state.Entries {
--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -27,14 +27,14 @@
 
 func openFile(t *testing.T, folder string) *File {
 	t.Helper()
-	file, err := Open(folder, Owner{Name: "g1", ClusterID: 7, Start: rand.Uint64()})
+	file, err := Open(folder, Owner{Name: "g1", ClusterID: 7, StartID: rand.Uint64()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return file
 }
 
-// writeSampleFile makes a file with the snapshot of a new cluster and some entries.
+// writeSampleFile creates a file with the snapshot of a new cluster and the entries from 2 to lastSampleIndex.
 func writeSampleFile(t *testing.T, folder string) {
 	t.Helper()
 	file := openFile(t, folder)
@@ -51,11 +51,12 @@
 	}
 }
 
-// TestFileMatchesMemory saves the same updates in a file, which is opened anew after each, and in memory.
+// TestFileMatchesMemory saves the same updates in memory and in a file that is reopened after each of them. Both must load
+// the same state.
 func TestFileMatchesMemory(t *testing.T) {
 	folder := t.TempDir()
 	file, memory := openFile(t, folder), NewMemory(raftlog.PersistedState{})
-	start := file.Owner().Start
+	start := file.Owner().StartID
 	_, bootstrap, _ := raftlog.Bootstrap([]uint64{1})
 	hardState := &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(1)), Commit: new(uint64(4))}
 	updates := []raftlog.Update{
@@ -71,8 +72,8 @@
 			t.Fatal(err)
 		}
 		file = openFile(t, folder)
-		if file.Owner().Start != start {
-			t.Fatal("another start from the same file")
+		if file.Owner().StartID != start {
+			t.Fatal("the reopened file has another StartID")
 		}
 		requireSameState(t, file, memory)
 	}
@@ -87,14 +88,14 @@
 		t.Fatal(err)
 	}
 	if fromFile.HardState.String() != fromMemory.HardState.String() || fromFile.Snapshot.String() != fromMemory.Snapshot.String() {
-		t.Fatalf("%v, %v", fromFile, fromMemory)
+		t.Fatalf("hard state or snapshot differ: file %v, memory %v", fromFile, fromMemory)
 	}
 	if len(fromFile.Entries) != len(fromMemory.Entries) {
-		t.Fatalf("%v, %v", fromFile, fromMemory)
+		t.Fatalf("number of entries differs: file %v, memory %v", fromFile, fromMemory)
 	}
 	for i := range fromFile.Entries {
 		if fromFile.Entries[i].String() != fromMemory.Entries[i].String() {
-			t.Fatalf("entry %d: %v, %v", i, fromFile.Entries[i], fromMemory.Entries[i])
+			t.Fatalf("entry %d: file %v, memory %v", i, fromFile.Entries[i], fromMemory.Entries[i])
 		}
 	}
 }
@@ -122,8 +123,8 @@
 	}
 }
 
-// TestDamagedFile truncates the file at every page and corrupts bytes of it. It must load completely, fail with a typed error,
-// or load as it was saved (the byte was in no used page); it must never panic or load other entries.
+// TestDamagedFile truncates the file at every page and corrupts single bytes of it. The file must then load as it was saved
+// (if the byte was in no used page), or fail with ErrDamaged or ErrWrongOwner; it must never panic or load other entries.
 func TestDamagedFile(t *testing.T) {
 	folder := t.TempDir()
 	writeSampleFile(t, folder)
@@ -134,12 +135,12 @@
 	}
 	detected := 0
 	check := func(content []byte, damage string, offset int) {
-		os.Remove(path) // as an operator does: the lock on a damaged file goes with it
+		os.Remove(path) // as an operator would; the lock on the damaged file disappears with it
 		os.WriteFile(path, content, 0o600)
 		if err := loadSampleFile(t, folder, damage, offset); err != nil {
 			detected++
 			if !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrWrongOwner) {
-				t.Errorf("%s at %d: %v", damage, offset, err)
+				t.Errorf("%s at byte %d: unexpected error %v", damage, offset, err)
 			}
 		}
 	}
@@ -154,12 +155,12 @@
 		check(content, "corrupted", offset)
 	}
 	if detected < 10 {
-		t.Errorf("%d damages detected", detected)
+		t.Errorf("only %d damaged files were detected", detected)
 	}
-	t.Log(len(complete), "bytes,", detected, "damages detected")
+	t.Log(len(complete), "bytes,", detected, "damaged files detected")
 }
 
-// loadSampleFile loads a file that may be damaged, and checks the number of entries if it loads.
+// loadSampleFile loads the sample file, which may be damaged. If it loads, it must have all entries.
 func loadSampleFile(t *testing.T, folder, damage string, offset int) error {
 	t.Helper()
 	file, err := Open(folder, Owner{Name: "g1", ClusterID: 7})
@@ -169,7 +170,7 @@
 	defer file.Close()
 	state, err := file.Load()
 	if err == nil && state.HardState != nil && len(state.Entries) != lastSampleIndex-1 {
-		t.Errorf("%s at %d: %d entries", damage, offset, len(state.Entries))
+		t.Errorf("%s at byte %d: loaded %d entries", damage, offset, len(state.Entries))
 	}
 	return err
 }
--- a/internal/consensus/store/update.go
+++ b/internal/consensus/store/update.go
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// writeEntries replaces the stored entries from the first new one's index on.
+// writeEntries stores new entries. They replace all stored entries from the index of the first new one on.
 func writeEntries(stored *bbolt.Bucket, entries []*pb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Load reads the state. It returns ErrDamaged if a checksum does not match or an entry is missing.
+// Load reads the stored state. It returns ErrDamaged if a checksum does not match or an entry is missing.
 func (f *File) Load() (state raftlog.PersistedState, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer recoverDamage(&err)
@@ -71,7 +71,7 @@
 	return state, nil
 }
 
-// read reads the state in a transaction.
+// read reads the stored state in a transaction.
 func read(tx *bbolt.Tx) (state raftlog.PersistedState, err error) {
 	meta := tx.Bucket([]byte(metaBucket))
 	next := uint64(1) // index of the first entry
@@ -94,12 +94,12 @@
 	}
 	next += uint64(len(state.Entries))
 	if state.HardState.GetCommit() >= next {
-		return state, fmt.Errorf("%w: committed up to %d, stored up to %d", ErrDamaged, state.HardState.GetCommit(), next-1)
+		return state, fmt.Errorf("%w: entries are committed up to index %d, but stored only up to %d", ErrDamaged, state.HardState.GetCommit(), next-1)
 	}
 	return state, nil
 }
 
-// readEntries reads all entries, whose indexes must begin with next and have no gap.
+// readEntries reads all entries. Their indexes must begin with next and have no gap.
 func readEntries(stored *bbolt.Bucket, next uint64) (entries []*pb.Entry, err error) {
 	err = stored.ForEach(func(key, _ []byte) error {
 		entry := &pb.Entry{}
@@ -107,7 +107,7 @@
 			return err
 		}
 		if entry.GetIndex() != next || binary.BigEndian.Uint64(key) != next {
-			return fmt.Errorf("%w: entry %d where %d should be", ErrDamaged, entry.GetIndex(), next)
+			return fmt.Errorf("%w: found log entry %d instead of %d", ErrDamaged, entry.GetIndex(), next)
 		}
 		next++
 		entries = append(entries, entry)
