--- a/internal/consensus/raftlog/catchup.go
+++ b/internal/consensus/raftlog/catchup.go
@@ -9,8 +9,8 @@
 	"cranegate/internal/consensus/codec"
 )
 
-// handleCatchUpRequest sends the entries applied after the replica's index, or the latest snapshot if the log no longer
-// has them.
+// handleCatchUpRequest collects the replica's acknowledgement, and sends the replica the entries after its index that are
+// applied here, or the latest snapshot if the log no longer has them.
 func (v *Voter) handleCatchUpRequest(message Message) error {
 	request := message.CatchUpRequest
 	if request == nil {
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// appliedEntries returns entries from an index on that are applied here, at most maxEntriesBytes of them. The data of
-// conf changes is left out.
+// appliedEntries returns the entries that are applied here, from an index on and limited to about maxEntriesBytes. It leaves
+// out the data of conf changes.
 func (v *Voter) appliedEntries(from uint64) (entries []Entry, err error) {
 	stored, err := v.storage.Entries(from, v.state.Index+1, maxEntriesBytes)
 	if err != nil {
--- a/internal/consensus/raftlog/harness_test.go
+++ b/internal/consensus/raftlog/harness_test.go
@@ -7,13 +7,13 @@
 	"cranegate/internal/consensus/statemachine"
 )
 
-// harness drives the only voter of a cluster, which needs no network.
+// harness drives the only voter of a cluster of one, which needs no network.
 type harness struct {
 	t     *testing.T
 	voter *Voter
 }
 
-// newHarness bootstraps a cluster of one voter and ticks it until it leads.
+// newHarness bootstraps a cluster of one voter, and ticks the voter until it leads.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	clusterID, bootstrap, err := Bootstrap([]uint64{1})
@@ -30,12 +30,12 @@
 		h.advance()
 	}
 	if !voter.IsLeader() {
-		t.Fatal("the only voter does not lead")
+		t.Fatal("the only voter is not the leader")
 	}
 	return h
 }
 
-// advance handles Updates until there are none, and returns the messages to send.
+// advance calls Ready and Advance until there is no Update left, and returns the messages to send.
 func (h *harness) advance() (all []Message) {
 	h.t.Helper()
 	for {
@@ -50,12 +50,12 @@
 	}
 }
 
-// request sends a request of a gateway to the voter.
+// request passes a request of the gateway from to the voter.
 func (h *harness) request(from uint64, request *Request) error {
 	return h.voter.Step(Message{ClusterID: h.voter.options.ClusterID, From: from, To: 1, Kind: RequestKind, Request: request})
 }
 
-// set requests that a client sets the register "x" to a value of some bytes.
+// set requests that the register "x" be set to a value of size bytes.
 func (h *harness) set(seq uint64, size int) error {
 	h.t.Helper()
 	command := statemachine.Command{
@@ -74,7 +74,7 @@
 	return h.request(9, &Request{Command: data})
 }
 
-// catchUp lets a replica exchange messages with the voter, all at one time.
+// catchUp exchanges messages between a replica and the voter. The time of the replica stays at now.
 func (h *harness) catchUp(replica *Replica, now time.Duration) {
 	h.t.Helper()
 	for range 200 {
--- a/internal/consensus/raftlog/limits_test.go
+++ b/internal/consensus/raftlog/limits_test.go
@@ -8,7 +8,7 @@
 	"cranegate/internal/consensus/statemachine"
 )
 
-// TestPendingRequestLimits sends 1,024 commands and as many reads before anything is committed: all wait and get their
+// TestPendingRequestLimits sends 1,024 commands and 1,024 reads before anything is committed. All of them wait and get their
 // response; one more of each is rejected with ErrOverloaded.
 func TestPendingRequestLimits(t *testing.T) {
 	h := newHarness(t)
@@ -42,12 +42,12 @@
 		}
 	}
 	if len(responded) != 1024 {
-		t.Errorf("%d got a response", len(responded))
+		t.Errorf("%d gateways got a response", len(responded))
 	}
 }
 
-// TestLogIsCompacted applies far more commands than the log holds. The log stays within its limits; a replica that lags and
-// a new one catch up.
+// TestLogIsCompacted applies far more commands than the log holds. The log must stay within its limits, and a replica that
+// lags and a new one must catch up.
 func TestLogIsCompacted(t *testing.T) {
 	h := newHarness(t)
 	voter := h.voter
@@ -61,7 +61,7 @@
 		first, _ := voter.storage.FirstIndex()
 		last, _ := voter.storage.LastIndex()
 		if last+1-first > defaultCompactionEntries+defaultCompactionEntries/4 || voter.bytesSinceSnapshot > compactionBytes+statemachine.MaxCommandBytes {
-			t.Fatalf("the log holds %d to %d, %d bytes", first, last, voter.bytesSinceSnapshot)
+			t.Fatalf("the log holds entries %d to %d, %d bytes since the snapshot", first, last, voter.bytesSinceSnapshot)
 		}
 		if seq == 10 {
 			h.catchUp(lagging, time.Second)
@@ -74,12 +74,12 @@
 	for _, replica := range []*Replica{lagging, newcomer} {
 		h.catchUp(replica, 10*time.Second)
 		if state := replica.State(); state.Index != voter.state.Index || state.Checksum != voter.state.Checksum {
-			t.Errorf("replica %d at %d of %d", replica.ID(), state.Index, voter.state.Index)
+			t.Errorf("replica %d ends at index %d, the voter at %d, or their checksums differ", replica.ID(), state.Index, voter.state.Index)
 		}
 	}
 }
 
-// TestUncommittedLimit proposes without committing until the voter is overloaded.
+// TestUncommittedLimit proposes commands without committing any until the voter returns ErrOverloaded.
 func TestUncommittedLimit(t *testing.T) {
 	h := newHarness(t)
 	var err error
--- a/internal/consensus/raftlog/logger.go
+++ b/internal/consensus/raftlog/logger.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// raftLogger discards raft's log lines and keeps its panics, which recoverPanic needs.
+// raftLogger discards raft's log lines. Its Fatal and Panic methods panic, so that recoverPanic gets the error.
 type raftLogger struct{}
 
 func (raftLogger) Debug(...any)              {}
--- a/internal/consensus/raftlog/message.go
+++ b/internal/consensus/raftlog/message.go
@@ -1,8 +1,8 @@
 // Package raftlog replicates the cluster's command log. A Voter wraps etcd's raft for the voting members; a Replica gets
-// the committed entries from a voter on every gateway, whether it votes or not. Both are driven by the caller: there are
-// no goroutines, clocks or sockets here. Time is passed in as ticks (Voter) or as a monotonic reading (Replica), messages
-// are passed in and returned as values, a voter returns what must be persisted as an Update, and all randomness follows
-// from a seed.
+// the committed entries from a voter; every gateway has one, whether it votes or not. The caller drives both: this package
+// has no goroutines, clocks or sockets. Time is passed in as ticks (Voter) or as a monotonic clock reading (Replica),
+// messages are passed in and returned as values, a voter returns an Update with what must be persisted, and all randomness
+// follows from a seed.
 package raftlog
 
 import (
@@ -13,12 +13,12 @@
 	"cranegate/internal/consensus/statemachine"
 )
 
-// Kind is the type of a message; it names the field that carries the payload.
+// Kind is the type of a message. It determines which field carries the payload.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	RaftKind            Kind = iota + 1 // raft's own message between voters
+	RaftKind            Kind = iota + 1 // a message of raft, from one voter to another
 	AcksKind                            // from a voter to the leader: collected acknowledgements of lease holders
 	CatchUpRequestKind                  // from a replica to a voter
 	CatchUpResponseKind                 // from a voter to a replica
@@ -26,8 +26,8 @@
 	ResponseKind                        // from a voter to the requesting gateway
 )
 
-// Message is sent from one gateway to another. The caller resolves the address of To, encrypts and sends. Messages may
-// be lost, repeated and reordered.
+// Message is sent from one gateway to another. The caller resolves the address of To, encrypts the message and sends it.
+// Messages may be lost, repeated and reordered.
 type Message struct {
 	ClusterID       uint64             `cbor:"1,keyasint"` // as returned by Bootstrap
 	From            uint64             `cbor:"2,keyasint"`
@@ -46,8 +46,8 @@
 	Send(m Message)
 }
 
-// CatchUpRequest asks a voter for the entries committed after Applied. Its Ack asks for a renewal of the replica's
-// lease.
+// CatchUpRequest asks a voter for the entries committed after the index Applied. Its Ack asks for a renewal of the
+// replica's lease.
 type CatchUpRequest struct {
 	Applied uint64           `cbor:"1,keyasint,omitempty"`
 	Nonce   uint64           `cbor:"2,keyasint"`
@@ -60,9 +60,9 @@
 	Entries        []Entry       `cbor:"2,keyasint,omitempty"`
 	Snapshot       []byte        `cbor:"3,keyasint,omitempty"`
 	Voters         []uint64      `cbor:"4,keyasint"`
-	ConfirmedIndex uint64        `cbor:"5,keyasint,omitempty"` // everything committed Age ago is at or before it
+	ConfirmedIndex uint64        `cbor:"5,keyasint,omitempty"` // every entry committed by Age ago is at or before it
 	Age            time.Duration `cbor:"6,keyasint,omitempty"` // UnknownAge if no quorum confirmed an index
-	More           bool          `cbor:"7,keyasint,omitempty"` // further entries can be requested at once
+	More           bool          `cbor:"7,keyasint,omitempty"` // further entries can be requested immediately
 }
 
 // Entry is one committed log entry. Data is empty for raft's own entries (an empty entry of a new leader, a conf
@@ -80,7 +80,7 @@
 	Register string `cbor:"3,keyasint,omitempty"`
 }
 
-// Response is the result of a Request: Key and Result for a command, ReadID and Reading for a read.
+// Response is the result of a Request: Key and Result for a command, ReadID and ReadResult for a read.
 type Response struct {
 	Key        statemachine.Key    `cbor:"1,keyasint,omitzero"`
 	Result     statemachine.Result `cbor:"2,keyasint,omitzero"`
@@ -88,14 +88,14 @@
 	ReadResult ReadResult          `cbor:"4,keyasint,omitzero"`
 }
 
-// ReadResult is the value of a register and how fresh it is.
+// ReadResult is the result of reading a register: its value and how fresh the value is.
 type ReadResult struct {
 	Register statemachine.Register `cbor:"1,keyasint"`
 	Found    bool                  `cbor:"2,keyasint,omitempty"`
 	Settled  bool                  `cbor:"3,keyasint,omitempty"` // in force at every lease holder; see statemachine.State.Get
-	Index    uint64                `cbor:"4,keyasint"`           // the log index as of which it was read
-	// Age is how long ago a quorum last confirmed that no committed entry was missing, on the clocks of the reader and the
-	// voter; UnknownAge if a quorum never did.
+	Index    uint64                `cbor:"4,keyasint"`           // the log index of the state that was read
+	// Age is how long ago a quorum last confirmed that no committed entry was missing from the state that was read, on the
+	// clocks of the reader and the voter; UnknownAge if a quorum never confirmed it.
 	Age time.Duration `cbor:"5,keyasint"`
 }
 
@@ -125,7 +125,7 @@
 	return m, nil
 }
 
-// hasValidPayload reports whether the payload of the message's kind is there and within its limits.
+// hasValidPayload reports whether the payload for the message's kind is present and within its limits.
 func (m Message) hasValidPayload() bool {
 	switch m.Kind {
 	case RaftKind:
--- a/internal/consensus/raftlog/options.go
+++ b/internal/consensus/raftlog/options.go
@@ -13,8 +13,8 @@
 // Options configure a voter.
 type Options struct {
 	ClusterID         uint64 // as returned by Bootstrap
-	ID                uint64 // see quorum.Gateway.ID: new for a start without the voter's disk
-	Seed              uint64 // for election timeouts; drawn anew with each start of the process
+	ID                uint64 // see quorum.Gateway.ID; a start without the voter's disk needs a new one
+	Seed              uint64 // for random election timeouts; a new one is drawn at each start of the process
 	CompactionEntries int    // entries in the log before it is compacted; 0 means 1024
 	InjectedFaults    statemachine.InjectedFaults
 	// OnApply, if not nil, is called with every log entry when it is applied here; data is empty for raft's own entries.
@@ -22,25 +22,26 @@
 	OnApply func(index uint64, data []byte)
 }
 
-// PersistedState is what a voter starts from: empty, the result of Bootstrap, or what a store loaded.
+// PersistedState is the state that a voter starts from: empty, the result of Bootstrap, or the state that a store loaded.
 type PersistedState struct {
 	HardState *pb.HardState
 	Snapshot  *pb.Snapshot
 	Entries   []*pb.Entry // after the snapshot, without a gap
 }
 
-// Update must be persisted before Advance is called. If Compacted is set, Snapshot was made locally: the entries up to
-// it may be deleted and later ones stay. Otherwise a snapshot came from the leader and replaces all entries.
+// Update is the change of a voter's state to persist before Advance is called. If Compacted is set, Snapshot was made
+// locally: the entries up to its index may be deleted, and later ones stay. Otherwise Snapshot, if not nil, came from the
+// leader and replaces all entries.
 type Update struct {
 	HardState *pb.HardState
 	Snapshot  *pb.Snapshot
-	Entries   []*pb.Entry // replace all entries from the first one's index on
+	Entries   []*pb.Entry // they replace all stored entries from the index of the first one on
 	Compacted bool
 	MustSync  bool // must be on the disk before Advance; otherwise it may be written later
 }
 
-// Bootstrap makes the state that every voter of a new cluster starts from, and the cluster's ID. It is called only for
-// the first start of a cluster, with the same identities everywhere; a voter that joins later starts from an empty
+// Bootstrap returns the state that every voter of a new cluster starts from, and the cluster's ID. It must be called only
+// for the first start of a cluster, with the same identities at every voter; a voter that joins later starts from an empty
 // PersistedState.
 func Bootstrap(ids []uint64) (clusterID uint64, state PersistedState, err error) {
 	ids = slices.Sorted(slices.Values(ids))
--- a/internal/consensus/raftlog/reads.go
+++ b/internal/consensus/raftlog/reads.go
@@ -11,13 +11,14 @@
 	"cranegate/internal/consensus/statemachine"
 )
 
-// pendingRead is a read that waits for a quorum's confirmation.
+// pendingRead is a read that waits for the result of the ReadIndex request with its sequence number, or of a later one.
+// receivedAt is a tick.
 type pendingRead struct {
 	from, id, sequence, receivedAt uint64
 	register                       string
 }
 
-// confirmation is the latest ReadIndex result: everything committed at tick requestedAt is at or before index.
+// confirmation is the latest ReadIndex result: every entry that was committed at tick requestedAt is at or before index.
 type confirmation struct{ index, sequence, requestedAt uint64 }
 
 // startRead queues a read for the next ReadIndex request. It returns ErrOverloaded if maxPendingReads are queued.
@@ -35,9 +36,9 @@
 	return nil
 }
 
-// requestReadIndex asks a quorum for the current commit index. The request context carries the voter's identity and the
-// seed of its start, so that a result for another voter, or for a request before a restart, is not mistaken for its
-// own.
+// requestReadIndex asks a quorum for the current commit index, if a read waits for it or readIndexTicks have passed. The
+// request context carries the voter's identity and the seed of this start, so that the voter does not use a result that is
+// for another voter or for a request from before a restart.
 func (v *Voter) requestReadIndex() {
 	hasWaitingRead := slices.ContainsFunc(v.pendingReads, func(r pendingRead) bool { return r.sequence == v.readIndexSequence+1 })
 	hasLeader := v.rawNode.BasicStatus().Lead != 0
@@ -50,14 +51,14 @@
 	v.rawNode.ReadIndex(v.readIndexContext(v.readIndexSequence))
 }
 
-// readIndexContext is the context of a ReadIndex request: identity, seed and sequence, 8 bytes each, big-endian.
+// readIndexContext returns the context of a ReadIndex request: identity, seed and sequence, 8 bytes each, big-endian.
 func (v *Voter) readIndexContext(sequence uint64) []byte {
 	context := binary.BigEndian.AppendUint64(nil, v.options.ID)
 	context = binary.BigEndian.AppendUint64(context, v.options.Seed)
 	return binary.BigEndian.AppendUint64(context, sequence)
 }
 
-// handleReadState records the result of a ReadIndex request.
+// handleReadState records the result of a ReadIndex request. It ignores a result that is not for this voter and this start.
 func (v *Voter) handleReadState(readState raft.ReadState) {
 	context := readState.RequestCtx
 	if len(context) != 24 {
@@ -72,7 +73,7 @@
 	}
 }
 
-// age is an upper bound of how old the applied state is, or UnknownAge.
+// age returns an upper bound of the age of the applied state, or UnknownAge.
 func (v *Voter) age() time.Duration {
 	if v.confirmation.sequence == 0 || v.confirmation.index > v.state.Index {
 		return UnknownAge
--- a/internal/consensus/raftlog/ready.go
+++ b/internal/consensus/raftlog/ready.go
@@ -33,12 +33,12 @@
 		return fmt.Errorf("%w: %v", codec.ErrMalformed, raftMessage.GetType())
 	}
 	if err := v.rawNode.Step(raftMessage); err != nil {
-		return fmt.Errorf("consensus: %w", err) // dropped, which raft tolerates
+		return fmt.Errorf("consensus: %w", err) // raft dropped the message; the protocol tolerates lost messages
 	}
 	return nil
 }
 
-// isInvalidProposal reports whether another voter must not forward a proposal of this entry.
+// isInvalidProposal reports whether an entry is one that another voter must not propose here.
 func isInvalidProposal(entry *pb.Entry) bool {
 	return entry.GetType() != pb.EntryNormal || len(entry.Data) > statemachine.MaxCommandBytes
 }
@@ -65,8 +65,8 @@
 	return update, true
 }
 
-// Advance is called when the latest Update is persisted. It applies the committed entries and returns the messages that
-// may be sent now. It returns ErrUnexpectedAdvance if no Update is pending.
+// Advance must be called after the latest Update was persisted. It applies the committed entries and returns the messages
+// that may be sent now. It returns ErrUnexpectedAdvance if no Update is pending.
 func (v *Voter) Advance() (messages []Message, err error) {
 	if v.err != nil {
 		return nil, v.err
@@ -137,7 +137,7 @@
 	}
 }
 
-// applyConfChange applies a change of the voters. The state machine only moves to its index.
+// applyConfChange applies a change of the voters. The state machine treats its entry as empty.
 func (v *Voter) applyConfChange(index uint64, change pb.ConfChangeI) {
 	v.confState = v.rawNode.ApplyConfChange(change)
 	v.state.Apply(index, nil)
--- a/internal/consensus/raftlog/renewals.go
+++ b/internal/consensus/raftlog/renewals.go
@@ -14,11 +14,11 @@
 	ackForwardTicks  = 2 // between two messages that forward acknowledgements to the leader
 )
 
-// renewal is when this voter first saw the current round of a lease.
+// renewal records the latest round of a lease that this voter has seen, and the tick at which it first saw that round.
 type renewal struct{ round, seenAt uint64 }
 
-// trackRenewals records leases that were renewed. A renewal is seen after it was requested, so expiry is counted from
-// too late a time at worst, never too early.
+// trackRenewals records the leases that were renewed since the last call, and forgets those that have ended. A voter sees a
+// renewal after its holder requested it, so it may find a lease expired too late, but never too early.
 func (v *Voter) trackRenewals() {
 	leases := v.state.Leases()
 	for _, ack := range leases {
@@ -35,7 +35,7 @@
 	}
 }
 
-// collectAck keeps the newest acknowledgement of each lease holder until it is forwarded.
+// collectAck stores the newest acknowledgement of each lease holder until it is forwarded or proposed.
 func (v *Voter) collectAck(ack statemachine.Ack) {
 	if ack.Holder == 0 {
 		return
@@ -48,7 +48,8 @@
 	}
 }
 
-// forwardAcks sends the collected acknowledgements to the leader; the leader proposes them once per lease.RenewInterval.
+// forwardAcks sends the collected acknowledgements to the leader, if another voter leads. If this voter leads, it proposes
+// them once per lease.RenewInterval.
 func (v *Voter) forwardAcks() {
 	leader := v.rawNode.BasicStatus().Lead
 	isLeader := leader == v.options.ID
@@ -60,8 +61,9 @@
 	}
 }
 
-// proposeRenewals proposes the collected acknowledgements and the expired leases, in one command for up to
-// statemachine.MaxAcksPerCommand of them. A holder whose lease was not renewed acknowledges again in the next period.
+// proposeRenewals proposes the collected acknowledgements and the expired leases, up to statemachine.MaxAcksPerCommand of
+// them in one command. If a proposal fails, it and the remaining ones are dropped; holders whose leases were
+// not renewed acknowledge again in the next interval.
 func (v *Voter) proposeRenewals() {
 	expired := v.expiredLeases()
 	acks := v.takeAcks()
@@ -78,7 +80,8 @@
 	}
 }
 
-// expiredLeases are the leases whose current round this voter has seen for leaseExpiryTicks, ordered by holder.
+// expiredLeases returns the leases whose current round this voter first saw at least leaseExpiryTicks ago, ordered by
+// holder.
 func (v *Voter) expiredLeases() (expired []statemachine.Ack) {
 	for _, ack := range v.state.Leases() {
 		last := v.renewals[ack.Holder]
--- a/internal/consensus/raftlog/replica.go
+++ b/internal/consensus/raftlog/replica.go
@@ -10,10 +10,11 @@
 	"cranegate/internal/consensus/statemachine"
 )
 
-// maxVoterStaleness is the age of a voter's state from which on the replica switches to another voter.
+// maxVoterStaleness is the age of a voter's state from which on its responses count as stale. A replica that gets only
+// stale responses for more than two renewal intervals switches to another voter.
 const maxVoterStaleness = 3 * lease.RenewInterval
 
-// Replica is a gateway's copy of the replicated state machine with its lease on it, whether the gateway votes or not.
+// Replica is a gateway's copy of the replicated state machine and its lease on it, whether the gateway votes or not.
 // It requests committed entries from one voter once per lease.RenewInterval. It is not safe for concurrent use.
 type Replica struct {
 	clusterID, id uint64
@@ -21,19 +22,19 @@
 	state         *statemachine.State
 	lease         *lease.Holder
 	voters        []uint64
-	source        uint64        // the voter that it catches up from, 0 for none
-	nonce         uint64        // of the latest request
+	source        uint64        // the voter that it requests entries from, 0 for none
+	nonce         uint64        // number of the latest request
 	requestSentAt time.Duration // of the latest request
 	nextRequestAt time.Duration
-	lastFreshAt   time.Duration // of the latest response that was not stale
+	lastFreshAt   time.Duration // time of the latest response that was not stale, or of the latest switch of source
 	confirmedAt   time.Duration // when a quorum confirmed that no committed entry was missing
 	confirmed     bool          // whether confirmedAt is valid
 	now           time.Duration
 }
 
-// NewReplica makes a replica that knows some voters. The identity and the seed must be new with every start of the
-// process: a lease is forgotten with the process that held it. The identity differs from the one that a voter with a
-// disk keeps.
+// NewReplica returns a replica that knows some voters. The identity and the seed must be new ones at every start of the
+// process, because a restarted process no longer knows the lease that it held. The identity therefore differs from the
+// identity of the gateway's voter, which stays the same over restarts if the voter has a disk.
 func NewReplica(clusterID, id, seed uint64, voters []uint64) *Replica {
 	r := &Replica{
 		clusterID: clusterID,
@@ -47,17 +48,17 @@
 	return r
 }
 
-// SetVoters replaces the known voters with those of another source (the membership), for when all the known ones are
-// gone.
+// SetVoters replaces the known voters with a list from another source (the membership). It is meant for the case that the
+// replica can reach none of the voters that it knows.
 func (r *Replica) SetVoters(ids []uint64) { r.voters = slices.Clone(ids) }
 
-// ID is the identity under which the replica holds its lease.
+// ID returns the identity under which the replica holds its lease.
 func (r *Replica) ID() uint64 { return r.id }
 
-// Lease is the replica's lease on the state.
+// Lease returns the replica's lease on the state.
 func (r *Replica) Lease() *lease.Holder { return r.lease }
 
-// State is the replicated state, for reading only.
+// State returns the replicated state, which the caller must not change.
 func (r *Replica) State() *statemachine.State { return r.state }
 
 // switchSource chooses another voter to catch up from, at random so that replicas spread over the voters.
@@ -72,8 +73,8 @@
 	r.source = r.voters[i]
 }
 
-// Tick advances time to now, a monotonic reading, and returns the messages to send. It is called about every 100 ms,
-// and at once after the process was suspended.
+// Tick advances time to now, a monotonic clock reading, and returns the messages to send. It must be called about every
+// 100 ms, and immediately after the process was suspended.
 func (r *Replica) Tick(now time.Duration) []Message {
 	r.now = max(r.now, now)
 	if r.now < r.nextRequestAt {
@@ -93,8 +94,8 @@
 	return []Message{{ClusterID: r.clusterID, From: r.id, To: r.source, Kind: CatchUpRequestKind, CatchUpRequest: request}}
 }
 
-// Step handles a CatchUpResponse. Entries that leave a gap are ignored; a response to another than the latest request
-// renews no freshness. It returns ErrMisdirected, codec.ErrMalformed, or the error of decoding a snapshot.
+// Step handles a CatchUpResponse. It ignores entries that would leave a gap. Only the response to the latest request updates
+// how fresh the state is. Step returns ErrMisdirected, codec.ErrMalformed, or the error of decoding a snapshot.
 func (r *Replica) Step(now time.Duration, message Message) error {
 	r.now = max(r.now, now)
 	if message.ClusterID != r.clusterID || message.To != r.id {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// apply brings the local state forward and updates the lease by the renewals among the entries.
+// apply applies the snapshot and the entries of a response to the local state, and updates the lease from it.
 func (r *Replica) apply(response *CatchUpResponse) error {
 	if len(response.Snapshot) > 0 {
 		snapshot, err := statemachine.Restore(response.Snapshot)
@@ -134,8 +135,8 @@
 	return nil
 }
 
-// updateFreshness evaluates the response to the latest request. Only a fresh response counts as contact with the voter:
-// the replica leaves a voter that was removed or partitioned like one that does not respond.
+// updateFreshness evaluates the response to the latest request. Only a fresh response counts as contact with the voter, so
+// that the replica switches away from a voter that was removed or partitioned, as from one that does not respond.
 func (r *Replica) updateFreshness(response *CatchUpResponse) {
 	if response.Age < maxVoterStaleness {
 		r.lastFreshAt = r.now
--- a/internal/consensus/raftlog/requests.go
+++ b/internal/consensus/raftlog/requests.go
@@ -9,7 +9,7 @@
 	"cranegate/internal/consensus/statemachine"
 )
 
-// pendingRequest is a command that was proposed and is not applied yet.
+// pendingRequest is a command that was proposed here and is not applied yet. receivedAt is a tick.
 type pendingRequest struct{ from, receivedAt uint64 }
 
 // handleRequest starts a read or proposes a command. A command that was applied before gets its stored result.
@@ -23,7 +23,7 @@
 	}
 	command, err := statemachine.Decode(request.Command)
 	if err != nil || command.Op == statemachine.Renew {
-		return fmt.Errorf("%w: requested by %d: %w", statemachine.ErrInvalidCommand, message.From, err)
+		return fmt.Errorf("%w: requested by gateway %d: %w", statemachine.ErrInvalidCommand, message.From, err)
 	}
 	if result, ok := v.state.StoredResult(command.Key); ok && !v.options.InjectedFaults.SkipDeduplication {
 		v.send(Message{To: message.From, Kind: ResponseKind, Response: &Response{Key: command.Key, Result: result}})
--- a/internal/consensus/raftlog/snapshot.go
+++ b/internal/consensus/raftlog/snapshot.go
@@ -9,11 +9,11 @@
 	"cranegate/internal/consensus/statemachine"
 )
 
-// installSnapshot replaces the state with a snapshot's.
+// installSnapshot replaces the state and the log with a snapshot.
 func (v *Voter) installSnapshot(snapshot *pb.Snapshot) error {
 	state, err := statemachine.Restore(snapshot.Data)
 	if err != nil || state.Index != snapshot.GetMetadata().GetIndex() {
-		return fmt.Errorf("%w: a snapshot at %d: %w", ErrInconsistentLog, snapshot.GetMetadata().GetIndex(), err)
+		return fmt.Errorf("%w: the snapshot at index %d: %w", ErrInconsistentLog, snapshot.GetMetadata().GetIndex(), err)
 	}
 	state.InjectedFaults = v.options.InjectedFaults
 	if err := v.storage.ApplySnapshot(snapshot); err != nil {
@@ -36,7 +36,7 @@
 	}
 	data, err := v.state.Encode()
 	if err != nil {
-		panic(err) // the limits of the parts keep the snapshot within its limit
+		panic(err) // a bug: the limits of its parts keep the state within MaxSnapshotBytes
 	}
 	snapshot, err := v.storage.CreateSnapshot(v.state.Index, v.confState, data)
 	if err != nil {
@@ -52,13 +52,13 @@
 	v.localSnapshot, v.snapshotIndex, v.bytesSinceSnapshot = snapshot, v.state.Index, 0
 }
 
-// retainedEntries is how many entries stay in the log at a compaction.
+// retainedEntries returns how many entries stay in the log at a compaction.
 func (v *Voter) retainedEntries() uint64 {
 	return uint64(v.options.CompactionEntries) / retainedFraction
 }
 
-// snapshotStorage gives raft a snapshot of everything applied. An older snapshot, from before a new learner was added,
-// does not name the learner, and raft at the learner would refuse it.
+// snapshotStorage gives raft a snapshot of all applied entries, not the latest stored one. A snapshot from before a learner
+// was added does not name the learner, and raft at the learner would reject it.
 type snapshotStorage struct {
 	*raft.MemoryStorage
 	voter *Voter
--- a/internal/consensus/raftlog/voter.go
+++ b/internal/consensus/raftlog/voter.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	electionTicks       = 10  // a voter starts an election after 1 to 2 times as many without a message of a leader
+	electionTicks       = 10  // a voter starts an election after 1 to 2 times this many ticks without a message from a leader
 	heartbeatTicks      = 2   // between two heartbeats of the leader
 	readIndexTicks      = 5   // between two ReadIndex requests when no read waits
 	requestTimeoutTicks = 100 // after which a pending request is dropped
@@ -24,8 +24,8 @@
 // use.
 //
 // The caller calls Tick and Step and then, while Ready returns ok, persists the Update, calls Advance and sends the
-// messages that it returns. After the process was suspended one Tick is enough: a voter does not rely on ticks to prove
-// that it leads.
+// messages that Advance returns. After the process was suspended one Tick is enough, because a voter does not rely on ticks
+// to prove that it leads.
 type Voter struct {
 	options              Options
 	rawNode              *raft.RawNode
@@ -33,12 +33,12 @@
 	state                *statemachine.State
 	confState            *pb.ConfState
 	rng                  *rand.Rand
-	tick                 uint64       // ticks since the start
-	electionElapsed      int          // ticks without a message of a leader
+	tick                 uint64       // calls of Tick since the start
+	electionElapsed      int          // ticks without a message from a leader
 	electionTimeout      int          // ticks after which an election starts
 	pendingReady         *raft.Ready  // between Ready and Advance
 	snapshotIndex        uint64       // index of the latest snapshot
-	localSnapshot        *pb.Snapshot // made here, to be persisted with the next Update
+	localSnapshot        *pb.Snapshot // made by compact, to be persisted with the next Update
 	bytesSinceSnapshot   int          // of the entries after the latest snapshot
 	outgoing             []Message
 	acks                 map[uint64]statemachine.Ack // by holder, until they are forwarded or proposed
@@ -46,9 +46,9 @@
 	pendingRequests      map[statemachine.Key]pendingRequest
 	pendingReads         []pendingRead
 	readIndexSequence    uint64            // of the latest ReadIndex request
-	readIndexRequestedAt map[uint64]uint64 // ticks by sequence
+	readIndexRequestedAt map[uint64]uint64 // tick of each ReadIndex request, by its sequence number
 	confirmation         confirmation
-	snapshotSentAt       map[uint64]uint64 // ticks by voter
+	snapshotSentAt       map[uint64]uint64 // tick of the latest snapshot sent, by recipient
 	err                  error             // why the voter stopped
 }
 
@@ -90,7 +90,7 @@
 	return v, err
 }
 
-// raftConfig is raft's configuration for this voter.
+// raftConfig returns raft's configuration for this voter.
 func (v *Voter) raftConfig() *raft.Config {
 	return &raft.Config{
 		ID:                        v.options.ID,
@@ -109,7 +109,8 @@
 	}
 }
 
-// recoverPanic turns a panic of raft, which panics where the log contradicts a message, into ErrInconsistentLog.
+// recoverPanic turns a panic into ErrInconsistentLog and stops the voter; raft panics when the log contradicts a message.
+// Callers must defer it.
 func (v *Voter) recoverPanic(err *error) {
 	if p := recover(); p != nil {
 		v.err = fmt.Errorf("%w: %v", ErrInconsistentLog, p)
@@ -117,13 +118,13 @@
 	}
 }
 
-// resetElectionTimer restarts the wait for an election with a new random timeout.
+// resetElectionTimer restarts the election timer with a new random timeout.
 func (v *Voter) resetElectionTimer() {
 	v.electionElapsed, v.electionTimeout = 0, electionTicks+v.rng.IntN(electionTicks)
 }
 
-// Tick advances time by TickInterval. Raft draws its own election timeouts from the system's entropy. Here they follow
-// from the seed: the voter starts elections itself, and raft's own timeout is never reached.
+// Tick advances time by TickInterval. Raft draws its own election timeouts from the system's entropy. So that they follow
+// from the seed instead, the voter starts elections itself, and raft's own timeout is never reached.
 func (v *Voter) Tick() (err error) {
 	if v.err != nil {
 		return v.err
@@ -150,10 +151,11 @@
 		return
 	}
 	v.resetElectionTimer()
-	v.rawNode.Campaign() // does nothing at a learner
+	v.rawNode.Campaign() // does nothing if this voter is a learner
 }
 
-// retrySnapshots reports snapshots that got no response for snapshotRetryTicks as failed, so that raft sends them again.
+// retrySnapshots reports each snapshot to raft as failed when snapshotRetryTicks have passed since it was sent, so that raft
+// sends a snapshot again if it has got no response.
 func (v *Voter) retrySnapshots() {
 	for _, id := range slices.Sorted(maps.Keys(v.snapshotSentAt)) {
 		if v.tick-v.snapshotSentAt[id] >= snapshotRetryTicks {
@@ -163,7 +165,7 @@
 	}
 }
 
-// IsLeader reports whether this voter considers itself the leader. Another may have been elected meanwhile.
+// IsLeader reports whether this voter considers itself the leader. Another voter may have been elected meanwhile.
 func (v *Voter) IsLeader() bool { return v.rawNode.BasicStatus().RaftState == raft.StateLeader }
 
 // Status is a voter's view of itself and of the cluster.
@@ -178,7 +180,7 @@
 	Err              error // why the voter stopped
 }
 
-// Status returns the voter's view, for monitoring and for planning replacements of voters.
+// Status returns the voter's view of itself and of the cluster, for monitoring and for planning replacements of voters.
 func (v *Voter) Status() Status {
 	basic := v.rawNode.BasicStatus()
 	return Status{
--- a/internal/consensus/raftlog/voter_test.go
+++ b/internal/consensus/raftlog/voter_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestArbitraryMessages decodes arbitrary and corrupted messages: each is rejected as malformed or handled, and none stops the
-// voter.
+// TestArbitraryMessages decodes arbitrary and corrupted messages. Each must be rejected as malformed or handled, and none may
+// stop the voter.
 func TestArbitraryMessages(t *testing.T) {
 	h := newHarness(t)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/consensus/statemachine/apply.go
+++ b/internal/consensus/statemachine/apply.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// Apply applies the next log entry. An empty entry, or one that is no command, changes only Index and Checksum: raft adds
-// entries of its own. ok is false if there is no client to respond to.
+// Apply applies the next log entry. An empty entry (raft adds some itself), or one that is not a valid command, changes only
+// Index and Checksum. ok is false if the entry is not the request of a client.
 func (s *State) Apply(index uint64, data []byte) (key Key, result Result, ok bool) {
 	s.Index = index
 	s.updateChecksum(data)
@@ -11,7 +11,7 @@
 		return Key{}, Result{}, false
 	}
 	command, err := Decode(data)
-	if err != nil { // on every gateway alike: it depends on the data alone
+	if err != nil { // the same on every gateway, because it depends only on the data
 		return Key{}, Result{}, false
 	}
 	if command.Op == Renew {
@@ -22,8 +22,8 @@
 }
 
 // applyOnce applies a request that was not applied before; a retry gets the stored result. A request can't be applied
-// twice: it is rejected more than MaxRequestAge entries after CreatedIndex, and its client is stored for MaxRequestAge entries
-// after the request was applied, which was after CreatedIndex.
+// twice: it is rejected if more than MaxRequestAge entries follow its CreatedIndex, and its client stays stored for at least
+// MaxRequestAge entries after the request was applied, which was later than CreatedIndex.
 func (s *State) applyOnce(command Command) Result {
 	if s.InjectedFaults.SkipDeduplication {
 		return s.execute(command)
@@ -51,7 +51,8 @@
 	return result
 }
 
-// findOrAddClient returns the client with an identity. It returns nil if the client is new and MaxClients are in use.
+// findOrAddClient returns the client with an identity, and stores it if it is new. It returns nil if the client is new and
+// MaxClients are in use.
 func (s *State) findOrAddClient(id uint64) *client {
 	if found := s.clients[id]; found != nil {
 		return found
@@ -67,12 +68,12 @@
 	return found
 }
 
-// dropExpiredClients drops the clients without a request for more than MaxRequestAge entries.
+// dropExpiredClients drops the clients whose latest request is more than MaxRequestAge entries ago.
 func (s *State) dropExpiredClients() {
 	maps.DeleteFunc(s.clients, func(_ uint64, c *client) bool { return s.Index-c.LastUsed > MaxRequestAge })
 }
 
-// release drops the results that the client has received, up to a sequence number.
+// release drops the results up to receivedSeq, which the client has received.
 func (c *client) release(receivedSeq uint64) {
 	c.ReleasedSeq = max(c.ReleasedSeq, receivedSeq)
 	var seqs []uint64
--- a/internal/consensus/statemachine/interleavings_test.go
+++ b/internal/consensus/statemachine/interleavings_test.go
@@ -20,7 +20,7 @@
 	return e
 }
 
-// visit visits a state and all that follow from it. It returns false after a violation.
+// visit visits a state and all states that follow from it in the remaining steps. It returns false after a violation.
 func (e *exploration) visit(m *model, remaining int, path []string) bool {
 	if violation := m.violation(); violation != "" {
 		e.trace = append(slices.Clone(path), violation)
@@ -44,14 +44,14 @@
 	return true
 }
 
-// TestAllInterleavings explores one to three lease holders with a Restrict and a Relax after it, one crash and one delayed
-// message, in every order up to a depth (COUNCIL_DEPTH adds to it). The injected faults must be found.
+// TestAllInterleavings explores one to three lease holders with a Restrict followed by a Relax, one crash and one delayed
+// acknowledgement, in every order up to a number of steps (COUNCIL_DEPTH adds to it). The injected faults must be detected.
 func TestAllInterleavings(t *testing.T) {
 	extraDepth, _ := strconv.Atoi(os.Getenv("COUNCIL_DEPTH"))
 	for _, c := range []struct{ holders, depth int }{{1, 10}, {2, 8}, {3, 6}} {
 		result := explore(c.holders, c.depth+extraDepth, InjectedFaults{})
 		if result.trace != nil || result.relaxed == 0 && c.holders < 3 {
-			t.Errorf("%d holders: %d relaxed, %q", c.holders, result.relaxed, result.trace)
+			t.Errorf("%d holders: %d states with the relaxed value in force, violation %q", c.holders, result.relaxed, result.trace)
 		}
 		t.Logf("%d holders, depth %d: %d states, %d with the relaxed value in force", c.holders, c.depth+extraDepth, len(result.visited), result.relaxed)
 	}
@@ -62,7 +62,7 @@
 		result := explore(1, 8, faults)
 		t.Logf("%s: %q", name, result.trace)
 		if result.trace == nil {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: the injected fault was not detected", name)
 		}
 	}
 }
--- a/internal/consensus/statemachine/leases.go
+++ b/internal/consensus/statemachine/leases.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// applyRenewals ends expired leases and renews or grants leases for the acknowledgements of a Renew command. A new lease
-// is granted to a holder that has acknowledged every restriction. A lease is renewed unless its holder has missed a
-// restriction for more than GraceRenewals commands, so a restriction waits no longer than those and one lease. A holder
-// that is not renewed keeps its lease until it expires.
+// applyRenewals applies a Renew command: it ends the expired leases, and renews or grants a lease for each acknowledgement.
+// A new lease is granted only to a holder that has acknowledged every restriction. A lease is renewed unless its holder
+// has left a restriction unacknowledged for more than GraceRenewals Renew commands. A restriction is therefore complete at
+// the latest after those commands and the expiry of one lease. A holder that is not renewed keeps its lease until it
+// expires.
 func (s *State) applyRenewals(command Command) {
 	for _, expired := range command.ExpiredLeases {
 		lease := s.leases[expired.Holder]
@@ -24,8 +25,8 @@
 	s.completeRestrictions()
 }
 
-// countRenewal counts a Renew command for each incomplete restriction. It returns the index of the latest one that has
-// waited for more than GraceRenewals of them, 0 if there is none.
+// countRenewal counts a Renew command for each incomplete restriction. It returns the log index of the latest restriction
+// that has been incomplete for more than GraceRenewals Renew commands, 0 if there is none.
 func (s *State) countRenewal() (requiredIndex uint64) {
 	for i := range s.restrictions {
 		s.restrictions[i].Renewals++
@@ -36,7 +37,7 @@
 	return requiredIndex
 }
 
-// renewLease renews or grants the lease of one holder. A renewal needs an acknowledgement of requiredIndex.
+// renewLease renews or grants the lease of one holder. A renewal requires that the holder has acknowledged requiredIndex.
 func (s *State) renewLease(ack Ack, requiredIndex uint64) {
 	if ack.Holder == 0 || ack.Index > s.Index {
 		return
@@ -51,8 +52,8 @@
 	}
 }
 
-// completeRestrictions removes the restrictions that every lease holder has acknowledged, and puts the pending values in
-// force that waited for them.
+// completeRestrictions removes the restrictions that every lease holder has acknowledged, and brings into force the pending
+// values that waited for them.
 func (s *State) completeRestrictions() {
 	acknowledged := s.Index
 	for _, lease := range s.leases {
--- a/internal/consensus/statemachine/limits_test.go
+++ b/internal/consensus/statemachine/limits_test.go
@@ -16,7 +16,7 @@
 		}
 		_, result, _ := state.Apply(id, data)
 		if result.Code != wantCode || len(state.clients) != wantClients {
-			t.Fatalf("client %d: %v, results of %d clients are stored", id, result.Code, len(state.clients))
+			t.Fatalf("client %d: code %v, results of %d clients are stored", id, result.Code, len(state.clients))
 		}
 	}
 }
--- a/internal/consensus/statemachine/model_test.go
+++ b/internal/consensus/statemachine/model_test.go
@@ -14,16 +14,16 @@
 	relaxedValue    = "relaxed"
 )
 
-// model is a replicated log with its lease holders, at one step of one interleaving. Time is reduced to what it permits: a
-// lease may expire at any step; the leader may find a lease expired only after its holder has; and the operations that a
-// lease permitted end before the leader does.
+// model is a replicated log with its lease holders, at one step of one interleaving. Time is modelled only by the orders of
+// events that it allows: a lease may expire at any step; the leader may find a lease expired only after its holder has
+// found it expired, and only after the operations that the lease permitted have ended.
 type model struct {
 	commands         [][]byte // the replicated log
 	state            *State
 	holders          []modelHolder
-	acksInFlight     []Ack // may stay in flight for any time
+	acksInFlight     []Ack // not applied yet, after any delay
 	delayedAcks      []Ack
-	expirations      []Ack // leases that a leader found expired, not in the log yet
+	expirations      []Ack // leases that the leader found expired, not in the log yet
 	remainingCrashes int
 	remainingDelays  int  // of acknowledgements
 	changesProposed  bool // the Restrict and the Relax are in the log
@@ -35,7 +35,7 @@
 	round        uint64 // of its latest acknowledgement
 	ackedIndex   uint64
 	renewedRound uint64 // the latest round that it has seen renewed
-	expiredRound uint64 // the leader found the lease of this round expired: no operation begins in it or an earlier one
+	expiredRound uint64 // the leader found the lease of this round expired; no operation begins in this or an earlier round
 	leaseValid   bool   // by its own clock
 	running      bool
 }
@@ -76,7 +76,7 @@
 	return &cloned
 }
 
-// cloneMap clones a map and what its values point to.
+// cloneMap clones a map and the values that it points to.
 func cloneMap[K comparable, V any](original map[K]*V) map[K]*V {
 	cloned := maps.Clone(original)
 	for key, value := range cloned {
@@ -109,13 +109,13 @@
 	m.state.Apply(uint64(len(m.commands)), data)
 }
 
-// modelStep is one step that may come next; apply changes a clone of the model.
+// modelStep is one possible next step; apply performs it on a clone of the model.
 type modelStep struct {
 	name  string
 	apply func(*model)
 }
 
-// nextSteps returns all steps that may come next.
+// nextSteps returns all possible next steps.
 func (m *model) nextSteps() (steps []modelStep) {
 	for i := range m.holders {
 		steps = append(steps, m.holderSteps(i)...)
@@ -138,7 +138,7 @@
 	return steps
 }
 
-// holderSteps returns the steps of one holder, and the leader's finding that its lease has expired.
+// holderSteps returns the possible steps of one holder, and the step in which the leader finds its lease expired.
 func (m *model) holderSteps(i int) (steps []modelStep) {
 	add := func(name string, apply func(m *model, h *modelHolder)) {
 		step := modelStep{fmt.Sprint("holder ", i, ": ", name), func(m *model) { apply(m, &m.holders[i]) }}
@@ -214,8 +214,8 @@
 	m.delayedAcks = nil
 }
 
-// violation describes a violated invariant, "" if there is none: once the restriction is complete nobody acts on the old
-// value, and nobody acts on the relaxed value while another acts on the old one.
+// violation describes a violated invariant, "" if there is none. The invariants: once the restriction is complete, no holder
+// acts on the old value; and no holder acts on the relaxed value while another acts on the old one.
 func (m *model) violation() string {
 	register, settled, _ := m.state.Get("r")
 	current := string(register.Value)
@@ -225,11 +225,11 @@
 			continue
 		}
 		if isRestricted {
-			return fmt.Sprintf("holder %d acts on %q, in force is %q", i, oldValue, current)
+			return fmt.Sprintf("holder %d acts on %q while %q is in force", i, oldValue, current)
 		}
 		for j := range m.holders {
 			if m.holders[j].value() == relaxedValue {
-				return fmt.Sprintf("holder %d acts on the old value while %d acts on the relaxed one", i, j)
+				return fmt.Sprintf("holder %d acts on the old value while holder %d acts on the relaxed value", i, j)
 			}
 		}
 	}
--- a/internal/consensus/statemachine/registers.go
+++ b/internal/consensus/statemachine/registers.go
@@ -27,7 +27,7 @@
 	return result
 }
 
-// check returns the code with which a command is rejected, or OK. register is nil if there is none.
+// check returns the code with which a command is rejected, or OK. register is nil if the register does not exist.
 func (s *State) check(command Command, register *Register) Code {
 	var version uint64
 	if register != nil {
@@ -50,8 +50,8 @@
 	return OK
 }
 
-// putRegister sets a register's value or, for a Relax that must wait, its pending value. previous is nil if there is no
-// such register. It returns the register's version: the previous one if the code is Full.
+// putRegister sets a register's value or, for a Relax that must wait, its pending value. previous is nil if the register does
+// not exist. putRegister returns the register's new version, or the previous version if the code is Full.
 func (s *State) putRegister(command Command, previous *Register) (Code, uint64) {
 	changed := Register{Name: command.Name}
 	registerBytes := s.registerBytes
@@ -80,7 +80,7 @@
 	return OK, changed.Version
 }
 
-// addRestriction records a restriction at the current index. It is complete at once if nobody holds a lease.
+// addRestriction records a restriction at the current index. It is complete at once if no gateway holds a lease.
 func (s *State) addRestriction() {
 	s.lastRestriction = s.Index
 	if !s.InjectedFaults.SkipRestrictionWait {
--- a/internal/consensus/statemachine/result.go
+++ b/internal/consensus/statemachine/result.go
@@ -16,11 +16,11 @@
 const (
 	OK        Code = iota + 1
 	Conflict       // the register has another version, which is in the result
-	Busy           // a Relax of the register is not in force yet, or its Restrict is incomplete: withdraw it, or retry later
+	Busy           // a Relax is pending, or the register to remove has an incomplete Restrict: withdraw the Relax, or retry later
 	Full           // the limit of registers, of their bytes or of restrictions is reached
-	Expired        // the request is older than MaxRequestAge; it was not applied now, and may have been before
-	Released       // the client has reported that it received this response; not applied now
-	Undecided      // the result could not be stored, because of MaxResultsPerClient or MaxClients: retry with the same Key
+	Expired        // the request is older than MaxRequestAge; it was not applied now, but may have been applied earlier
+	Released       // the client has reported that it received the response to this request; it was not applied now
+	Undecided      // not applied now, because MaxResultsPerClient or MaxClients leaves no room for the result: retry with the same Key
 	NotFound       // no such register, or nothing to withdraw
 )
 
--- a/internal/consensus/statemachine/snapshot.go
+++ b/internal/consensus/statemachine/snapshot.go
@@ -19,7 +19,7 @@
 	LastRestriction uint64        `cbor:"7,keyasint"`
 }
 
-// Encode encodes a snapshot of at most MaxSnapshotBytes; the limits of its parts keep it below.
+// Encode encodes the state as a snapshot of at most MaxSnapshotBytes; the limits of the parts of the state ensure this size.
 func (s *State) Encode() ([]byte, error) {
 	compareNames := func(a, b *Register) int { return cmp.Compare(a.Name, b.Name) }
 	compareIDs := func(a, b *client) int { return cmp.Compare(a.ID, b.ID) }
@@ -34,7 +34,8 @@
 	}, MaxSnapshotBytes)
 }
 
-// Restore decodes a snapshot. It returns codec.ErrMalformed if it breaks a limit.
+// Restore returns the state of an encoded snapshot. It returns codec.ErrMalformed if the snapshot can't be decoded or breaks
+// a limit.
 func Restore(encoded []byte) (*State, error) {
 	var decoded snapshot
 	if err := codec.Decode(encoded, &decoded, MaxSnapshotBytes); err != nil {
@@ -62,7 +63,7 @@
 	return state, nil
 }
 
-// isValid checks the limits of the snapshot's parts.
+// isValid reports whether the parts of the snapshot are within their limits.
 func (s *snapshot) isValid() bool {
 	if len(s.Registers) > MaxRegisters || len(s.Clients) > MaxClients || len(s.Leases) > MaxLeases || len(s.Restrictions) > MaxRestrictions {
 		return false
--- a/internal/consensus/statemachine/state.go
+++ b/internal/consensus/statemachine/state.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Register is a value with its version.
+// Register is a named value with its version.
 type Register struct {
 	Name      string        `cbor:"1,keyasint"`
 	Value     []byte        `cbor:"2,keyasint,omitempty"` // in force
@@ -23,6 +23,7 @@
 	Index uint64 `cbor:"2,keyasint"` // the log index of the Relax
 }
 
+// bytes returns the size that the register counts towards MaxRegisterBytes.
 func (r *Register) bytes() int {
 	size := registerOverheadBytes + len(r.Name) + len(r.Value)
 	if r.Pending != nil {
@@ -40,29 +41,29 @@
 	Results     []Result `cbor:"5,keyasint,omitempty"` // parallel to Seqs
 }
 
-// Restriction is a Restrict that not all lease holders have acknowledged.
+// Restriction is a Restrict command that some lease holder has not acknowledged yet.
 type Restriction struct {
-	Index    uint64 `cbor:"1,keyasint"`           // its log index
-	Renewals int    `cbor:"2,keyasint,omitempty"` // Renew commands since
+	Index    uint64 `cbor:"1,keyasint"`           // log index of its Restrict command
+	Renewals int    `cbor:"2,keyasint,omitempty"` // number of Renew commands since then
 }
 
-// InjectedFaults break the state machine deliberately, for tests that prove that the fault is detected. None is set
-// elsewhere.
+// InjectedFaults break the state machine deliberately, for tests that prove that these faults are detected. None is set
+// outside tests.
 type InjectedFaults struct {
 	SkipRestrictionWait bool // a restriction is complete at once
 	SkipDeduplication   bool // a retried request is applied again
-	ExpireAnyRound      bool // a lease is ended though it was renewed meanwhile
+	ExpireAnyRound      bool // a lease is ended although it was renewed meanwhile
 }
 
-// State is the result of all commands up to Index. It is not safe for concurrent use.
+// State is the state after all log entries up to Index. It is not safe for concurrent use.
 type State struct {
 	Index           uint64 // the log index of the latest applied entry
-	Checksum        uint64 // over all applied entries: two states with one Index and different checksums have diverged
+	Checksum        uint64 // over all applied entries: two states with the same Index and different checksums have diverged
 	InjectedFaults  InjectedFaults
 	registers       map[string]*Register
 	clients         map[uint64]*client
 	leases          map[uint64]*Ack // the latest acknowledgement by holder
-	restrictions    []Restriction   // incomplete ones, oldest first
+	restrictions    []Restriction   // the incomplete ones, oldest first
 	lastRestriction uint64          // the log index of the latest restriction, complete or not
 	registerBytes   int             // of all registers
 }
@@ -72,8 +73,9 @@
 	return &State{registers: map[string]*Register{}, clients: map[uint64]*client{}, leases: map[uint64]*Ack{}}
 }
 
-// Get returns a copy of a register. settled reports whether its latest change is in force at every gateway: no
-// restriction up to it is incomplete and no Relax is pending. A register that does not exist is settled.
+// Get returns a copy of a register. settled reports whether its latest change is in force at every gateway: no Relax is
+// pending and, if a Restrict set the value, that restriction and all earlier ones are complete. A register that does not
+// exist is settled.
 func (s *State) Get(name string) (r Register, settled, ok bool) {
 	stored := s.registers[name]
 	if stored == nil {
--- a/internal/consensus/statemachine/statemachine_test.go
+++ b/internal/consensus/statemachine/statemachine_test.go
@@ -42,9 +42,10 @@
 	return command
 }
 
-// TestStateInvariants applies arbitrary commands and checks after each: a state restored from a snapshot behaves alike; a key is
-// applied once and gets the same result again; a pending value or an incomplete restriction waits for something; and the
-// size is the sum of the registers'.
+// TestStateInvariants applies arbitrary commands and checks after each of them: a state restored from a snapshot behaves in
+// the same way; a request is applied once, and a retry with its key gets the same result; a pending value waits for an
+// incomplete restriction, and an incomplete restriction for a lease holder; and the counted size is the sum over all
+// registers.
 func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, results := New(), map[Key]Result{}
@@ -84,7 +85,7 @@
 func requireEqualStates(t *rapid.T, a, b *State) {
 	encodedA, _ := a.Encode()
 	if encodedB, _ := b.Encode(); !bytes.Equal(encodedA, encodedB) {
-		t.Fatal("the restored state differs")
+		t.Fatal("after the same command, the state restored from a snapshot differs")
 	}
 }
 
@@ -95,10 +96,10 @@
 	}
 	earlier, isRetry := results[key]
 	if isRetry && earlier != result {
-		t.Fatalf("%v: %v, then %v", key, earlier, result)
+		t.Fatalf("key %v: result %v, then %v", key, earlier, result)
 	}
 	if isRetry && changed {
-		t.Fatalf("%v was applied twice", key)
+		t.Fatalf("key %v was applied twice", key)
 	}
 	results[key] = result
 }
@@ -108,11 +109,11 @@
 	for _, register := range s.registers {
 		size += register.bytes()
 		if register.Pending != nil && !s.HasIncompleteRestriction(register.Pending.Index) {
-			t.Fatal("a pending value waits for nothing")
+			t.Fatal("a pending value waits although no earlier restriction is incomplete")
 		}
 	}
 	if size != s.registerBytes {
-		t.Fatalf("size %d, summed %d", s.registerBytes, size)
+		t.Fatalf("counted size of the registers %d, their sum %d", s.registerBytes, size)
 	}
 }
 
@@ -123,12 +124,13 @@
 			complete = complete && lease.Index >= restriction.Index
 		}
 		if complete {
-			t.Fatal("a restriction is incomplete though every holder has acknowledged it")
+			t.Fatal("a restriction is incomplete although every lease holder has acknowledged it")
 		}
 	}
 }
 
-// TestSnapshotLimit fills the state to its limits: a snapshot and a Renew command stay within theirs.
+// TestSnapshotLimit fills the state to its limits. A snapshot and the largest Renew command must still be within their size
+// limits.
 func TestSnapshotLimit(t *testing.T) {
 	state := New()
 	var index uint64
@@ -171,7 +173,8 @@
 	t.Logf("a Renew command of %d acknowledgements has %d bytes", MaxAcksPerCommand, len(renew))
 }
 
-// renewCommand makes a Renew command of MaxAcksPerCommand holders, from one identity downwards.
+// renewCommand returns a Renew command with acknowledgements of MaxAcksPerCommand holders, whose identities descend from
+// firstHolder.
 func renewCommand(firstHolder, index uint64) Command {
 	command := Command{Op: Renew}
 	for i := range MaxAcksPerCommand {
@@ -180,7 +183,8 @@
 	return command
 }
 
-// TestExpiredRequest retries a request after its result was dropped: it is rejected, however late.
+// TestExpiredRequest retries a request many times, also long after its result was dropped. Each retry must get the stored
+// result or Expired, and none is applied.
 func TestExpiredRequest(t *testing.T) {
 	state := New()
 	request, _ := Command{Key: Key{1, 1}, Op: Set, Name: "a", AnyVersion: true}.Encode()
@@ -196,7 +200,7 @@
 		_, result, ok := state.Apply(index, data)
 		isStored := result.Code == OK && result.Index == 1
 		if ok && result.Code != Expired && !isStored {
-			t.Fatalf("at %d: %v", index, result)
+			t.Fatalf("at index %d: %v", index, result)
 		}
 	}
 	if register, _, _ := state.Get("a"); register.Version != 1 {
--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -124,7 +124,8 @@
 }
 
 // TestDamagedFile truncates the file at every page and corrupts single bytes of it. The file must then load as it was saved
-// (if the byte was in no used page), or fail with ErrDamaged or ErrWrongOwner; it must never panic or load other entries.
+// (if the byte was in no used page), or fail with ErrDamaged or ErrWrongOwner; it must never panic or load other entries. The
+// entries are checked only if the file loads with a hard state.
 func TestDamagedFile(t *testing.T) {
 	folder := t.TempDir()
 	writeSampleFile(t, folder)
@@ -160,7 +161,8 @@
 	t.Log(len(complete), "bytes,", detected, "damaged files detected")
 }
 
-// loadSampleFile loads the sample file, which may be damaged. If it loads, it must have all entries.
+// loadSampleFile loads the sample file, which may be damaged. If it loads with a hard state, it must have all
+// entries.
 func loadSampleFile(t *testing.T, folder, damage string, offset int) error {
 	t.Helper()
 	file, err := Open(folder, Owner{Name: "g1", ClusterID: 7})
