--- a/internal/consensus/simulation/checker_test.go
+++ b/internal/consensus/simulation/checker_test.go
@@ -12,28 +12,28 @@
 	"cranegate/internal/consensus/statemachine"
 )
 
-// Limits after the recovery.
+// Limits that hold after the recovery.
 const (
-	maxAgeAtEnd            = 10 * time.Second // of what a replica reads
-	maxRestrictionAgeAtEnd = 30 * time.Second // that a restriction is incomplete
+	maxAgeAtEnd            = 10 * time.Second // of the state that a replica reads
+	maxRestrictionAgeAtEnd = 30 * time.Second // since an incomplete restriction was proposed
 )
 
 // checker sees every message, every applied entry and the true time, and records violated invariants.
 type checker struct {
 	fleet        *fleet
 	failures     []string
-	state        *statemachine.State         // with the fleet's injected faults: what it does, not what it should do
+	state        *statemachine.State         // after log, with the fleet's injected faults: the fleet's actual state, not the correct one
 	log          [][]byte                    // by log index
 	checksums    map[uint64]uint64           // by log index
 	appliedAt    map[statemachine.Key]uint64 // the log index at which a request changed a register
 	restrictions []restriction
-	votes        map[voteKey]uint64 // the candidate
+	votes        map[voteKey]uint64 // the identity of the candidate
 
 	operations            int
-	rejectedOperations    int // operations for want of a lease
-	stalledOperations     int // operations that End called stalled
+	rejectedOperations    int // Begin returned an error
+	stalledOperations     int // End returned ErrStalled
 	settledReads          int
-	completedRestrictions int           // restrictions
+	completedRestrictions int
 	longestRestriction    time.Duration // from proposal to completion
 	commands              int
 	renewals              int
@@ -52,7 +52,7 @@
 	c := &checker{
 		fleet:     f,
 		state:     statemachine.New(),
-		log:       [][]byte{nil, nil}, // index 0 is unused, index 1 is the bootstrap's
+		log:       [][]byte{nil, nil}, // index 0 is unused, index 1 is the entry of the bootstrap
 		checksums: map[uint64]uint64{},
 		appliedAt: map[statemachine.Key]uint64{},
 		votes:     map[voteKey]uint64{},
@@ -66,7 +66,8 @@
 	c.failures = append(c.failures, fmt.Sprintf("%v: ", c.fleet.now)+fmt.Sprintf(format, arguments...))
 }
 
-// checkApplied compares the entry that a voter applies with what others applied at the same index.
+// checkApplied compares the entry that a voter applies with the entry that other voters applied at the same index. It
+// applies an entry at a new index to the checker's state.
 func (c *checker) checkApplied(id, index uint64, data []byte) {
 	next := uint64(len(c.log))
 	if index > next {
@@ -97,7 +98,7 @@
 	c.recordCompletions()
 }
 
-// recordChange records that a request changed its register. A request must change it once only.
+// recordChange records that a request changed its register. A request must do so only once.
 func (c *checker) recordChange(command statemachine.Command, index uint64) {
 	if earlier, ok := c.appliedAt[command.Key]; ok {
 		c.fail("%v was applied at %d and at %d", command.Key, earlier, index)
@@ -151,7 +152,8 @@
 	return messageType == raftpb.MsgVote || messageType == raftpb.MsgVoteResp
 }
 
-// checkReplica compares the state of a gateway with the log's: its replica's always, its voter's once a second.
+// checkReplica compares the state of a gateway's replica with the state after the same entry of the log, and once a second
+// the state of its voter too.
 func (c *checker) checkReplica(gateway *gateway) {
 	state := gateway.replica.State()
 	if want, ok := c.checksums[state.Index]; ok && want != state.Checksum {
@@ -167,8 +169,9 @@
 	}
 }
 
-// checkOperation checks an operation that was sent: no later restriction may have been complete. err is End's: the receiver
-// rejects a stalled operation by its log index.
+// checkOperation checks an operation when it is sent: no restriction that is later than the value that permitted the operation
+// may be complete. err is the error of End. A stalled operation is not checked, because its receiver rejects it by its log
+// index.
 func (c *checker) checkOperation(gateway *gateway, sent *operation, err error) {
 	if err != nil {
 		c.stalledOperations++
@@ -183,8 +186,8 @@
 	}
 }
 
-// checkRecovery checks at the end that the fleet has recovered: leases, fresh reads, complete restrictions and a
-// linearizable history.
+// checkRecovery checks at the end that the fleet has recovered: all gateways have leases and read a fresh state, the
+// restrictions are complete, and the history is linearizable.
 func (c *checker) checkRecovery() {
 	for _, g := range c.fleet.gateways {
 		if _, ok := g.replica.Lease().Valid(g.clock); !ok {
--- a/internal/consensus/simulation/client_test.go
+++ b/internal/consensus/simulation/client_test.go
@@ -14,18 +14,18 @@
 	firstClientID      = 1000
 	retryInterval      = 700 * time.Millisecond
 	maxIdleMillis      = 3000 // between a response and the next request
-	maxOwnershipMillis = 6000 // between two changes of the owner, instead
+	maxOwnershipMillis = 6000 // between two changes of the owner, in place of maxIdleMillis
 )
 
-// client sends one request at a time and retries it with the same key until it gets a response. The first client moves the
-// ownership between gateways; the others set and read registers whose history is checked.
+// client sends one request at a time and retries it with the same key until it gets a response. The first client changes the
+// owner; the others set and read registers, and their history is checked.
 type client struct {
 	fleet        *fleet
 	id           uint64
 	changesOwner bool
 	seq          uint64
 	lastReadID   uint64
-	knownIndex   uint64 // the latest log index that it knows
+	knownIndex   uint64 // the latest log index in a response
 	command      statemachine.Command
 	isRead       bool
 	register     string
@@ -62,6 +62,7 @@
 	c.send()
 }
 
+// nextCommand returns a random command or, for the client that changes the owner, a Restrict and a Relax in turn.
 func (c *client) nextCommand() statemachine.Command {
 	rng := c.fleet.rng
 	command := statemachine.Command{
@@ -87,7 +88,7 @@
 	return command
 }
 
-// send sends the pending request to any voter. A read gets a new ID with every attempt.
+// send sends the pending request to a random voter. A read gets a new ID with every attempt.
 func (c *client) send() {
 	c.sentAt = c.fleet.now
 	request := &raftlog.Request{}
@@ -123,7 +124,7 @@
 	}
 }
 
-// expects reports whether a response completes the pending request.
+// expects reports whether a response completes the pending request. The client retries after Undecided.
 func (c *client) expects(response *raftlog.Response) bool {
 	if !c.waiting || response == nil || response.Result.Code == statemachine.Undecided {
 		return false
--- a/internal/consensus/simulation/faults_test.go
+++ b/internal/consensus/simulation/faults_test.go
@@ -11,11 +11,11 @@
 // faultKind is a kind of fault that hits one gateway.
 type faultKind int
 
-// The kinds, in the order of their random numbers.
+// The kinds of faults, in the order of the random numbers that draw them.
 const (
-	partitionOneDirection faultKind = iota // from the gateway to another
-	isolate                                // from and to all others
-	pause                                  // of the whole process
+	partitionOneDirection faultKind = iota // of messages from the gateway to one other gateway
+	isolate                                // from and to all other gateways
+	pause                                  // the process executes nothing
 	crashProcess
 	changeClockRate
 	faultKinds // the number of kinds
@@ -24,9 +24,9 @@
 // stepsPerFault is the average number of steps between two faults.
 const stepsPerFault = 20
 
-// toleratesCrash reports whether the cluster tolerates the crash of a gateway. A voter without a disk is a vote that never
-// comes back, so all other voters must be running. A fleet requires the same of its operator: no majority without disks fails
-// at once.
+// toleratesCrash reports whether the cluster tolerates the crash of a gateway. The vote of a voter without a disk is lost for
+// good when it crashes, so a voter may crash only while all voters are running and no joint-consensus change is in progress.
+// The operator of a real fleet must meet the same condition: a majority without disks must not fail at once.
 func (f *fleet) toleratesCrash(gateway *gateway) bool {
 	voters := f.currentVoters()
 	if !slices.Contains(voters, gateway.id) {
@@ -41,7 +41,7 @@
 	return true
 }
 
-// crash ends a gateway's process. Without a disk it forgets its state and gets a new identity.
+// crash ends a gateway's process. A gateway without a disk loses its state and gets a new identity.
 func (f *fleet) crash(gateway *gateway) {
 	gateway.running = false
 	gateway.restartAt = f.now + time.Duration(500+f.rng.IntN(9000))*time.Millisecond
@@ -59,7 +59,7 @@
 	}
 }
 
-// injectFaults injects a fault from time to time while faults are due, and ends all of them after that.
+// injectFaults injects faults at random times until faultTime, and then ends all of them.
 func (f *fleet) injectFaults() {
 	if !f.hasFaults() {
 		if f.now < f.faultTime+stepInterval {
@@ -78,7 +78,7 @@
 	kind := faultKind(f.rng.IntN(int(faultKinds)))
 	operating := slices.IndexFunc(f.gateways, func(g *gateway) bool { return g.operation != nil })
 	if operating >= 0 && (kind == isolate || kind == pause) && f.rng.IntN(2) == 0 {
-		target = operating // between its check and its send
+		target = operating // so that the fault falls between the check of the operation and its sending
 	}
 	f.injectFault(kind, target, f.now+duration)
 }
--- a/internal/consensus/simulation/fleet_test.go
+++ b/internal/consensus/simulation/fleet_test.go
@@ -1,5 +1,5 @@
-// Package simulation runs complete fleets of consensus in virtual time, with faults that follow from a seed. A checker that
-// knows the true time and every message verifies the invariants.
+// Package simulation runs fleets of gateways with the consensus packages in virtual time, with faults that follow from a seed.
+// A checker that knows the true time and every message verifies the invariants.
 package simulation
 
 import (
@@ -19,24 +19,24 @@
 // reconfigureSteps is the number of steps between two reconfigurations.
 const reconfigureSteps = 10
 
-// clientCount is the number of clients. The first moves the owner of ownerRegister.
+// clientCount is the number of clients. The first one changes the value of ownerRegister.
 const clientCount = 4
 
-// ownerRegister names the gateway that may operate.
+// ownerRegister is the register whose value is the name of the owner, the gateway that may send operations.
 const ownerRegister = "r"
 
 // scenario describes a run.
 type scenario struct {
 	voters, replicas int
 	seed             uint64
-	faultTime        time.Duration // faults are injected from the start on for so long
-	recoveryTime     time.Duration // then the fleet runs without faults for so long
+	faultTime        time.Duration // how long faults are injected, from the start on
+	recoveryTime     time.Duration // how long the fleet then runs without faults
 	injectedFaults   statemachine.InjectedFaults
-	folder           string // for the files of gateways with a disk; if empty, memory stands for the disk
+	folder           string // for the files of gateways with a disk; if empty, the stores are in memory
 	reuseIdentity    bool   // a voter without a disk restarts under its old identity
 }
 
-// fleet is all gateways and clients, with the network between them.
+// fleet consists of all gateways and clients, and the network between them.
 type fleet struct {
 	scenario
 	rng          *rand.Rand
@@ -45,13 +45,13 @@
 	clusterID    uint64
 	bootstrap    raftlog.PersistedState
 	inFlight     []delivery
-	partitions   map[[2]int]time.Duration // until when, by the indexes of sender and receiver
-	retired      map[uint64]bool          // identities that never come back
+	partitions   map[[2]int]time.Duration // end of each partition, by the indexes of sender and receiver
+	retired      map[uint64]bool          // identities of voters that have failed permanently
 	identities   map[uint64]quorum.Gateway
 	clients      []*client
 	checker      *checker
-	lastStartID  uint64 // of processes, each with a new identity
-	replacements int    // proposed while the new voter was a learner
+	lastStartID  uint64 // the latest that was given to a gateway or a lease holder
+	replacements int    // steps of a replacement whose new voter was already a learner
 	sentCount    int
 }
 
@@ -100,7 +100,7 @@
 	}
 }
 
-// assignIdentity gives a gateway a new identity.
+// assignIdentity gives a gateway a new StartID, and so a new identity.
 func (f *fleet) assignIdentity(g *gateway) {
 	f.lastStartID++
 	g.StartID = f.lastStartID
@@ -108,7 +108,7 @@
 	f.identities[g.id] = g.Gateway
 }
 
-// currentVoters returns the voters as seen by the voter that has applied most.
+// currentVoters returns the voters as seen by the voter that has applied the most entries.
 func (f *fleet) currentVoters() []uint64 {
 	var latest raftlog.Status
 	for _, g := range f.gateways {
@@ -148,8 +148,8 @@
 	}
 }
 
-// reconfigure does what the caller of the packages will do: it sends the current voters to replicas that reach none, as the
-// membership will, and gives the leader the next replacement of a voter that has failed for good.
+// reconfigure does what the caller of the consensus packages will do: it gives the current voters to replicas that reach no
+// voter, as the membership will, and gives the leader the next replacement of a permanently failed voter.
 func (f *fleet) reconfigure() {
 	for _, g := range f.gateways {
 		if g.running && g.replica.Read(g.clock, ownerRegister).Age > 10*time.Second {
@@ -163,7 +163,7 @@
 	}
 }
 
-// replaceFailedVoter lets a leader take the next step of a replacement.
+// replaceFailedVoter makes the leader take the next step of a replacement, if a voter has failed permanently.
 func (f *fleet) replaceFailedVoter(leader *gateway) {
 	status := leader.voter.Status()
 	var voters, candidates []quorum.Gateway
--- a/internal/consensus/simulation/gateway_test.go
+++ b/internal/consensus/simulation/gateway_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	compactionEntries = 40   // small, so that snapshots are sent
-	maxUpdatesPerStep = 50   // that a gateway persists
+	compactionEntries = 40   // small, so that voters and replicas need snapshots
+	maxUpdatesPerStep = 50   // updates that a gateway persists in one step
 	maxInbox          = 256  // messages that wait at a gateway
-	updatesPerCrash   = 4000 // on average, between persisting and sending
+	updatesPerCrash   = 4000 // average number of updates per crash between persisting and sending
 )
 
-// gateway is one process, with its own clock and the truth about it. Every gateway runs a voter, which does nothing until it
-// becomes a learner, and a replica.
+// gateway is one simulated process with its own clock, and the state that the simulation keeps about it. Every gateway runs a
+// replica, and a voter that does nothing until it becomes a learner.
 type gateway struct {
 	quorum.Gateway
 	id          uint64
@@ -29,23 +29,23 @@
 	voter       *raftlog.Voter
 	replica     *raftlog.Replica
 	clock       time.Duration
-	clockRate   float64       // to true time
-	tickedAt    time.Duration // by its clock
+	clockRate   float64       // clock time per true time
+	tickedAt    time.Duration // reading of its clock at the latest tick of the voter
 	running     bool
-	restartAt   time.Duration // if it is not running
+	restartAt   time.Duration // true time; used while it is not running
 	pausedUntil time.Duration
 	inbox       []raftlog.Message
 	operation   *operation
 }
 
-// operation is a write of a gateway: permitted by a check, sent later.
+// operation is a write of a gateway. A check permits it, and it is sent later.
 type operation struct {
 	lease.Operation
 	registerIndex uint64        // the log index of the value that permitted it
 	sendAt        time.Duration // by the gateway's clock
 }
 
-// openStore opens the store of a gateway, which holds an initial state if it is new.
+// openStore opens the store of a gateway. If initial is not empty, the store is new and gets this state.
 func (f *fleet) openStore(gateway *gateway, initial raftlog.PersistedState) store.Store {
 	if f.folder == "" || !gateway.hasDisk {
 		return store.NewMemory(initial)
@@ -85,13 +85,13 @@
 	gateway.clockRate = f.drawClockRate()
 	gateway.clock = time.Duration(f.rng.Int64N(int64(time.Hour)))
 	gateway.tickedAt = gateway.clock
-	f.lastStartID++ // the lease holder's identity is always new
+	f.lastStartID++ // the lease holder gets a new identity at every start
 	holder := quorum.Gateway{Name: gateway.Name + " holds", StartID: f.lastStartID}
 	gateway.replica = raftlog.NewReplica(f.clusterID, holder.ID(), f.rng.Uint64(), f.currentVoters())
 	gateway.replica.State().InjectedFaults = f.injectedFaults
 }
 
-// drawClockRate draws the rate of a clock: either limit, or anything between.
+// drawClockRate draws the rate of a clock: one of the two limits, or a rate between them.
 func (f *fleet) drawClockRate() float64 {
 	const minRate, maxRate = 2.0 / 3, 4.0 / 3
 	between := minRate + f.rng.Float64()*2/3
@@ -173,7 +173,8 @@
 	return true
 }
 
-// operate lets a gateway operate while the state that it knows names it as the owner: check the lease, wait, send.
+// operate runs the operations of a gateway while its local state names it as the owner. For each operation the gateway checks
+// the lease, waits and sends.
 func (f *fleet) operate(gateway *gateway) {
 	if gateway.operation != nil {
 		if gateway.clock < gateway.operation.sendAt {
--- a/internal/consensus/simulation/linearizability_test.go
+++ b/internal/consensus/simulation/linearizability_test.go
@@ -14,7 +14,7 @@
 	linearizationTimeout = 5 * time.Second
 )
 
-// operationInput is a request in the history.
+// operationInput is the request of an operation in the history.
 type operationInput struct {
 	register        string
 	isRead          bool
@@ -23,7 +23,7 @@
 	value           string
 }
 
-// operationOutput is the response in the history; known is false if the client got none.
+// operationOutput is the response to an operation in the history; known is false if the client got no response.
 type operationOutput struct {
 	known   bool
 	code    statemachine.Code
@@ -37,7 +37,7 @@
 	value   string
 }
 
-// registerModel is the sequential specification of registers.
+// registerModel is the sequential specification of the registers, against which the history is checked.
 var registerModel = porcupine.Model{
 	Partition: partitionByRegister,
 	Init:      func() any { return registerValue{} },
@@ -60,7 +60,7 @@
 	return partitions
 }
 
-// stepRegister reports whether an output is possible in a state, and returns the next state.
+// stepRegister reports whether a register in a state can give an output for an input, and returns its next state.
 func stepRegister(state registerValue, input operationInput, output operationOutput) (bool, registerValue) {
 	switch {
 	case input.isRead:
@@ -72,7 +72,7 @@
 	return !output.known || output.code == statemachine.OK && output.version == next.version, next
 }
 
-// record adds the pending request to the history, with its response. Changes of the owner are left out.
+// record adds the pending request and its response to the history. It leaves out changes of the owner.
 func (c *client) record(returnedAt time.Duration, output operationOutput) {
 	if c.changesOwner {
 		return
--- a/internal/consensus/simulation/network_test.go
+++ b/internal/consensus/simulation/network_test.go
@@ -11,9 +11,9 @@
 	lostPercent       = 8
 	duplicatedPercent = 4
 	delayedPercent    = 5
-	delayFactor       = 100 // of a delayed message
-	maxDelayMillis    = 30  // of any other message
-	encodeInterval    = 16  // one of so many messages is encoded and decoded
+	delayFactor       = 100 // by which the delay of a delayed message is longer
+	maxDelayMillis    = 30  // of a message that is not delayed further
+	encodeInterval    = 16  // one message in this many is encoded and decoded
 )
 
 // delivery is a message in flight.
@@ -22,7 +22,7 @@
 	message   raftlog.Message
 }
 
-// indexOf returns the gateway whose voter or running replica has an identity, -1 if there is none.
+// indexOf returns the index of the gateway whose voter or running replica has an identity, -1 if there is none.
 func (f *fleet) indexOf(id uint64) int {
 	return slices.IndexFunc(f.gateways, func(g *gateway) bool {
 		return g.id == id || g.replica != nil && g.running && id == g.replica.ID()
@@ -32,7 +32,7 @@
 // hasFaults reports whether faults are injected now.
 func (f *fleet) hasFaults() bool { return f.now < f.faultTime }
 
-// sendMessage gives a message to the network, which may lose, duplicate or delay it.
+// sendMessage puts a message into the network, which may lose, duplicate or delay it.
 func (f *fleet) sendMessage(message raftlog.Message) {
 	f.checker.checkVotes(message)
 	f.sentCount++
@@ -89,7 +89,8 @@
 	}
 }
 
-// deliverToGateway puts a message into a gateway's inbox, unless a partition, a crash or a full inbox prevents it.
+// deliverToGateway puts a message into a gateway's inbox. It drops the message if there is a partition between the gateways,
+// or if the receiver is not running or its inbox is full.
 func (f *fleet) deliverToGateway(message raftlog.Message) {
 	to, from := f.indexOf(message.To), f.indexOf(message.From)
 	if to < 0 || f.partitions[[2]int{from, to}] > f.now || !f.gateways[to].running {
--- a/internal/consensus/simulation/race_test.go
+++ b/internal/consensus/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// raceDetectorEnabled reports whether the race detector is on, which makes a run ten times as long: scenarios are shorter then.
+// raceDetectorEnabled reports whether the race detector is on. It makes a run ten times as long, so scenarios are shorter then.
 const raceDetectorEnabled = true
--- a/internal/consensus/simulation/runs_test.go
+++ b/internal/consensus/simulation/runs_test.go
@@ -14,6 +14,7 @@
 // parallelRuns is the number of fleets that TestSeeds runs at a time.
 const parallelRuns = 2
 
+// newScenario returns the scenario for a seed: 3 voters if it is even, 5 if it is odd, and 5 to 20 replicas.
 func newScenario(seed int) scenario {
 	result := scenario{
 		voters:       3,
@@ -31,7 +32,7 @@
 	return result
 }
 
-// totals sums the figures of several runs.
+// totals sums the counters of several runs.
 type totals struct {
 	operations, rejected, stalled, restrictions, replacements, commands, renewals int
 
@@ -73,22 +74,22 @@
 	})
 	t.Logf("%d fleets: %+v, the longest restriction took %v", *seeds, sum, sum.longestRestriction)
 	if sum.operations == 0 || sum.rejected == 0 || sum.stalled == 0 && !raceDetectorEnabled || sum.replacements == 0 {
-		t.Error("the runs did not cover every case")
+		t.Error("the runs together have no operation, no rejected or stalled operation, or no replacement of a voter")
 	}
 }
 
-// TestRunsAreReproducible runs one seed twice.
+// TestRunsAreReproducible runs one seed twice. Both runs must end in the same state.
 func TestRunsAreReproducible(t *testing.T) {
 	a, b := newFleet(newScenario(3)), newFleet(newScenario(3))
 	a.run()
 	b.run()
 	stateA, stateB := a.checker.state, b.checker.state
 	if stateA.Checksum != stateB.Checksum || a.checker.operations != b.checker.operations || stateA.Index == 1 {
-		t.Errorf("%d, %d", stateA.Index, stateB.Index)
+		t.Errorf("the runs differ or applied nothing; they end at index %d and %d", stateA.Index, stateB.Index)
 	}
 }
 
-// TestFileStores runs with files, which are opened anew at each crash.
+// TestFileStores runs a fleet whose stores are files. A file is reopened after each crash of its gateway.
 func TestFileStores(t *testing.T) {
 	s := newScenario(6)
 	s.folder, s.faultTime, s.recoveryTime = t.TempDir(), 20*time.Second, 20*time.Second
@@ -102,7 +103,7 @@
 	}
 }
 
-// TestInjectedFaultsAreFound breaks the packages deliberately: the checker must detect each fault within 20 fleets.
+// TestInjectedFaultsAreFound breaks the consensus packages deliberately. The checker must detect each fault within 20 fleets.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	for name, inject := range map[string]func(*scenario){
 		"restrictions do not wait": func(s *scenario) {
@@ -118,7 +119,7 @@
 		failure := firstFailure(inject)
 		t.Logf("%s: %s", name, failure)
 		if failure == "" {
-			t.Errorf("%s: not found in 20 fleets", name)
+			t.Errorf("%s: the fault was not detected in 20 fleets", name)
 		}
 	}
 }
--- a/internal/consensus/simulation/votes_test.go
+++ b/internal/consensus/simulation/votes_test.go
@@ -12,14 +12,14 @@
 	"cranegate/internal/consensus/store"
 )
 
-// voteHarness starts a voter anew for each vote request.
+// voteHarness starts a new voter for each vote request, as after a restart.
 type voteHarness struct {
 	t         *testing.T
 	clusterID uint64
 	checker   *checker
 }
 
-// requestVote starts a voter from a store, and requests its vote in term 5 for a candidate.
+// requestVote starts a voter from a store and sends it a request to vote for a candidate in term 5.
 func (h *voteHarness) requestVote(gateway quorum.Gateway, to, candidate uint64, voterStore store.Store) error {
 	h.t.Helper()
 	persisted, _ := voterStore.Load()
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// advance persists the voter's updates and gives its messages to the checker.
+// advance persists the voter's updates and passes its messages to the checker.
 func (h *voteHarness) advance(voter *raftlog.Voter, voterStore store.Store) {
 	h.t.Helper()
 	for {
@@ -67,8 +67,8 @@
 }
 
 // TestVoteOncePerTerm requests a vote in one term twice, for two candidates, with a restart between. With its disk the voter
-// votes once. Without it, it is another voter, which the request does not reach. Under its old identity without the disk it
-// votes twice, which the checker detects.
+// votes once. Restarted without its disk it has a new identity, so the request to the old identity is rejected. If it kept
+// the old identity without its disk, it would vote twice; the checker detects this.
 func TestVoteOncePerTerm(t *testing.T) {
 	gateway := quorum.Gateway{Name: "g1", StartID: 1}
 	clusterID, bootstrap, err := raftlog.Bootstrap([]uint64{gateway.ID(), 2, 3})
