--- a/internal/consensus/simulation/client_test.go
+++ b/internal/consensus/simulation/client_test.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	firstClientID  = 1000
-	retryInterval  = 700 * time.Millisecond
-	maxIdleMillis  = 3000 // between a response and the next request
-	maxOwnedMillis = 6000 // between two changes of the owner, instead
+	firstClientID      = 1000
+	retryInterval      = 700 * time.Millisecond
+	maxIdleMillis      = 3000 // between a response and the next request
+	maxOwnershipMillis = 6000 // between two changes of the owner, in place of maxIdleMillis
 )
 
-// client sends one request at a time and retries it with the same key until it gets a response. The first client moves the
-// ownership between gateways; the others set and read registers whose history is checked.
+// client sends one request at a time and retries it with the same key until it gets a response. The first client changes the
+// owner; the others set and read registers, and their history is checked.
 type client struct {
 	fleet        *fleet
 	id           uint64
-	movesOwner   bool
+	changesOwner bool
 	seq          uint64
 	lastReadID   uint64
-	knownIndex   uint64 // the latest log index that it knows
+	knownIndex   uint64 // the latest log index in a response
 	command      statemachine.Command
 	isRead       bool
 	register     string
@@ -37,8 +37,8 @@
 	operations   []porcupine.Operation
 }
 
-func newClient(f *fleet, id uint64, movesOwner bool) *client {
-	return &client{fleet: f, id: id, movesOwner: movesOwner}
+func newClient(f *fleet, id uint64, changesOwner bool) *client {
+	return &client{fleet: f, id: id, changesOwner: changesOwner}
 }
 
 // step retries the pending request, or starts the next one.
@@ -54,7 +54,7 @@
 	}
 	c.waiting, c.startedAt = true, c.fleet.now
 	c.register = fmt.Sprint("k", c.fleet.rng.IntN(2))
-	c.isRead = !c.movesOwner && c.fleet.rng.IntN(3) == 0
+	c.isRead = !c.changesOwner && c.fleet.rng.IntN(3) == 0
 	if !c.isRead {
 		c.seq++
 		c.command = c.nextCommand()
@@ -62,11 +62,12 @@
 	c.send()
 }
 
+// nextCommand returns a random command or, for the client that changes the owner, a Restrict and a Relax in turn.
 func (c *client) nextCommand() statemachine.Command {
 	rng := c.fleet.rng
 	command := statemachine.Command{
 		Key:             statemachine.Key{Client: c.id, Seq: c.seq},
-		BornIndex:       c.knownIndex,
+		CreatedIndex:    c.knownIndex,
 		ReceivedSeq:     c.seq - 1,
 		Op:              statemachine.Set,
 		Name:            c.register,
@@ -74,7 +75,7 @@
 		AnyVersion:      rng.IntN(2) == 0,
 		ExpectedVersion: uint64(rng.IntN(4)) + uint64(len(c.operations))/2,
 	}
-	if !c.movesOwner {
+	if !c.changesOwner {
 		return command
 	}
 	command.Name, command.AnyVersion = ownerRegister, true
@@ -87,7 +88,7 @@
 	return command
 }
 
-// send sends the pending request to any voter. A read gets a new ID with every attempt.
+// send sends the pending request to a random voter. A read gets a new ID with every attempt.
 func (c *client) send() {
 	c.sentAt = c.fleet.now
 	request := &raftlog.Request{}
@@ -109,21 +110,21 @@
 	}
 	result := operationOutput{known: true, code: response.Result.Code, version: response.Result.Version}
 	if c.isRead {
-		result.version = response.Reading.Register.Version
-		result.value = string(response.Reading.Register.Value)
-		c.knownIndex = max(c.knownIndex, response.Reading.Index)
+		result.version = response.ReadResult.Register.Version
+		result.value = string(response.ReadResult.Register.Value)
+		c.knownIndex = max(c.knownIndex, response.ReadResult.Index)
 	}
 	c.knownIndex = max(c.knownIndex, response.Result.Index)
 	c.record(c.fleet.now, result)
 	c.waiting = false
 	c.idleUntil = c.fleet.now + time.Duration(c.fleet.rng.IntN(maxIdleMillis))*time.Millisecond
-	if c.movesOwner && response.Result.Code == statemachine.OK {
+	if c.changesOwner && response.Result.Code == statemachine.OK {
 		c.ownerChanges++
-		c.idleUntil = c.fleet.now + time.Duration(c.fleet.rng.IntN(maxOwnedMillis))*time.Millisecond
+		c.idleUntil = c.fleet.now + time.Duration(c.fleet.rng.IntN(maxOwnershipMillis))*time.Millisecond
 	}
 }
 
-// expects reports whether a response completes the pending request.
+// expects reports whether a response completes the pending request. The client retries after Undecided.
 func (c *client) expects(response *raftlog.Response) bool {
 	if !c.waiting || response == nil || response.Result.Code == statemachine.Undecided {
 		return false
