--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -11,7 +11,8 @@
 	"cranegate/internal/discovery"
 )
 
-// Discovery is a fake discovery service. It answers polls and watches with the whole endpoint list.
+// Discovery is a fake discovery service. It answers a poll with the complete endpoint list, and a
+// watch with the complete list once there is a newer one, or with an empty answer when the watch times out.
 type Discovery struct {
 	mu      sync.Mutex
 	rev     int64
@@ -31,7 +32,7 @@
 	d.targets = append([]discovery.Target(nil), targets...)
 }
 
-// ServeHTTP answers one poll. A watch waits for a list newer than its revision.
+// ServeHTTP answers one poll or watch. A watch names a revision and waits for a list that is newer.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.FormValue("after"), 10, 64)
 	wait, _ := strconv.Atoi(r.FormValue("wait_ms"))
@@ -55,7 +56,7 @@
 	json.NewEncoder(w).Encode(s)
 }
 
-// Accept serves each connection of a listener in a goroutine of its own, until the listener is closed.
+// Accept accepts connections until the listener is closed and serves each in a new goroutine.
 func Accept(l net.Listener, serve func(net.Conn)) {
 	for {
 		c, err := l.Accept()
--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -12,10 +12,10 @@
 	"cranegate/internal/framebuf"
 )
 
-// Act is what a host does with a statement.
+// Act is how a host handles a statement.
 type Act int
 
-// The acts.
+// The ways in which a host handles a statement.
 const (
 	Serve            Act = iota // run it and answer
 	Miss                        // reject it: not the primary, or too stale
@@ -32,12 +32,13 @@
 	Primary  bool
 	Password string // of a MySQL login
 	Plugin   string // authentication plugin of a MySQL login; empty for mysql_native_password
-	// Act decides what to do with a statement or a prepare. Nil serves all.
+	// Act decides how to handle a statement or, if prepare is set, a prepare. Nil serves everything except writes at a
+	// replica, which get Miss.
 	Act func(id, text string, prepare bool) Act
 	// Tell returns the role and position (Unix milliseconds) that the host reports in answers or, if report is set, in load
-	// reports. Nil: Primary, and the present time.
+	// reports. If it is nil, the host reports Primary and the current time.
 	Tell func(report bool) (primary bool, position int64)
-	// Reports makes answers carry the load report. The position is then reported nowhere else.
+	// Reports adds the load report to each answer, in place of the position. Only load reports then contain the position.
 	Reports bool
 	// PrepareFor is how long a prepare takes.
 	PrepareFor time.Duration
@@ -45,21 +46,21 @@
 	Malform func(id string, answer []byte) Malformed
 
 	mu             sync.Mutex
-	runs           map[string]int
-	openStatements int // prepared statements
+	runs           map[string]int // number of executions, by request ID
+	openStatements int            // prepared statements
 	prepares       int
 	conns          map[net.Conn]bool
 }
 
-// Malformed is what a host sends in place of an answer, and the surplus bytes that follow it unasked.
+// Malformed is what a host sends in place of an answer.
 type Malformed struct {
 	Answer  []byte
-	Surplus []byte        // sent unasked,
-	After   time.Duration // this much later
-	Dead    bool          // nothing more is answered on the connection, which stays open
+	Surplus []byte        // sent after Answer, without a request
+	After   time.Duration // delay between Answer and Surplus
+	Dead    bool          // nothing more is answered; the connection stays open until the peer sends more
 }
 
-// send writes an answer, malformed if Malform says so. It returns false when the connection has ended.
+// send writes an answer, or what Malform returns in its place. It returns false if no more requests are to be read.
 func (h *Host) send(c *framebuf.Conn, id string, answer []byte) bool {
 	reply := Malformed{Answer: answer}
 	if h.Malform != nil && id != "" {
@@ -73,7 +74,7 @@
 		c.Write(reply.Surplus)
 	}
 	if reply.Dead {
-		c.Need(c.Buffered() + 1) // until the peer closes
+		c.Need(c.Buffered() + 1) // until the peer closes or sends more
 	}
 	return !reply.Dead
 }
@@ -125,7 +126,7 @@
 	}
 }
 
-// decide returns what to do with a statement, and counts it if it runs.
+// decide returns how to handle a statement or a prepare. It counts prepares and the statements that run.
 func (h *Host) decide(id, text string, prepare bool) Act {
 	act := Serve
 	if h.Act != nil {
@@ -151,7 +152,7 @@
 	return h.Primary, time.Now().UnixMilli()
 }
 
-// sessionVariables returns what the host reports beside an answer, as names and values.
+// sessionVariables returns the session variables that the host reports with an answer, as names and values.
 func (h *Host) sessionVariables() [][2]string {
 	role := "standby"
 	primary, position := h.selfReport(false)
@@ -164,7 +165,7 @@
 	return [][2]string{{"replication_role", role}, {"log_position", strconv.FormatInt(position, 10)}}
 }
 
-// loadReport returns the answer to a health check.
+// loadReport returns the host's load report, which is also the answer to a health check.
 func (h *Host) loadReport() string {
 	role := "0"
 	primary, position := h.selfReport(true)
@@ -174,10 +175,11 @@
 	return "x0=" + strconv.FormatFloat(float64(position)/1000, 'f', 3, 64) + ",x1=" + role
 }
 
-// valueOf returns the answer to a statement with a key.
+// valueOf returns the value in the answer to a statement with this key.
 func valueOf(key string) string { return "value of " + key }
 
-// sqlErrors are the SQLSTATE and text of acts that end in an error.
+// sqlErrors holds the SQLSTATE and the message of each act that ServePostgres answers with an error, except Miss, whose
+// SQLSTATE depends on the statement.
 var sqlErrors = map[Act][2]string{
 	Reject:           {"53300", "over capacity"},
 	NoCapacity:       {"53300", "too many connections"},
--- a/internal/fake/limits.go
+++ b/internal/fake/limits.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// LeaveFiles limits this process to a number of further file descriptors. Those that are open stay open. The caller
-// must call undo.
+// LeaveFiles lowers this process's limit of file descriptors, so that it can open at most that many further ones. Open
+// descriptors stay open. The caller must call undo, which restores the limit.
 func LeaveFiles(files int) (undo func(), err error) {
 	next, err := os.Open(os.DevNull)
 	if err != nil {
--- a/internal/fake/logbuffer.go
+++ b/internal/fake/logbuffer.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// LogBuffer collects a log that tests read while others write it. The zero value is empty.
+// LogBuffer collects a log and may be read while other goroutines write to it. The zero value is empty.
 type LogBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
--- a/internal/fake/mysqlclient.go
+++ b/internal/fake/mysqlclient.go
@@ -14,7 +14,7 @@
 	writer mysqlwire.Writer
 }
 
-// DialMySQL logs in on a connection. caps are capabilities of the client beside the required ones.
+// DialMySQL logs in on an open connection. caps are the client's capabilities in addition to the required ones.
 func DialMySQL(raw net.Conn, caps uint32) (*MySQLClient, error) {
 	c := &MySQLClient{Conn: framebuf.New(raw, mysqlwire.MaxPacket+4)}
 	seq, b, err := mysqlwire.ReadPacket(c.Conn)
@@ -34,7 +34,7 @@
 
 // send writes the pending packets and reads the first packet of the answer.
 func (c *MySQLClient) send() (Reply, []byte, error) {
-	go c.Write(append([]byte(nil), c.writer.B...)) // where it fails, so does the read
+	go c.Write(append([]byte(nil), c.writer.B...)) // if the write fails, the read below fails too
 	_, b, err := mysqlwire.ReadPacket(c.Conn)
 	if err != nil || len(b) == 0 || b[0] != mysqlwire.HeadErr {
 		return Reply{Outcome: "served"}, b, err
@@ -83,7 +83,7 @@
 	params = int(head.U16())
 	for _, n := range []int{params, columns} {
 		if n > 0 && c.caps&mysqlwire.CapDeprecateEOF == 0 {
-			n++ // the packet that ends them
+			n++ // the EOF packet after the definitions
 		}
 		for range n {
 			if _, _, err := mysqlwire.ReadPacket(c.Conn); err != nil {
@@ -131,11 +131,11 @@
 	if err != nil || r.Outcome != "served" || b[0] == mysqlwire.HeadOK {
 		return r, err
 	}
-	ends := 0 // packets that end the columns, and the rows
+	endMarkers := 0 // after the columns, unless CapDeprecateEOF is set, and after the rows
 	if c.caps&mysqlwire.CapDeprecateEOF != 0 {
-		ends = 1
+		endMarkers = 1
 	}
-	for columns := int(b[0]); ends < 2; {
+	for columns := int(b[0]); endMarkers < 2; {
 		_, b, err := mysqlwire.ReadPacket(c.Conn)
 		switch {
 		case err != nil:
@@ -143,7 +143,7 @@
 		case columns > 0:
 			columns--
 		case mysqlwire.IsEOF(b, c.caps):
-			ends++
+			endMarkers++
 		default:
 			row := mysqlwire.Cursor{B: b}
 			if binary {
--- a/internal/fake/mysqlhost.go
+++ b/internal/fake/mysqlhost.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// mysqlConn is one connection to a host that speaks the MySQL protocol.
+// mysqlConn is the host's side of one MySQL connection.
 type mysqlConn struct {
 	*framebuf.Conn
 	host       *Host
@@ -18,7 +18,7 @@
 	statements map[uint32]*mysqlwire.Statement
 	longData   map[uint32]map[int][]byte
 	lastID     uint32
-	requestID  string // of the request that is being answered
+	requestID  string // ID of the request that is being answered
 }
 
 // mysqlHostCapabilities are the capabilities that the host offers.
@@ -55,7 +55,8 @@
 	}
 }
 
-// login runs the handshake and leaves its answer to be written. False ends the connection.
+// login runs the handshake and leaves its last packet in the writer, for the caller to send. It returns false if the
+// connection must be closed.
 func (c *mysqlConn) login() bool {
 	c.writer.Handshake("8.0.0-standin", 7, mysqlHostCapabilities)
 	if _, err := c.Write(c.writer.B); err != nil {
@@ -94,7 +95,7 @@
 	return true
 }
 
-// command answers one command. False ends the connection.
+// command answers one command. It returns false if the connection must be closed.
 func (c *mysqlConn) command(kind byte, cursor mysqlwire.Cursor) bool {
 	switch kind {
 	case mysqlwire.ComQuery:
@@ -122,7 +123,7 @@
 	return false
 }
 
-// prepare answers a prepare. False ends the connection.
+// prepare answers a prepare. It returns false if the connection must be closed.
 func (c *mysqlConn) prepare(text string) bool {
 	act := c.host.decide("", text, true)
 	time.Sleep(c.host.PrepareFor)
@@ -130,7 +131,7 @@
 	case Reset:
 		return false
 	case Silent:
-		c.Need(c.Buffered() + 1) // until the peer closes
+		c.Need(c.Buffered() + 1) // until the peer closes or sends more
 		return false
 	case Serve:
 	default:
@@ -150,7 +151,7 @@
 	return true
 }
 
-// appendLongData takes a part of a parameter's value.
+// appendLongData appends a part of a parameter's value to the parts received before.
 func (c *mysqlConn) appendLongData(cursor mysqlwire.Cursor) {
 	id := cursor.U32()
 	param := int(cursor.U16())
@@ -160,7 +161,7 @@
 	c.longData[id][param] = append(c.longData[id][param], cursor.B...)
 }
 
-// executePrepared answers the execution of a prepared statement. False ends the connection.
+// executePrepared answers the execution of a prepared statement. It returns false if the connection must be closed.
 func (c *mysqlConn) executePrepared(cursor mysqlwire.Cursor) bool {
 	id := cursor.U32()
 	statement := c.statements[id]
@@ -191,7 +192,7 @@
 	c.host.openStatements += n
 }
 
-// execute answers a statement. False ends the connection.
+// execute answers a statement. It returns false if the connection must be closed.
 func (c *mysqlConn) execute(text string, attributes []mysqlwire.Param, binary bool) bool {
 	statement, err := sqlcomment.Parse([]byte(text))
 	if err != nil {
@@ -206,7 +207,7 @@
 	case Reset:
 		return false
 	case Silent:
-		c.Need(c.Buffered() + 1) // until the peer closes
+		c.Need(c.Buffered() + 1) // until the peer closes or sends more
 		return false
 	case Serve:
 		if strings.Contains(text, "INSERT") {
@@ -220,7 +221,7 @@
 	}
 }
 
-// sendError answers with the error of an act.
+// sendError answers with the error of an act. The connection stays open.
 func (c *mysqlConn) sendError(act Act, text string) bool {
 	e := mysqlwire.Error{Code: 1105, State: "HY000", Text: "internal error"}
 	switch {
--- a/internal/fake/postgresclient.go
+++ b/internal/fake/postgresclient.go
@@ -9,16 +9,16 @@
 
 // Reply is an answer as a client sees it.
 type Reply struct {
-	Outcome string
-	Value   string // served
-	Code    string // else: what the front's error said
+	Outcome string // served, refused, failed or empty (an empty query); "" without an answer
+	Value   string // of a served request
+	Code    string // error code of the front, if not served
 }
 
-// PostgresClient is a client of the platform's protocol.
+// PostgresClient is a client of the PostgreSQL protocol.
 type PostgresClient struct{ *framebuf.Conn }
 
-// DialPostgres starts a session on a connection. If text is not empty it is sent as the first query, without waiting
-// for the startup's answer.
+// DialPostgres starts a session on an open connection. If text is not empty it is sent as the first query, together
+// with the startup message, and the answer read here is the one to the startup.
 func DialPostgres(raw net.Conn, text string) (*PostgresClient, error) {
 	c := &PostgresClient{framebuf.New(raw, pgwire.MaxMessage)}
 	b := pgwire.AppendStartup(nil, "svc", "main")
@@ -32,9 +32,10 @@
 	return c, err
 }
 
-// Ask sends a statement and returns its answer, which may come before the whole statement is sent.
+// Ask sends a statement and returns its answer. It reads while it still writes, because the gateway may answer before it
+// has received the complete statement.
 func (c *PostgresClient) Ask(text string) (Reply, error) {
-	go c.Write(pgwire.Append(nil, 'Q', text, "\x00")) // where it fails, so does Read
+	go c.Write(pgwire.Append(nil, 'Q', text, "\x00")) // if the write fails, Read fails too
 	return c.Read()
 }
 
--- a/internal/fake/postgreshost.go
+++ b/internal/fake/postgreshost.go
@@ -44,7 +44,7 @@
 		case Reset:
 			return
 		case Silent:
-			c.Need(c.Buffered() + 1) // until the peer closes
+			c.Need(c.Buffered() + 1) // until the peer closes or sends more
 			return
 		case Serve:
 			out = appendRow(out, "v", valueOf(statement.Key))
