--- a/internal/processtest/connlimit_test.go
+++ b/internal/processtest/connlimit_test.go
@@ -16,7 +16,7 @@
 	rest []byte
 }
 
-// beginPartial opens a connection, has one request served on it, and writes the first half of another.
+// beginPartial opens a connection, sends a request that must be served, and writes the first half of another request.
 func (h *harness) beginPartial(id string, group int, write bool) (*partialRequest, error) {
 	conn, err := h.dial()
 	if err != nil {
@@ -24,15 +24,15 @@
 	}
 	h.t.Cleanup(func() { conn.Close() })
 	if reply, err := conn.Ask(longTimeoutStatement(id+"-first", group, false)); err != nil || reply.Outcome != "served" {
-		return nil, fmt.Errorf("its first request: %+v, %w", reply, err)
+		return nil, fmt.Errorf("the first request on the connection: %+v, %w", reply, err)
 	}
 	message := pgwire.Append(nil, 'Q', longTimeoutStatement(id, group, write), "\x00")
 	_, err = conn.Write(message[:len(message)/2])
 	return &partialRequest{conn, id, message[len(message)/2:]}, err
 }
 
-// end writes the rest of the request and checks its answer.
-func (p *partialRequest) end() error {
+// complete writes the rest of the request and checks its answer.
+func (p *partialRequest) complete() error {
 	if _, err := p.Write(p.rest); err != nil {
 		return err
 	}
@@ -43,9 +43,9 @@
 	return nil
 }
 
-// TestConnectionLimitDuringSecondUpgrade delays the start of a third process while the second serves: the second accepts as many clients
-// with a request in flight as the first did at the first upgrade. A gateway with 224 descriptors has a connection limit of 80;
-// half of it is left while another process runs, and a quarter once that one serves.
+// TestConnectionLimitDuringSecondUpgrade delays the start of the new process in each of two upgrades. In the second upgrade, the
+// serving process must accept as many clients with a request in flight as in the first. A gateway with 224 descriptors has a
+// connection limit of 80; half of it is left while another process runs, and a quarter once that other process serves.
 func TestConnectionLimitDuringSecondUpgrade(t *testing.T) {
 	h := newHarness(t, 224)
 	p := h.start().waitReady()
@@ -60,7 +60,7 @@
 			partials = append(partials, partial)
 		}
 		for _, partial := range partials {
-			if err := partial.end(); err != nil {
+			if err := partial.complete(); err != nil {
 				t.Errorf("upgrade %d: %v", i+1, err)
 			}
 			partial.Close()
--- a/internal/processtest/fdpass_test.go
+++ b/internal/processtest/fdpass_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestUpgradeWithoutFDPassing upgrades to a process that can't create the socket for passed connections, as on a full disk or without
-// descriptors. The old process's clients go on being served, there or after a reconnect, and none of them hangs.
+// descriptors. The old process's clients continue to be served, by it or after a reconnect, and none of them hangs.
 func TestUpgradeWithoutFDPassing(t *testing.T) {
 	h := newHarness(t, 256)
 	old := h.start().waitReady()
@@ -31,6 +31,6 @@
 	l.waitProgress()
 	l.check(t, l.clients)
 	if text := old.logText(); strings.Contains(text, "postgres_clients_passed=") {
-		t.Error("the old process has passed connections that nobody receives")
+		t.Error("the old process passed connections although no process receives them")
 	}
 }
--- a/internal/processtest/harness_test.go
+++ b/internal/processtest/harness_test.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	eventualTimeout = 90 * time.Second // a start has taken 25 s on a busy machine
+	eventualTimeout = 90 * time.Second // a start can take 25 s on a busy machine
 	groupCount      = 2
 	hostsPerGroup   = 3 // the first is the primary
 )
@@ -39,7 +39,7 @@
 	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", program, "cranegate/cmd/cranegate")
 	build.Env = append(os.Environ(), "CGO_ENABLED=1")
 	if out, err := build.CombinedOutput(); err != nil {
-		fmt.Fprintf(os.Stderr, "building: %v\n%s", err, out)
+		fmt.Fprintf(os.Stderr, "building the gateway: %v\n%s", err, out)
 		os.Exit(1)
 	}
 	code := m.Run()
@@ -90,22 +90,22 @@
 	return h.received[:len(h.received):len(h.received)]
 }
 
-// harness is one gateway with its surroundings: hosts, discovery, the listening socket and the state directory.
+// harness is one gateway with all that it needs to run: hosts, discovery, the listening socket and the state directory.
 type harness struct {
 	t             *testing.T
 	hosts         []*host
 	targets       []discovery.Target
 	discovery     *fake.Discovery
-	discoveryHung atomic.Bool // discovery answers nothing
+	discoveryHung atomic.Bool // while set, discovery answers no call
 	listener      *net.TCPListener
 	configPath    string
 	stateDir      string
 	processes     []*process
 	maxAttempts   int      // of an idempotent request
-	logOutput     *os.File // log of the next processes; nil: logBuffer
+	logOutput     *os.File // where processes started from now on log; nil: to their own logBuffer
 }
 
-// executions returns how often a request was executed, on all hosts.
+// executions returns how often a request was executed on all hosts together.
 func (h *harness) executions(id string) (n int) {
 	for _, host := range h.hosts {
 		n += host.Ran(id)
@@ -113,7 +113,8 @@
 	return n
 }
 
-// newHarness creates the surroundings of a gateway whose processes may use maxSockets descriptors. The options alter its settings.
+// newHarness creates the hosts, discovery and files of a gateway whose processes may use maxSockets descriptors. The options alter
+// its settings.
 func newHarness(t *testing.T, maxSockets int, options ...func(settings map[string]any)) *harness {
 	h := &harness{t: t, discovery: &fake.Discovery{}, stateDir: t.TempDir(), listener: listen(t).(*net.TCPListener)}
 	for i := range groupCount * hostsPerGroup {
@@ -128,8 +129,8 @@
 	return h
 }
 
-// addHost starts the nth host of a group and adds it to the endpoint list. It rejects writes unless it is the primary, the first
-// of its group.
+// addHost starts the nth host of a group and adds it to the endpoint list. The first host of a group is its primary; the others
+// reject writes.
 func (h *harness) addHost(group, n int) {
 	server := &host{Host: &fake.Host{Primary: n == 0}, uid: fmt.Sprintf("db-%d-%d", group, n)}
 	server.Act = func(id, text string, prepare bool) fake.Act {
@@ -152,7 +153,7 @@
 		State: "SERVING", Capacity: 1, Replication: role})
 }
 
-// serveDiscovery answers a call to discovery, once it is not hung.
+// serveDiscovery answers a call to discovery as soon as discoveryHung is not set.
 func (h *harness) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	for h.discoveryHung.Load() {
 		select {
--- a/internal/processtest/kill_test.go
+++ b/internal/processtest/kill_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// killCase begins an upgrade and kills one of the two processes. It returns the other and the time at which the killed one had ended.
-type killCase func(h *harness, old *process) (survivor *process, diedAt time.Time)
+// killCase begins an upgrade and kills one of the two processes. It returns the other and a time at which the killed one had ended.
+type killCase func(h *harness, old *process) (survivor *process, killedAt time.Time)
 
-// testKill runs a case under load, with a host detached before: the survivor serves, every request on a connection begun after the
-// kill is answered, and another upgrade works.
+// testKill runs a case under load, after a host was detached. It checks that the survivor serves, that every request on a connection
+// begun after the kill is answered, and that another upgrade works.
 func testKill(t *testing.T, upgrade killCase) {
 	h := newHarness(t, 256)
 	old := h.start().waitReady()
@@ -17,7 +17,7 @@
 	load.waitProgress()
 	old.mustPost("/_database-hosts/detach/db-0-1")
 	load.excludeHost(h.hosts[1])
-	survivor, diedAt := upgrade(h, old)
+	survivor, killedAt := upgrade(h, old)
 	load.waitProgress()
 	if status, body := survivor.callAdmin("GET", "/_ready"); status != 200 {
 		t.Errorf("the survivor is not ready: %d %s", status, body)
@@ -26,17 +26,17 @@
 	h.upgrade(survivor)
 	load.waitProgress()
 	if n := load.unansweredSince(time.Time{}) - before; n > 0 {
-		t.Errorf("the upgrade that follows: %d requests not answered", n)
+		t.Errorf("the next upgrade: %d requests not answered", n)
 	}
 	load.end()
-	if n := load.unansweredSince(diedAt); n > 0 {
-		t.Errorf("%d requests not answered on connections that were begun after the kill", n)
+	if n := load.unansweredSince(killedAt); n > 0 {
+		t.Errorf("%d requests not answered on connections begun after the kill", n)
 	}
-	load.check(t, load.clients) // one request for each connection of the killed process
+	load.check(t, load.clients) // the kill may lose one request on each connection of the killed process
 }
 
-// TestNewProcessKilled kills the new process at steps of its start and after it is ready. The old one goes on serving, also if the new
-// one had taken over all clients.
+// TestNewProcessKilled kills the new process at steps of its start and after it is ready. The old one continues to serve, even if
+// the new one had taken over all clients.
 func TestNewProcessKilled(t *testing.T) {
 	kill := func(h *harness, old, next *process) (*process, time.Time) { return old, next.kill() }
 	for name, do := range map[string]killCase{
@@ -71,19 +71,19 @@
 	}
 }
 
-// TestOldProcessKilled kills the old process at steps of an upgrade. The new one serves, and the old one's administrative calls hold in
-// it.
+// TestOldProcessKilled kills the old process at steps of an upgrade. The new one serves, and the
+// administrative calls that the old one had confirmed hold in it.
 func TestOldProcessKilled(t *testing.T) {
 	for name, do := range map[string]killCase{
 		"before the new one starts": func(h *harness, old *process) (*process, time.Time) {
-			diedAt := old.kill()
-			return h.start().waitReady(), diedAt
+			killedAt := old.kill()
+			return h.start().waitReady(), killedAt
 		},
 		"while it starts": func(h *harness, old *process) (*process, time.Time) {
 			next := h.start()
 			next.waitEvent("hotrestart_opened ")
-			diedAt := old.kill()
-			return next.waitReady(), diedAt
+			killedAt := old.kill()
+			return next.waitReady(), killedAt
 		},
 		"when the new one is ready": func(h *harness, old *process) (*process, time.Time) {
 			next := h.start().waitReady()
@@ -116,7 +116,7 @@
 		if reply, err := c.Ask(statement("after", 0, false)); err != nil || reply.Outcome != "served" {
 			t.Errorf("a client after the kill: %+v, %v", reply, err)
 		}
-		old.waitEventAfter("restored", n) // else the next one may be ready before the old one has seen this one end
+		old.waitEventAfter("restored", n) // otherwise the next process may be ready before the old one has detected the end of this one
 	}
 	superseded, restored := old.eventCount("superseded"), old.eventCount("restored")
 	if superseded != 3 || restored != 3 {
@@ -135,7 +135,8 @@
 	}
 }
 
-// TestLameduckOutlivesNewProcess sets lameduck mode in a new process, which is then killed: the mode holds in the old one.
+// TestLameduckOutlivesNewProcess sets lameduck mode in a new process, which is then killed. The old process must
+// stay in that mode; the same holds for the end of lameduck mode.
 func TestLameduckOutlivesNewProcess(t *testing.T) {
 	h := newHarness(t, 256)
 	old := h.start().waitReady()
--- a/internal/processtest/load_test.go
+++ b/internal/processtest/load_test.go
@@ -13,9 +13,9 @@
 // loadRequest is one request of a load client and its result.
 type loadRequest struct {
 	sentAt      time.Time
-	connectedAt time.Time // when its connection was begun
+	connectedAt time.Time // when the client began to connect
 	write       bool
-	unanswered  bool // its connection ended before the first byte of an answer
+	unanswered  bool // its connection failed or ended before an answer began
 	outcome     string
 	latency     time.Duration // until its answer
 }
@@ -23,7 +23,7 @@
 // outcomeTruncated is the outcome of a request whose answer was not complete.
 const outcomeTruncated = "truncated"
 
-// load is a set of clients that send one request after the other.
+// load is a set of clients, each of which sends one request after the other.
 type load struct {
 	harness *harness
 	clients int
@@ -35,11 +35,11 @@
 	requests   map[string]*loadRequest
 	served     []int // number of requests, by client
 	exclusions []exclusion
-	errors     []string // of single requests
+	errors     []string // errors of individual requests
 }
 
-// withLongTimeouts gives all classes deadlines that do not pass on a busy machine, for tests in which each request must be served. It
-// goes with longTimeoutStatement.
+// withLongTimeouts gives all classes deadlines that do not pass on a busy machine, for tests in which each request must be served. Such
+// tests send longTimeoutStatement.
 func withLongTimeouts(settings map[string]any) {
 	for _, c := range settings["classes"].([]any) {
 		class := c.(map[string]any)
@@ -108,7 +108,7 @@
 	index       int
 	pause       time.Duration
 	conn        *fake.PostgresClient
-	connectedAt time.Time // when conn was begun
+	connectedAt time.Time // when the client began to connect conn
 }
 
 // run sends requests until the load ends. A request that was not answered is not repeated, as it may have run.
@@ -165,13 +165,13 @@
 	c.load.record(id, request)
 	reply, err := c.conn.Ask(statement(id, group, request.write))
 	if err == nil && c.conn.Buffered() > 0 {
-		c.load.reportError("%s: something follows its answer", id)
+		c.load.reportError("%s: unexpected bytes follow the answer", id)
 	}
 	if err == nil && reply.Outcome == "served" && reply.Value != "value of "+id {
-		c.load.reportError("%s: it has the answer %q", id, reply.Value)
+		c.load.reportError("%s: wrong answer %q", id, reply.Value)
 	}
 	if took := time.Since(request.sentAt); took > eventualTimeout/2 {
-		c.load.reportError("%s: it took %v", id, took)
+		c.load.reportError("%s: the answer took %v", id, took)
 	}
 	c.load.recordReply(c.index, request, reply, err)
 	if err != nil {
--- a/internal/processtest/loadcheck_test.go
+++ b/internal/processtest/loadcheck_test.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// minAttemptTimeout is the least time that a request has before its deadline, also in a process that shuts down.
+	// minAttemptTimeout is the least time that a request has until its deadline, even in a process that is shutting down.
 	minAttemptTimeout = 350 * time.Millisecond
 
-	// maxForwardDelay is how long after it was forwarded a host may read a request; on loopback it takes far less.
+	// maxForwardDelay bounds the time between forwarding a request and its arrival at the host; on loopback it is far shorter.
 	maxForwardDelay = time.Second
 )
 
-// exclusion is a time in which a host must receive no requests. A zero until means that it lasts to the end.
+// exclusion is a time in which a host must receive no requests. A zero until means that it has not ended.
 type exclusion struct {
 	host        *host
 	from, until time.Time
@@ -32,8 +32,8 @@
 	}
 }
 
-// requestsDuring counts the requests that a host received while it was excluded: those that were sent after the start of the
-// exclusion, and all that it received too late to have been forwarded before.
+// requestsDuring counts the requests that a host received in violation of an exclusion: requests that clients sent after the
+// exclusion began, and requests that arrived too late to have been forwarded before it began.
 func (l *load) requestsDuring(e exclusion) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +75,7 @@
 		t.Errorf("%d requests were not answered, at most %d may be", unanswered, maxUnanswered)
 	}
 	if total := len(l.requests); outcomes["served"] < total*9/10 {
-		t.Errorf("served: %d of %d", outcomes["served"], total)
+		t.Errorf("only %d of %d requests were served", outcomes["served"], total)
 	}
 	t.Logf("%d requests: %v, %d not answered", len(l.requests), outcomes, unanswered)
 }
@@ -96,7 +96,7 @@
 		case request.outcome == outcomeTruncated:
 			t.Errorf("%s: its answer was truncated", id)
 		case request.outcome == "" && !request.unanswered:
-			t.Errorf("%s: lost", id)
+			t.Errorf("%s: no outcome was recorded", id)
 		}
 	}
 }
--- a/internal/processtest/logpipe_test.go
+++ b/internal/processtest/logpipe_test.go
@@ -12,7 +12,7 @@
 // minPipeBytes is the smallest capacity of a pipe: one page.
 const minPipeBytes = 4096
 
-// notificationTimeout is within what time a change of the endpoint list reaches a gateway that can reach discovery.
+// notificationTimeout bounds the time in which a change of the endpoint list reaches a gateway whose discovery is reachable.
 const notificationTimeout = 6 * time.Second
 
 // pipeLogs redirects the log of the next processes to a pipe of one page and returns its reading end.
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestLogCollectorStops fills the pipe to which the gateway logs: a collector that has stopped reading must not block the gateway. It
-// goes on serving, new clients too; it follows in time a drain that is listed after an outage of discovery, which is logged; and
-// the process exits cleanly.
+// TestLogCollectorStops fills the pipe to which the gateway logs: a collector that has stopped reading must not block the gateway. The
+// gateway continues to serve, new clients too. It stops using a host within notificationTimeout after the host is listed as draining
+// at the end of a discovery outage, which is logged. Its process exits cleanly.
 func TestLogCollectorStops(t *testing.T) {
 	h := newHarness(t, 256)
 	h.pipeLogs()
@@ -75,7 +75,7 @@
 	p.terminate()
 }
 
-// TestLogCollectorEnds closes the reading end of the pipe to which the gateway logs: the next log line must not end the gateway.
+// TestLogCollectorEnds closes the reading end of the pipe to which the gateway logs: writing the next log line must not end the process.
 func TestLogCollectorEnds(t *testing.T) {
 	h := newHarness(t, 256, withLongTimeouts)
 	read := h.pipeLogs()
@@ -87,7 +87,7 @@
 	p.signal(syscall.SIGUSR1)
 	select {
 	case <-p.exited:
-		t.Fatalf("it ended with its log's collector: %v", p.exitErr)
+		t.Fatalf("the process ended when its log pipe was closed: %v", p.exitErr)
 	case <-time.After(time.Second):
 	}
 	h.mustServe("after")
--- a/internal/processtest/operations_test.go
+++ b/internal/processtest/operations_test.go
@@ -33,7 +33,7 @@
 		targets[i].State = stateOf(targets[i].UID)
 	}
 	targets = slices.DeleteFunc(targets, func(t discovery.Target) bool { return t.State == "" })
-	if p == h.processes[0] { // the others inherit it
+	if p == h.processes[0] { // later processes inherit the list
 		h.eventually("the first endpoint list", func() bool { return p.counter("list_changes") > 0 })
 	}
 	changes := p.counter("list_changes")
@@ -44,7 +44,7 @@
 // everyHostServing is the endpoint list in which all hosts serve.
 func everyHostServing(string) string { return "SERVING" }
 
-// oneHostInState is the endpoint list in which one host has another state than serving.
+// oneHostInState is the endpoint list in which one host has the given state and all others serve.
 func oneHostInState(uid, state string) (stateOf func(uid string) string) {
 	return func(listed string) string {
 		if listed == uid {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestConcurrentNewProcesses starts two new processes at the same time. One of them takes over the clients; whichever of them ends after
-// the old one, the other goes on serving.
+// TestConcurrentNewProcesses starts two new processes at the same time. One of them takes over the clients. After
+// the old process has ended, one of the new ones is terminated and the other continues to serve; each of the two survives once.
 func TestConcurrentNewProcesses(t *testing.T) {
 	for survivor := range 2 {
 		h := newHarness(t, 256)
@@ -72,7 +72,7 @@
 		old.terminate()
 		l.waitProgress()
 		if n := l.unansweredSince(time.Time{}); n > 0 {
-			t.Errorf("%d not answered during the start of two processes", n)
+			t.Errorf("%d requests not answered while two new processes started", n)
 		}
 		started[1].mustPost("/_database-hosts/detach/db-1-1")
 		l.excludeHost(h.hosts[4])
@@ -80,7 +80,7 @@
 		l.waitProgress()
 		h.upgrade(started[survivor])
 		l.waitProgress()
-		l.check(t, l.clients) // if the newer one ended, its clients could not be passed to another process
+		l.check(t, l.clients) // if the newer process was terminated, it could not pass its clients to another
 	}
 }
 
--- a/internal/processtest/process_test.go
+++ b/internal/processtest/process_test.go
@@ -48,7 +48,7 @@
 // logText returns the log so far.
 func (p *process) logText() string { return p.output.String() }
 
-// start starts a process of the gateway. An argument replaces the state directory; "" leaves TMPDIR unset.
+// start starts a process of the gateway. An argument is used as the state directory in place of the harness's; "" leaves TMPDIR unset.
 func (h *harness) start(stateDir ...string) *process {
 	h.t.Helper()
 	p := &process{harness: h, adminAddress: freeAddress(h.t), exited: make(chan struct{}), cmd: exec.Command(program)}
@@ -170,7 +170,7 @@
 			p.harness.t.Errorf("exit after SIGTERM: %v", p.exitErr)
 		}
 	case <-time.After(eventualTimeout):
-		p.harness.t.Fatal("it does not end after SIGTERM")
+		p.harness.t.Fatal("the process does not exit after SIGTERM")
 	}
 }
 
@@ -183,8 +183,8 @@
 	return next
 }
 
-// startStopped starts a process and stops it with SIGSTOP after it has found the other processes, before it serves. Discovery hangs
-// meanwhile, which delays a start by half a second.
+// startStopped starts a process and stops it with SIGSTOP after it has found the gateway's other processes and before it serves.
+// Discovery hangs until then, which delays a start by half a second.
 func (h *harness) startStopped() *process {
 	h.t.Helper()
 	h.discoveryHung.Store(true)
--- a/internal/processtest/sigstop_test.go
+++ b/internal/processtest/sigstop_test.go
@@ -9,11 +9,11 @@
 	"cranegate/internal/fake"
 )
 
-// adminCallTimeout bounds an administrative call, which is answered within a second; the rest is for a busy machine.
+// adminCallTimeout bounds an administrative call. It is answered within a second; the rest allows for a busy machine.
 const adminCallTimeout = 3 * time.Second
 
-// detachHost detaches a host by a call at a process while another process may be stopped. The call must succeed or fail with a reason, in
-// time. It returns the status.
+// detachHost detaches a host by an administrative call to this process, while another process may be stopped. Within adminCallTimeout
+// the call must succeed or fail with a reason. It returns the status.
 func (p *process) detachHost(uid string) (status int) {
 	p.harness.t.Helper()
 	startedAt := time.Now()
@@ -23,11 +23,11 @@
 	if status != 200 && !rejected || took > adminCallTimeout {
 		p.harness.t.Errorf("detach: %d %q after %v", status, body, took)
 	}
-	p.harness.t.Logf("detach beside a stopped process: %d %q after %v", status, strings.TrimSpace(body), took.Round(time.Millisecond))
+	p.harness.t.Logf("detach, with another process possibly stopped: %d %q after %v", status, strings.TrimSpace(body), took.Round(time.Millisecond))
 	return status
 }
 
-// TestNewProcessStopped stops the new process before it is ready. Calls at the old one are answered, and a detached host stays out of
+// TestNewProcessStopped stops the new process before it is ready. Administrative calls to the old one are answered, and a detached host stays out of
 // service there; once the new one continues, it stays out of service there too.
 func TestNewProcessStopped(t *testing.T) {
 	h := newHarness(t, 256)
@@ -50,9 +50,10 @@
 	l.check(t, 0)
 }
 
-// TestOldProcessStopped stops the old process after the new one is ready, with requests in flight in it. The new one serves, and calls
-// are answered; requests are sent to the old one meanwhile, on connections that it keeps. Once it continues it learns of the
-// detached hosts; docs/design/hotrestart.md states that it may send requests to them until then, which are counted.
+// TestOldProcessStopped stops the old process after the new one is ready, with partial requests on connections that the old one still
+// holds. The new process serves and answers administrative calls; meanwhile the partial requests are completed. When the old process
+// continues, it receives the detach calls; docs/design/hotrestart.md states that it may send requests to the detached hosts until
+// then, and the test counts these requests.
 func TestOldProcessStopped(t *testing.T) {
 	h := newHarness(t, 256)
 	old := h.start().waitReady()
@@ -82,14 +83,14 @@
 	old.signal(syscall.SIGCONT)
 	for _, partial := range kept {
 		partial.rest = nil
-		if err := partial.end(); err != nil {
+		if err := partial.complete(); err != nil {
 			t.Error(err)
 		}
 	}
 	sent := arrivalCount() - before
 	t.Logf("after the calls (%d, %d) the continued process sent %d of %d requests to detached hosts", firstStatus, secondStatus, sent, len(kept))
 	if sent > 0 && firstStatus == 200 && secondStatus == 200 {
-		t.Error("both calls succeeded")
+		t.Error("requests were sent to detached hosts although both detach calls had succeeded")
 	}
 	if status := next.detachHost("db-0-1"); status != 200 {
 		t.Errorf("detach once it continues: %d", status)
@@ -101,7 +102,7 @@
 	if n := arrivalCount() - before; n > 0 {
 		t.Errorf("%d requests went to detached hosts after all processes had confirmed", n)
 	}
-	l.exclusions = nil // what the old process sent when it continued is counted above
+	l.exclusions = nil // the requests that the old process sent when it continued are checked above
 	l.check(t, 0)
 }
 
@@ -113,7 +114,7 @@
 	}
 }
 
-// askAgain sends another request on a connection, or on a new one if that was closed.
+// askAgain sends another request on a connection, or on a new connection if the old one was closed.
 func (h *harness) askAgain(conn *fake.PostgresClient, id string) (fake.Reply, error) {
 	reply, err := conn.Ask(longTimeoutStatement(id, 0, false))
 	if err == nil {
@@ -145,7 +146,7 @@
 		if n := h.executions(partial.id); n > 0 {
 			t.Errorf("%s ran %d times before it was complete", partial.id, n)
 		}
-		if err := partial.end(); err != nil {
+		if err := partial.complete(); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/processtest/sigterm_test.go
+++ b/internal/processtest/sigterm_test.go
@@ -8,13 +8,13 @@
 )
 
 // TestTermDuringUpgrade sends SIGTERM to the new or the old process at steps of an upgrade, under load: before the new one is ready, and
-// when it has just taken over. It exits cleanly, the other serves, and no request is lost or executed twice; at most one request
-// for each connection is not answered.
+// when it has just taken over. The terminated process exits cleanly, the other serves, no request is lost and no write is
+// executed twice; at most one request for each client is not answered.
 func TestTermDuringUpgrade(t *testing.T) {
 	for name, upgrade := range map[string]func(h *harness, old *process) *process{
 		"the new one, before it is ready": func(h *harness, old *process) *process {
 			next := h.startStopped()
-			before := old.eventCount("superseded") // by a process that could not be stopped in time
+			before := old.eventCount("superseded") // above 0 if startStopped started a process that it could not stop in time
 			next.signal(syscall.SIGTERM)
 			next.signal(syscall.SIGCONT)
 			next.waitExit()
--- a/internal/processtest/statefile_test.go
+++ b/internal/processtest/statefile_test.go
@@ -12,7 +12,7 @@
 // stateFileName is the name of the state file in the state directory.
 const stateFileName = "cranegate-state.json"
 
-// checkServing sends one read and one write to each group.
+// checkServing sends one read and one write to each group and checks that they are served.
 func (h *harness) checkServing(prefix string) {
 	h.t.Helper()
 	c, err := h.dial()
@@ -42,7 +42,7 @@
 }
 
 // TestInvalidStateFile checks that a gateway serves although its state file is truncated, foreign, empty or missing, that it logs
-// what it can't confirm, and that later administrative calls hold in the next process too.
+// that its state is unconfirmed, and that later administrative calls hold in the next process too.
 func TestInvalidStateFile(t *testing.T) {
 	for name, text := range map[string]string{
 		"truncated": `{"format":"cranegate-state","version":1,"seq`,
@@ -67,7 +67,7 @@
 			p.kill()
 			p = h.start().waitReady()
 			if !strings.Contains(p.logText(), "event=hotrestart_opened older=false out=1") {
-				t.Error("the next process does not know of the detached host")
+				t.Error("the next process has not restored the detached host")
 			}
 			h.checkDetached(h.hosts[1])
 		})
@@ -75,20 +75,20 @@
 }
 
 // TestNoStateDirectory checks that a gateway without a usable state directory serves and logs it, that administrative calls hold in
-// it, and that an upgrade works, which passes no state on.
+// it, and that an upgrade works, although it passes no state on.
 func TestNoStateDirectory(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	closed := t.TempDir()
-	os.Chmod(closed, 0o500) // has no effect on root
+	readOnly := t.TempDir()
+	os.Chmod(readOnly, 0o500) // has no effect on root
 	for name, dir := range map[string]string{
 		"unset":      "",
 		"missing":    filepath.Join(t.TempDir(), "none"),
 		"a file":     file,
 		"procfs":     "/proc/self",
-		"unwritable": closed,
+		"unwritable": readOnly,
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 256)
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestFileSizeLimit sets a process's file size limit to zero: a detach call that can't be stored fails, though the host is out of service in
-// this process all the same, and the process survives. Once files may grow again the same call succeeds and outlives the process.
+// TestFileSizeLimit sets a process's file size limit to zero: a detach call that can't be stored fails, but still takes the host out of
+// service in this process, which continues to run. After the limit is restored the same call succeeds and holds in the next process.
 func TestFileSizeLimit(t *testing.T) {
 	h := newHarness(t, 256)
 	p := h.start().waitReady()
@@ -129,6 +129,6 @@
 	p.kill()
 	p = h.start().waitReady()
 	if log := p.logText(); !strings.Contains(log, "event=hotrestart_opened older=false out=1") {
-		t.Errorf("the next process: %s", log)
+		t.Errorf("the next process has not restored the detached host: %s", log)
 	}
 }
