--- a/internal/processtest/load_test.go
+++ b/internal/processtest/load_test.go
@@ -165,13 +165,13 @@
 	c.load.record(id, request)
 	reply, err := c.conn.Ask(statement(id, group, request.write))
 	if err == nil && c.conn.Buffered() > 0 {
-		c.load.reportError("%s: unexpected bytes follow the answer", id)
+		c.load.reportError("%s: something follows its answer", id)
 	}
 	if err == nil && reply.Outcome == "served" && reply.Value != "value of "+id {
-		c.load.reportError("%s: wrong answer %q", id, reply.Value)
+		c.load.reportError("%s: it has the answer %q", id, reply.Value)
 	}
 	if took := time.Since(request.sentAt); took > eventualTimeout/2 {
-		c.load.reportError("%s: the answer took %v", id, took)
+		c.load.reportError("%s: it took %v", id, took)
 	}
 	c.load.recordReply(c.index, request, reply, err)
 	if err != nil {
--- a/internal/processtest/sigstop_test.go
+++ b/internal/processtest/sigstop_test.go
@@ -23,12 +23,12 @@
 	if status != 200 && !rejected || took > adminCallTimeout {
 		p.harness.t.Errorf("detach: %d %q after %v", status, body, took)
 	}
-	p.harness.t.Logf("detach, with another process possibly stopped: %d %q after %v", status, strings.TrimSpace(body), took.Round(time.Millisecond))
+	p.harness.t.Logf("detach: %d %q after %v", status, strings.TrimSpace(body), took.Round(time.Millisecond))
 	return status
 }
 
-// TestNewProcessStopped stops the new process before it is ready. Administrative calls to the old one are answered, and a detached host stays out of
-// service there; once the new one continues, it stays out of service there too.
+// TestNewProcessStopped stops the new process before it is ready. Administrative calls to the old one are answered, and a detached
+// host stays out of service there; once the new process continues, the host stays out of service there too.
 func TestNewProcessStopped(t *testing.T) {
 	h := newHarness(t, 256)
 	old := h.start().waitReady()
--- a/internal/processtest/statefile_test.go
+++ b/internal/processtest/statefile_test.go
@@ -42,7 +42,7 @@
 }
 
 // TestInvalidStateFile checks that a gateway serves although its state file is truncated, foreign, empty or missing, that it logs
-// that its state is unconfirmed, and that later administrative calls hold in the next process too.
+// an invalid file, and that later administrative calls hold in the next process too.
 func TestInvalidStateFile(t *testing.T) {
 	for name, text := range map[string]string{
 		"truncated": `{"format":"cranegate-state","version":1,"seq`,
