--- a/internal/soak/admincalls.go
+++ b/internal/soak/admincalls.go
@@ -32,12 +32,12 @@
 	return response.StatusCode, string(body), err
 }
 
-// checkCounters reports violations that the process has counted, because a paused collector may have missed their log
-// lines.
+// checkCounters reports the violations in the process's counters, because a paused collector may not have read their
+// log lines.
 func (p *process) checkCounters() {
 	_, text, err := p.readAdmin(p.gateway.scenario.ctx, http.MethodGet, "/counters")
 	if err != nil || !strings.Contains(text, "requests=") {
-		p.gateway.scenario.checker.report(ruleStuck, p.String(), "its counters can't be read: %v", err)
+		p.gateway.scenario.checker.report(ruleNotServing, p.String(), "its counters can't be read: %v", err)
 	}
 	if n := strings.Index(text, "\nviolations="); n >= 0 {
 		line, _, _ := strings.Cut(text[n+1:], "\n")
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -49,14 +49,14 @@
 	agentResetting               // connections are reset during calls
 )
 
-// agent is a discovery agent beside one gateway.
+// agent is one of the two discovery agents of a gateway.
 type agent struct {
 	gateway *gateway
 	address string
 	fault   atomic.Int32 // an agentFault
 }
 
-// newAgent starts an agent. A gateway has two, so that its watch can be pointed at the other one.
+// newAgent starts an agent of a gateway. A gateway has two, so that a reload can point its watch at the other one.
 func (s *scenario) newAgent(g *gateway) (*agent, error) {
 	l, err := listen()
 	if err != nil {
@@ -69,7 +69,7 @@
 	return a, nil
 }
 
-// ServeHTTP answers one call. A watch waits for a revision newer than the one it names.
+// ServeHTTP answers one call. A watch names a revision and waits for a newer one.
 func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.FormValue("after"), 10, 64)
 	wait, _ := strconv.Atoi(r.FormValue("wait_ms"))
--- a/internal/soak/build.go
+++ b/internal/soak/build.go
@@ -28,42 +28,42 @@
 	return program, nil
 }
 
-// Defect is a deliberate error in the gateway that shows that a run detects errors of its kind. The source is not
+// Defect is a deliberate error in the gateway, used to show that a run detects errors of this kind. The source is not
 // modified: the build replaces the edited files by an overlay.
 type Defect struct {
 	Name    string
 	Edits   []Edit
-	FoundBy []string // any of these rules detects it
-	Only    []string // the kinds of faults under which it shows; empty means any
+	FoundBy []string // rules, at least one of which must detect the defect
+	Only    []string // the kinds of faults that make the defect visible; empty means any
 }
 
 // Edit replaces a piece of text in a source file.
 type Edit struct {
 	File string // path below the module's root
-	Old  string // text that occurs there exactly once
+	Old  string // text that occurs in the file exactly once
 	New  string // its replacement
 }
 
 // Defects each remove one guard of the gateway or reintroduce one of the two incidents of December 2026.
 var Defects = []Defect{
 	{"sends-to-draining", []Edit{{"routing/attempts.go", "case !member.usable, member.group != req.group:", "case member.group != req.group:"}},
-		[]string{ruleDrain, ruleDeaf, ruleViolation}, nil},
+		[]string{ruleDrain, ruleUnnoticedDrain, ruleViolation}, nil},
 	{"close-unheard", []Edit{{"internal/core/core.go", "	request.markDisconnected(c)\n	c.post(clientDisconnected{request})", ""},
-		{"internal/core/attempt.go", "!a.Request.checkDisconnected(a.core) && ", ""}}, []string{ruleGone}, []string{"leavers", "resets", "bad_answers", "late_connects"}},
+		{"internal/core/attempt.go", "!a.Request.checkDisconnected(a.core) && ", ""}}, []string{ruleClientGone}, []string{"leavers", "resets", "bad_answers", "late_connects"}},
 	{"once-repeated", []Edit{{"routing/attempts.go", "		return min(r.usefulUntil, r.firstRunAt+r.class.IdempotencyTTL)\n	}\n	return 0", "	}\n	return r.usefulUntil"}},
-		[]string{ruleTwice, ruleViolation}, []string{"resets", "bad_answers", "host_dies"}},
+		[]string{ruleRanTwice, ruleViolation}, []string{"resets", "bad_answers", "host_dies"}},
 	{"answer-withheld", []Edit{{"internal/frontend/postgres/query.go", "	case core.Rejected:\n", "	case core.Rejected:\n		return errors.New(\"withheld\")\n"}},
-		[]string{ruleLost, ruleTurnedBack, ruleViolation}, nil},
+		[]string{ruleLost, ruleNotForwarded, ruleViolation}, nil},
 	{"cold-unheeded", []Edit{{"routing/slowstart.go", "return member.tokens >= 0", "return true"}}, []string{ruleViolation}, nil},
 	{"ban-forgotten", []Edit{{"internal/hotrestart/statefile/statefile.go", "	return regs, sequence, nil\n", "	regs = state.Registers{}\n	return regs, sequence, nil\n"}},
 		[]string{ruleBan}, []string{"ban", "kill", "resets"}},
-	{"log-waits", []Edit{{"cmd/cranegate/main.go", "logging.New(logs, ", "logging.New(os.Stderr, "}}, []string{ruleStuck, ruleExit, ruleDeaf, ruleDrain},
+	{"log-waits", []Edit{{"cmd/cranegate/main.go", "logging.New(logs, ", "logging.New(os.Stderr, "}}, []string{ruleNotServing, ruleExit, ruleUnnoticedDrain, ruleDrain},
 		[]string{"log_stops", "discovery", "drain"}},
-	{"passes-to-itself", []Edit{{"internal/hotrestart/fdpass/sender.go", "if own.ownsSocketAt(path) {", "if false {"}}, []string{ruleLate, ruleLost, ruleStuck},
+	{"passes-to-itself", []Edit{{"internal/hotrestart/fdpass/sender.go", "if own.ownsSocketAt(path) {", "if false {"}}, []string{ruleLate, ruleLost, ruleNotServing},
 		[]string{"upgrade", "descriptors", "rolling_restart"}},
 }
 
-// FindDefect returns the defect of that name, or an error that lists the known names.
+// FindDefect returns the defect with the given name, or an error that lists the known names.
 func FindDefect(name string) (*Defect, error) {
 	var names []string
 	for i := range Defects {
@@ -105,12 +105,12 @@
 		return err
 	}
 	if n := strings.Count(string(text), e.Old); n != 1 {
-		return fmt.Errorf("%q stands %d times in %s, not once: bring the edit up to date", e.Old, n, e.File)
+		return fmt.Errorf("%q occurs %d times in %s, not once: update the edit", e.Old, n, e.File)
 	}
 	return os.WriteFile(changed, []byte(strings.Replace(string(text), e.Old, e.New, 1)), 0o600)
 }
 
-// Found reports whether any of the findings detects the defect.
+// Found reports whether any of the findings is of a rule that detects the defect.
 func (d *Defect) Found(found []Finding) bool {
 	for _, f := range found {
 		for _, rule := range d.FoundBy {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -21,11 +21,12 @@
 	countByRule   map[string]int
 }
 
-// Tolerances of the checks in time. Each is widened by minSlack and a multiple of the measured lag.
+// Time bounds of the checks and their tolerances. Unless noted, a bound is widened by minSlack and slackPerLag times the
+// measured lag.
 const (
 	minSlack              = 150 * time.Millisecond
 	slackPerLag           = 2
-	maxJudgedLag          = 500 * time.Millisecond // with a longer lag bounds in time are not checked
+	maxCheckedLag         = 500 * time.Millisecond // from this lag on, time bounds are not checked
 	clientCloseGrace      = 100 * time.Millisecond
 	drainGrace            = 250 * time.Millisecond
 	remainingTimeGrace    = 150 * time.Millisecond
@@ -33,8 +34,8 @@
 	notificationTimeout   = 6 * time.Second
 	banGrace              = 300 * time.Millisecond
 	partialMessageTimeout = 3 * time.Second
-	drainDisconnectWindow = 5 * time.Second // how long after the start of a drain connections may be closed
-	maxFindingsPerRule    = 5
+	drainDisconnectWindow = 5 * time.Second // how long after a drain of the gateway it may close connections; not widened
+	maxFindingsPerRule    = 5               // number of recorded findings; further ones are only counted
 )
 
 func newChecker(s *scenario) *checker {
@@ -47,17 +48,17 @@
 	}
 }
 
-// slack returns by how much bounds in time are widened, and false if this machine is too busy to check them.
+// slack returns by how much time bounds are widened, and false if the machine is too busy to check them.
 func (c *checker) slack() (time.Duration, bool) {
 	lag := c.scenario.lag.max()
-	return minSlack + slackPerLag*lag, lag < maxJudgedLag
+	return minSlack + slackPerLag*lag, lag < maxCheckedLag
 }
 
 // checkAll checks the recorded history after all processes have ended.
 func (c *checker) checkAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	slack, timed := c.slack()
+	slack, checkTimes := c.slack()
 	byID := map[string][]arrival{}
 	for _, a := range c.arrivals {
 		byID[a.id] = append(byID[a.id], a)
@@ -66,14 +67,14 @@
 		c.checkExecutions(r, c.executions[id], slack)
 		c.checkConnectionLoss(r, byID[id])
 		for _, a := range byID[id] {
-			if timed {
+			if checkTimes {
 				c.checkAttempt(r, a, slack)
 			}
 		}
 	}
 	for _, a := range c.arrivals {
 		for _, w := range c.withdrawals {
-			if timed && w.host == a.host && a.at.After(w.from) && (w.to.IsZero() || a.at.Before(w.to)) {
+			if checkTimes && w.host == a.host && a.at.After(w.from) && (w.to.IsZero() || a.at.Before(w.to)) {
 				c.checkWithdrawnHost(a, w, slack)
 			}
 		}
@@ -94,18 +95,18 @@
 	}
 	slices.SortFunc(executions, func(a, b execution) int { return a.at.Compare(b.at) })
 	if r.class == classNonIdempotent && len(executions) > 1 {
-		c.reportLocked(ruleTwice, r.where(), "it ran %d times", len(executions))
+		c.reportLocked(ruleRanTwice, r.where(), "it ran %d times", len(executions))
 	}
 	if r.class == classIdempotentByKey && len(executions) > 1 {
 		if late := executions[len(executions)-1].at.Sub(executions[0].at); late > seconds(idempotencyKeySeconds)+remainingTimeGrace+slack {
-			c.reportLocked(ruleTwice, r.where(), "it ran again %v after the first time", late)
+			c.reportLocked(ruleRanTwice, r.where(), "it ran again %v after the first time", late)
 		}
 	}
 	if r.outcome == "refused" && len(executions) > 0 {
-		c.reportLocked(ruleRefused, r.where(), "it ran %d times", len(executions))
+		c.reportLocked(ruleRejectedRan, r.where(), "it ran %d times", len(executions))
 	}
 	if r.outcome == "served" && len(executions) == 0 {
-		c.reportLocked(ruleUnrun, r.where(), "%s", "it was served")
+		c.reportLocked(ruleNotExecuted, r.where(), "%s", "it was served")
 	}
 }
 
@@ -117,20 +118,21 @@
 	if len(arrivals) > 0 {
 		c.reportLocked(ruleLost, r.where(), "sent to %s, closed after %v", arrivals[0].host.uid, r.connectionLostAt.Sub(r.sentAt))
 	} else if !r.gateway.drainedDuring(r.sentAt.Add(-drainDisconnectWindow), r.connectionLostAt) {
-		c.reportLocked(ruleTurnedBack, r.where(), "closed after %v", r.connectionLostAt.Sub(r.sentAt))
+		c.reportLocked(ruleNotForwarded, r.where(), "closed after %v", r.connectionLostAt.Sub(r.sentAt))
 	}
 }
 
-// checkAttempt checks an attempt against its client's timeout and disconnection.
+// checkAttempt checks that an attempt neither began after its client had disconnected nor has a longer deadline than the
+// client's.
 func (c *checker) checkAttempt(r *request, a arrival, slack time.Duration) {
 	if a.gateway.disruptedDuring(r.sentAt, a.at) {
 		return
 	}
 	if late := a.at.Sub(r.clientClosedAt); !r.clientClosedAt.IsZero() && late > clientCloseGrace+slack {
-		c.reportLocked(ruleGone, r.where(), "an attempt at %s %v after its client's close", a.host.uid, late)
+		c.reportLocked(ruleClientGone, r.where(), "an attempt at %s %v after its client's close", a.host.uid, late)
 	}
 	if over := a.remaining - r.sentAt.Add(r.clientTimeout).Sub(a.at); r.precedingRequests == 0 && over > remainingTimeGrace+slack {
-		c.reportLocked(ruleTime, r.where(), "%s received a deadline of %v, %v more than the client has left", a.host.uid, a.remaining, over)
+		c.reportLocked(ruleDeadline, r.where(), "%s received a deadline of %v, %v more than the client has left", a.host.uid, a.remaining, over)
 	}
 }
 
@@ -153,7 +155,7 @@
 		since = a.discoveryReachableAt
 	}
 	if a.at.Sub(since) > notificationTimeout+slack && !a.gateway.disruptedDuring(since, a.at) {
-		c.reportLocked(ruleDeaf, where, "sent to %s %v after discovery listed it", a.host.uid, a.at.Sub(since))
+		c.reportLocked(ruleUnnoticedDrain, where, "sent to %s %v after discovery listed it", a.host.uid, a.at.Sub(since))
 	}
 }
 
--- a/internal/soak/clientfaults.go
+++ b/internal/soak/clientfaults.go
@@ -19,7 +19,7 @@
 	group.Wait()
 }
 
-// disconnectClients has clients close their connections shortly after they sent a request.
+// disconnectClients has clients close their connections shortly after sending a request.
 func disconnectClients(s *scenario, g *gateway, h *host, rng *rand.Rand) {
 	s.runClients(g, rng, 10, func(c *client) {
 		for range 20 {
@@ -43,7 +43,7 @@
 	s.runClients(g, rng, 3, func(c *client) { c.pipeline(2 + c.rng.IntN(5)) })
 }
 
-// isTimeout reports whether err is a deadline's or a network timeout.
+// isTimeout reports whether err is an exceeded deadline or a network timeout.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -14,8 +14,8 @@
 const (
 	meanRequestInterval = 10 * time.Millisecond // mean time between an answer and the next request
 	connectTimeout      = 25 * time.Second      // covers the start of a process
-	answerTimeoutMargin = 5 * time.Second       // how long past its timeout a request is awaited
-	retryDelay          = 20 * time.Millisecond // after a failed connection
+	answerTimeoutMargin = 5 * time.Second       // how long after a request's timeout its answer is still awaited
+	retryDelay          = 20 * time.Millisecond // after a failed connection, request or administrative call
 )
 
 // client is one client of a gateway.
@@ -26,7 +26,7 @@
 	conn     *fake.PostgresClient
 }
 
-// connect makes sure that the client is connected and reports whether it is.
+// connect connects the client unless its connection is still open, and reports whether it is connected.
 func (c *client) connect() bool {
 	if c.conn != nil && c.conn.Alive() {
 		return true
@@ -53,7 +53,7 @@
 	}
 }
 
-// execute sends a request and checks its answer.
+// execute sends a request, and records and checks its answer.
 func (c *client) execute(r *request, text string) {
 	checker := c.scenario.checker
 	r.sentAt = time.Now()
@@ -75,9 +75,9 @@
 			r.connectionLostAt = now
 		}
 	})
-	slack, timed := checker.slack()
+	slack, checkTimes := checker.slack()
 	allowed := r.precedingTimeouts + r.clientTimeout + time.Duration(r.precedingRequests+1)*answerGrace + slack
-	if (timedOut || now.Sub(r.sentAt) > allowed) && timed && !c.gateway.disruptedDuring(r.sentAt, now) {
+	if (timedOut || now.Sub(r.sentAt) > allowed) && checkTimes && !c.gateway.disruptedDuring(r.sentAt, now) {
 		checker.report(ruleLate, r.where(), "%q after %v of %v", reply.Outcome, now.Sub(r.sentAt), r.clientTimeout)
 	}
 	if err == nil && reply.Outcome == "served" && reply.Value != "value of "+r.id {
@@ -119,7 +119,7 @@
 	}
 }
 
-// disconnectAfter sends a request and closes the connection some time later, whatever has come back.
+// disconnectAfter sends a request and closes the connection after a delay, even if no answer has arrived.
 func (c *client) disconnectAfter(group int, after time.Duration) {
 	defer c.disconnect()
 	if !c.connect() {
@@ -165,8 +165,8 @@
 	}
 }
 
-// sendPartial writes a part of a message, on request after a complete request, and keeps the connection open. The
-// gateway has to answer or close it within partialMessageTimeout.
+// sendPartial writes a part of a message and keeps the connection open; if requestBefore is set, it sends a complete
+// request first. The gateway must answer or close the connection within partialMessageTimeout.
 func (c *client) sendPartial(requestBefore bool) {
 	defer c.disconnect()
 	if !c.connect() {
@@ -185,9 +185,9 @@
 	sentAt := time.Now()
 	c.conn.Conn.Conn.SetReadDeadline(sentAt.Add(partialMessageTimeout + answerTimeoutMargin))
 	c.conn.Need(1)
-	slack, timed := c.scenario.checker.slack()
-	if took := time.Since(sentAt); timed && took > partialMessageTimeout+slack && !c.gateway.disruptedDuring(sentAt, time.Now()) {
-		c.scenario.checker.report(ruleHalf, c.gateway.name, "held for %v, request before: %t", took, requestBefore)
+	slack, checkTimes := c.scenario.checker.slack()
+	if took := time.Since(sentAt); checkTimes && took > partialMessageTimeout+slack && !c.gateway.disruptedDuring(sentAt, time.Now()) {
+		c.scenario.checker.report(rulePartialMessage, c.gateway.name, "held for %v, request before: %t", took, requestBefore)
 	}
 }
 
@@ -207,7 +207,7 @@
 	raw.Read(garbage)
 }
 
-// checkServing has each gateway serve each group, reads and writes, at the end of a run.
+// checkServing checks at the end of a run that each gateway serves reads and writes of each group.
 func (s *scenario) checkServing() {
 	var group sync.WaitGroup
 	for _, g := range s.gateways {
@@ -220,8 +220,8 @@
 	group.Wait()
 }
 
-// checkGroupServed retries one class of request at a gateway until it is served. It is a finding if that takes longer
-// than serveTimeout.
+// checkGroupServed sends requests of one class to a gateway until one is served. It reports a finding if none is within
+// serveTimeout.
 func (s *scenario) checkGroupServed(g *gateway, group int, class string) {
 	c := &client{scenario: s, gateway: g, rng: rand.New(rand.NewPCG(s.options.Seed, uint64(group)))}
 	defer c.disconnect()
@@ -236,5 +236,5 @@
 			return
 		}
 	}
-	s.checker.report(ruleStuck, g.name, "group %d, %s: %q after %v; %s", group, class, last, serveTimeout, g.currentProcess().tail())
+	s.checker.report(ruleNotServing, g.name, "group %d, %s: %q after %v; %s", group, class, last, serveTimeout, g.currentProcess().tail())
 }
--- a/internal/soak/configuration.go
+++ b/internal/soak/configuration.go
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// settings returns the gateways' settings with four classes: a bounded read, a session read, a non-idempotent write and
-// an idempotent one with a key.
+// settings returns the gateways' settings with four classes: a read with a staleness bound, a session read, a
+// non-idempotent write, and a write with an idempotency key.
 func settings(gateways int) map[string]any {
 	class := func(name string, latencyObjective, deadline, priorityWeight float64, idempotency string) map[string]any {
 		return map[string]any{"name": name, "aimS": latencyObjective, "deadlineS": deadline, "points": priorityWeight, "lateWorth": 0.5,
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// fault is one kind of fault, injected at a gateway, a host or both. inject draws its random figures before it does
-// anything else, so that a seed always yields the same ones.
+// fault is one kind of fault, injected at a gateway, a host or both. inject draws its random values before it acts,
+// or before each of its steps, so that a seed always yields the same values.
 type fault struct {
 	kind   string
 	inject func(s *scenario, g *gateway, h *host, rng *rand.Rand)
 }
 
-// faults are all kinds, in the order from which a seed draws.
+// faults lists all kinds of faults. A seed draws indices into it, so another order changes what a seed draws.
 var faults = []fault{
 	{"rolling_restart", rollingRestart},
 	{"kill", killAndRestart},
@@ -43,12 +43,12 @@
 
 const (
 	faultGroupInterval  = 1500 * time.Millisecond // mean time between two fault groups of one injector
-	faultGroupSpread    = 400 * time.Millisecond  // within which a group's faults begin
+	faultGroupSpread    = 400 * time.Millisecond  // the faults of a group begin within this time
 	gatewaysPerInjector = 3
 )
 
-// injectFaults injects groups of faults for the length of the run and waits until the last fault has ended. Several
-// injectors work side by side, each with its own random source.
+// injectFaults injects groups of faults for the duration of the run and waits until the last fault has ended. Several
+// injectors run concurrently, each with its own random source.
 func (s *scenario) injectFaults(rng *rand.Rand) {
 	var group sync.WaitGroup
 	for range max(1, s.options.Gateways/gatewaysPerInjector) {
@@ -68,14 +68,14 @@
 // injectFaultGroup begins two or three faults at one gateway and one host, within faultGroupSpread of each other.
 func (s *scenario) injectFaultGroup(rng *rand.Rand, group *sync.WaitGroup) {
 	g, h := s.gateways[rng.IntN(len(s.gateways))], s.hosts[rng.IntN(len(s.hosts))]
-	drawn := s.enabledFaults()
-	for _, i := range rng.Perm(len(drawn))[:min(len(drawn), 2+rng.IntN(2))] {
+	enabled := s.enabledFaults()
+	for _, i := range rng.Perm(len(enabled))[:min(len(enabled), 2+rng.IntN(2))] {
 		delay := time.Duration(rng.Int64N(int64(faultGroupSpread)))
-		own := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
+		faultRNG := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
 		group.Go(func() {
 			time.Sleep(delay)
-			s.countFault(drawn[i].kind)
-			drawn[i].inject(s, g, h, own)
+			s.countFault(enabled[i].kind)
+			enabled[i].inject(s, g, h, faultRNG)
 		})
 	}
 }
--- a/internal/soak/findings.go
+++ b/internal/soak/findings.go
@@ -9,24 +9,24 @@
 
 // Rules that a finding can be about.
 const (
-	ruleCrash      = "crash"       // a process ended on its own
-	ruleExit       = "exit"        // a process did not exit cleanly after SIGTERM
-	ruleLost       = "lost"        // a forwarded request's connection was closed without an answer
-	ruleTurnedBack = "turned_back" // a connection with a request in flight was closed without a reason
-	ruleLate       = "late"        // a request was not answered in time
-	ruleWrong      = "wrong"       // the answer belongs to no execution of the request
-	ruleTwice      = "ran_twice"   // a non-idempotent request ran twice, or one with an idempotency key again after the key's window
-	ruleRefused    = "refused_ran" // a rejected request had been executed
-	ruleUnrun      = "unrun"       // a successful write was never executed
-	ruleGone       = "gone"        // an attempt began after its client had disconnected
-	ruleTime       = "time_told"   // a host received a longer deadline than the client's
-	ruleDrain      = "drain"       // a request went to a host that the gateway knew to be draining or removed
-	ruleDeaf       = "deaf"        // a request went to a host whose draining the gateway should have known of
-	ruleBan        = "ban"         // a request went to a host that an administrator had banned
-	ruleHalf       = "half"        // a connection with a partial message was kept for too long
-	ruleStuck      = "stuck"       // a gateway does not serve although no fault is active
-	ruleMemory     = "memory"      // a process exceeds its memory limit
-	ruleViolation  = "violation"   // a gateway counted a violation of its own invariants
+	ruleCrash          = "crash"       // a process ended without being terminated or killed, or did not start
+	ruleExit           = "exit"        // a process did not exit cleanly after SIGTERM
+	ruleLost           = "lost"        // a forwarded request's connection was closed without an answer
+	ruleNotForwarded   = "turned_back" // a connection whose request was not forwarded was closed although the gateway was not drained
+	ruleLate           = "late"        // a request was not answered within its timeout and a tolerance
+	ruleWrong          = "wrong"       // the answer belongs to no execution of the request
+	ruleRanTwice       = "ran_twice"   // a non-idempotent request ran twice, or one with an idempotency key again after the key's window
+	ruleRejectedRan    = "refused_ran" // a rejected request had been executed
+	ruleNotExecuted    = "unrun"       // a successful write was never executed
+	ruleClientGone     = "gone"        // an attempt began after its client had disconnected
+	ruleDeadline       = "time_told"   // a host received a longer deadline than the client's
+	ruleDrain          = "drain"       // a request went to a host that the gateway knew to be draining or removed
+	ruleUnnoticedDrain = "deaf"        // a request went to a host whose draining the gateway should have known of
+	ruleBan            = "ban"         // a request went to a host that an administrator had banned
+	rulePartialMessage = "half"        // a connection with a partial message was kept for too long
+	ruleNotServing     = "stuck"       // a gateway does not serve although no fault is active
+	ruleMemory         = "memory"      // a process exceeds its memory limit
+	ruleViolation      = "violation"   // a gateway counted a violation of its own invariants
 )
 
 // Finding is a violation of a rule by a gateway.
@@ -59,8 +59,8 @@
 	c.reportLocked(rule, where, format, args...)
 }
 
-// reportLocked adds a finding; the caller holds the lock. It keeps the first maxFindingsPerRule of each rule and counts the
-// others.
+// reportLocked adds a finding; the caller holds the lock. It counts all findings, but records only the first
+// maxFindingsPerRule of each rule.
 func (c *checker) reportLocked(rule, where, format string, args ...any) {
 	c.countByRule[rule]++
 	if c.countByRule[rule] > maxFindingsPerRule {
@@ -74,7 +74,7 @@
 	})
 }
 
-// findings returns the findings, with a total for each rule that has more than are kept.
+// findings returns the recorded findings, and a total for each rule that has more than maxFindingsPerRule.
 func (c *checker) findings() []Finding {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/gateway.go
+++ b/internal/soak/gateway.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// gateway is one gateway of the fleet: its processes, consecutive or concurrent, and their surroundings.
+// gateway is one gateway of the fleet: its processes, consecutive or concurrent, and what they use and share.
 type gateway struct {
 	reservation // of its processes
 	scenario    *scenario
@@ -24,12 +24,12 @@
 	processes            []*process
 	activeAgent          int            // index of the agent in the configuration
 	bannedHosts          map[*host]bool // hosts with an active ban
-	disruptions          []interval     // when processes died or paused; requests then are checked less strictly
-	drains               []interval     // in which client connections may be closed
-	discoveryReachableAt time.Time      // in the future during an outage of discovery
+	disruptions          []interval     // when processes ended abruptly or paused; requests are then checked less strictly
+	drains               []interval     // when the gateway may close its clients' connections
+	discoveryReachableAt time.Time      // start of the current process or end of the last discovery outage; in the future during an outage
 }
 
-// newGateway creates a gateway's surroundings; it starts no process.
+// newGateway creates a gateway with its files, listener, agents and proxies; it starts no process.
 func (s *scenario) newGateway(i int) (*gateway, error) {
 	g := &gateway{scenario: s, name: fmt.Sprintf("g%02d", i), proxies: map[string]*proxy{}, discoveryReachableAt: time.Now()}
 	g.stateDir = filepath.Join(s.dir, g.name)
@@ -55,7 +55,7 @@
 	return g, g.configure()
 }
 
-// start starts a process beside those that run.
+// start starts another process of the gateway; running processes continue.
 func (g *gateway) start() error {
 	p, err := g.launch()
 	if err != nil {
--- a/internal/soak/gatewayfaults.go
+++ b/internal/soak/gatewayfaults.go
@@ -16,7 +16,7 @@
 	}
 	defer g.release()
 	defer g.beginDrain()()
-	defer s.checker.forgetNotifications(g) // the old process may know of changes that the new one does not
+	defer s.checker.forgetNotifications(g) // the old process may have received changes that the new one has not
 	old := g.currentProcess()
 	ended := make(chan struct{})
 	go func() {
@@ -67,7 +67,8 @@
 	end()
 }
 
-// upgradeProcess starts the next process beside the old one, which is terminated some time after the next one is ready.
+// upgradeProcess starts the next process while the old one runs, and terminates the old one some time after the next one
+// is ready.
 func upgradeProcess(s *scenario, g *gateway, _ *host, rng *rand.Rand) {
 	overlap := randomDuration(rng, 20*time.Millisecond, time.Second)
 	if !g.tryReserve() {
@@ -98,8 +99,8 @@
 	}
 }
 
-// banHost takes a host out of service by an administrative call and puts it back later, whatever happens to the process
-// meanwhile. Some processes are killed right after they confirmed the call.
+// banHost takes a host out of service by an administrative call and puts it back later, even if the gateway's process was
+// replaced meanwhile. Some processes are killed right after they have confirmed the call.
 func banHost(s *scenario, g *gateway, h *host, rng *rand.Rand) {
 	duration := randomDuration(rng, time.Second, 6*time.Second)
 	killProcess := rng.IntN(3) == 0
@@ -122,7 +123,8 @@
 	g.attach(s, h)
 }
 
-// attach puts a host back into service, retrying until a process confirms.
+// attach puts a host back into service. It retries until a process confirms the call; after serveTimeout it reports a
+// finding.
 func (g *gateway) attach(s *scenario, h *host) {
 	for end := time.Now().Add(serveTimeout); time.Now().Before(end); time.Sleep(retryDelay) {
 		status, err := g.currentProcess().callAdmin(s.ctx, http.MethodPost, "/_database-hosts/attach/"+h.uid)
@@ -130,7 +132,7 @@
 			return
 		}
 	}
-	s.checker.report(ruleStuck, g.name, "%s can't be attached within %v", h.uid, serveTimeout)
+	s.checker.report(ruleNotServing, g.name, "%s can't be attached within %v", h.uid, serveTimeout)
 }
 
 // toggleLameduck has a gateway close its clients' connections for a while, then accept clients again.
@@ -145,7 +147,7 @@
 			return
 		}
 	}
-	s.checker.report(ruleStuck, g.name, "lameduck mode can't be ended")
+	s.checker.report(ruleNotServing, g.name, "lameduck mode can't be ended")
 }
 
 // exhaustDescriptors leaves a process at most two spare descriptors, so that accept, connect and open fail.
@@ -183,7 +185,7 @@
 	p.signalIfReady(syscall.SIGUSR1)
 }
 
-// limitFileSize sets a process's file size limit to zero for a while: writes of its state fail.
+// limitFileSize sets a process's file size limit to zero for a while, so that writes of its state fail.
 func limitFileSize(s *scenario, g *gateway, _ *host, rng *rand.Rand) {
 	duration := randomDuration(rng, 300*time.Millisecond, 2*time.Second)
 	pid := g.currentProcess().cmd.Process.Pid
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// request is one request of a client and what the client saw of it.
+// request is one request of a client and its result as the client observed it.
 type request struct {
 	gateway           *gateway
 	id                string
@@ -23,14 +23,14 @@
 // where identifies the request in a finding.
 func (r *request) where() string { return fmt.Sprintf("%s %s %s", r.gateway.name, r.class, r.id) }
 
-// arrival is one attempt of a request on its way from a gateway to a host, as the proxy saw it.
+// arrival is one attempt of a request on its way from a gateway to a host, as the proxy recorded it.
 type arrival struct {
 	gateway              *gateway
 	host                 *host
 	id, class            string
 	at                   time.Time
 	remaining            time.Duration // the deadline sent to the host
-	discoveryReachableAt time.Time     // as of the arrival
+	discoveryReachableAt time.Time     // the gateway's value at the time of the arrival
 }
 
 // execution is a request that a host executed.
@@ -42,8 +42,8 @@
 // withdrawal is a time in which a host must receive no new requests.
 type withdrawal struct {
 	host     *host
-	rev      int64    // revision of the endpoint list; 0 for a ban
-	gateway  *gateway // set for a ban only
+	rev      int64    // revision of the endpoint list that withdrew the host; 0 for a ban
+	gateway  *gateway // the gateway at which the host is banned; nil if this is no ban
 	from, to time.Time
 }
 
--- a/internal/soak/host.go
+++ b/internal/soak/host.go
@@ -12,7 +12,7 @@
 	"cranegate/internal/fake"
 )
 
-// host is one fake database host. It records what it executes by the requests' ids.
+// host is one fake database host. It records the IDs of the requests that it executes.
 type host struct {
 	*fake.Host
 	reservation // of the host
@@ -21,9 +21,9 @@
 	group       int
 	address     string
 
-	down    atomic.Bool  // its process has ended: connections are reset
-	hanging atomic.Bool  // it accepts connections and does not answer
-	action  atomic.Int32 // a fake.Act: the result of statements
+	down    atomic.Bool  // the host's process has ended: connections are reset
+	hanging atomic.Bool  // the host accepts connections and does not answer
+	action  atomic.Int32 // a fake.Act: how statements are handled
 
 	mu          sync.Mutex
 	listedState string // state in the endpoint list; empty if not listed
@@ -69,7 +69,7 @@
 	return act
 }
 
-// execute spends the time of a statement and returns its result.
+// execute waits as long as a statement takes and returns how to answer it.
 func (h *host) execute(text string) fake.Act {
 	time.Sleep(statementDuration)
 	for end := time.Now().Add(maxHang); h.hanging.Load() && time.Now().Before(end); {
@@ -119,7 +119,7 @@
 	return h.bootMS
 }
 
-// listen opens a listener on a loopback address of its own.
+// listen opens a listener on a free loopback address.
 func listen() (*net.TCPListener, error) {
 	address, err := fake.FreeAddress()
 	if err != nil {
--- a/internal/soak/hostfaults.go
+++ b/internal/soak/hostfaults.go
@@ -24,7 +24,8 @@
 	time.Sleep(duration)
 }
 
-// drainHost lists a host as draining, then removes it from the list; it returns as a new process.
+// drainHost lists a host as draining, removes it from the list and ends it, then starts it as a new process and lists it
+// again.
 func drainHost(s *scenario, _ *gateway, h *host, rng *rand.Rand) {
 	drainDuration := randomDuration(rng, time.Second, 8*time.Second)
 	absentDuration := randomDuration(rng, 200*time.Millisecond, time.Second)
@@ -95,7 +96,7 @@
 	s.eachProxy(h, func(p *proxy) { p.setConnectDelay(0) })
 }
 
-// stallProxies stops all bytes between one gateway and a host, or between all gateways and it.
+// stallProxies stops all bytes between one gateway and a host, or between all gateways and the host.
 func stallProxies(s *scenario, g *gateway, h *host, rng *rand.Rand) {
 	duration := randomDuration(rng, 100*time.Millisecond, 3*time.Second)
 	each := func(do func(p *proxy)) { do(g.proxies[h.uid]) }
@@ -116,7 +117,7 @@
 	}
 }
 
-// returnBadAnswers makes a host reject statements, fail them, reset their connections or stay silent.
+// returnBadAnswers makes a host reject statements, fail them, reset their connections or leave them unanswered.
 func returnBadAnswers(s *scenario, _ *gateway, h *host, rng *rand.Rand) {
 	actions := []fake.Act{fake.Miss, fake.Reject, fake.Error, fake.Reset, fake.Silent, fake.NoCapacity}
 	action, duration := actions[rng.IntN(len(actions))], randomDuration(rng, 100*time.Millisecond, 1500*time.Millisecond)
--- a/internal/soak/intervals.go
+++ b/internal/soak/intervals.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// interval is a span of time; a zero end means that it lasts still.
+// interval is a span of time. A zero to means that it has not ended.
 type interval struct{ from, to time.Time }
 
 // overlaps reports whether the interval overlaps the span.
@@ -10,7 +10,7 @@
 	return i.from.Before(to) && (i.to.IsZero() || i.to.After(from))
 }
 
-// beginDisruption marks the start of a time in which processes die or pause. The returned function marks its end.
+// beginDisruption marks the start of a time in which processes end abruptly or pause. The returned function marks its end.
 func (g *gateway) beginDisruption() (end func()) { return g.beginInterval(&g.disruptions, time.Now()) }
 
 // beginDrain marks the start of a time in which the gateway may close its clients' connections. The returned function
@@ -30,7 +30,7 @@
 	}
 }
 
-// disruptedDuring reports whether a process may have died or paused in a span.
+// disruptedDuring reports whether a process may have ended abruptly or paused in a span.
 func (g *gateway) disruptedDuring(from, to time.Time) bool {
 	return g.anyOverlaps(&g.disruptions, from, to)
 }
@@ -62,7 +62,8 @@
 	}
 }
 
-// discoveryReachableSince returns when discovery became reachable; it lies in the future during an outage.
+// discoveryReachableSince returns since when the current process can reach discovery; during an outage it returns a time
+// in the future.
 func (g *gateway) discoveryReachableSince() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/soak/lag.go
+++ b/internal/soak/lag.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// lagMeter measures by how much the machine delays this process. The processes under test may be delayed as much, so
-// the checks in time allow for it.
+// lagMeter measures by how much a busy machine delays this process. The processes under test may be delayed as much, so
+// the checked time bounds allow for it.
 type lagMeter struct{ longest atomic.Int64 }
 
 // lagSampleInterval is the intended sleep between two samples.
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -35,8 +35,8 @@
 	logPipe   *os.File
 
 	mu         sync.Mutex
-	logTail    []string // last lines of the log
-	violations []string
+	logTail    []string       // last lines of the log
+	violations []string       // log lines of violations
 	logFile    io.WriteCloser // nil if the log is discarded
 }
 
@@ -48,7 +48,7 @@
 	listenerDescriptor   = 5 // descriptor number of the listening socket in the process
 	readyPollInterval    = 10 * time.Millisecond
 	adminCallTimeout     = 3 * time.Second
-	crashDetectionDelay  = time.Second // upper bound
+	crashDetectionDelay  = time.Second // upper bound of the time between a crash and its detection
 	logPausePollInterval = 5 * time.Millisecond
 )
 
@@ -108,7 +108,7 @@
 	return p, nil
 }
 
-// restartCrashed replaces a process that crashed, so that the run goes on.
+// restartCrashed replaces a process that crashed, so that the run can continue.
 func (g *gateway) restartCrashed() {
 	defer g.beginInterval(&g.disruptions, time.Now().Add(-crashDetectionDelay))()
 	if g.scenario.ctx.Err() == nil {
@@ -133,7 +133,8 @@
 	}
 }
 
-// recordLogLine keeps a line of the log.
+// recordLogLine adds a line to the log file, if there is one, and to the recorded violations and the log's tail, if it
+// belongs there.
 func (p *process) recordLogLine(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,8 +168,8 @@
 
 func (p *process) signal(s syscall.Signal) { p.cmd.Process.Signal(s) }
 
-// signalIfReady sends a signal that the program handles, once it is ready: before that the default action could end the
-// process.
+// signalIfReady sends a signal that the gateway handles, unless the process has not been ready yet. Until then its handler
+// may be missing, and the signal's default action would end the process.
 func (p *process) signalIfReady(s syscall.Signal) {
 	if p.wasReady.Load() {
 		p.signal(s)
@@ -182,7 +183,7 @@
 	<-p.done
 }
 
-// terminate ends the process with SIGTERM. It is a finding unless it exits with code 0 within exitTimeout.
+// terminate ends the process with SIGTERM. It reports a finding unless the process exits with code 0 within exitTimeout.
 func (p *process) terminate() {
 	p.exitExpected.Store(true)
 	p.signal(syscall.SIGTERM)
@@ -245,8 +246,8 @@
 	return len(entries), err
 }
 
-// limitDescriptors lowers the process's descriptor limit to what is open plus spare. The returned function restores the
-// limit.
+// limitDescriptors lowers the process's descriptor limit to the number of open descriptors plus spare. The returned
+// function restores the limit.
 func (p *process) limitDescriptors(spare int) (end func(), err error) {
 	openNow, err := p.openDescriptors()
 	if err != nil {
@@ -259,7 +260,7 @@
 	}
 	lowered := unix.Rlimit{Cur: uint64(openNow + spare), Max: previous.Max}
 	if lowered.Cur > previous.Cur {
-		return nil, errors.New("no lower limit")
+		return nil, errors.New("the current limit is lower already")
 	}
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &lowered, nil); err != nil {
 		return nil, err
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -77,8 +77,8 @@
 	p.forward(to, from, p.recordRequests)
 }
 
-// forward copies bytes in one direction until an error, waiting while the proxy is stalled. It shows them to inspect
-// first.
+// forward copies bytes in one direction until an error, waiting while the proxy is stalled. It passes them to inspect
+// first, unless that is nil.
 func (p *proxy) forward(to, from net.Conn, inspect func([]byte)) {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -147,7 +147,7 @@
 	}
 }
 
-// reset closes a connection with a TCP reset, as when a process dies.
+// reset closes a connection with a TCP reset, as happens when a process is killed.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
--- a/internal/soak/requests.go
+++ b/internal/soak/requests.go
@@ -27,10 +27,10 @@
 	return c.request(class, group, timeouts[c.rng.IntN(len(timeouts))])
 }
 
-// request returns a request and its statement.
-func (c *client) request(class string, group int, wait time.Duration) (*request, string) {
-	r := &request{gateway: c.gateway, id: fmt.Sprintf("%06x", lastRequestID.Add(1)), class: class, clientTimeout: wait}
-	head := fmt.Sprintf("/* id=%s,c=%s,d=%d", r.id, class, wait.Milliseconds())
+// request returns a request with the given timeout, and its statement.
+func (c *client) request(class string, group int, timeout time.Duration) (*request, string) {
+	r := &request{gateway: c.gateway, id: fmt.Sprintf("%06x", lastRequestID.Add(1)), class: class, clientTimeout: timeout}
+	head := fmt.Sprintf("/* id=%s,c=%s,d=%d", r.id, class, timeout.Milliseconds())
 	switch class {
 	case classNonIdempotent, classIdempotentByKey:
 		return r, fmt.Sprintf("%s,k=%s,cluster=%d */ INSERT INTO records (k, v) VALUES ('%s', '') RETURNING v", head, r.id, group, r.id)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -2,9 +2,9 @@
 //
 // A run has a fleet of gateway processes, fake database hosts, a proxy for each pair of gateway and host, discovery agents for each
 // gateway, and clients of several kinds. From its seed it draws fault groups: two or three faults on related targets that begin
-// within a moment of each other. The checks use what the proxies saw, what clients were answered, how processes ended, and the
-// violations that the gateways counted themselves. The draw is repeatable; the machine's timing is not, so that the seed of a
-// finding is a place to look, not a proof that it occurs again.
+// almost at the same time. The checks use the attempts that the proxies recorded, the answers that the clients received, how
+// processes ended, and the violations that the gateways counted themselves. The random draws are repeatable but the machine's timing
+// is not, so another run with the seed of a finding may not show it again.
 package soak
 
 import (
@@ -24,14 +24,14 @@
 	Seed     uint64
 	Gateways int
 	Groups   int
-	Replicas int // hosts of a group beside its primary
+	Replicas int // hosts of a group in addition to its primary
 	Clients  int // regular clients of each gateway
 	Duration time.Duration
 	Only     []string // the kinds of faults to draw from; empty means all
 	LogDir   string   // folder for the gateways' logs; empty means that they are discarded
 }
 
-// Short is the size for CI; Long, with a few dozen processes, the one for the command line.
+// Short is the size of runs in CI. Long, with a few dozen processes, is the default size on the command line.
 var (
 	Short = Options{Gateways: 6, Groups: 2, Replicas: 2, Clients: 3, Duration: 8 * time.Second}
 	Long  = Options{Gateways: 24, Groups: 3, Replicas: 2, Clients: 2, Duration: 30 * time.Second}
@@ -44,7 +44,7 @@
 	Faults    map[string]int // number of faults begun, by kind
 	Outcomes  map[string]int // number of requests, by outcome
 	Findings  []Finding
-	MaxLag    time.Duration // longest delay of this process by the machine; bounds in time are widened by it
+	MaxLag    time.Duration // longest delay of this process by a busy machine; time bounds are widened by a multiple of it
 }
 
 // scenario holds everything that belongs to one run.
@@ -69,7 +69,7 @@
 	serveTimeout = 15 * time.Second // for each gateway to serve each group in the final check
 )
 
-// Run performs one run. An error means that the run could not be set up; what the gateways did wrong is in the report.
+// Run performs one run. An error means that the run could not be set up; the findings about the gateways are in the report.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -133,7 +133,7 @@
 	}
 	for _, g := range s.gateways {
 		if !g.currentProcess().waitReady(s.ctx) {
-			return fmt.Errorf("gateway %s does not get ready: %s", g.name, g.currentProcess().tail())
+			return fmt.Errorf("gateway %s did not become ready: %s", g.name, g.currentProcess().tail())
 		}
 	}
 	return nil
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -37,15 +37,15 @@
 	}
 }
 
-// TestSoakFindsDefect runs a gateway with a deliberate defect: the checks from outside and the gateway's own invariants must both
-// detect it.
+// TestSoakFindsDefect runs a gateway with a deliberate defect: both the checks from outside and the gateway's own invariants
+// must detect it.
 func TestSoakFindsDefect(t *testing.T) {
 	defect, err := FindDefect("sends-to-draining")
 	if err != nil {
 		t.Fatal(err)
 	}
 	rules := Rules(runShort(t, 21, Short.Duration/2, defect))
-	if !slices.Contains(rules, ruleViolation) || !slices.Contains(rules, ruleDrain) && !slices.Contains(rules, ruleDeaf) {
+	if !slices.Contains(rules, ruleViolation) || !slices.Contains(rules, ruleDrain) && !slices.Contains(rules, ruleUnnoticedDrain) {
 		t.Errorf("the defect was not found by the checks from outside and by the gateways: %v", rules)
 	}
 }
