--- a/internal/processtest/upgrade_test.go
+++ b/internal/processtest/upgrade_test.go
@@ -9,8 +9,8 @@
 // upgrades is the number of consecutive upgrades of TestUpgrades.
 var upgrades = flag.Int("upgrades", 5, "upgrades in a row under load")
 
-// TestUpgrades performs consecutive upgrades under load: every request is answered, no write is executed twice, and a host that was detached
-// before the first upgrade receives no requests from any process.
+// TestUpgrades performs consecutive upgrades under load: every request is answered, no write is executed twice, and a host that was
+// detached before the first upgrade receives no requests from any process.
 func TestUpgrades(t *testing.T) {
 	h := newHarness(t, 256)
 	p := h.start().waitReady()
