--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -100,8 +100,8 @@
 	return len(h.conns)
 }
 
-// Die drops all connections, as a process that crashes does.
-func (h *Host) Die() {
+// DropConnections closes all connections, as when the host's process crashes. New connections are still accepted.
+func (h *Host) DropConnections() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for c := range h.conns {
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -296,7 +296,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			host.Die() // and its connections, which knew the statement
+			host.DropConnections() // and its connections, which knew the statement
 			waitFor(t, "the ends of the host's connections", func() bool { return host.Conns() == 0 })
 			blockPrepares.Store(true)
 			answered := make(chan struct{})
--- a/internal/frontend/fleet_test.go
+++ b/internal/frontend/fleet_test.go
@@ -103,7 +103,7 @@
 	host := i % len(f.hosts)
 	switch e.Kind {
 	case eventHostDies:
-		f.hosts[host].Die()
+		f.hosts[host].DropConnections()
 	case eventHostRefuses:
 		f.unreachable[host].Store(!f.unreachable[host].Load())
 	case eventHostDrains:
--- a/internal/frontend/outcomes_test.go
+++ b/internal/frontend/outcomes_test.go
@@ -118,7 +118,7 @@
 			return fmt.Errorf("the first write: %+v, %v", got, err)
 		}
 		for i, host := range harness.hosts { // each member that may hold the read's statement dies in turn
-			host.Die()
+			host.DropConnections()
 			key := fmt.Sprint("r", i)
 			if got, err := run(read, key); err != nil || got.Value != "value of "+key {
 				return fmt.Errorf("read after a death: %+v, %v", got, err)
--- a/internal/frontend/stream_test.go
+++ b/internal/frontend/stream_test.go
@@ -113,7 +113,7 @@
 					return fake.Malformed{Answer: b}
 				}
 				if who == "host" {
-					go func() { time.Sleep(200 * time.Millisecond); host.Die() }()
+					go func() { time.Sleep(200 * time.Millisecond); host.DropConnections() }()
 					return fake.Malformed{Answer: want[:longValue/2], Dead: true}
 				}
 				time.Sleep(50 * time.Millisecond)
