--- a/internal/fake/limits.go
+++ b/internal/fake/limits.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// LeaveFiles lowers this process's limit of file descriptors, so that it can open at most that many further ones. Open
+// LimitFreeDescriptors lowers this process's limit of file descriptors, so that it can open at most that many further ones. Open
 // descriptors stay open. The caller must call undo, which restores the limit.
-func LeaveFiles(files int) (undo func(), err error) {
+func LimitFreeDescriptors(files int) (undo func(), err error) {
 	next, err := os.Open(os.DevNull)
 	if err != nil {
 		return nil, err
--- a/internal/hotrestart/coordinator_test.go
+++ b/internal/hotrestart/coordinator_test.go
@@ -227,7 +227,7 @@
 	restoreFiles := func() {}
 	beforeStep = func(step string) {
 		if restoreFiles(); step == state.ReadFile.String() {
-			if restoreFiles, err = fake.LeaveFiles(0); err != nil {
+			if restoreFiles, err = fake.LimitFreeDescriptors(0); err != nil {
 				t.Error(err)
 			}
 		}
--- a/internal/hotrestart/statefile/statefile_test.go
+++ b/internal/hotrestart/statefile/statefile_test.go
@@ -51,7 +51,7 @@
 		if _, err := New(dir).Update(context.Background(), detached(t, "db-0")); err != nil {
 			t.Fatal(err)
 		}
-		restoreFiles, err := fake.LeaveFiles(files)
+		restoreFiles, err := fake.LimitFreeDescriptors(files)
 		if err != nil {
 			t.Fatal(err)
 		}
