--- a/cmd/cranegate/unchecked_test.go
+++ b/cmd/cranegate/unchecked_test.go
@@ -71,7 +71,7 @@
 	h := &uncheckedHost{}
 	h.primary.Store(primary)
 	h.Reports = true
-	h.Tell = func(bool) (bool, int64) { return h.primary.Load(), h.position() }
+	h.RoleAndPosition = func(bool) (bool, int64) { return h.primary.Load(), h.position() }
 	h.Act = func(_, text string, _ bool) fake.Act {
 		s, err := sqlcomment.Parse([]byte(text))
 		if err != nil {
--- a/internal/experiment/sockets.go
+++ b/internal/experiment/sockets.go
@@ -181,7 +181,7 @@
 	l.startedAt = time.Now()
 	for _, h := range l.hosts {
 		s := &hostSockets{live: l, host: h, addresses: [2]string{"127.0.0.1:0", "127.0.0.1:0"}, conns: map[net.Conn]bool{}}
-		s.server = &fake.Host{Act: s.handleStatement, Tell: s.report}
+		s.server = &fake.Host{Act: s.handleStatement, RoleAndPosition: s.report}
 		l.sockets[h] = s
 		s.setState(true, false)
 		l.publish(h, h.endpoint())
--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -35,9 +35,9 @@
 	// Act decides how to handle a statement or, if prepare is set, a prepare. Nil serves everything except writes at a
 	// replica, which get Miss.
 	Act func(id, text string, prepare bool) Act
-	// Tell returns the role and position (Unix milliseconds) that the host reports in answers or, if report is set, in load
-	// reports. If it is nil, the host reports Primary and the current time.
-	Tell func(report bool) (primary bool, position int64)
+	// RoleAndPosition returns the role and position (Unix milliseconds) that the host reports in answers or, if report is
+	// set, in load reports. If it is nil, the host reports Primary and the current time.
+	RoleAndPosition func(report bool) (primary bool, position int64)
 	// Reports adds the load report to each answer, in place of the position. Only load reports then contain the position.
 	Reports bool
 	// PrepareFor is how long a prepare takes.
@@ -146,8 +146,8 @@
 
 // selfReport returns the host's role and position, as answers or load reports carry them.
 func (h *Host) selfReport(report bool) (primary bool, position int64) {
-	if h.Tell != nil {
-		return h.Tell(report)
+	if h.RoleAndPosition != nil {
+		return h.RoleAndPosition(report)
 	}
 	return h.Primary, time.Now().UnixMilli()
 }
--- a/internal/fake/limits.go
+++ b/internal/fake/limits.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// LimitFreeDescriptors lowers this process's limit of file descriptors, so that it can open at most that many further ones. Open
-// descriptors stay open. The caller must call undo, which restores the limit.
+// LimitFreeDescriptors lowers this process's limit of file descriptors, so that it can open at most that many further
+// ones. Open descriptors stay open. The caller must call undo, which restores the limit.
 func LimitFreeDescriptors(files int) (undo func(), err error) {
 	next, err := os.Open(os.DevNull)
 	if err != nil {
