--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -299,7 +299,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			host.Die() // drops the connections on which the statement was prepared
+			host.DropConnections() // drops the connections on which the statement was prepared
 			waitFor(t, "the ends of the host's connections", func() bool { return host.Conns() == 0 })
 			blockPrepares.Store(true)
 			answered := make(chan struct{})
--- a/internal/frontend/outcomes_test.go
+++ b/internal/frontend/outcomes_test.go
@@ -119,7 +119,7 @@
 			return fmt.Errorf("the first write: %+v, %v", got, err)
 		}
 		for i, host := range harness.hosts { // each member that may have prepared the read loses its connections in turn
-			host.Die()
+			host.DropConnections()
 			key := fmt.Sprint("r", i)
 			if got, err := run(read, key); err != nil || got.Value != "value of "+key {
 				return fmt.Errorf("a read after a host lost its connections: %+v, %v", got, err)
