--- a/internal/experiment/attempt.go
+++ b/internal/experiment/attempt.go
@@ -15,9 +15,9 @@
 	host               *host
 	number             int
 	sentAt             time.Duration
-	connectedAt        time.Duration // connect time of its connection
+	connectedAt        time.Duration // when its connection was established
 	abandonAt          time.Duration
-	beginBy            time.Duration // latest start; 0: none
+	beginBy            time.Duration // latest time at which it may be written; 0: none
 	requiredPosition   time.Duration // minimum log position of the data
 	written, finished  bool
 	onOutcome          func(routing.Outcome, time.Duration) // receives the outcome on sockets; nil: the decision module does
@@ -25,7 +25,7 @@
 
 // Send starts an attempt; see routing.Effects.
 func (g *gateway) Send(id uint64, member string, abandonAt, beginBy time.Duration) {
-	f, request, h := g.f, g.requests[id], g.hosts[member]
+	f, request, h := g.fleet, g.requests[id], g.hosts[member]
 	if abandonAt <= 0 || abandonAt > request.deadline {
 		abandonAt = request.deadline
 	}
@@ -44,24 +44,24 @@
 		request:            request,
 		host:               h,
 		number:             request.attempts,
-		sentAt:             g.f.now,
+		sentAt:             g.fleet.now,
 		abandonAt:          abandonAt,
 		requiredPosition:   request.sessionToken,
 	}
 	switch request.class.Consistency {
 	case routing.ConsistencyBounded:
-		attempt.requiredPosition = g.f.now - request.class.StalenessBound
+		attempt.requiredPosition = g.fleet.now - request.class.StalenessBound
 	case routing.ConsistencyStrong:
 		attempt.requiredPosition = request.acceptedAt
 	}
 	request.attempts++
-	g.f.judge.attemptSent(attempt)
+	g.fleet.judge.attemptSent(attempt)
 	return attempt
 }
 
 // write sends the attempt over its connection, unless it has been abandoned or its start deadline has passed.
 func (a *attempt) write(connectedAt time.Duration) {
-	g, h, f := a.gateway, a.host, a.gateway.f
+	g, h, f := a.gateway, a.host, a.gateway.fleet
 	if a.finished {
 		if connectedAt > 0 && a.gatewayIncarnation == g.incarnation {
 			g.release(h, connectedAt)
@@ -101,7 +101,7 @@
 	a.finish(routing.Outcome{Result: result}, 0)
 }
 
-// finish settles an attempt. The decision module receives the outcome after the current event.
+// finish ends an attempt, unless it has ended before. The decision module receives the outcome after the current event.
 func (a *attempt) finish(outcome routing.Outcome, position time.Duration) {
 	if a.finished {
 		return
@@ -111,7 +111,7 @@
 		a.onOutcome(outcome, position)
 		return
 	}
-	g, f := a.gateway, a.gateway.f
+	g, f := a.gateway, a.gateway.fleet
 	if p := g.pools[a.host]; a.written {
 		p.inFlight = slices.DeleteFunc(p.inFlight, func(x *attempt) bool { return x == a })
 		if outcome.Result == routing.ResultTimeout || outcome.Result == routing.ResultCancelled {
--- a/internal/experiment/client.go
+++ b/internal/experiment/client.go
@@ -6,7 +6,7 @@
 	"cranegate/routing"
 )
 
-// operation is what a client wants. Each of its tries is a request.
+// operation is one database operation of a client, which sends one or more requests for it.
 type operation struct {
 	class        *class
 	classIndex   int // index of class
@@ -15,12 +15,12 @@
 	arrived      time.Duration
 	sessionToken time.Duration // position of the commit that the session must read; 0: none
 	gateway      int
-	requests     int
-	earned       float64
-	settled      bool
+	requests     int     // number of requests sent
+	earned       float64 // priority weight
+	settled      bool    // a request has been served
 }
 
-// request is one try of an operation, sent to one gateway.
+// request is one request of an operation, sent to one gateway.
 type request struct {
 	*operation
 	id             uint64
@@ -34,10 +34,10 @@
 	servedPosition time.Duration
 }
 
-// generateArrival draws the next operation and schedules its successor. The draws do not depend on what became of
+// generateArrival draws the next operation and schedules its successor. The draws do not depend on the outcome of
 // earlier operations.
 func (g *gateway) generateArrival() {
-	f, random := g.f, g.arrivals
+	f, random := g.fleet, g.arrivals
 	if g.finished {
 		return
 	}
@@ -58,12 +58,12 @@
 	g.sendRequest(op)
 }
 
-// sendRequest sends the next request of an operation. Clients of a gateway that is down use the next one that is up.
+// sendRequest sends the next request of an operation. Clients of a gateway that is down use the next gateway that is up.
 func (g *gateway) sendRequest(op *operation) {
-	f := g.f
+	f := g.fleet
 	op.requests++
 	for range f.gateways {
-		if g.down { // the front end's failover time is not modelled
+		if g.down { // clients move at once: the time of this failover is not modelled
 			g = f.gateways[(g.number+1)%len(f.gateways)]
 		}
 	}
@@ -91,10 +91,10 @@
 func (g *gateway) requestTimedOut(request *request) {
 	if !request.finished && !g.finished {
 		request.finished = true
-		g.f.judge.unanswered++
-		g.f.judge.note("%s at gateway %d got no answer %v after it was sent", request.class.Name, g.number, g.f.now-request.acceptedAt)
+		g.fleet.judge.unanswered++
+		g.fleet.judge.note("%s at gateway %d got no answer %v after it was sent", request.class.Name, g.number, g.fleet.now-request.acceptedAt)
 		if g.router != nil {
-			g.router.ClientDisconnected(g.f.now, request.id)
+			g.router.ClientDisconnected(g.fleet.now, request.id)
 		}
 	}
 	delete(g.requests, request.id)
@@ -102,7 +102,7 @@
 
 // respond delivers a final response to the client, which may retry: after Retry-After, at once, or after a short wait.
 func (g *gateway) respond(request *request, served bool, nothingRan bool, retryAfter time.Duration, servedBy *attempt, position time.Duration) {
-	f := g.f
+	f := g.fleet
 	if request.responses++; g.submit != nil && f.now > request.deadline+lateResponseSlack {
 		f.judge.lateResponses++
 	}
@@ -123,9 +123,10 @@
 	g.retry(request, nothingRan, retryAfter)
 }
 
-// retry sends another request of the operation, if the client may and still wants to.
+// retry sends another request of the operation. It does nothing if the operation is settled, a write may have run, or
+// the client has no tries or no time left.
 func (g *gateway) retry(request *request, nothingRan bool, retryAfter time.Duration) {
-	f := g.f
+	f := g.fleet
 	if request.settled || request.requests > 3 || !nothingRan && request.class.Effect == routing.NonIdempotent {
 		return
 	}
--- a/internal/experiment/defect.go
+++ b/internal/experiment/defect.go
@@ -6,7 +6,7 @@
 	"cranegate/routing"
 )
 
-// Defect is a deliberate defect of the gateways. It shows whether an experiment would find it.
+// Defect is a deliberate defect of the gateways. It shows whether the claims of an experiment would detect it.
 type Defect int
 
 // The defects.
@@ -18,7 +18,7 @@
 	DefectRepeatWrites           // writes are retried like reads
 )
 
-// Defects maps names of the command line to defects.
+// Defects maps the names used on the command line to defects.
 var Defects = map[string]Defect{
 	"":          NoDefect,
 	"cold-room": DefectSlowStartBudget,
--- a/internal/experiment/endurance.go
+++ b/internal/experiment/endurance.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	enduranceDuration      = 45 * time.Minute // the operators' long run
+	enduranceDuration      = 45 * time.Minute // length of the operators' long run
 	shortEnduranceDuration = 6 * time.Minute
 	hostReplaceInterval    = 15 * time.Second // replacements get a new ID
 	gatewayKillInterval    = 90 * time.Second // never the first gateway, whose sizes are measured
-	enduranceStep          = 10 * time.Second // between reports of progress; older records are dropped
-	sizeWindow             = time.Minute      // at the end of each third, in which the largest sizes count
+	enduranceStep          = 10 * time.Second // between reports of progress; records older than this are dropped
+	sizeWindow             = time.Minute      // at the end of each third of the run, over which the largest sizes are taken
 )
 
-// runEndurance runs a long scenario with few gateways, in which hosts are replaced all the time. It claims that no
-// state grows in the decision module of the gateway that runs throughout.
+// runEndurance runs a long scenario with few gateways, in which hosts are replaced continuously. It claims that
+// no state grows in the decision module of the first gateway, which is never killed.
 func (e *Experiment) runEndurance(ctx context.Context, o Options) (*Result, error) {
 	spec := baseSpec(enduranceDuration)
 	spec.Load, spec.Defect = 0.5, o.Defect
@@ -83,7 +83,7 @@
 		for i, sizes := range thirds {
 			r.Figures[fmt.Sprintf("%s_third_%d", name, i+1)] = float64(sizes[name])
 		}
-		// The maximum over a window varies by a fifth and eight entries.
+		// Without growth, the maximum over a window varies by up to a fifth plus eight entries.
 		bound := 1.2*float64(thirds[1][name]) + 8
 		r.addClaim(name+" at the end of the last third, past those of the second", float64(thirds[2][name]), "<=", bound)
 	}
--- a/internal/experiment/excuse.go
+++ b/internal/experiment/excuse.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// excuse permits verdicts on members that a fault makes unreachable, until the verdicts have had time to spread.
+// excuse permits verdicts of failure on members that a fault makes unreachable, during the fault and until the verdicts
+// have had time to spread.
 type excuse struct {
 	fault              *membershipFault
-	faultEnd, graceEnd time.Duration // end of the fault, and of the time in which its verdicts spread
+	faultEnd, graceEnd time.Duration // end of the fault, and of the verdictGracePeriod after it
 }
 
-// verdictGracePeriod is how long after the end of a fault its verdicts may still be in transit.
+// verdictGracePeriod is how long after the end of a fault the verdicts that it caused may still spread.
 const verdictGracePeriod = 5 * time.Second
 
 // maxToleratedPause is the longest pause of a process that must not lead to a verdict of failure.
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -1,10 +1,10 @@
-// Package experiment simulates a fleet of gateways and database hosts in virtual time and judges the outcome from the
-// side of the hosts and the clients. The gateways run the real decision module; hosts, replication, network, discovery
+// Package experiment simulates a fleet of gateways and database hosts in virtual time and checks the outcome as the
+// hosts and the clients see it. The gateways run the real decision module; hosts, replication, network, discovery
 // and clients are models. It covers what benchmarks do not show, such as the loss and return of a whole zone. Some
 // experiments run real gateways on sockets, or real processes connected by relays.
 //
-// A scenario is determined by its specification and a seed: two runs with the same seed have the same arrivals, faults
-// and drawn delays, whatever the gateways do.
+// A scenario is determined by its specification and a seed: two runs with the same seed have the same arrivals, faults,
+// network delays and replication delays, regardless of what the gateways do.
 package experiment
 
 import (
@@ -30,9 +30,9 @@
 	applyUtilization float64 // fraction of time in which a replica applies the log at load 1
 	crossZoneDelay   time.Duration
 	discoveryDown    bool
-	extraRate        float64 // fraction of the rate that is added
-	onListed         func(*host, routing.Endpoint)
-	onHostChanged    func(*host) // called after a crash, start, partition, recovery or replacement
+	extraRate        float64                       // additional traffic, as a fraction of the rate
+	onListed         func(*host, routing.Endpoint) // called with each published endpoint
+	onHostChanged    func(*host)                   // called after a crash, start, partition, recovery or replacement
 }
 
 // notifyHostChanged calls onHostChanged, if it is set.
@@ -42,12 +42,12 @@
 	}
 }
 
-// draw returns a uniformly distributed duration between min and max.
+// draw returns a uniformly distributed duration between low and high.
 func draw(random *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(random.Float64()*float64(high-low))
 }
 
-// newFleet builds the fleet that spec and seed determine. The order of random draws here is part of the results of a
+// newFleet builds the fleet of a spec and a seed. A change in the order of random draws changes the results of every
 // seed.
 func newFleet(spec Spec, seed uint64) *fleet {
 	f := &fleet{Spec: spec, timeline: timeline{now: epoch}, rng: rand.New(rand.NewPCG(seed, 1))}
@@ -75,12 +75,12 @@
 // addHosts adds all groups and their hosts.
 func (f *fleet) addHosts(seed uint64, scenarioRNG *rand.Rand) {
 	for i := range f.Groups {
-		f.groups = append(f.groups, &group{f: f, number: i, failoverRNG: rand.New(rand.NewPCG(seed, 1000+uint64(i)))})
+		f.groups = append(f.groups, &group{fleet: f, number: i, failoverRNG: rand.New(rand.NewPCG(seed, 1000+uint64(i)))})
 	}
 	for i := range f.Hosts {
 		g := f.groups[i*f.Groups/f.Hosts]
 		h := &host{
-			f:        f,
+			fleet:    f,
 			id:       fmt.Sprintf("h%03d-%s", i, string('a'+rune(scenarioRNG.IntN(26)))),
 			group:    g,
 			up:       true,
@@ -111,7 +111,7 @@
 	return f.Load * float64(f.Hosts*coresPerHost) / (rate * mean)
 }
 
-// drawTraffic draws each gateway's part of the traffic, with a mean of 1.
+// drawTraffic draws each gateway's traffic factor. The factors have a mean of 1.
 func (f *fleet) drawTraffic(scenarioRNG *rand.Rand) {
 	sum := 0.0
 	for _, g := range f.gateways {
--- a/internal/experiment/fleetscenarios.go
+++ b/internal/experiment/fleetscenarios.go
@@ -8,9 +8,9 @@
 	"cranegate/routing"
 )
 
-// fleetScenario is an experiment on a whole fleet whose hosts accept few connections, where behaviour that is harmless
-// in one gateway may be harmful in all. The reference is the same module in gateways that size their pools as if each
-// were alone.
+// fleetScenario is an experiment on a fleet whose hosts accept few connections. Behaviour that is harmless in one gateway
+// can be harmful when all gateways behave the same way. The reference is the same decision module in gateways that size
+// their pools as if each were the only gateway.
 type fleetScenario struct {
 	faultStart, faultEnd float64 // seconds from the start
 	faults               []Fault
@@ -32,8 +32,8 @@
 		{Kind: Silent, Fraction: 0.2, At: 8 * sec, Duration: 6 * sec}, {Kind: DiscoveryDown, At: 8 * sec, Duration: 8 * sec}}}},
 }
 
-// fleetHostConnections is the connection limit of hosts in fleet scenarios: half of the usual limit, near where it
-// constrains 300 gateways.
+// fleetHostConnections is the connection limit of hosts in fleet scenarios: half of maxConnections, near the value at
+// which the limit constrains 300 gateways.
 const fleetHostConnections = 200
 
 func init() {
@@ -67,7 +67,7 @@
 	requested, earned, achievable            float64 // priority weight, from the fault to the end
 	earnedBefore, earnedAfter                float64 // sums of the earned fractions before the fault, and in 5 s near the end
 	connects, rejectedConnects, healthChecks float64
-	attempts, firstAttempts, primaryAttempts float64 // primaryAttempts are first attempts at primaries
+	attempts, firstAttempts, primaryAttempts float64 // primaryAttempts: first attempts at primaries
 	operations, requests                     float64
 	maxHostConnections                       float64 // maximum number of concurrent connections to one host
 	runs                                     float64
@@ -101,17 +101,18 @@
 	t.runs++
 }
 
-// runFleet runs a fleet scenario with each seed, with the reference's pool sizes and with those under test.
+// runFleet runs a fleet scenario with each seed, first with the pool sizes of the reference and then with the measured
+// pool sizes.
 func (e *Experiment) runFleet(ctx context.Context, o Options) (*Result, error) {
 	spec := e.spec(o.Short)
 	spec.Load, spec.Defect = e.loads[0], o.Defect
 	if o.Defect == DefectStaleReads {
-		spec.StaleReads = routing.StaleReadServed // hosts that check would hide it
+		spec.StaleReads = routing.StaleReadServed // hosts that check the staleness would hide the defect
 	}
 	r := e.newResult(o, driverVirtual, fmt.Sprintf("%d hosts with room for %d connections, %d groups, %d gateways, %.0f requests/s each, load %.1f",
 		spec.Hosts, spec.HostConnections, spec.Groups, spec.Gateways, spec.Rate, spec.Load))
 	runs := make([]fleetArms, o.Seeds)
-	limit := max(1, runtime.GOMAXPROCS(0)/2) // a run of 300 gateways takes a GB
+	limit := max(1, runtime.GOMAXPROCS(0)/2) // a run of 300 gateways takes a GB of memory
 	err := o.forEachSeed(ctx, limit, func(ctx context.Context, i int) (err error) {
 		reference := spec
 		reference.PoolGateways = 1
@@ -152,7 +153,7 @@
 // fleetArms are the two arms of one seed.
 type fleetArms struct{ reference, measured *fleet }
 
-// runFleetArm runs a scenario once. It returns ctx's error if ctx has ended before.
+// runFleetArm runs a scenario once. It returns the error of ctx if ctx has ended before the start.
 func runFleetArm(ctx context.Context, spec Spec, seed uint64) (*fleet, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -9,10 +9,10 @@
 	"cranegate/routing"
 )
 
-// gateway models one gateway: the real decision module, with what internal/core and internal/backend do around it, and
-// the clients that use it.
+// gateway models one gateway and its clients. It runs the real decision module and models the code around it, which is
+// in internal/core and internal/backend.
 type gateway struct {
-	f             *fleet
+	fleet         *fleet
 	number        int
 	zone          string
 	trafficFactor float64 // relative to the mean traffic
@@ -28,14 +28,14 @@
 	lastID        uint64
 	zoneChanges   []string       // "zone state" for each state entered
 	finished      bool           // the run is over
-	submit        func(*request) // sends a request over sockets; nil: to router
+	submit        func(*request) // sends a request over sockets; nil: requests go to router
 }
 
 // newGateway creates a gateway and schedules its first arrival. On sockets the decision module runs in a real process
 // instead.
 func newGateway(f *fleet, n int, arrivals *rand.Rand) *gateway {
 	g := &gateway{
-		f:             f,
+		fleet:         f,
 		number:        n,
 		trafficFactor: 1,
 		zone:          f.Zones[n%len(f.Zones)],
@@ -85,9 +85,9 @@
 	return config
 }
 
-// start begins a process that knows nothing but the endpoint list.
+// start starts a process of the gateway, whose only initial state is the endpoint list.
 func (g *gateway) start() {
-	f := g.f
+	f := g.fleet
 	size := f.Gateways
 	if f.PoolGateways > 0 {
 		size = f.PoolGateways
@@ -113,34 +113,34 @@
 // notifyEndpoint delivers an update of one endpoint to the judge and the decision module.
 func (g *gateway) notifyEndpoint(e routing.Endpoint) {
 	if g.router == nil {
-		if g.f.Sockets {
-			g.f.judge.endpointNotified(g, e)
+		if g.fleet.Sockets {
+			g.fleet.judge.endpointNotified(g, e)
 		}
 		return
 	}
-	g.f.judge.endpointNotified(g, e)
-	if g.f.Defect == DefectIgnoreDraining && e.Phase == routing.PhaseDraining {
+	g.fleet.judge.endpointNotified(g, e)
+	if g.fleet.Defect == DefectIgnoreDraining && e.Phase == routing.PhaseDraining {
 		e.Phase = routing.PhaseServing
 	}
-	g.router.UpdateEndpoints(g.f.now, routing.EndpointList{Kind: routing.EndpointListPatch, Endpoints: []routing.Endpoint{e}})
+	g.router.UpdateEndpoints(g.fleet.now, routing.EndpointList{Kind: routing.EndpointListPatch, Endpoints: []routing.Endpoint{e}})
 }
 
-// networkDelay is the one-way network delay to a host.
+// networkDelay returns the one-way network delay to a host.
 func (g *gateway) networkDelay(h *host) time.Duration {
 	if h.zone == g.zone {
 		return 100 * time.Microsecond
 	}
-	return g.f.crossZoneDelay
+	return g.fleet.crossZoneDelay
 }
 
-// Reject is a final response that guarantees that nothing ran.
+// Reject sends a final response, which guarantees that nothing ran.
 func (g *gateway) Reject(id uint64, retryAfter time.Duration, _ routing.Reason) {
 	if request := g.requests[id]; request != nil {
 		g.respond(request, false, true, retryAfter, nil, 0)
 	}
 }
 
-// Fail is a final response without a guarantee.
+// Fail sends a final response. Unlike Reject, it does not guarantee that nothing ran.
 func (g *gateway) Fail(id uint64, _ routing.Reason) {
 	if request := g.requests[id]; request != nil {
 		g.respond(request, false, false, 0, nil, 0)
@@ -150,9 +150,9 @@
 // SetTimer schedules a timer event of the decision module.
 func (g *gateway) SetTimer(after time.Duration, name string) {
 	incarnation := g.incarnation
-	g.f.after(after, func() {
+	g.fleet.after(after, func() {
 		if incarnation == g.incarnation {
-			g.router.Timer(g.f.now, name)
+			g.router.Timer(g.fleet.now, name)
 		}
 	})
 }
--- a/internal/experiment/gatewayscenarios.go
+++ b/internal/experiment/gatewayscenarios.go
@@ -14,8 +14,8 @@
 	"cranegate/routing"
 )
 
-// gatewayScenario runs real gateways that know each other in front of modelled hosts and clients, while messages
-// between gateways are lost and hosts start.
+// gatewayScenario runs real gateways that form a fleet, with modelled hosts and clients, while messages between gateways
+// are lost and hosts restart.
 type gatewayScenario struct {
 	spec       Spec
 	membership *membershipScenario
@@ -58,8 +58,8 @@
 
 func init() {
 	for i := range gatewayScenarios {
-		d := &gatewayScenarios[i]
-		Experiments = append(Experiments, Experiment{Name: d.name, About: d.membership.About, gateways: &d.gatewayScenario})
+		scenario := &gatewayScenarios[i]
+		Experiments = append(Experiments, Experiment{Name: scenario.name, About: scenario.membership.About, gateways: &scenario.gatewayScenario})
 	}
 }
 
@@ -74,7 +74,7 @@
 
 // lineWriter calls a function with each complete line.
 type lineWriter struct {
-	rest []byte
+	rest []byte // incomplete last line
 	line func(string)
 }
 
@@ -90,10 +90,11 @@
 	}
 }
 
-// settleTime is the time before the faults for gateways that do not know each other, in place of convergence.
+// settleTime is the time before the faults start for isolated gateways, which have no fleet that could converge.
 const settleTime = 7 * time.Second
 
-// runGatewayArm runs a scenario once, with the gateways knowing each other or not. Pauses of processes apply to both.
+// runGatewayArm runs a scenario once. The gateways form a fleet if joined is set, and are isolated otherwise. Pauses of
+// processes apply in both cases.
 func runGatewayArm(ctx context.Context, scenario gatewayScenario, n int, lossRate float64, seed uint64, program string, joined bool, logs io.Writer) (stats processStats, judge *Judge, err error) {
 	dir, err := os.MkdirTemp("", "cranelab")
 	if err != nil {
@@ -117,12 +118,12 @@
 	if !joined {
 		o.operatorTables = func(int) string { return "" }
 	}
-	var play errgroup.Group
+	var faults errgroup.Group
 	o.onStart = func(l *live) {
 		for i, p := range harness.processes {
 			p.cmd, p.ended = l.commands[i], make(chan struct{})
 		}
-		play.Go(func() error {
+		faults.Go(func() error {
 			for _, p := range harness.processes {
 				harness.mu.Lock()
 				p.up = true
@@ -139,13 +140,13 @@
 		})
 	}
 	judge, err = runLive(ctx, scenario.spec, seed, o)
-	if perr := play.Wait(); err == nil {
-		err = perr
+	if faultsErr := faults.Wait(); err == nil {
+		err = faultsErr
 	}
 	return stats, judge, err
 }
 
-// runGateways runs a gateway scenario at each size, loss rate and seed, with the gateways knowing each other and not.
+// runGateways runs a gateway scenario at each size, loss rate and seed, with joined and with isolated gateways.
 func (e *Experiment) runGateways(ctx context.Context, o Options) (*Result, error) {
 	spec := e.gateways.spec
 	sizes := o.Members
@@ -180,7 +181,7 @@
 	judge   *Judge
 }
 
-// gatewayRun is the result of one seed, with gateways that know each other and with isolated ones.
+// gatewayRun is the result of one seed: with joined gateways, which form a fleet, and with isolated gateways.
 type gatewayRun struct{ joined, isolated gatewayArm }
 
 // runGatewaySeed runs both arms at the same time.
--- a/internal/experiment/group.go
+++ b/internal/experiment/group.go
@@ -7,9 +7,9 @@
 
 // group is a replication group: a primary and its replicas.
 type group struct {
-	f           *fleet
+	fleet       *fleet
 	number      int
-	failoverRNG *rand.Rand // for failover times, whatever the gateways do
+	failoverRNG *rand.Rand // for failover times, which do not depend on what the gateways do
 	members     []*host
 	primary     *host
 	electing    bool // the primary is unreachable and an election is pending
@@ -25,21 +25,21 @@
 		if primary.draining && primary.reachable() {
 			wait = draw(g.failoverRNG, 360*time.Millisecond, 730*time.Millisecond)
 		}
-		g.f.after(wait, g.elect)
+		g.fleet.after(wait, g.elect)
 	}
 	for _, h := range g.members {
 		if !h.reachable() {
 			continue
 		}
 		if h == primary && primary.reachable() {
-			h.position = g.f.now
+			h.position = g.fleet.now
 		} else if primary != nil && primary.reachable() && h.up {
-			h.position = min(g.f.now-g.f.replicationDelay, h.position+time.Duration(float64(replicationInterval)/g.f.applyUtilization))
+			h.position = min(g.fleet.now-g.fleet.replicationDelay, h.position+time.Duration(float64(replicationInterval)/g.fleet.applyUtilization))
 		}
 	}
 }
 
-// elect promotes the reachable member with the most advanced log. It tries again while there is none.
+// elect promotes the reachable member with the most advanced log. While no member qualifies, it schedules itself again.
 func (g *group) elect() {
 	old := g.primary
 	if old != nil && old.reachable() && !old.draining { // it recovered before the election
@@ -53,18 +53,18 @@
 		}
 	}
 	if best == nil {
-		g.f.after(200*time.Millisecond, g.elect)
+		g.fleet.after(200*time.Millisecond, g.elect)
 		return
 	}
-	// Nothing was written meanwhile, so each member keeps its distance to the most advanced one.
+	// Nothing was written without a primary, so each member keeps its lag behind the most advanced one.
 	last := best.position
 	for _, h := range g.members {
 		if h.reachable() {
-			h.position = g.f.now - max(0, last-h.position)
+			h.position = g.fleet.now - max(0, last-h.position)
 		}
 	}
 	g.primary, g.electing = best, false
 	for _, h := range []*host{old, best} {
-		g.f.announce(h, draw(g.f.rng, 2300*time.Millisecond, 4400*time.Millisecond))
+		g.fleet.announce(h, draw(g.fleet.rng, 2300*time.Millisecond, 4400*time.Millisecond))
 	}
 }
--- a/internal/experiment/healthcheck.go
+++ b/internal/experiment/healthcheck.go
@@ -12,21 +12,21 @@
 	gatewayIncarnation int // at the time of the send
 	host               *host
 	sentAt             time.Duration
-	connectedAt        time.Duration // connect time of its connection
+	connectedAt        time.Duration // when its connection was established
 	finished           bool
 }
 
 // CheckHealth sends a health check to a host and passes the result to the decision module.
 func (g *gateway) CheckHealth(member string, policy routing.ConnPolicy) {
-	check := &healthCheck{gateway: g, gatewayIncarnation: g.incarnation, host: g.hosts[member], sentAt: g.f.now}
-	g.f.judge.healthChecks++
-	g.f.after(connectTimeout, func() { check.finish(routing.ResultTimeout, routing.Report{}) })
+	check := &healthCheck{gateway: g, gatewayIncarnation: g.incarnation, host: g.hosts[member], sentAt: g.fleet.now}
+	g.fleet.judge.healthChecks++
+	g.fleet.after(connectTimeout, func() { check.finish(routing.ResultTimeout, routing.Report{}) })
 	g.dial(check.host, policy, check.write)
 }
 
 // write sends the health check over a connection.
 func (c *healthCheck) write(connectedAt time.Duration) {
-	g, h, f := c.gateway, c.host, c.gateway.f
+	g, h, f := c.gateway, c.host, c.gateway.fleet
 	c.connectedAt = connectedAt
 	if connectedAt <= 0 {
 		c.finish(routing.ResultConnectFailed, routing.Report{})
@@ -53,11 +53,11 @@
 		return
 	}
 	c.finished = true
-	outcome := routing.HealthCheckResult{Member: c.host.id, Result: result, Latency: g.f.now - c.sentAt, Report: report}
+	outcome := routing.HealthCheckResult{Member: c.host.id, Result: result, Latency: g.fleet.now - c.sentAt, Report: report}
 	if result == routing.ResultOK {
 		outcome.ConnectedAt = c.connectedAt
 	}
-	g.router.HealthChecked(g.f.now, outcome)
+	g.router.HealthChecked(g.fleet.now, outcome)
 }
 
 // routingReport returns the current health report in the form of the decision module.
--- a/internal/experiment/host.go
+++ b/internal/experiment/host.go
@@ -9,20 +9,20 @@
 
 // host is one modelled database host.
 type host struct {
-	f             *fleet
+	fleet         *fleet
 	id, zone      string
 	group         *group
 	up            bool // the process runs
 	partitions    int  // active faults that isolate the host
 	slow          bool
 	draining      bool
-	removed       bool // replaced by another host
-	overloaded    bool // crashed under load in slow start: stays down
-	started       time.Duration
+	removed       bool          // replaced by another host
+	overloaded    bool          // crashed under load in slow start: stays down
+	started       time.Duration // start of the process; 0: before the run
 	position      time.Duration
 	incarnation   int // counts process ends
 	connections   int
-	running       int
+	running       int // jobs that occupy a core
 	waiting       []*job
 	recentWork    []workSample
 	cachedReport  healthReport
@@ -54,7 +54,7 @@
 // endpoint returns the host's entry in the endpoint list.
 func (h *host) endpoint() routing.Endpoint {
 	e := routing.Endpoint{Member: h.id, Group: h.group.number, Zone: h.zone, Capacity: 1, Primary: h.group.primary == h, StartedAt: h.started}
-	if h.f.HideZones {
+	if h.fleet.HideZones {
 		e.Zone = ""
 	}
 	switch {
@@ -69,8 +69,8 @@
 // speed returns the fraction of its full capacity that the host has now.
 func (h *host) speed() float64 {
 	s := 1.0
-	if h.started > 0 && h.f.now < h.started+slowStartDuration {
-		s = slowStartCapacity + (1-slowStartCapacity)*float64(h.f.now-h.started)/float64(slowStartDuration)
+	if h.started > 0 && h.fleet.now < h.started+slowStartDuration {
+		s = slowStartCapacity + (1-slowStartCapacity)*float64(h.fleet.now-h.started)/float64(slowStartDuration)
 	}
 	if h.slow {
 		s /= 4
@@ -81,11 +81,11 @@
 // crash ends the process: connections are reset and all work is lost.
 func (h *host) crash() {
 	h.up, h.incarnation, h.running, h.waiting, h.connections, h.recentWork = false, h.incarnation+1, 0, nil, 0, nil
-	h.f.notifyHostChanged(h)
-	for _, g := range h.f.gateways {
+	h.fleet.notifyHostChanged(h)
+	for _, g := range h.fleet.gateways {
 		g.resetConnections(h)
 	}
-	h.f.announce(h, draw(h.f.rng, time.Second, 3*time.Second))
+	h.fleet.announce(h, draw(h.fleet.rng, time.Second, 3*time.Second))
 }
 
 // start starts a new process in slow start, with the log at its last position. An overloaded host stays down.
@@ -93,25 +93,25 @@
 	if h.overloaded {
 		return
 	}
-	h.up, h.started = true, h.f.now
-	h.f.notifyHostChanged(h)
-	h.f.announce(h, draw(h.f.rng, time.Second, 3*time.Second))
+	h.up, h.started = true, h.fleet.now
+	h.fleet.notifyHostChanged(h)
+	h.fleet.announce(h, draw(h.fleet.rng, time.Second, 3*time.Second))
 }
 
-// recordWork adds work received during slow start. The host crashes for good when the work within overloadWindow
-// exceeds overloadFactor times its current capacity.
+// recordWork adds work received during slow start. The host crashes permanently when the work within
+// overloadWindow exceeds overloadFactor times its current capacity.
 func (h *host) recordWork(work time.Duration) {
-	if h.speed() >= 1 || h.slow || h.f.DisableOverload {
+	if h.speed() >= 1 || h.slow || h.fleet.DisableOverload {
 		return
 	}
-	h.recentWork = slices.DeleteFunc(h.recentWork, func(sample workSample) bool { return sample.at < h.f.now-overloadWindow })
-	h.recentWork = append(h.recentWork, workSample{h.f.now, work.Seconds()})
+	h.recentWork = slices.DeleteFunc(h.recentWork, func(sample workSample) bool { return sample.at < h.fleet.now-overloadWindow })
+	h.recentWork = append(h.recentWork, workSample{h.fleet.now, work.Seconds()})
 	total := 0.0
 	for _, sample := range h.recentWork {
 		total += sample.work
 	}
 	if total > overloadFactor*h.speed()*coresPerHost*overloadWindow.Seconds() && len(h.recentWork) > 1 {
-		h.f.judge.hostOverloaded(h)
+		h.fleet.judge.hostOverloaded(h)
 		h.overloaded = true
 		h.crash()
 	}
@@ -119,13 +119,13 @@
 
 // receive handles an attempt whose last byte has arrived.
 func (h *host) receive(attempt *attempt, work time.Duration) {
-	h.f.judge.recordSlowStartCall(h, attempt.gateway, 1)
+	h.fleet.judge.recordSlowStartCall(h, attempt.gateway, 1)
 	h.recordWork(work)
 	if !h.up {
 		return
 	}
 	consistency, onPrimary := attempt.request.class.Consistency, h.group.primary == h
-	checksStaleness := h.f.StaleReads != routing.StaleReadServed
+	checksStaleness := h.fleet.StaleReads != routing.StaleReadServed
 	needsPrimary := consistency == routing.ConsistencyWrite || consistency == routing.ConsistencyStrong && checksStaleness
 	switch {
 	case needsPrimary && !onPrimary:
@@ -133,7 +133,7 @@
 	case len(h.waiting) >= queueCapacity:
 		h.reply(attempt, routing.ResultOverCapacity, 0)
 	case checksStaleness && h.position < attempt.requiredPosition:
-		h.f.after(catchUpTimeout, h.ifAlive(func() {
+		h.fleet.after(catchUpTimeout, h.ifAlive(func() {
 			if h.position < attempt.requiredPosition {
 				h.reply(attempt, routing.ResultMissed, 0)
 			} else {
@@ -145,7 +145,7 @@
 	}
 }
 
-// ifAlive returns a function that calls call, unless the host's process has ended since.
+// ifAlive returns a function that calls call, unless the host's current process has ended by then.
 func (h *host) ifAlive(call func()) func() {
 	incarnation := h.incarnation
 	return func() {
@@ -166,22 +166,22 @@
 	for h.up && h.running < coresPerHost && len(h.waiting) > 0 {
 		j := h.waiting[0]
 		h.waiting = h.waiting[1:]
-		if j.attempt.finished || h.f.now >= j.attempt.abandonAt {
+		if j.attempt.finished || h.fleet.now >= j.attempt.abandonAt {
 			if j.attempt.onOutcome != nil {
 				j.attempt.finish(routing.Outcome{Result: routing.ResultTimeout}, 0)
 			}
 			continue
 		}
 		h.running++
-		h.f.judge.attemptRan(j.attempt, h)
-		h.f.after(time.Duration(float64(j.work)/h.speed()), func() {
+		h.fleet.judge.attemptRan(j.attempt, h)
+		h.fleet.after(time.Duration(float64(j.work)/h.speed()), func() {
 			if h.incarnation != j.incarnation {
 				return
 			}
 			h.running--
 			position := h.position
 			if h.group.primary == h {
-				position = h.f.now
+				position = h.fleet.now
 			}
 			if j.attempt.request.class.Consistency == routing.ConsistencyWrite {
 				if h.group.primary != h { // it was demoted while it ran the write
@@ -189,7 +189,7 @@
 					h.dispatch()
 					return
 				}
-				position = h.f.now
+				position = h.fleet.now
 			}
 			h.reply(j.attempt, routing.ResultOK, position)
 			h.dispatch()
@@ -207,7 +207,7 @@
 		outcome.Position = position.Milliseconds() + 1
 	}
 	incarnation := h.incarnation
-	h.f.after(attempt.gateway.networkDelay(h), func() {
+	h.fleet.after(attempt.gateway.networkDelay(h), func() {
 		if h.partitions == 0 && h.incarnation == incarnation {
 			attempt.finish(outcome, position)
 		}
@@ -216,9 +216,9 @@
 
 // currentReport returns the health report, which the host refreshes every 110 to 240 ms.
 func (h *host) currentReport() healthReport {
-	if h.reportExpires == 0 || h.f.now >= h.reportExpires {
+	if h.reportExpires == 0 || h.fleet.now >= h.reportExpires {
 		h.cachedReport = healthReport{h.position, h.group.primary == h}
-		h.reportExpires = h.f.now + draw(h.f.rng, 110*time.Millisecond, 240*time.Millisecond)
+		h.reportExpires = h.fleet.now + draw(h.fleet.rng, 110*time.Millisecond, 240*time.Millisecond)
 	}
 	return h.cachedReport
 }
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -8,8 +8,7 @@
 	"cranegate/routing"
 )
 
-// Judge observes a run from the side of the hosts and the clients. It shares no code with the decision module: it knows
-// what each host did and what each client received.
+// Judge checks a run by what each host did and what each client received. It shares no code with the decision module.
 type Judge struct {
 	fleet *fleet
 
@@ -24,8 +23,8 @@
 	notes           []string
 
 	operations                 []*operation
-	runs                       map[*request]int
-	drainedSince               map[*gateway]map[*host]time.Duration // when the gateway was notified
+	runs                       map[*request]int                     // executions of each request at hosts
+	drainedSince               map[*gateway]map[*host]time.Duration // when the gateway was notified of the drain
 	attempts                   []attemptRecord
 	snapshots                  []fleetSnapshot
 	healthChecks               int
@@ -33,7 +32,7 @@
 	lateResponses              int // responses more than lateResponseSlack after the deadline, on sockets
 	interruptedRequests        int // requests in flight when their gateway crashed
 	slowStarts                 map[*host]*slowStartRecord
-	connects, rejectedConnects int // established connections, and those rejected over capacity
+	connects, rejectedConnects int // established connections, and connections that a host at its limit rejected
 }
 
 // attemptRecord is one recorded attempt.
@@ -41,7 +40,7 @@
 	at          time.Duration
 	gateway     int
 	zone        string
-	first, read bool
+	first, read bool // the first attempt of its request; a read that a replica may serve
 	replica     bool // sent to a member that is not the primary
 	sameZone    bool // sent to the gateway's own zone
 }
@@ -49,9 +48,9 @@
 // fleetSnapshot is the state of the fleet at one time.
 type fleetSnapshot struct {
 	at               time.Duration
-	cores            []float64 // by group: capacity that is reachable, reduced by slow start
-	primaryReachable []bool    // by group
-	newestPosition   []time.Duration
+	cores            []float64       // by group: cores of reachable hosts, reduced by slow start
+	primaryReachable []bool          // by group
+	newestPosition   []time.Duration // by group
 }
 
 // newJudge returns a judge of a fleet.
@@ -69,8 +68,8 @@
 // recordOperation records a client's operation.
 func (j *Judge) recordOperation(op *operation) { j.operations = append(j.operations, op) }
 
-// endpointNotified records an endpoint update that a gateway received. From drainGracePeriod on it must send nothing
-// new to a draining or removed host.
+// endpointNotified records an endpoint update that a gateway received. Once drainGracePeriod has passed, it must send
+// nothing new to a draining or removed host.
 func (j *Judge) endpointNotified(g *gateway, e routing.Endpoint) {
 	if j.drainedSince[g] == nil {
 		j.drainedSince[g] = map[*host]time.Duration{}
@@ -83,7 +82,8 @@
 	}
 }
 
-// attemptSent records an attempt and counts those sent to a host that the gateway knows to be draining.
+// attemptSent records an attempt. It counts a violation if the gateway has known for drainGracePeriod that the host is
+// draining or removed.
 func (j *Judge) attemptSent(a *attempt) {
 	consistency := a.request.class.Consistency
 	j.attempts = append(j.attempts, attemptRecord{
@@ -178,7 +178,7 @@
 	j.snapshots = append(j.snapshots, snapshot)
 }
 
-// discardBefore drops records older than a time, for runs without an end.
+// discardBefore drops records older than a time, which bounds the memory of long runs.
 func (j *Judge) discardBefore(before time.Duration) {
 	j.operations = slices.DeleteFunc(j.operations, func(a *operation) bool { return a.arrived < before })
 	j.attempts = slices.DeleteFunc(j.attempts, func(t attemptRecord) bool { return t.at < before })
--- a/internal/experiment/judgemetrics.go
+++ b/internal/experiment/judgemetrics.go
@@ -75,7 +75,7 @@
 	return weight
 }
 
-// capacity is the free capacity of each group, in seconds of one core by capacityInterval.
+// capacity is the free capacity of each group in each capacityInterval, in seconds of one core.
 type capacity struct {
 	from time.Duration
 	free map[groupInterval]float64
@@ -118,8 +118,8 @@
 	return true
 }
 
-// avoidanceTime returns how long after from the gateways keep sending to a zone, for the slowest gateway: the end of
-// its last window of 20 attempts of which more than one went to the zone.
+// avoidanceTime returns how long after the time from the slowest gateway still sends to a zone. That is until its last
+// attempt to the zone in its last window of avoidanceWindow attempts of which more than one went to the zone.
 func (j *Judge) avoidanceTime(zone string, from, to time.Duration) time.Duration {
 	slowest := time.Duration(0)
 	for gateway := range j.fleet.gateways {
@@ -172,8 +172,8 @@
 	return toZone / max(all, 1)
 }
 
-// crossZoneFractions returns the fraction of first attempts in a window that left their gateway's zone: of reads sent
-// to replicas, and of all.
+// crossZoneFractions returns which fraction of the first attempts in a window left their gateway's zone: reads is the
+// fraction of reads sent to replicas, and all is the fraction of all first attempts.
 func (j *Judge) crossZoneFractions(from, to time.Duration) (reads, all float64) {
 	var leftReads, totalReads, left, total float64
 	for _, attempt := range j.attempts {
--- a/internal/experiment/links.go
+++ b/internal/experiment/links.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// delivery is what happens to one message on its link.
+// delivery is the outcome for one message on its link.
 type delivery struct {
 	lost, corrupted bool
 	copies          int
@@ -19,7 +19,7 @@
 	lossRate    float64
 	rng         *rand.Rand
 	active      []*membershipFault
-	freeAt      map[[2]int]time.Duration
+	freeAt      map[[2]int]time.Duration // when a link has sent its queue, by sender and receiver
 }
 
 // newLinks returns the links between n members, without faults.
@@ -28,7 +28,7 @@
 }
 
 // deliver draws the delivery of a message of size bytes. A message on a stream is retransmitted until it arrives, so it
-// is delayed instead of lost.
+// is delayed instead of lost, except by a partition.
 func (l *links) deliver(now time.Duration, from, to, size int, stream bool) delivery {
 	outcome := delivery{copies: 1, lost: l.rng.Float64() < l.lossRate}
 	for _, f := range l.active {
--- a/internal/experiment/membershiprun.go
+++ b/internal/experiment/membershiprun.go
@@ -13,7 +13,7 @@
 	falseVerdicts, divergedViews      int
 	malformed                         int
 	maxBudgetShare, minBudgetShare    float64 // extremes of the sum of all shares of a budget
-	detectionSeconds                  float64 // until 99% know of a crash
+	detectionSeconds                  float64 // until 99% of the members have detected a crash
 	bytesPerSecond, messagesPerSecond float64 // per member, in the last ten seconds
 	maxDatagramSize                   int
 	notes                             []string
@@ -29,23 +29,23 @@
 		if sim.runUntil(at); at == end-10*sec {
 			sim.bytesSent, sim.messagesSent = 0, 0
 		}
-		parts := 0.0
+		totalShare := 0.0
 		for _, p := range sim.members {
 			if p.up && !p.paused {
-				parts += p.node.BudgetShare()
+				totalShare += p.node.BudgetShare()
 			}
 		}
-		stats.maxBudgetShare = max(stats.maxBudgetShare, parts)
-		stats.minBudgetShare = min(stats.minBudgetShare, parts)
+		stats.maxBudgetShare = max(stats.maxBudgetShare, totalShare)
+		stats.minBudgetShare = min(stats.minBudgetShare, totalShare)
 	}
 	stats.malformed, stats.falseVerdicts, stats.notes, stats.maxDatagramSize = sim.malformed, sim.falseVerdicts, sim.notes, sim.maxDatagramSize
 	stats.bytesPerSecond, stats.messagesPerSecond = float64(sim.bytesSent)/10/float64(n), float64(sim.messagesSent)/10/float64(n)
 	stats.divergedViews = sim.divergedViews()
-	for s := range sim.diedAt {
-		took := sim.detections[s]
-		slices.Sort(took)
-		if need := (n - 1) * 99 / 100; scenario.ClaimsDetection && len(took) >= need {
-			stats.detectionSeconds = max(stats.detectionSeconds, took[need-1].Seconds())
+	for incarnation := range sim.endedAt {
+		delays := sim.detections[incarnation]
+		slices.Sort(delays)
+		if required := (n - 1) * 99 / 100; scenario.ClaimsDetection && len(delays) >= required {
+			stats.detectionSeconds = max(stats.detectionSeconds, delays[required-1].Seconds())
 		} else if scenario.ClaimsDetection {
 			stats.detectionSeconds = time.Duration(scenario.Duration).Seconds()
 		}
@@ -54,7 +54,7 @@
 }
 
 // runMembers runs a membership scenario in virtual time at each size, with each loss rate and seed. Small fleets also
-// run plain SWIM (one probe, then hearsay) for comparison.
+// run plain SWIM for comparison; see membership.Options.PlainSWIM.
 func (e *Experiment) runMembers(ctx context.Context, o Options) (*Result, error) {
 	sizes, lossRates := []int{10, 80, 300, 1000}, e.membership.LossRates
 	if len(o.Members) > 0 {
@@ -62,11 +62,11 @@
 	} else if o.Short {
 		sizes = []int{12}
 	}
-	if o.Short { // only the highest
+	if o.Short { // only the highest loss rate
 		lossRates = lossRates[len(lossRates)-1:]
 	}
 	r := e.newResult(o, driverVirtual, fmt.Sprintf("%v members", sizes))
-	idleBytes := 0.0 // of the smallest fleet
+	idleBytes := 0.0 // bytes per second of a member of the smallest fleet
 	for _, n := range sizes {
 		for _, lossRate := range lossRates {
 			variant := memberVariant{n, lossRate}
@@ -95,7 +95,7 @@
 	lossRate float64
 }
 
-// prefix begins the names of the variant's claims; unit is members, processes or gateways.
+// prefix returns the beginning of the names of the variant's claims. Unit is "members", "processes" or "gateways".
 func (v memberVariant) prefix(unit string) string {
 	return fmt.Sprintf("%d %s, loss %.0f%%: ", v.members, unit, v.lossRate*100)
 }
@@ -105,7 +105,7 @@
 	return fmt.Sprintf("%s_%d_loss_%.0f", name, v.members, v.lossRate*100)
 }
 
-// maxDetectionSeconds is the claimed bound on the detection of a crash.
+// maxDetectionSeconds returns the claimed bound on the detection of a crash.
 func (v memberVariant) maxDetectionSeconds() float64 {
 	if v.lossRate == 0 {
 		return 5
@@ -130,8 +130,8 @@
 	return runs, err
 }
 
-// sumMemberRuns sums counts, takes the mean of rates and the extreme of all others. Of plain SWIM it takes verdicts and
-// detection.
+// sumMemberRuns combines the runs of a variant. It sums counts, takes the mean of rates, and takes the extreme of all
+// other results. Of plain SWIM it keeps only false verdicts and detection time.
 func sumMemberRuns(runs []memberRun) memberRun {
 	sum := memberRun{swim: membershipStats{minBudgetShare: 1}}
 	for _, run := range runs {
--- a/internal/experiment/membershipsim.go
+++ b/internal/experiment/membershipsim.go
@@ -8,12 +8,13 @@
 	"cranegate/internal/membership"
 )
 
-// convergenceTime is the time in which the members find each other, before anything is judged.
+// convergenceTime is the time in which the members discover each other, before the scenario starts and anything is
+// checked.
 const convergenceTime = 20 * time.Second
 
 func init() {
-	for _, d := range membershipScenarios {
-		Experiments = append(Experiments, Experiment{Name: d.name, About: d.About, membership: d})
+	for _, scenario := range membershipScenarios {
+		Experiments = append(Experiments, Experiment{Name: scenario.name, About: scenario.About, membership: scenario})
 	}
 }
 
@@ -31,8 +32,8 @@
 	malformed       int                           // messages that could not be encoded or decoded
 	falseVerdicts   int                           // verdicts on running members without an excuse
 	notes           []string
-	diedAt          map[membership.Incarnation]time.Duration
-	detections      map[membership.Incarnation][]time.Duration // delay of each observer's verdict
+	endedAt         map[membership.Incarnation]time.Duration   // when the process of an incarnation ended
+	detections      map[membership.Incarnation][]time.Duration // from the end to each observer's verdict
 	bytesSent       int                                        // by all members, in the last ten seconds
 	messagesSent    int
 	maxDatagramSize int // in bytes
@@ -44,7 +45,7 @@
 	index      int
 	addr       string
 	node       *membership.Node
-	generation int
+	generation int // counts process starts
 	up         bool
 	paused     bool
 	inbox      []membership.Message
@@ -56,7 +57,7 @@
 	maxInbox       = 256 // messages queued for a paused process, as in a socket's buffer
 )
 
-// newMembershipSim creates a simulation of n members. PlainSWIM disables the extensions of SWIM.
+// newMembershipSim creates a simulation of n members. The flag plainSWIM disables the extensions of SWIM.
 func newMembershipSim(scenario *membershipScenario, n int, lossRate float64, plainSWIM bool, seed uint64) *membershipSim {
 	sim := &membershipSim{
 		membershipScenario: scenario,
@@ -66,7 +67,7 @@
 		links:              newLinks(n, lossRate, seed),
 		byAddr:             map[string]*simMember{},
 		stalled:            map[*membershipFault][]func(){},
-		diedAt:             map[membership.Incarnation]time.Duration{},
+		endedAt:            map[membership.Incarnation]time.Duration{},
 		detections:         map[membership.Incarnation][]time.Duration{},
 	}
 	for i := range n {
@@ -94,23 +95,23 @@
 		s.links.startFault(fault)
 	}
 	for _, member := range s.members {
-		switch hit := fault.Members.matches(member.index, len(s.members)); {
-		case hit && fault.Kind == faultPause:
+		switch selected := fault.Members.matches(member.index, len(s.members)); {
+		case selected && fault.Kind == faultPause:
 			member.paused = true
-		case hit && fault.Kind == faultKill:
+		case selected && fault.Kind == faultKill:
 			member.up = false
-			s.diedAt[member.node.Self().Incarnation] = s.now
-		case hit && fault.Kind == faultLeave:
+			s.endedAt[member.node.Self().Incarnation] = s.now
+		case selected && fault.Kind == faultLeave:
 			member.node.Leave()
 			member.flush()
 			member.up = false
-			s.diedAt[member.node.Self().Incarnation] = s.now
+			s.endedAt[member.node.Self().Incarnation] = s.now
 		}
 	}
 	s.excuses = append(s.excuses, fault.newExcuses(s.now, s.now+fault.end(s.membershipScenario)-fault.at())...)
 }
 
-// endFault reverts a fault. Crashed members start again.
+// endFault reverts a fault. Members whose process has ended start again.
 func (s *membershipSim) endFault(fault *membershipFault) {
 	if fault.Peers.matches != nil {
 		s.links.endFault(fault)
@@ -120,21 +121,21 @@
 		delete(s.stalled, fault)
 	}
 	for _, member := range s.members {
-		switch hit := fault.Members.matches(member.index, len(s.members)); {
-		case hit && fault.Kind == faultPause:
+		switch selected := fault.Members.matches(member.index, len(s.members)); {
+		case selected && fault.Kind == faultPause:
 			member.paused = false
 			inbox := member.inbox
 			member.inbox = nil
 			for _, m := range inbox {
 				member.receive(m)
 			}
-		case hit && (fault.Kind == faultKill || fault.Kind == faultLeave):
+		case selected && (fault.Kind == faultKill || fault.Kind == faultLeave):
 			member.start()
 		}
 	}
 }
 
-// start starts a process that knows nothing but three addresses.
+// start starts a new process of the member, which knows only the addresses of up to three members to join.
 func (m *simMember) start() {
 	sim := m.sim
 	m.generation++
@@ -209,7 +210,7 @@
 	if outcome.lost || outcome.corrupted { // corrupted messages fail authentication
 		return
 	}
-	got, err := membership.Decode(encoded)
+	decoded, err := membership.Decode(encoded)
 	if err != nil {
 		s.malformed++
 		s.note("%d: %v", from.index, err)
@@ -217,7 +218,7 @@
 	}
 	for range outcome.copies {
 		delay := draw(s.rng, 200*time.Microsecond, 5*time.Millisecond) + outcome.delay
-		arrive := func() { s.after(delay, func() { to.receive(got) }) }
+		arrive := func() { s.after(delay, func() { to.receive(decoded) }) }
 		if stalled := s.stalled[outcome.stalledBy]; outcome.stalledBy != nil && len(stalled) < maxInbox {
 			s.stalled[outcome.stalledBy] = append(stalled, arrive)
 		} else if outcome.stalledBy == nil {
@@ -231,7 +232,7 @@
 	if change.Member.State != membership.Failed || change.New {
 		return
 	}
-	if at, dead := s.diedAt[change.Member.Incarnation]; dead {
+	if at, ended := s.endedAt[change.Member.Incarnation]; ended {
 		s.detections[change.Member.Incarnation] = append(s.detections[change.Member.Incarnation], s.now-at)
 		return
 	}
--- a/internal/experiment/pool.go
+++ b/internal/experiment/pool.go
@@ -27,10 +27,10 @@
 // idleTimeout is two thirds of the time after which hosts close idle connections.
 const idleTimeout = 20 * time.Second
 
-// dial obtains a connection by the given policy and passes its connect time to then: 0 if the host can't be reached,
-// overCapacity if it rejected the connection.
+// dial obtains a connection by the given policy and passes its connect time to then. The time is 0 if the host
+// can't be reached, and overCapacity if it rejected the connection.
 func (g *gateway) dial(h *host, policy routing.ConnPolicy, then func(connectedAt time.Duration)) {
-	p, f := g.pools[h], g.f
+	p, f := g.pools[h], g.fleet
 	g.poolSizer.RecordAttempt(clock(f.now), &p.usage, len(g.hosts))
 	switch last := len(p.idle) - 1; {
 	case last >= 0 && policy == routing.ConnOldest:
@@ -64,7 +64,7 @@
 
 // connect completes a connection attempt at a host; see dial.
 func (g *gateway) connect(h *host, then func(connectedAt time.Duration)) {
-	f := g.f
+	f := g.fleet
 	limit := cmp.Or(f.HostConnections, maxConnections)
 	switch {
 	case h.reachable() && h.connections < limit:
@@ -91,14 +91,14 @@
 // release returns a connection to the pool.
 func (g *gateway) release(h *host, connectedAt time.Duration) {
 	p := g.pools[h]
-	p.idle = append(p.idle, idleConn{connectedAt, g.f.now})
+	p.idle = append(p.idle, idleConn{connectedAt, g.fleet.now})
 	g.closeExpired(h)
 }
 
 // closeExpired closes the idle connections to a host that have exceeded their idle timeout, and schedules the next
 // check.
 func (g *gateway) closeExpired(h *host) {
-	p, f := g.pools[h], g.f
+	p, f := g.pools[h], g.fleet
 	remaining := func(i int) time.Duration {
 		return g.poolSizer.IdleTimeout(clock(f.now), &p.usage, len(p.idle)-1-i) - (f.now - p.idle[i].releasedAt)
 	}
@@ -125,7 +125,7 @@
 	p := g.pools[h]
 	inFlight := p.inFlight
 	p.idle, p.inFlight = nil, nil
-	g.f.after(g.networkDelay(h), func() {
+	g.fleet.after(g.networkDelay(h), func() {
 		for _, a := range inFlight {
 			a.finish(routing.Outcome{Result: routing.ResultReset}, 0)
 		}
--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// process is one member's process.
+// process is the process of one member.
 type process struct {
 	index                    int
 	configFile, adminAddress string
 	operatorTables           string // contents of configFile
 	cmd                      *exec.Cmd
 	ended                    chan struct{}
-	start                    string
+	start                    string // incarnation of the running process, as it reports it
 	up, paused               bool
 	listen, relayAddress     netip.AddrPort
 }
 
-// killWithParent ends a child process when this process dies, also by SIGKILL. The kernel watches the thread that
-// started the child; the Go runtime keeps its threads.
+// killWithParent kills a child process when this process ends, even by SIGKILL. The kernel acts at the end of the thread
+// that started the child, and the Go runtime keeps its threads until the process ends.
 var killWithParent = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 
 // freePort returns a port that is free for both UDP and TCP.
@@ -53,6 +53,6 @@
 		return nil
 	case <-time.After(processTimeout):
 		p.kill()
-		return fmt.Errorf("it does not end in %v after SIGTERM", processTimeout)
+		return fmt.Errorf("process did not end within %v after SIGTERM", processTimeout)
 	}
 }
--- a/internal/experiment/processfaults.go
+++ b/internal/experiment/processfaults.go
@@ -28,11 +28,11 @@
 	return actions, lastEnd
 }
 
-// runFaults applies all faults. It ends when the scenario's time is over, and the views have converged or had their
-// time to.
+// runFaults applies all faults. It returns when the scenario's duration has passed and, if HealTimeout is set, the views
+// have converged or processTimeout has passed since the end of the last fault.
 func (h *processHarness) runFaults(ctx context.Context, stats *processStats) error {
 	actions, lastEnd := h.faultActions()
-	healed := time.Duration(0)
+	convergedAt := time.Duration(0)
 	stats.healSeconds = processTimeout.Seconds()
 	for {
 		now := h.network.now() - h.startedAt
@@ -46,12 +46,12 @@
 		stats.maxBudgetShare, stats.divergedViews = max(stats.maxBudgetShare, total), diverged
 		now = h.network.now() - h.startedAt
 		if diverged > 0 || len(actions) > 0 {
-			healed = 0
-		} else if healed == 0 {
-			healed = now
+			convergedAt = 0
+		} else if convergedAt == 0 {
+			convergedAt = now
 			stats.healSeconds = max(0, now-lastEnd).Seconds()
 		}
-		settled := healed > 0 || h.HealTimeout == 0 || now >= lastEnd+processTimeout
+		settled := convergedAt > 0 || h.HealTimeout == 0 || now >= lastEnd+processTimeout
 		if now >= time.Duration(h.Duration) && settled {
 			return nil
 		}
@@ -91,7 +91,7 @@
 		case faultKill, faultLeave:
 			h.mu.Lock()
 			p.up = false
-			h.diedAt[p.start] = h.network.now()
+			h.endedAt[p.start] = h.network.now()
 			h.mu.Unlock()
 			if f.Kind == faultLeave {
 				err = p.terminate()
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// endFault reverts a fault. Killed processes start again, all at once.
+// endFault reverts a fault. Processes that it ended start again, one after the other.
 func (h *processHarness) endFault(f *membershipFault) error {
 	if f.Peers.matches != nil {
 		h.network.endFault(f)
--- a/internal/experiment/processharness.go
+++ b/internal/experiment/processharness.go
@@ -16,29 +16,29 @@
 	"time"
 )
 
-// processHarness runs a membership scenario with real processes: each runs the program with its own operator's file,
-// and a network of relays connects them. It judges from outside, by the lines that they log and by the view that each
-// reports on its admin listener, and shares no code with what it judges.
+// processHarness runs a membership scenario with real processes, which a network of relays connects. Each process runs
+// the program with its own operator's file. The harness checks the processes by their log lines and by the view that
+// each reports on its admin listener; it shares no code with them.
 type processHarness struct {
 	*membershipScenario
-	command   func(file string) *exec.Cmd
+	command   func(file string) *exec.Cmd // returns the command that runs a member with an operator's file
 	dir       string
 	network   *network
 	processes []*process
 	logs      io.Writer
 	client    http.Client
-	startedAt time.Duration // start of the scenario, by the network's clock; 0: members still converge
+	startedAt time.Duration // start of the scenario, by the network's clock; 0: the members still converge
 	isolated  bool          // processes don't know each other, for comparison
 
 	mu              sync.Mutex // guards the fields below: each process logs from its own goroutine
 	excuses         []excuse
-	memberByStart   map[string]int // index of the member that each start belongs to
-	diedAt          map[string]time.Duration
-	detections      map[string][]time.Duration
+	memberByStart   map[string]int             // index of the member that each start belongs to
+	endedAt         map[string]time.Duration   // when the process of each start ended
+	detections      map[string][]time.Duration // from that end to each observer's verdict
 	falseVerdicts   int
 	notes           []string
-	changes         int // state changes read; without any the harness has judged nothing
-	excusedVerdicts int // expected verdicts on running members; without any a partition had no effect
+	changes         int // state changes read; 0 shows that the harness has checked nothing
+	excusedVerdicts int // expected verdicts on running members; 0 shows that a partition had no effect
 }
 
 // harnessCount numbers the harnesses of this process, so that each has its own addresses.
@@ -58,7 +58,7 @@
 		client:             http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
 		network:            newNetwork(ctx, newLinks(n, lossRate, seed)),
 		memberByStart:      map[string]int{},
-		diedAt:             map[string]time.Duration{},
+		endedAt:            map[string]time.Duration{},
 		detections:         map[string][]time.Duration{},
 	}
 }
@@ -137,11 +137,11 @@
 		}
 		select {
 		case <-p.ended:
-			return fmt.Errorf("member %d ended at its start", p.index)
+			return fmt.Errorf("member %d ended during its start", p.index)
 		default:
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("member %d tells nothing: %w", p.index, err)
+			return fmt.Errorf("member %d does not report its view: %w", p.index, err)
 		}
 	}
 }
@@ -176,7 +176,7 @@
 	return stats, nil
 }
 
-// waitConverged waits until all members know each other and share the whole of a budget.
+// waitConverged waits until all members know each other and their shares add up to a full budget.
 func (h *processHarness) waitConverged(ctx context.Context, stats *processStats) error {
 	for end := time.Now().Add(processTimeout); ; time.Sleep(pollInterval) {
 		diverged, total := h.pollViews()
@@ -190,11 +190,11 @@
 	}
 }
 
-// detectionSeconds returns how long it took until all other members knew of a member's end, or processTimeout if they
-// never did. The caller holds mu.
+// detectionSeconds returns the seconds from a member's end until all other members had detected it, or processTimeout if
+// they never did. The caller holds mu.
 func (h *processHarness) detectionSeconds() float64 {
 	seconds := 0.0
-	for start := range h.diedAt {
+	for start := range h.endedAt {
 		detections := h.detections[start]
 		slices.Sort(detections)
 		seconds = processTimeout.Seconds()
--- a/internal/experiment/processrun.go
+++ b/internal/experiment/processrun.go
@@ -14,8 +14,8 @@
 	falseVerdicts, divergedViews int
 	healSeconds                  float64 // from the end of the last fault until all views had converged; processTimeout if never
 	maxBudgetShare               float64 // maximum of the sum of all shares of a budget
-	detectionSeconds             float64 // until all others know of a crash; 0: no crash
-	changes                      int
+	detectionSeconds             float64 // until all other members have detected a crash; 0: no crash
+	changes                      int     // state changes that the harness has read
 	excusedVerdicts              int     // expected verdicts on running members
 	bytesPerSecond               float64 // per member, over the whole run
 	residentMB                   float64 // per process, at the end
@@ -80,7 +80,7 @@
 	return r, nil
 }
 
-// add adds the results of one run: counts are summed, of all others the maximum is taken.
+// add adds the results of one run: counts are summed, and of all other results the maximum is taken.
 func (s *processStats) add(run processStats) {
 	s.falseVerdicts += run.falseVerdicts
 	s.changes += run.changes
@@ -106,7 +106,8 @@
 	r.Figures[v.figure("resident_mb")] = totals.residentMB
 }
 
-// claimMemberVerdicts claims correct verdicts and budgets, and that the harness has seen each member join each other.
+// claimMemberVerdicts claims correct verdicts and budgets, and that the harness has read enough state changes for each
+// member to have seen each other member join.
 func (r *Result) claimMemberVerdicts(prefix string, v memberVariant, totals processStats, seeds int) {
 	r.addClaim(prefix+"live members held as failed", float64(totals.falseVerdicts), "==", 0)
 	r.addClaim(prefix+"of a budget that all may use together, at most", totals.maxBudgetShare, "<=", maxTotalShare)
--- a/internal/experiment/processviews.go
+++ b/internal/experiment/processviews.go
@@ -23,7 +23,7 @@
 	return view, json.NewDecoder(io.LimitReader(resp.Body, 4<<20)).Decode(&view)
 }
 
-// readLogLine checks a line that a member has logged.
+// readLogLine copies a line that a member has logged, and checks the verdict if the line reports one.
 func (h *processHarness) readLogLine(observer int, line string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -44,7 +44,7 @@
 		return
 	}
 	start := values["incarnation"]
-	if at, dead := h.diedAt[start]; dead {
+	if at, ended := h.endedAt[start]; ended {
 		h.detections[start] = append(h.detections[start], now-at)
 		return
 	}
@@ -112,7 +112,7 @@
 	Conflicts   []string `json:"conflicts"`
 }
 
-// known returns the number of members that the member considers present, with itself.
+// known returns the number of members that the member considers present, including itself.
 func (v *memberView) known() int {
 	known := 1
 	for _, member := range v.Members {
--- a/internal/experiment/relay.go
+++ b/internal/experiment/relay.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// network connects processes that are members. Each of them listens on its own loopback address and advertises the
-// address of its relay, so that all messages to it pass there. It sends from its own address, so that a relay
-// identifies the sender by the source address.
+// network connects the processes of members through relays. Each process listens on its own loopback address and
+// advertises the address of its relay, so that all messages to it pass through the relay. It sends from its own address,
+// so that a relay identifies the sender by the source address.
 type network struct {
 	startedAt  time.Time
 	mu         sync.Mutex // guards links and stalled
@@ -23,7 +23,7 @@
 	ctx        context.Context
 }
 
-// relay forwards what is sent to one member.
+// relay forwards datagrams and streams to one member.
 type relay struct {
 	network     *network
 	member      int
@@ -36,7 +36,7 @@
 	maxDatagramSize = 2048
 	streamChunkSize = 4 << 10
 	streamTimeout   = 10 * time.Second
-	maxStalled      = 1024
+	maxStalled      = 1024 // datagrams queued by one stall
 )
 
 // addresses returns the addresses of member i and of its relay, in the address range of a harness.
@@ -98,7 +98,7 @@
 	}
 }
 
-// receiveDatagrams forwards datagrams until the context ends. Those of unknown senders are dropped.
+// receiveDatagrams forwards datagrams until the context ends. Datagrams of unknown senders are dropped.
 func (r *relay) receiveDatagrams() {
 	b := make([]byte, maxDatagramSize)
 	for {
@@ -114,7 +114,7 @@
 	}
 }
 
-// forwardDatagram delivers a datagram as the links decide.
+// forwardDatagram forwards a datagram with the outcome that the links draw.
 func (r *relay) forwardDatagram(from int, datagram []byte) {
 	network := r.network
 	network.mu.Lock()
@@ -128,9 +128,9 @@
 		datagram[k/8] ^= 1 << (k % 8)
 	}
 	for range outcome.copies {
-		late := outcome.delay + draw(network.links.rng, 200*time.Microsecond, 3*time.Millisecond) // reorders some datagrams
+		delay := outcome.delay + draw(network.links.rng, 200*time.Microsecond, 3*time.Millisecond) // reorders some datagrams
 		send := func() {
-			time.AfterFunc(late, func() { r.udp.WriteToUDPAddrPort(datagram, r.destination) }) // a datagram that can't be sent is lost
+			time.AfterFunc(delay, func() { r.udp.WriteToUDPAddrPort(datagram, r.destination) }) // a datagram that can't be sent is lost
 		}
 		if outcome.stalledBy == nil {
 			send()
@@ -160,9 +160,9 @@
 	}
 }
 
-// forwardStream forwards one connection in the direction in which it was opened; members send nothing back on it. While
-// the link or the way back, which carries the acknowledgements, is cut, data waits; it is lost with the stream after
-// streamTimeout.
+// forwardStream forwards one connection in the direction in which it was opened; members send nothing back on it. Data
+// waits while the link is cut or stalled, or while the link back, which carries the acknowledgements, is cut. After
+// streamTimeout the data is lost with the stream.
 func (r *relay) forwardStream(from int, conn net.Conn) {
 	defer conn.Close()
 	defer context.AfterFunc(r.network.ctx, func() { conn.Close() })()
--- a/internal/experiment/restart.go
+++ b/internal/experiment/restart.go
@@ -10,7 +10,7 @@
 const (
 	gracefulShutdownDuration = 3 * time.Second        // from SIGTERM to the end of a process
 	restartDelay             = 500 * time.Millisecond // from the end of a process to the next start
-	hostDrainDuration        = 3 * time.Second        // until a replaced host ends
+	hostDrainDuration        = 3 * time.Second        // from the start of a replaced host's drain to its end
 )
 
 // startReplacement restarts gateways or replaces hosts.
@@ -39,22 +39,22 @@
 	}
 }
 
-// crash ends the gateway's process. Its clients see their connections break.
+// crash ends the gateway's process. Clients with open requests lose their connections and may retry.
 func (g *gateway) crash() {
-	f := g.f
+	f := g.fleet
 	g.down, g.router = true, nil
 	g.incarnation++
 	requests := g.requests
 	g.requests = map[uint64]*request{}
 	for _, id := range slices.Sorted(maps.Keys(requests)) {
-		q := requests[id]
-		for _, a := range q.inFlight {
+		request := requests[id]
+		for _, a := range request.inFlight {
 			a.finished = true
 		}
-		if !q.finished {
-			q.finished = true
+		if !request.finished {
+			request.finished = true
 			f.judge.interruptedRequests++
-			g.retry(q, false, 0)
+			g.retry(request, false, 0)
 		}
 	}
 	for _, h := range f.hosts {
@@ -79,7 +79,7 @@
 		return
 	}
 	g := old.group
-	h := &host{f: f, id: fmt.Sprintf("%s-%d", old.id, len(f.hosts)), group: g, zone: old.zone, up: true, started: f.now, position: old.position}
+	h := &host{fleet: f, id: fmt.Sprintf("%s-%d", old.id, len(f.hosts)), group: g, zone: old.zone, up: true, started: f.now, position: old.position}
 	g.members = append(g.members, h)
 	f.hosts = append(f.hosts, h)
 	for _, gateway := range f.gateways {
@@ -91,7 +91,7 @@
 	f.announce(old, draw(f.rng, 0, 400*time.Millisecond))
 	f.after(hostDrainDuration, func() {
 		old.removed = true
-		g.members = slices.DeleteFunc(g.members, func(gateway *host) bool { return gateway == old })
+		g.members = slices.DeleteFunc(g.members, func(member *host) bool { return member == old })
 		old.crash()
 	})
 }
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -91,14 +91,14 @@
 // weightSeries returns the earned fraction of the requested priority weight for each second of arrival.
 func (j *Judge) weightSeries() []float64 {
 	n := int(j.fleet.Length.Seconds())
-	asked, earned := make([]float64, n), make([]float64, n)
-	for _, a := range j.operations {
-		if i := int((a.arrived - epoch).Seconds()); i < n {
-			asked[i], earned[i] = asked[i]+a.class.PriorityWeight, earned[i]+a.earned
+	requested, earned := make([]float64, n), make([]float64, n)
+	for _, op := range j.operations {
+		if i := int((op.arrived - epoch).Seconds()); i < n {
+			requested[i], earned[i] = requested[i]+op.class.PriorityWeight, earned[i]+op.earned
 		}
 	}
 	for i := range earned {
-		earned[i] /= max(asked[i], 1)
+		earned[i] /= max(requested[i], 1)
 	}
 	return earned
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -17,10 +17,11 @@
 //go:embed scenarios/*.toml
 var scenarioFiles embed.FS
 
-// membershipScenario describes faults of members that know each other, on a network that loses and delays messages.
+// membershipScenario describes a scenario for members of a fleet: the message loss of their network, and the faults of
+// members and links.
 type membershipScenario struct {
 	About           string             `toml:"about"`
-	LossRates       []float64          `toml:"losses"` // permanent rates of message loss; each is run
+	LossRates       []float64          `toml:"losses"` // rates of message loss throughout the run; each is run
 	Duration        seconds            `toml:"length_s"`
 	HealTimeout     seconds            `toml:"heal_s"` // bound from the last fault's end until all views are equal; 0: not claimed
 	ClaimsDetection bool               `toml:"crash"`  // claims a bound on the detection of crashes
@@ -30,7 +31,7 @@
 	name string
 }
 
-// membershipFault affects some of the members, or their messages to some others.
+// membershipFault affects the processes of Members, or their messages to Peers.
 type membershipFault struct {
 	Kind          membershipFaultKind `toml:"kind"`
 	At            seconds             `toml:"at_s"`
@@ -38,12 +39,12 @@
 	Members       selector            `toml:"who"`
 	Peers         selector            `toml:"to"`
 	Bidirectional bool                `toml:"both"` // also messages from Peers to Members
-	// Excuses selects groups of members that those outside the same group may consider failed during the fault, because
-	// nobody on their side reaches them or because they pause for longer than maxToleratedPause. For
-	// verdictGracePeriod after the end, any member may.
+	// Excuses selects groups of members. During the fault, a member outside a group may consider the members of the
+	// group failed, because no member on its side reaches them. For verdictGracePeriod after the end, any member may. The
+	// same holds, without an entry, for members that pause for longer than maxToleratedPause.
 	Excuses []selector `toml:"excuses"`
 
-	LossRate       float64 `toml:"lose"` // noise: probabilities by message
+	LossRate       float64 `toml:"lose"` // noise: probabilities per message
 	DuplicateRate  float64 `toml:"double"`
 	CorruptRate    float64 `toml:"spoil"` // a bit is flipped
 	DelayRate      float64 `toml:"late"`
@@ -76,16 +77,16 @@
 	case float64:
 		*s = seconds(x * float64(time.Second))
 	default:
-		return fmt.Errorf("%v is no number of seconds", x)
+		return fmt.Errorf("%v is not a number of seconds", x)
 	}
 	return nil
 }
 
-// selector selects members by index: "all", "lower" or "upper" (half), "one 3", "but 3", "zone 1" of three, or "tenths
-// 0-3" of each ten.
+// selector selects members by index: "all"; the "lower" or the "upper" half; "one 3" (only member 3); "but 3" (all except
+// member 3); "zone 1" (the members of zone 1 of three); or "tenths 0-3" (the first four members of each ten).
 type selector struct {
 	text    string
-	matches func(i, n int) bool
+	matches func(i, n int) bool // reports whether member i of n is selected
 }
 
 // UnmarshalText parses a selector.
@@ -113,7 +114,7 @@
 	case word == "tenths" && numbers == 2:
 		s.matches = func(i, _ int) bool { return i%10 >= a && i%10 <= z }
 	default:
-		return fmt.Errorf("%q selects no members", s.text)
+		return fmt.Errorf("%q is not a valid selector of members", s.text)
 	}
 	return nil
 }
@@ -154,7 +155,7 @@
 		return nil, fmt.Errorf("unknown key %s", unknown[0])
 	}
 	if scenario.About == "" || scenario.Duration <= 0 || len(scenario.LossRates) == 0 {
-		return nil, fmt.Errorf("about, length_s and losses are needed")
+		return nil, fmt.Errorf("about, length_s and losses are required")
 	}
 	for i, fault := range scenario.Faults {
 		if err := fault.validate(scenario); err != nil {
@@ -166,37 +167,38 @@
 
 // validate checks a fault of a scenario.
 func (f *membershipFault) validate(scenario *membershipScenario) error {
-	ofLinks := f.Kind.ofLinks()
+	affectsLinks := f.Kind.affectsLinks()
 	rates := []float64{f.LossRate, f.DuplicateRate, f.CorruptRate, f.DelayRate}
 	switch {
-	case !ofLinks && !f.Kind.ofProcesses():
-		return fmt.Errorf("there is no kind %q", f.Kind)
-	case f.Members.matches == nil || ofLinks != (f.Peers.matches != nil) || f.Bidirectional && !ofLinks:
-		return errors.New("who, and to where messages are concerned, are needed")
+	case !affectsLinks && !f.Kind.affectsProcesses():
+		return fmt.Errorf("unknown kind %q", f.Kind)
+	case f.Members.matches == nil || affectsLinks != (f.Peers.matches != nil) || f.Bidirectional && !affectsLinks:
+		return errors.New("who is required; faults of links require to, and other faults allow neither to nor both")
 	case f.At < 0 || f.Duration < 0 || f.At+f.Duration > scenario.Duration:
-		return errors.New("it lies outside the day")
+		return errors.New("the fault must lie within length_s")
 	case f.Kind == faultBandwidth && f.BytesPerSecond <= 0:
-		return errors.New("bytes_s is needed")
+		return errors.New("bytes_s must be positive")
 	case slices.Max(rates) > 1 || slices.Min(rates) < 0 || f.MaxDelayMS < 0:
-		return errors.New("shares lie between 0 and 1")
+		return errors.New("probabilities must lie between 0 and 1, and late_ms must not be negative")
 	}
 	return nil
 }
 
-// ofLinks reports whether faults of this kind affect messages.
-func (k membershipFaultKind) ofLinks() bool {
+// affectsLinks reports whether faults of this kind affect messages.
+func (k membershipFaultKind) affectsLinks() bool {
 	return k == faultPartition || k == faultNoise || k == faultStall || k == faultBandwidth
 }
 
-// ofProcesses reports whether faults of this kind affect processes.
-func (k membershipFaultKind) ofProcesses() bool {
+// affectsProcesses reports whether faults of this kind affect processes.
+func (k membershipFaultKind) affectsProcesses() bool {
 	return k == faultPause || k == faultKill || k == faultLeave
 }
 
-// at returns when the fault starts within its scenario.
+// at returns the start of the fault, counted from the start of its scenario.
 func (f *membershipFault) at() time.Duration { return time.Duration(f.At) }
 
-// end returns when the fault ends within its scenario. Faults without a duration end after it.
+// end returns the end of the fault, counted from the start of its scenario. Faults without a duration end after the
+// scenario.
 func (f *membershipFault) end(scenario *membershipScenario) time.Duration {
 	if f.Duration == 0 {
 		return time.Duration(scenario.Duration) + time.Hour
--- a/internal/experiment/slowstart.go
+++ b/internal/experiment/slowstart.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// slowStartRecord is what all gateways sent one host since its last start.
+// slowStartRecord records the calls of all gateways to one host since its last start.
 type slowStartRecord struct {
 	calls          []slowStartCall
 	incarnation    int
-	notifiedStarts map[*gateway]time.Duration // the start that each gateway was notified of
-	// Largest excess of a window over N + chanceMargin(N) requests of mean work, where N is the budget: of all calls, and
-	// in windows of which two thirds came from notified gateways; with a description of the window of the former.
+	notifiedStarts map[*gateway]time.Duration // latest start of the host that each gateway was notified of
+	// excess is the largest excess of a window over N + chanceMargin(N) requests of mean work, where N is the budget.
+	// notifiedExcess is the same over windows in which more than two thirds of the work came from notified gateways.
+	// worstWindow describes the window of excess.
 	excess, notifiedExcess float64
 	worstWindow            string
 }
@@ -27,7 +28,7 @@
 	notified bool
 }
 
-// chanceMargin is the excess over a budget of n calls that chance explains.
+// chanceMargin returns the excess over a budget of n calls that chance explains.
 func chanceMargin(n float64) float64 { return 2*math.Sqrt(n) + 2 }
 
 // slowStartOf returns the record of a host and creates it at first use.
@@ -47,8 +48,8 @@
 	}
 }
 
-// recordSlowStartCall records a call at a host that may be in slow start: an attempt, of work 1, or a health check, of
-// its cost relative to a request.
+// recordSlowStartCall records a call at a host, if the host is in slow start. The work of an attempt is 1, and the work
+// of a health check is its cost relative to a request.
 func (j *Judge) recordSlowStartCall(h *host, g *gateway, work float64) {
 	if h.started == 0 || h.speed() >= 1 || h.slow {
 		return
@@ -77,8 +78,8 @@
 	}
 }
 
-// slowStartExcess returns the largest excess over all hosts, of all calls and of calls by notified gateways, and
-// describes the window with the former.
+// slowStartExcess returns the largest excess and the largest notifiedExcess of all hosts, and describes the window with
+// the largest excess.
 func (j *Judge) slowStartExcess() (excess, notified float64, worstWindow string) {
 	excess, notified = math.Inf(-1), math.Inf(-1)
 	for _, r := range j.slowStarts {
@@ -90,9 +91,9 @@
 	return excess, notified, worstWindow
 }
 
-// slowStartScenarios are scenarios with host starts before 20 or 30 gateways, by name. Some gateways restart just
-// before. The first host of a group is its primary; if it returns before another is elected, it receives all of the
-// group's writes during slow start.
+// slowStartScenarios are scenarios, by name, in which hosts start while 20 or 30 gateways send. Some gateways are killed
+// just before and restart just after. The first host of a group is its primary; if it returns before another is elected,
+// it receives all of the group's writes during slow start.
 var slowStartScenarios = map[string][]Fault{
 	"one":   {gatewayKillFault, hostCrashFault(0, 12, 2500)},
 	"two":   {gatewayKillFault, hostCrashFault(0, 12, 2500), hostCrashFault(4, 12, 2500)},
@@ -113,7 +114,7 @@
 func slowStartSpec(gateways int, faults []Fault, defect Defect) Spec {
 	spec := baseSpec(28*sec, faults...)
 	spec.Hosts, spec.Groups, spec.Gateways, spec.Load, spec.Defect = 10, 3, gateways, 0.85, defect
-	spec.Rate = 240 / float64(gateways) * spec.Load // each host takes some tens of requests per second
+	spec.Rate = 240 / float64(gateways) * spec.Load // each host receives some tens of requests per second
 	spec.UnevenTraffic, spec.DisableOverload = true, true
 	return spec
 }
--- a/internal/experiment/socketclient.go
+++ b/internal/experiment/socketclient.go
@@ -12,7 +12,7 @@
 	"cranegate/routing"
 )
 
-// frontend is a gateway's listen addresses (PostgreSQL, MySQL), with idle client connections to each.
+// frontend holds the two listen addresses of a gateway (PostgreSQL, MySQL) and idle client connections to each.
 type frontend struct {
 	addresses [2]string
 	idle      [2]chan client
@@ -68,8 +68,8 @@
 	}()
 }
 
-// query uses an idle connection or a new one. If the connection ends before a response, the gateway is taken to have
-// closed it between requests, and query retries once on a new one.
+// query sends a request over an idle connection or a new one. If the connection ends before a response, query assumes
+// that the gateway closed it between requests, and retries once over a new connection.
 func (l *live) query(gateway, protocol int, text string) (reply fake.Reply, err error) {
 	for try := range 2 {
 		var c client
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	raw.SetDeadline(time.Now().Add(time.Minute)) // bounds the run, not a response
+	raw.SetDeadline(time.Now().Add(time.Minute)) // keeps a hanging connection from blocking the run; response times are checked elsewhere
 	if protocol == 0 {
 		c, err := fake.DialPostgres(raw, "")
 		return postgresClient{c}, err
--- a/internal/experiment/socketgateway.go
+++ b/internal/experiment/socketgateway.go
@@ -14,7 +14,7 @@
 	"cranegate/routing"
 )
 
-// consistencyNames are the platform's names of consistencies.
+// consistencyNames are the names of consistencies in the platform's settings.
 var consistencyNames = map[routing.Consistency]string{
 	routing.ConsistencyAny:     "any",
 	routing.ConsistencyBounded: "bounded",
@@ -23,7 +23,7 @@
 	routing.ConsistencyWrite:   "write",
 }
 
-// settings returns a gateway's settings in the form of the platform.
+// settings returns a gateway's settings in the platform's format.
 func (l *live) settings(zone string) map[string]any {
 	var classSettings []map[string]any
 	var consistencies []string
--- a/internal/experiment/sockethost.go
+++ b/internal/experiment/sockethost.go
@@ -10,8 +10,8 @@
 	"cranegate/routing"
 )
 
-// hostSockets is a host's side of the network. While it is blocked nothing passes: bytes wait, as during a partition,
-// and are lost with their connection if the process has crashed meanwhile.
+// hostSockets are the listeners and connections of a modelled host. While they are blocked, as during a partition, bytes
+// wait in both directions, and are lost with their connection if the process crashes meanwhile.
 type hostSockets struct {
 	live      *live
 	host      *host
@@ -48,7 +48,8 @@
 	sockets *hostSockets
 }
 
-// Read returns bytes once the host is unblocked. Requests that arrive before count as attempts at an unreachable host.
+// Read returns bytes once the host is unblocked. Requests that arrive while it is blocked count as attempts
+// at an unreachable host.
 func (c blockableConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.sockets.mu.Lock()
@@ -94,7 +95,8 @@
 	return fake.Reset
 }
 
-// report returns what the host tells of its role and position: the current values, or those of its health report.
+// report returns the role and the position that the host reports: the current values or, if cached is set, the values of
+// its health report.
 func (s *hostSockets) report(cached bool) (primary bool, position int64) {
 	type state struct {
 		primary  bool
--- a/internal/experiment/sockets.go
+++ b/internal/experiment/sockets.go
@@ -32,8 +32,8 @@
 	sockets      map[*host]*hostSockets
 	discovery    [2]*fake.Discovery // for PostgreSQL and MySQL
 	targets      [2]map[*host]discovery.Target
-	frontends    []frontend // by gateway
-	openRequests map[string]*request
+	frontends    []frontend          // by gateway
+	openRequests map[string]*request // by ID in the SQL comment
 	work         sync.WaitGroup
 	commands     []*exec.Cmd
 }
@@ -130,20 +130,20 @@
 // liveOptions configure a run on sockets.
 type liveOptions struct {
 	program        string
-	operatorTables func(gateway int) string    // further tables of its operator's file
-	logs           func(gateway int) io.Writer // receives its output
+	operatorTables func(gateway int) string    // returns additional tables of the gateway's operator's file
+	logs           func(gateway int) io.Writer // returns the writer that receives the gateway's output
 	everySecond    func(*live)                 // called every second, if set
 	onStart        func(*live)                 // called when all gateways listen, if set
 }
 
-// runSockets runs a scenario on sockets, with the program as gateways. Zones is the operator's table for zones, or
-// empty.
+// runSockets runs a scenario on sockets, with the program as gateways. The text zones is the operator's table for
+// zones, or empty.
 func runSockets(ctx context.Context, s Spec, seed uint64, program, zones string, logs io.Writer, each func(*live)) (*Judge, error) {
 	return runLive(ctx, s, seed, liveOptions{program: program, operatorTables: func(int) string { return zones },
 		logs: func(int) io.Writer { return logs }, everySecond: each})
 }
 
-// runLive runs a scenario on sockets and returns its judge, or ctx's error. It waits until all processes and goroutines
+// runLive runs a scenario on sockets and returns its judge, or the error of ctx. It waits until all processes and goroutines
 // have ended.
 func runLive(ctx context.Context, spec Spec, seed uint64, o liveOptions) (*Judge, error) {
 	dir, err := os.MkdirTemp("", "cranelab")
@@ -167,7 +167,7 @@
 		l.callEverySecond(o.everySecond)
 	}
 	l.runRealTime(epoch+spec.Length, ctx.Done())
-	for _, g := range l.gateways { // requests that are open at the end, and later ones, are not judged
+	for _, g := range l.gateways { // requests that are open at the end, and later requests, are not checked
 		g.finished = true
 	}
 	return l.judge, ctx.Err()
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -15,21 +15,21 @@
 	Hosts           int     // distributed round-robin over the zones
 	Groups          int     // of consecutive hosts; the first host of each is its primary
 	Gateways        int     // distributed round-robin over the zones
-	Rate            float64 // operations per second and gateway
+	Rate            float64 // operations per second and gateway, before ZoneRates and UnevenTraffic
 	Load            float64 // requested work, relative to the capacity of all hosts
 	Length          time.Duration
 	Faults          []Fault
 	StaleReads      routing.StaleReadPolicy
-	HideZones       bool     // endpoints carry no zone
-	Sockets         bool     // gateways are real processes; see live
-	Layout          []string // zone of each host; nil: round-robin
-	Configure       func(*routing.Config)
-	HostConnections int                // connection limit of a host; 0: maxConnections
-	PoolGateways    int                // number of gateways assumed when pools are sized; 0: Gateways
-	Defect          Defect             // deliberate defect of the gateways
-	ZoneRates       map[string]float64 // factors on Rate by zone; missing: 1
-	UnevenTraffic   bool               // gateways get from 0.3 to 3.3 times the mean traffic
-	DisableOverload bool               // hosts in slow start never crash under load
+	HideZones       bool                  // endpoints carry no zone
+	Sockets         bool                  // gateways are real processes; see live
+	Layout          []string              // zone of each host; nil: round-robin
+	Configure       func(*routing.Config) // changes the configuration of each gateway, if set
+	HostConnections int                   // connection limit of a host; 0: maxConnections
+	PoolGateways    int                   // number of gateways assumed when pools are sized; 0: Gateways
+	Defect          Defect                // deliberate defect of the gateways
+	ZoneRates       map[string]float64    // factors on Rate by zone; missing: 1
+	UnevenTraffic   bool                  // gateways get from 0.3 to 3.3 times the mean traffic
+	DisableOverload bool                  // hosts in slow start never crash under load
 }
 
 // FaultKind is the kind of a fault in the modelled fleet.
@@ -45,7 +45,7 @@
 	Reconfigure                    // the zone tiers of all gateways are replaced, as by SIGHUP
 	Kill                           // a fraction of the gateways is killed at once, and restarts without state at the end
 	Restart                        // rolling restart of all gateways, a tenth at a time, with graceful shutdown
-	Replace                        // a fraction of the hosts is replaced one by one: the new one starts, the old one drains
+	Replace                        // a fraction of the hosts is replaced one by one: a new host starts and the old host drains
 	Burst                          // 50% more operations
 )
 
@@ -58,8 +58,8 @@
 	HostNumber   int // index of the host from 1, if Host is empty; 0: see Fraction
 	At, Duration time.Duration
 	RestartAtEnd bool    // hosts restart at the end, in slow start and with their old log position
-	Spared       int     // number of selected hosts that are spared
-	Fraction     float64 // of all hosts, evenly distributed, if no zone or host is set; or of the gateways
+	Spared       int     // number of selected hosts that the fault leaves out
+	Fraction     float64 // of all hosts, evenly distributed, if no zone or host is set; for Kill, of the gateways
 	Reconfigure  func(*routing.Router)
 }
 
@@ -80,7 +80,7 @@
 	drainGracePeriod    = 250 * time.Millisecond
 )
 
-// class is one of the operators' five request classes, with its part of the traffic and its range of work.
+// class is one of the operators' five request classes, with its fraction of the traffic and its range of work.
 type class struct {
 	routing.Class
 	trafficFraction  float64
--- a/internal/experiment/timeline.go
+++ b/internal/experiment/timeline.go
@@ -46,7 +46,7 @@
 	heap.Push(&t.queue, event{t.now + max(0, d), t.seq, do})
 }
 
-// runUntil runs all events due by the given time and advances the clock to it.
+// runUntil runs all events that are scheduled up to the given time, and advances the clock to it.
 func (t *timeline) runUntil(until time.Duration) {
 	for len(t.queue) > 0 && t.queue[0].at <= until {
 		e := heap.Pop(&t.queue).(event)
--- a/internal/experiment/up.go
+++ b/internal/experiment/up.go
@@ -16,7 +16,7 @@
 type UpOptions struct {
 	Program       string
 	Duration      time.Duration // 0: until the context ends
-	ZoneLossDelay time.Duration // until a zone is lost for 15 s, and again every minute; 0: never
+	ZoneLossDelay time.Duration // time until a zone is lost for 15 s, which repeats every minute; 0: never
 	Rate          float64
 	Seed          uint64
 	Gateways      int // more than one form a fleet
@@ -25,7 +25,7 @@
 
 // Up runs a fleet of three zones on sockets, with both frontends of each gateway, and writes a status line every
 // second. Several gateways form a fleet, which is partitioned in two while the zone is lost; the line then shows how
-// many members each sees. It returns ctx's error.
+// many members each sees. It returns the error of ctx.
 func Up(ctx context.Context, o UpOptions) error {
 	spec := Spec{
 		Zones:      threeZones,
@@ -88,7 +88,7 @@
 		}
 	}
 	halves := &membershipFault{Kind: faultPartition, Members: lower, Peers: upper, Bidirectional: true}
-	began, cut := time.Now(), false
+	startedAt, partitioned := time.Now(), false
 	for tick := time.NewTicker(time.Second); ; {
 		select {
 		case <-tick.C:
@@ -96,37 +96,37 @@
 			tick.Stop()
 			return
 		}
-		at := time.Since(began)
-		now := slices.ContainsFunc(faults, func(f Fault) bool { return at >= f.At && at < f.At+f.Duration })
-		if now && !cut {
+		at := time.Since(startedAt)
+		zoneLost := slices.ContainsFunc(faults, func(f Fault) bool { return at >= f.At && at < f.At+f.Duration })
+		if zoneLost && !partitioned {
 			h.network.startFault(halves)
-		} else if cut && !now {
+		} else if partitioned && !zoneLost {
 			h.network.endFault(halves)
 		}
-		cut = now
+		partitioned = zoneLost
 		text := "  gateways count"
 		for _, p := range h.processes {
-			seen := "?"
+			known := "?"
 			if view, err := h.fetchView(p); err == nil {
-				seen = fmt.Sprint(view.known())
+				known = fmt.Sprint(view.known())
 			}
-			text += " " + seen
+			text += " " + known
 		}
-		if cut {
+		if partitioned {
 			text += " (cut in two)"
 		}
 		views.Store(&text)
 	}
 }
 
-// statusLine summarises the last second whose requests have all been answered.
+// statusLine summarises the requests that arrived in the second that ended 2 s ago, and the attempts of the last second.
 func (l *live) statusLine() string {
 	to := l.now - 2*time.Second // the longest deadline is 2.5 s
 	_, asked, earned := l.judge.earnedWeight(to-time.Second, to)
 	counts := map[string]int{}
-	for _, t := range l.judge.attempts {
-		if t.at >= l.now-time.Second {
-			counts[t.zone]++
+	for _, attempt := range l.judge.attempts {
+		if attempt.at >= l.now-time.Second {
+			counts[attempt.zone]++
 		}
 	}
 	served := "  -"
--- a/internal/experiment/zonerun.go
+++ b/internal/experiment/zonerun.go
@@ -33,7 +33,7 @@
 type zoneArms struct {
 	reference arm // without zones, or the reference program
 	measured  arm
-	zoneAway  arm // measured, but the zone does not return; only if the experiment claims the return
+	zoneAway  arm // as measured, but the zone does not return; run only if the experiment claims the return
 }
 
 // timeWindow is a part of a run, in seconds from its start.
@@ -47,7 +47,7 @@
 	spec := e.spec(o.Short)
 	spec.Defect = o.Defect
 	if o.Defect == DefectStaleReads {
-		spec.StaleReads = routing.StaleReadServed // hosts that check would hide it
+		spec.StaleReads = routing.StaleReadServed // hosts that check the staleness would hide the defect
 	}
 	driver := driverVirtual
 	if o.Program != "" {
@@ -75,8 +75,8 @@
 }
 
 // spillWindows returns the windows in which spillover is measured: before the loss, while the zone is lost, and at the
-// end. While a group has no primary, reads for which no member is known to be fresh go to the most advanced one in
-// any tier, so the second window starts when failovers are over.
+// end. While a group has no primary, reads for which no member is known to be fresh go to the most advanced member
+// in any tier, so the second window starts when failovers are over.
 func (e *Experiment) spillWindows(length time.Duration) [3]timeWindow {
 	end := length.Seconds()
 	lost := e.lossAt + failoverSeconds
@@ -197,14 +197,14 @@
 	earned, achievable                   float64
 	referenceEarned, referenceAchievable float64
 
-	avoidanceSeconds      float64 // the slowest gateway's
+	avoidanceSeconds      float64 // of the slowest gateway
 	spillError            float64 // largest deviation of the spillover from the configured one
 	crossZone             float64 // fraction of attempts across zones before the loss
 	referenceCrossZone    float64
 	lostVerdicts          float64
 	lostVerdictsElsewhere float64 // on zones that were not lost
-	usualFraction         float64 // of first attempts to the zone, before the loss or at the end
-	returnedFraction      float64 // after the zone's return and slow start
+	usualFraction         float64 // fraction of reads' first attempts that go to the zone, the larger of before the loss and at the end
+	returnedFraction      float64 // the same fraction, after the zone's return and slow start
 
 	measured, reference, zoneAway [][]float64 // earned weight by second
 }
@@ -246,7 +246,7 @@
 	}
 }
 
-// addVerdicts counts the verdicts that a zone is lost.
+// addVerdicts counts the gateways' verdicts that a zone is lost.
 func (t *zoneTotals) addVerdicts(lostZone string, zoneChanges map[string]int) {
 	for change, n := range zoneChanges {
 		if !strings.HasSuffix(change, " lost") {
@@ -268,7 +268,7 @@
 	}
 	r.claimNoViolations(prefix, t.violations)
 	figure("worth_of_allowed", t.earned/t.achievable)
-	if !e.claimsNotLost { // a slow zone's capacity comes in pieces that take too long
+	if !e.claimsNotLost { // the achievable weight counts a slow zone's capacity, but each request takes too long there
 		r.addClaim(prefix+"worth in the 10 s after the loss, of what remains possible", t.earned/t.achievable, ">=", 0.9)
 	}
 	figure("worth_of_allowed_before", t.referenceEarned/t.referenceAchievable)
@@ -278,7 +278,7 @@
 	}
 	r.addClaim(prefix+over, figure("worth_over_before", t.earned/t.referenceEarned), ">=", 1)
 	if e.maxDetection > 0 && o.Program != "" {
-		figure("avoided_written_s", t.avoidanceSeconds) // hosts see only what is written, not what waits for a connection: no claim
+		figure("avoided_written_s", t.avoidanceSeconds) // no claim: hosts see only written attempts, not attempts that wait for a connection
 	} else if e.maxDetection > 0 {
 		r.addClaim(prefix+"s until attempts avoid the zone, worst gateway", figure("avoided_s", t.avoidanceSeconds), "<=", e.maxDetection.Seconds())
 	}
