--- a/internal/experiment/client.go
+++ b/internal/experiment/client.go
@@ -124,7 +124,7 @@
 }
 
 // retry sends another request of the operation. It does nothing if the operation is settled, a write may have run, or
-// the client has no tries or no time left.
+// the client has no requests or no time left.
 func (g *gateway) retry(request *request, nothingRan bool, retryAfter time.Duration) {
 	f := g.fleet
 	if request.settled || request.requests > 3 || !nothingRan && request.class.Effect == routing.NonIdempotent {
--- a/internal/experiment/fleetscenarios.go
+++ b/internal/experiment/fleetscenarios.go
@@ -40,21 +40,21 @@
 	Experiments = append(Experiments, Experiment{Name: "fleet-soak", endurance: true,
 		About: "45 minutes in which hosts are replaced and gateways killed all the time: nothing of them may be kept"})
 	for _, name := range []string{"calm", "herd", "zone", "join", "roll", "split"} {
-		for _, mass := range []bool{false, true} {
-			k := fleetScenarios[name]
-			e := Experiment{Name: "fleet-" + name, About: k.about, fleet: &k.fleetScenario, loads: []float64{0.5},
+		for _, large := range []bool{false, true} {
+			scenario := fleetScenarios[name]
+			e := Experiment{Name: "fleet-" + name, About: scenario.about, fleet: &scenario.fleetScenario, loads: []float64{0.5},
 				spec: func(short bool) Spec {
-					s := baseSpec(28*sec, k.faults...)
+					s := baseSpec(28*sec, scenario.faults...)
 					s.Hosts, s.Groups, s.Gateways, s.Rate, s.HostConnections = 60, 18, 80, 11, fleetHostConnections
 					switch {
-					case mass:
+					case large:
 						s.Hosts, s.Groups, s.Gateways = 120, 36, 300
 					case short:
 						s.Hosts, s.Groups, s.Gateways, s.HostConnections = 20, 6, 40, 60
 					}
 					return s
 				}}
-			if mass {
+			if large {
 				e.Name, e.About = e.Name+"-mass", e.About+"; 300 gateways before 120 hosts"
 			}
 			Experiments = append(Experiments, e)
--- a/internal/experiment/fleetscenarios_test.go
+++ b/internal/experiment/fleetscenarios_test.go
@@ -7,20 +7,20 @@
 )
 
 // runShort runs the short form of an experiment.
-func runShort(t *testing.T, name string, b Defect, seed uint64) *Result {
+func runShort(t *testing.T, name string, defect Defect, seed uint64) *Result {
 	t.Helper()
 	e, err := Find(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := e.Run(context.Background(), Options{Seed: seed, Seeds: 1, Short: true, Defect: b})
+	r, err := e.Run(context.Background(), Options{Seed: seed, Seeds: 1, Short: true, Defect: defect})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// failed are the claims on rules that do not hold.
+// failed returns the names of the claims on invariants that do not hold.
 func (r *Result) failed() (out []string) {
 	for _, c := range r.Claims {
 		if !c.Holds && c.Relation == "==" {
@@ -45,19 +45,19 @@
 			}
 		}
 		if now, before := r.Figures["no_room_an_attempt"], r.Figures["no_room_an_attempt_before"]; now > 0.02 || before <= now {
-			t.Errorf("%s: %.3f of the attempts found no room, %.3f before", name, now, before)
+			t.Errorf("%s: hosts at their limit rejected connections for %.3f of the attempts, with the reference for %.3f", name, now, before)
 		}
 	}
 	if r := runShort(t, "fleet-soak", NoDefect, 40); !r.Holds() {
-		t.Errorf("soak: %+v", r.Claims)
+		t.Errorf("fleet-soak: %+v", r.Claims)
 	}
 }
 
-// TestDefectsAreFound runs gateways with deliberate defects: each must break a claim.
+// TestDefectsAreFound runs gateways with deliberate defects, each of which must violate an invariant within three seeds.
 func TestDefectsAreFound(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		defect, experiment, rule string
+		defect, experiment, claim string
 	}{
 		{"cold-room", "fleet-join", "tipped over"},
 		{"cold-room", "zone-return-most", "load 0.7: tipped over"},
@@ -68,11 +68,12 @@
 		{"two-runs", "zone-loss-silent", "load 0.5: wrong answers"},
 	} {
 		var found []string
-		for seed := uint64(40); seed < 43 && !strings.Contains(strings.Join(found, ";"), c.rule); seed++ { // not each seed has the case
+		// Not every seed triggers the defect.
+		for seed := uint64(40); seed < 43 && !strings.Contains(strings.Join(found, ";"), c.claim); seed++ {
 			found = append(found, runShort(t, c.experiment, Defects[c.defect], seed).failed()...)
 		}
-		if !strings.Contains(strings.Join(found, ";"), c.rule) {
-			t.Errorf("%s was not found by %s: %v", c.defect, c.experiment, found)
+		if !strings.Contains(strings.Join(found, ";"), c.claim) {
+			t.Errorf("defect %s was not detected by %s, which found only %v", c.defect, c.experiment, found)
 		}
 	}
 }
--- a/internal/experiment/group.go
+++ b/internal/experiment/group.go
@@ -56,7 +56,7 @@
 		g.fleet.after(200*time.Millisecond, g.elect)
 		return
 	}
-	// Nothing was written without a primary, so each member keeps its lag behind the most advanced one.
+	// Nothing was written without a primary, so each member's lag behind the most advanced member is unchanged.
 	last := best.position
 	for _, h := range g.members {
 		if h.reachable() {
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// attemptSent records an attempt. It counts a violation if the gateway has known for drainGracePeriod that the host is
-// draining or removed.
+// attemptSent records an attempt. It counts a violation if the gateway has known for longer than drainGracePeriod that the
+// host is draining or removed.
 func (j *Judge) attemptSent(a *attempt) {
 	consistency := a.request.class.Consistency
 	j.attempts = append(j.attempts, attemptRecord{
--- a/internal/experiment/judgemetrics.go
+++ b/internal/experiment/judgemetrics.go
@@ -119,7 +119,7 @@
 }
 
 // avoidanceTime returns how long after the time from the slowest gateway still sends to a zone. That is until its last
-// attempt to the zone in its last window of avoidanceWindow attempts of which more than one went to the zone.
+// attempt to the zone in its last window of 20 attempts of which more than one went to the zone.
 func (j *Judge) avoidanceTime(zone string, from, to time.Duration) time.Duration {
 	slowest := time.Duration(0)
 	for gateway := range j.fleet.gateways {
--- a/internal/experiment/membershipsim.go
+++ b/internal/experiment/membershipsim.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// start starts a new process of the member, which knows only the addresses of up to three members to join.
+// start starts a new process of the member, which is configured with the addresses of up to three members to join.
 func (m *simMember) start() {
 	sim := m.sim
 	m.generation++
--- a/internal/experiment/membershipsim_test.go
+++ b/internal/experiment/membershipsim_test.go
@@ -9,8 +9,8 @@
 // considered failed, and the shares of a budget must never exceed it.
 func TestMembershipScenarios(t *testing.T) {
 	t.Parallel()
-	for _, d := range membershipScenarios {
-		e, err := Find(d.name)
+	for _, scenario := range membershipScenarios {
+		e, err := Find(scenario.name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -20,20 +20,21 @@
 		}
 		for _, c := range r.Claims {
 			if !c.Holds {
-				t.Errorf("%s: %s: %.3f, want %s %g %v", d.name, c.Name, c.Figure, c.Relation, c.Bound, r.Notes)
+				t.Errorf("%s: %s: %.3f, want %s %g %v", scenario.name, c.Name, c.Figure, c.Relation, c.Bound, r.Notes)
 			}
 		}
 	}
 }
 
-// TestMembershipJudgeDetectsFalseVerdicts runs plain SWIM, whose verdicts after one probe fail running members.
+// TestMembershipJudgeDetectsFalseVerdicts runs plain SWIM, which considers running members failed because it probes only
+// once.
 func TestMembershipJudgeDetectsFalseVerdicts(t *testing.T) {
 	for _, d := range membershipScenarios {
 		if d.name != "members-pair" {
 			continue
 		}
 		if x := runMembershipSim(d, 20, 0.1, true, 1); x.falseVerdicts == 0 || len(x.notes) == 0 {
-			t.Errorf("%s: no false verdict was found", d.name)
+			t.Errorf("%s: no false verdict was detected", d.name)
 		}
 	}
 }
--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -22,7 +22,7 @@
 }
 
 // killWithParent kills a child process when this process ends, even by SIGKILL. The kernel acts at the end of the thread
-// that started the child, and the Go runtime keeps its threads until the process ends.
+// that started the child; the Go runtime does not end its threads before the process.
 var killWithParent = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 
 // freePort returns a port that is free for both UDP and TCP.
--- a/internal/experiment/processharness.go
+++ b/internal/experiment/processharness.go
@@ -28,7 +28,7 @@
 	logs      io.Writer
 	client    http.Client
 	startedAt time.Duration // start of the scenario, by the network's clock; 0: the members still converge
-	isolated  bool          // processes don't know each other, for comparison
+	isolated  bool          // processes form no fleet, for comparison
 
 	mu              sync.Mutex // guards the fields below: each process logs from its own goroutine
 	excuses         []excuse
@@ -176,7 +176,7 @@
 	return stats, nil
 }
 
-// waitConverged waits until all members know each other and their shares add up to a full budget.
+// waitConverged waits until each member's view contains all members and their shares add up to a full budget.
 func (h *processHarness) waitConverged(ctx context.Context, stats *processStats) error {
 	for end := time.Now().Add(processTimeout); ; time.Sleep(pollInterval) {
 		diverged, total := h.pollViews()
--- a/internal/experiment/processharness_test.go
+++ b/internal/experiment/processharness_test.go
@@ -20,7 +20,7 @@
 	"cranegate/internal/logging"
 )
 
-// breakEnv names the defect of a member that the test's own program runs as.
+// breakEnv is the environment variable with the defect of the member that the test binary runs as.
 const breakEnv = "CRANELAB_BROKEN_MEMBER"
 
 func TestMain(m *testing.M) {
@@ -45,31 +45,31 @@
 
 // brokenMember runs a member with a deliberate defect. It returns only with an error.
 func brokenMember(defect, file string) error {
-	o, err := config.LoadOperator(file, nil)
+	operator, err := config.LoadOperator(file, nil)
 	if err != nil {
 		return err
 	}
-	opt := o.Fleet.Options(o.Seed)
-	opt.Members.PlainSWIM = defect == "hasty" // a verdict after one probe, hearsay, and no local health awareness
-	p, err := gossip.Listen(opt)
+	opt := operator.Fleet.Options(operator.Seed)
+	opt.Members.PlainSWIM = defect == "hasty" // see membership.Options.PlainSWIM
+	peers, err := gossip.Listen(opt)
 	if err != nil {
 		return err
 	}
-	go p.Run(context.Background())
-	return http.ListenAndServe(o.Admin.Listen, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		v, err := p.View(context.Background())
+	go peers.Run(context.Background())
+	return http.ListenAndServe(operator.Admin.Listen, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		view, err := peers.View(context.Background())
 		if err != nil {
 			panic(err)
 		}
-		if defect == "greedy" { // it uses the whole of every budget
-			v.BudgetShare = 1
+		if defect == "greedy" { // it takes all of every budget
+			view.BudgetShare = 1
 		}
-		for i := range v.Members {
-			if defect == "blind" { // it does not notice who is gone
-				v.Members[i].State = "alive"
+		for i := range view.Members {
+			if defect == "blind" { // it does not notice ended members
+				view.Members[i].State = "alive"
 			}
 		}
-		json.NewEncoder(w).Encode(v)
+		json.NewEncoder(w).Encode(view)
 	}))
 }
 
@@ -92,31 +92,32 @@
 		t.Fatal(err)
 	}
 	var logs strings.Builder
-	x, err := runProcessScenario(context.Background(), e.membership, 5, e.membership.LossRates[0], 1,
+	stats, err := runProcessScenario(context.Background(), e.membership, 5, e.membership.LossRates[0], 1,
 		func(file string) *exec.Cmd { return exec.Command(program, "--operator", file) }, &logs)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, logs.String())
 	}
-	if x.falseVerdicts != 0 || x.maxBudgetShare > 1+1e-9 || x.divergedViews != 0 || x.healSeconds >= processTimeout.Seconds() {
-		t.Errorf("%d live members held as failed, parts of a budget %.3f, %d views not the living after %.1f s: %v", x.falseVerdicts, x.maxBudgetShare, x.divergedViews, x.healSeconds, x.notes)
+	if stats.falseVerdicts != 0 || stats.maxBudgetShare > 1+1e-9 || stats.divergedViews != 0 || stats.healSeconds >= processTimeout.Seconds() {
+		t.Errorf("%d running members considered failed, maximum budget share %.3f, %d views differ from the running members after %.1f s: %v",
+			stats.falseVerdicts, stats.maxBudgetShare, stats.divergedViews, stats.healSeconds, stats.notes)
 	}
-	if x.changes < 20 {
-		t.Errorf("%d news of members were seen: the judge reads nothing", x.changes)
+	if stats.changes < 20 {
+		t.Errorf("the harness read only %d state changes", stats.changes)
 	}
 	if text := logs.String(); strings.Contains(text, "DATA RACE") || strings.Contains(text, "panic:") {
-		t.Errorf("a gateway is at fault:\n%s", text)
+		t.Errorf("a gateway had a data race or a panic:\n%s", text)
 	}
 }
 
-// TestGatewaysCut runs clients and hosts with three gateways that know each other, of which one is isolated while hosts
-// of a zone restart. The checks do not depend on the speed of the machine.
+// TestGatewaysCut runs clients and hosts with a fleet of three gateways, of which one is partitioned from the others while
+// hosts of a zone restart. The checks do not depend on the speed of the machine.
 func TestGatewaysCut(t *testing.T) {
 	t.Parallel()
 	program := buildGateway(t, "-race")
-	d := gatewayScenarios[0].gatewayScenario
-	d.spec.Rate, d.spec.Length = 10, 17*sec
-	d.spec.Faults = []Fault{{Kind: Crash, Zone: "nuernberg", At: 9 * sec, Duration: 3 * sec}}
-	d.membership = mustParseScenario(`
+	scenario := gatewayScenarios[0].gatewayScenario
+	scenario.spec.Rate, scenario.spec.Length = 10, 17*sec
+	scenario.spec.Faults = []Fault{{Kind: Crash, Zone: "nuernberg", At: 9 * sec, Duration: 3 * sec}}
+	scenario.membership = mustParseScenario(`
 about = "one of three is cut off"
 losses = [0.1]
 length_s = 8
@@ -128,31 +129,32 @@
 excuses = ["one 0", "but 0"]
 `)
 	var logs strings.Builder
-	x, j, err := runGatewayArm(context.Background(), d, 3, 0.1, 3, program, true, &logs)
+	stats, judge, err := runGatewayArm(context.Background(), scenario, 3, 0.1, 3, program, true, &logs)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, logs.String())
 	}
 	for _, name := range []string{"stale_reads", "second_runs", "wrong_answers", "tipped_over"} {
-		if n := j.violations()[name]; n > 0 {
-			t.Errorf("%s: %.0f: %v", name, n, j.notes)
+		if n := judge.violations()[name]; n > 0 {
+			t.Errorf("%s: %.0f: %v", name, n, judge.notes)
 		}
 	}
-	if x.falseVerdicts != 0 || x.maxBudgetShare > 1+1e-9 || x.changes < 6 || x.excusedVerdicts == 0 {
-		t.Errorf("%d held as failed, parts %.3f, %d news, %d verdicts across the cut: %v", x.falseVerdicts, x.maxBudgetShare, x.changes, x.excusedVerdicts, x.notes)
+	if stats.falseVerdicts != 0 || stats.maxBudgetShare > 1+1e-9 || stats.changes < 6 || stats.excusedVerdicts == 0 {
+		t.Errorf("%d running members considered failed, maximum budget share %.3f, %d state changes, %d verdicts across the partition: %v",
+			stats.falseVerdicts, stats.maxBudgetShare, stats.changes, stats.excusedVerdicts, stats.notes)
 	}
-	if _, asked, earned := j.earnedWeight(epoch, epoch+8*sec); len(j.operations) < 200 || earned < asked/2 {
-		t.Errorf("%d requests; of %.0f asked for before the cut %.0f was earned", len(j.operations), asked, earned)
+	if _, requested, earned := judge.earnedWeight(epoch, epoch+8*sec); len(judge.operations) < 200 || earned < requested/2 {
+		t.Errorf("%d operations; of a requested weight of %.0f before the partition, %.0f was earned", len(judge.operations), requested, earned)
 	}
 }
 
 // TestProcessJudgeDetectsDefects runs members with one defect each, which the harness must detect.
 func TestProcessJudgeDetectsDefects(t *testing.T) {
 	scenario := func(text string) *membershipScenario {
-		d, err := parseScenario("about = \"broken members\"\nlosses = [0.0]\n" + text)
+		parsed, err := parseScenario("about = \"broken members\"\nlosses = [0.0]\n" + text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return d
+		return parsed
 	}
 	for _, c := range []struct {
 		defect   string
@@ -165,9 +167,9 @@
 	} {
 		t.Run(c.defect, func(t *testing.T) {
 			t.Parallel()
-			x, err := runProcessScenario(context.Background(), c.scenario, 4, c.scenario.LossRates[0], 2, brokenCommand(c.defect), io.Discard)
-			if err == nil && !c.found(x) {
-				t.Errorf("nothing was found: %+v", x)
+			stats, err := runProcessScenario(context.Background(), c.scenario, 4, c.scenario.LossRates[0], 2, brokenCommand(c.defect), io.Discard)
+			if err == nil && !c.found(stats) {
+				t.Errorf("the defect was not detected: %+v", stats)
 			} else if err != nil {
 				t.Error(err)
 			}
@@ -175,8 +177,8 @@
 	}
 }
 
-// startUnexpectedMembers starts three regular members, a fourth with the name of the first, a fifth with another key, and
-// tries to start a sixth with an invalid file.
+// startUnexpectedMembers starts three regular members, a fourth with the name of the first and a fifth with another key.
+// It checks that a sixth with an invalid file does not start.
 func startUnexpectedMembers(t *testing.T) *processHarness {
 	t.Helper()
 	program := buildGateway(t)
@@ -208,7 +210,7 @@
 		}
 	}
 	if err := h.launch(h.processes[5]); err == nil {
-		t.Error("a process with a faulty file runs")
+		t.Error("a process with an invalid file started")
 	}
 	h.mu.Lock()
 	h.startedAt = h.network.now()
@@ -221,7 +223,7 @@
 	t.Helper()
 	text := strings.Replace(p.operatorTables, old, replacement, 1)
 	if text == p.operatorTables {
-		t.Fatalf("%q does not stand in the file", old)
+		t.Fatalf("%q does not occur in the file", old)
 	}
 	if err := os.WriteFile(p.configFile, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -244,7 +246,7 @@
 	}
 	for end := time.Now().Add(processTimeout); !settled(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatal("four members of which two have one name don't show that")
+			t.Fatal("the views do not show that two of four members have the same name")
 		}
 	}
 	time.Sleep(4 * time.Second) // longer than any verdict takes
@@ -252,29 +254,29 @@
 	falseVerdicts, notes := h.falseVerdicts, h.notes
 	h.mu.Unlock()
 	if falseVerdicts > 0 || !settled() {
-		t.Errorf("%d held as failed: %v", falseVerdicts, notes)
+		t.Errorf("%d running members considered failed: %v", falseVerdicts, notes)
 	}
 	if v, err := h.fetchView(h.processes[4]); err != nil || len(v.Members) != 0 || v.BudgetShare != 0 {
-		t.Errorf("the one with another key: %+v, %v", v, err)
+		t.Errorf("the member with another key: view %+v, error %v", v, err)
 	}
 }
 
 // TestProcessesEndWithContext cancels a run and checks that no process is left.
 func TestProcessesEndWithContext(t *testing.T) {
 	t.Parallel()
-	d, err := parseScenario("about = \"long\"\nlosses = [0.0]\nlength_s = 60")
+	scenario, err := parseScenario("about = \"long\"\nlosses = [0.0]\nlength_s = 60")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	var started []*exec.Cmd
-	_, err = runProcessScenario(ctx, d, 3, 0, 1, func(file string) *exec.Cmd {
+	_, err = runProcessScenario(ctx, scenario, 3, 0, 1, func(file string) *exec.Cmd {
 		started = append(started, brokenCommand("none")(file))
 		return started[len(started)-1]
 	}, io.Discard)
 	if err == nil || len(started) != 3 {
-		t.Fatalf("it ended by itself (%v), with %d members", err, len(started))
+		t.Fatalf("the run was not cancelled: error %v, %d members started", err, len(started))
 	}
 	for _, cmd := range started {
 		if cmd.ProcessState == nil {
@@ -290,7 +292,7 @@
 		head + "[[fault]]\nkind = \"cut\"\nwho = \"all\"", head + "[[fault]]\nkind = \"kill\"\nwho = \"one\"", head + "[[fault]]\nkind = \"kill\"\nwho = \"one 1\"\nat_s = 6",
 		head + "[[fault]]\nkind = \"noise\"\nwho = \"all\"\nto = \"all\"\nlose = 2.0", head + "[[fault]]\nkind = \"narrow\"\nwho = \"all\"\nto = \"all\""} {
 		if _, err := parseScenario(text); err == nil {
-			t.Errorf("this was taken:\n%s", text)
+			t.Errorf("no error for this scenario:\n%s", text)
 		}
 	}
 	if _, err := parseScenario(head); err != nil {
@@ -301,19 +303,19 @@
 // TestLinkPartition checks which messages pass a partition in one direction and in both.
 func TestLinkPartition(t *testing.T) {
 	for _, both := range []bool{false, true} {
-		d := mustParseScenario(fmt.Sprintf("about = \"x\"\nlosses = [0.0]\nlength_s = 5\n[[fault]]\nkind = \"cut\"\nwho = \"one 1\"\nto = \"one 2\"\nboth = %t", both))
+		scenario := mustParseScenario(fmt.Sprintf("about = \"x\"\nlosses = [0.0]\nlength_s = 5\n[[fault]]\nkind = \"cut\"\nwho = \"one 1\"\nto = \"one 2\"\nboth = %t", both))
 		l := links{memberCount: 4, rng: rand.New(rand.NewPCG(1, 1)), freeAt: map[[2]int]time.Duration{}}
-		l.startFault(d.Faults[0])
+		l.startFault(scenario.Faults[0])
 		for from := range 4 {
 			for to := range 4 {
 				want := from == 1 && to == 2 || both && from == 2 && to == 1
 				if got := l.deliver(0, from, to, 100, false).lost; got != want {
-					t.Errorf("both %t: from %d to %d lost %t", both, from, to, got)
+					t.Errorf("both %t: message from %d to %d: lost is %t", both, from, to, got)
 				}
 			}
 		}
-		if l.endFault(d.Faults[0]); l.deliver(0, 1, 2, 100, false).lost {
-			t.Error("the cut does not end")
+		if l.endFault(scenario.Faults[0]); l.deliver(0, 1, 2, 100, false).lost {
+			t.Error("the partition does not end")
 		}
 	}
 }
--- a/internal/experiment/slowstart_test.go
+++ b/internal/experiment/slowstart_test.go
@@ -13,6 +13,6 @@
 		t.Errorf("%+v %v", r.Claims, r.Notes)
 	}
 	if r := runShort(t, "fleet-ramp", DefectSlowStartBudget, 40); r.Holds() {
-		t.Errorf("seven times the budget is not found: %s", strings.Join(r.Notes, "; "))
+		t.Errorf("seven times the budget was not detected: %s", strings.Join(r.Notes, "; "))
 	}
 }
--- a/internal/experiment/socketclient.go
+++ b/internal/experiment/socketclient.go
@@ -106,7 +106,8 @@
 	if err != nil {
 		return nil, err
 	}
-	raw.SetDeadline(time.Now().Add(time.Minute)) // keeps a hanging connection from blocking the run; response times are checked elsewhere
+	// The deadline keeps a hanging connection from blocking the run. Response times are checked elsewhere.
+	raw.SetDeadline(time.Now().Add(time.Minute))
 	if protocol == 0 {
 		c, err := fake.DialPostgres(raw, "")
 		return postgresClient{c}, err
--- a/internal/experiment/sockets.go
+++ b/internal/experiment/sockets.go
@@ -143,8 +143,8 @@
 		logs: func(int) io.Writer { return logs }, everySecond: each})
 }
 
-// runLive runs a scenario on sockets and returns its judge, or the error of ctx. It waits until all processes and goroutines
-// have ended.
+// runLive runs a scenario on sockets and returns its judge, or the error of ctx. It waits until all processes and
+// goroutines have ended.
 func runLive(ctx context.Context, spec Spec, seed uint64, o liveOptions) (*Judge, error) {
 	dir, err := os.MkdirTemp("", "cranelab")
 	if err != nil {
--- a/internal/experiment/up.go
+++ b/internal/experiment/up.go
@@ -122,7 +122,7 @@
 // statusLine summarises the requests that arrived in the second that ended 2 s ago, and the attempts of the last second.
 func (l *live) statusLine() string {
 	to := l.now - 2*time.Second // the longest deadline is 2.5 s
-	_, asked, earned := l.judge.earnedWeight(to-time.Second, to)
+	_, requested, earned := l.judge.earnedWeight(to-time.Second, to)
 	counts := map[string]int{}
 	for _, attempt := range l.judge.attempts {
 		if attempt.at >= l.now-time.Second {
@@ -130,8 +130,8 @@
 		}
 	}
 	served := "  -"
-	if asked > 0 {
-		served = fmt.Sprintf("%3.0f%%", 100*earned/asked)
+	if requested > 0 {
+		served = fmt.Sprintf("%3.0f%%", 100*earned/requested)
 	}
 	text := fmt.Sprintf("%4.0fs  worth served %s  attempts a second:", (l.now - epoch).Seconds(), served)
 	for _, z := range l.Zones {
--- a/internal/experiment/zonerun.go
+++ b/internal/experiment/zonerun.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	calmStart       = 5.0  // seconds from the start of a run to its steady state
+	steadyStart     = 5.0  // seconds from the start of a run to its steady state
 	failoverSeconds = 8.0  // after a loss until all failovers have ended
 	lossWindow      = 10.0 // seconds after a loss in which the earned weight is compared
 )
@@ -82,11 +82,11 @@
 	lost := e.lossAt + failoverSeconds
 	switch {
 	case e.returnAt == 0:
-		return [3]timeWindow{{calmStart, e.lossAt}, {lost, end}, {end, end}}
+		return [3]timeWindow{{steadyStart, e.lossAt}, {lost, end}, {end, end}}
 	case e.returnAt < lost+4: // too short to measure
-		return [3]timeWindow{{calmStart, e.lossAt}, {lost, lost}, {end - 5, end}}
+		return [3]timeWindow{{steadyStart, e.lossAt}, {lost, lost}, {end - 5, end}}
 	}
-	return [3]timeWindow{{calmStart, e.lossAt}, {lost, e.returnAt}, {end - 5, end}}
+	return [3]timeWindow{{steadyStart, e.lossAt}, {lost, e.returnAt}, {end - 5, end}}
 }
 
 // runZoneSeeds runs all arms of a scenario for each seed, several seeds at the same time.
@@ -230,9 +230,9 @@
 			t.spillError = max(t.spillError, math.Abs(spill-run.measured.configuredSpill[i]))
 		}
 	}
-	_, crossZone := judge.crossZoneFractions(secondsIn(calmStart), loss)
+	_, crossZone := judge.crossZoneFractions(secondsIn(steadyStart), loss)
 	t.crossZone += crossZone
-	_, crossZone = reference.crossZoneFractions(secondsIn(calmStart), loss)
+	_, crossZone = reference.crossZoneFractions(secondsIn(steadyStart), loss)
 	t.referenceCrossZone += crossZone
 	t.addVerdicts(e.zone, run.measured.zoneChanges)
 	t.measured = append(t.measured, judge.weightSeries())
@@ -240,7 +240,7 @@
 	if e.claimsReturn {
 		t.zoneAway = append(t.zoneAway, run.zoneAway.judge.weightSeries())
 		warm := e.returnAt + slowStartDuration.Seconds()
-		t.usualFraction += max(judge.zoneFraction(e.zone, secondsIn(calmStart), loss),
+		t.usualFraction += max(judge.zoneFraction(e.zone, secondsIn(steadyStart), loss),
 			judge.zoneFraction(e.zone, secondsIn(length-7), secondsIn(length-1)))
 		t.returnedFraction += judge.zoneFraction(e.zone, secondsIn(warm+3), secondsIn(warm+7))
 	}
@@ -278,7 +278,8 @@
 	}
 	r.addClaim(prefix+over, figure("worth_over_before", t.earned/t.referenceEarned), ">=", 1)
 	if e.maxDetection > 0 && o.Program != "" {
-		figure("avoided_written_s", t.avoidanceSeconds) // no claim: hosts see only written attempts, not attempts that wait for a connection
+		// No claim: hosts see only written attempts, not attempts that wait for a connection.
+		figure("avoided_written_s", t.avoidanceSeconds)
 	} else if e.maxDetection > 0 {
 		r.addClaim(prefix+"s until attempts avoid the zone, worst gateway", figure("avoided_s", t.avoidanceSeconds), "<=", e.maxDetection.Seconds())
 	}
--- a/internal/experiment/zonescenarios_test.go
+++ b/internal/experiment/zonescenarios_test.go
@@ -11,11 +11,11 @@
 	"cranegate/routing"
 )
 
-// enableZones turns zones on.
+// enableZones enables zones in a gateway's configuration.
 func enableZones(c *routing.Config) { c.Zones = &zones.Options{OwnZone: c.Zone} }
 
-// states counts the gateways that have come to hold a state of a zone.
-func (f *fleet) states(zone string, s zones.State) (n int) {
+// gatewaysThatEntered counts the gateways in which a zone has entered a state at some time.
+func (f *fleet) gatewaysThatEntered(zone string, s zones.State) (n int) {
 	for _, g := range f.gateways {
 		if slices.Contains(g.zoneChanges, zone+" "+s.String()) {
 			n++
@@ -24,8 +24,8 @@
 	return n
 }
 
-// zoneLossCases are days on which a zone is lost in one of the ways that the issue lists. No rule may break on any; lost
-// is how many of the gateways must have condemned the zone: 0 none, 1 all, -1 does not matter.
+// zoneLossCases are scenarios in which a zone is lost in different ways. None may violate an invariant. The field lost is
+// how many gateways must have considered the zone lost: 0 for none, 1 for at least nine tenths, and -1 for any number.
 var zoneLossCases = []struct {
 	name string
 	zone string
@@ -94,51 +94,52 @@
 	}},
 }
 
-// TestZoneLossCases runs each case at two loads, with hosts that check the staleness of reads and with hosts that leave
-// that to the gateway.
+// TestZoneLossCases runs each case at two loads: once with hosts that do not check the staleness of reads, and once with
+// hosts that do.
 func TestZoneLossCases(t *testing.T) {
 	for _, c := range zoneLossCases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			now, was, most := 0.0, 0.0, 0.03
+			earned, referenceEarned, tolerance := 0.0, 0.0, 0.03
 			for i, load := range []float64{0.5, 0.7} {
-				guards := []routing.StaleReadPolicy{routing.StaleReadServed, routing.StaleReadDelayed}[i]
+				staleReads := []routing.StaleReadPolicy{routing.StaleReadServed, routing.StaleReadDelayed}[i]
 				s := c.spec()
-				s.Load, s.StaleReads, s.Configure = load, guards, enableZones
+				s.Load, s.StaleReads, s.Configure = load, staleReads, enableZones
 				f := newFleet(s, 11)
 				f.runUntil(epoch + s.Length)
 				for name, n := range f.judge.violations() {
 					if n > 0 {
-						t.Errorf("load %.1f, guards %d: %s %.0f %v", load, guards, name, n, f.judge.notes)
+						t.Errorf("load %.1f, stale reads %d: %s %.0f %v", load, staleReads, name, n, f.judge.notes)
 					}
 				}
-				lost := f.states(c.zone, zones.Down)
+				lost := f.gatewaysThatEntered(c.zone, zones.Down)
 				if c.lost == 0 && lost > 0 || c.lost == 1 && lost*10 < len(f.gateways)*9 {
-					t.Errorf("load %.1f, guards %d: %d of %d gateways condemned %q", load, guards, lost, len(f.gateways), c.zone)
+					t.Errorf("load %.1f, stale reads %d: %d of %d gateways considered %q lost", load, staleReads, lost, len(f.gateways), c.zone)
 				}
-				before := c.spec()
-				before.Load, before.StaleReads = load, guards
-				b := newFleet(before, 11)
-				b.runUntil(epoch + s.Length)
+				referenceSpec := c.spec()
+				referenceSpec.Load, referenceSpec.StaleReads = load, staleReads
+				reference := newFleet(referenceSpec, 11)
+				reference.runUntil(epoch + s.Length)
 				if s.Gateways > 10 {
-					most = 0.08 // each hears a host that is back late, and takes it for cold from then on
+					tolerance = 0.08 // each gateway notices late that a host is back, and treats it as in slow start from then on
 				}
-				now, was = now+f.judge.earnedAtEnd(s.Length)/2, was+b.judge.earnedAtEnd(s.Length)/2
+				earned, referenceEarned = earned+f.judge.earnedAtEnd(s.Length)/2, referenceEarned+reference.judge.earnedAtEnd(s.Length)/2
 			}
-			if now < was-most {
-				t.Errorf("in its last 10 s the day earned %.2f, without zones %.2f", now, was)
+			if earned < referenceEarned-tolerance {
+				t.Errorf("earned fraction in the last 10 s: %.2f, without zones %.2f", earned, referenceEarned)
 			}
 		})
 	}
 }
 
-// served10 is the worth earned of that asked for in the last 10 s of a day, its very last 2 s left out.
+// earnedAtEnd returns the earned fraction of the priority weight that was requested in the last 10 s of a run, without its
+// last 2 s.
 func (j *Judge) earnedAtEnd(length time.Duration) float64 {
-	_, asked, earned := j.earnedWeight(epoch+length-10*sec, epoch+length-2*sec)
-	return earned / asked
+	_, requested, earned := j.earnedWeight(epoch+length-10*sec, epoch+length-2*sec)
+	return earned / requested
 }
 
-// TestSameSeedSameRun checks that runs of one seed are equal to the last figure, on which all comparisons depend.
+// TestSameSeedSameRun checks that two runs with the same seed have equal series. All comparisons depend on that.
 func TestSameSeedSameRun(t *testing.T) {
 	series := func(seed uint64) []float64 {
 		s := baseSpec(15*sec, Fault{Kind: Silent, Zone: "nuernberg", At: 5 * sec, Duration: 5 * sec})
@@ -148,10 +149,10 @@
 		return f.judge.weightSeries()
 	}
 	if a, b := series(3), series(3); !slices.Equal(a, b) {
-		t.Errorf("one seed, two days:\n%v\n%v", a, b)
+		t.Errorf("the same seed gave different series:\n%v\n%v", a, b)
 	}
 	if slices.Equal(series(3), series(4)) {
-		t.Error("two seeds play one day")
+		t.Error("two seeds gave the same series")
 	}
 }
 
@@ -159,31 +160,31 @@
 func TestJudgeDetectsEachViolation(t *testing.T) {
 	f := newFleet(Spec{Zones: threeZones, Hosts: 3, Groups: 1, Gateways: 1, Rate: 0.001, Load: 0.1, Length: sec}, 1)
 	g, h := f.gateways[0], f.hosts[1]
-	write := func(n int) *request {
-		q := &request{operation: &operation{class: &classes[n], group: f.groups[0], arrived: f.now}, acceptedAt: f.now, deadline: f.now + sec}
+	newRequest := func(classIndex int) *request {
+		q := &request{operation: &operation{class: &classes[classIndex], group: f.groups[0], arrived: f.now}, acceptedAt: f.now, deadline: f.now + sec}
 		return q
 	}
-	try := func(q *request, need time.Duration) *attempt {
-		return &attempt{gateway: g, request: q, host: h, requiredPosition: need, abandonAt: f.now + sec}
+	newAttempt := func(q *request, requiredPosition time.Duration) *attempt {
+		return &attempt{gateway: g, request: q, host: h, requiredPosition: requiredPosition, abandonAt: f.now + sec}
 	}
-	w := write(4)
-	f.judge.attemptRan(try(w, 0), h)
-	f.judge.attemptRan(try(w, 0), h)
-	g.respond(w, false, true, 0, nil, 0) // a refusal of what has run
-	g.respond(w, false, false, 0, nil, 0)
-	read := write(0)
-	f.judge.requestServed(read, try(read, f.now), f.now-sec) // old, and it never ran
-	g.requestTimedOut(write(2))
+	write := newRequest(4)
+	f.judge.attemptRan(newAttempt(write, 0), h)
+	f.judge.attemptRan(newAttempt(write, 0), h)
+	g.respond(write, false, true, 0, nil, 0) // rejects a write that has run
+	g.respond(write, false, false, 0, nil, 0)
+	read := newRequest(0)
+	f.judge.requestServed(read, newAttempt(read, f.now), f.now-sec) // stale data, and the read never ran
+	g.requestTimedOut(newRequest(2))
 	f.judge.endpointNotified(g, routing.Endpoint{Member: h.id, Phase: routing.PhaseDraining})
 	f.now += sec
-	f.judge.attemptSent(try(write(2), 0))
+	f.judge.attemptSent(newAttempt(newRequest(2), 0))
 	h.started = f.now
 	for range 200 {
 		h.recordWork(10 * time.Millisecond)
 	}
 	for name, n := range f.judge.violations() {
 		if n == 0 {
-			t.Errorf("%s was broken and not found", name)
+			t.Errorf("a violation of %s was not detected", name)
 		}
 	}
 }
@@ -206,7 +207,7 @@
 		}
 	}
 	if _, err := Find("no-such"); err == nil {
-		t.Error("an experiment that does not exist is found")
+		t.Error("Find returned an experiment that does not exist")
 	}
 	if (&Result{}).Holds() {
 		t.Error("a result without claims holds")
