--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Reject gives a final answer that guarantees that nothing ran.
+// Reject gives a final answer with a Retry-After: nothing ran, or a retry by the client does no harm.
 func (g *gateway) Reject(id uint64, retryAfter time.Duration, reason routing.Reason) {
 	if request := g.requests[id]; request != nil {
 		(*Core)(g).answerUnserved(request, Answer{Status: Rejected, RetryAfter: retryAfter}, reason)
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -60,7 +60,7 @@
 	a.write(messageCancel, formatID(request), strconv.Itoa(attempt))
 }
 
-// Reject writes a final answer which guarantees that the request did not run.
+// Reject writes a final answer with a Retry-After: nothing ran, or a retry by the client does no harm.
 func (a *Actions) Reject(request uint64, retryAfter time.Duration, _ routing.Reason) {
 	a.write(messageReject, formatID(request), formatSeconds(retryAfter))
 }
