--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -14,30 +14,32 @@
 // attemptState is the state of an attempt. An attempt that was not written has certainly not run.
 type attemptState int32
 
-// The states. An attempt leaves stateWaiting once, for one of the others, and stays there.
+// The states. An attempt leaves stateWaiting at most once, for one of the others, and stays there. An attempt that fails
+// without a call of Begin is settled and remains in stateWaiting.
 const (
 	stateWaiting attemptState = iota // for a connection
 	stateWritten                     // its first byte may have been written
-	stateUnsent                      // it is over without a byte written
+	stateUnsent                      // it was withdrawn or abandoned, or must not begin any more, with no byte written
 )
 
 // String returns the state's name in log lines.
 func (s attemptState) String() string { return [...]string{"waiting", "written", "unsent"}[s] }
 
 // Attempt is one attempt of a request at a database host, or a health check if Request is nil. The host's connection
-// calls Begin before the first byte and Done at the end.
+// calls Begin before the first byte that may have an effect, and Done at the end. Only the preparation of a statement may be
+// written before Begin. The host's actor calls Done without Begin if the attempt gets no connection.
 type Attempt struct {
 	Request  *Request
 	Member   string
 	Deadline time.Time          // when the gateway stops waiting for it
-	Conn     routing.ConnPolicy // which connection a health check uses
+	Conn     routing.ConnPolicy // which connection a health check should use; if it has to wait, it may get another one
 
-	core   *Core
-	number int // within the request, from 0
-	sentAt time.Duration
-	ctx    context.Context
-	cancel context.CancelFunc
-	state  atomic.Int32 // an attemptState; transition alone changes it
+	core      *Core
+	number    int           // within the request, from 0
+	createdAt time.Duration // before any wait for a connection
+	ctx       context.Context
+	cancel    context.CancelFunc
+	state     atomic.Int32 // an attemptState; transition alone changes it
 
 	startDeadline time.Duration // it must begin before this time of the core's clock; 0: no bound
 
@@ -60,13 +62,14 @@
 
 // newAttempt makes an attempt that is abandoned at a deadline.
 func (c *Core) newAttempt(request *Request, member string, deadline time.Duration) *Attempt {
-	a := &Attempt{Request: request, Member: member, Deadline: c.clock.time(deadline), core: c, sentAt: c.now}
+	a := &Attempt{Request: request, Member: member, Deadline: c.clock.time(deadline), core: c, createdAt: c.now}
 	a.ctx, a.cancel = context.WithCancel(c.ctx)
 	a.timeoutTimer = c.timers.add(deadline, func() { a.abandon(routing.ResultTimeout) })
 	return a
 }
 
-// startAttempt gives an attempt to its host.
+// startAttempt gives an attempt to its host. It also adds it to c.unwritten, and drops the host's attempts there that no
+// longer wait, so that the list does not grow while the host serves.
 func (c *Core) startAttempt(a *Attempt) {
 	unwritten := slices.DeleteFunc(c.unwritten[a.Member], func(other *Attempt) bool {
 		return other.settled || !other.Waiting()
@@ -97,7 +100,8 @@
 	return a.currentState() == stateWaiting && !a.Request.isDisconnected()
 }
 
-// Done reports the outcome. Only the first call has an effect, and none has one after the core has abandoned the attempt.
+// Done reports the outcome. Only the first call has an effect, and none has one after the core has abandoned or withdrawn the
+// attempt.
 func (a *Attempt) Done(outcome Outcome) { a.core.post(attemptEnded{a, outcome}) }
 
 // Stream offers an answer that is forwarded to the client while the host sends it, and returns whether the request
@@ -117,7 +121,7 @@
 }
 
 // transition moves the attempt from stateWaiting to another state, and returns whether this call did so. It is the only
-// function that changes the state, and it checks the invariants on sends and retries.
+// function that changes the state, and it checks the invariants on sends and retries. The reason is for the log.
 func (a *Attempt) transition(to attemptState, reason string) bool {
 	change := func() bool { return a.state.CompareAndSwap(int32(stateWaiting), int32(to)) }
 	changed := false
@@ -153,7 +157,8 @@
 	}
 }
 
-// abandon ends an attempt in any state. If no byte was written, the outcome is ResultNotSent.
+// abandon ends an attempt in any state. If no byte was written, the outcome is ResultNotSent, and the log gives the counter's
+// name of the intended result as the reason.
 func (a *Attempt) abandon(result routing.Result) {
 	if a.settled {
 		return
@@ -171,17 +176,17 @@
 		return false
 	}
 	a.timeoutTimer.cancel()
-	a.firstByteLatency = c.now - a.sentAt
+	a.firstByteLatency = c.now - a.createdAt
 	c.options.Counters.Add("streams", 1)
 	c.router.StreamStarted(c.now, request.id, a.number)
 	c.answer(request, Answer{Status: Served, Value: value})
 	return true
 }
 
-// handleOutcome handles the outcome that the host's connection reported. An attempt in stateUnsent has not run, whichever
-// outcome is reported; the report may precede the timer that withdraws the attempt. An attempt that did not begin because
-// its client had disconnected has no outcome to report: it ends its request, unless the actor has handled the disconnect
-// before.
+// handleOutcome handles the outcome that the host's connection or actor reported. An attempt in stateUnsent has not run,
+// whichever outcome is reported; the report may precede the timer that withdraws the attempt. If the attempt has not begun
+// and its client has disconnected, handleOutcome handles the disconnect, unless the actor has done so before. This withdraws
+// the attempt, and the reported outcome is ignored.
 func (a *Attempt) handleOutcome(outcome Outcome) {
 	if a.currentState() == stateUnsent {
 		outcome = Outcome{Result: routing.ResultNotSent}
@@ -207,7 +212,7 @@
 
 // reportOutcome passes a settled attempt's outcome to the router, and answers its request if it was served.
 func (c *Core) reportOutcome(a *Attempt, outcome Outcome) {
-	latency := c.now - a.sentAt
+	latency := c.now - a.createdAt
 	if a.Request == nil {
 		c.router.HealthChecked(c.now, routing.HealthCheckResult{Member: a.Member, Result: outcome.Result, Latency: latency,
 			Report: outcome.Report, ConnectedAt: c.openedAt(outcome)})
@@ -241,17 +246,17 @@
 	return c.clock.at(outcome.Opened)
 }
 
-// resultCounters are the names of the counters of outcomes.
+// resultCounters are the names of the counters of outcomes, which are also the results' names in log lines.
 var resultCounters = map[routing.Result]string{
 	routing.ResultOK:               "attempts_ok",
 	routing.ResultError:            "attempts_error",
-	routing.ResultOverCapacity:     "attempts_turned_away",
+	routing.ResultOverCapacity:     "attempts_turned_away", // the host has no capacity for the attempt
 	routing.ResultTimeout:          "attempts_timed_out",
 	routing.ResultConnectFailed:    "attempts_not_connected",
 	routing.ResultReset:            "attempts_reset",
 	routing.ResultCancelled:        "attempts_cancelled",
 	routing.ResultNotSent:          "attempts_never_sent",
 	routing.ResultMissed:           "attempts_missed",
-	routing.ResultInvalidStatement: "attempts_rejected",
-	routing.ResultMalformed:        "attempts_spoilt",
+	routing.ResultInvalidStatement: "attempts_rejected", // the host can't execute the statement
+	routing.ResultMalformed:        "attempts_spoilt",   // the answer can't be parsed
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -20,7 +20,7 @@
 	Failed                 // without a guarantee: the request may have run
 )
 
-// String returns the status's name in counters and log lines.
+// String returns the status's name in counters and log lines, in which Rejected is "refused".
 func (s Status) String() string { return [...]string{"served", "refused", "failed"}[s] }
 
 // Answer is a request's final answer.
@@ -48,11 +48,11 @@
 	// It may be nil; Core.ClientDisconnected is then the only notice.
 	Disconnected func() bool
 
-	// Reply receives the final answer. The actor calls it at most once, and it must not block.
+	// Reply receives the final answer. The actor calls it at most once after a Submit, and it must not block.
 	Reply func(Answer)
 
 	disconnectedAt atomic.Int64 // on the core's clock; 0: the client is connected. Set once, by any goroutine
-	answered       atomic.Bool  // the final answer was given to Reply; read by the invariant checks
+	answered       atomic.Bool  // Reply is being called or was called, for a request in the table; read by the invariant checks
 	ledger         invariant.Ledger
 
 	// The actor alone uses the fields below.
@@ -74,9 +74,9 @@
 // markDisconnected records that the client has disconnected.
 func (r *Request) markDisconnected(c *Core) { r.disconnectedAt.CompareAndSwap(0, int64(c.clock.now())) }
 
-// disconnectCheckAge is the age from which on a request's client is checked right before an attempt begins. A younger
-// request needs no check: its client was checked when the request arrived, and an attempt may begin up to 0.1 s after its
-// client has disconnected.
+// disconnectCheckAge is the age from which on a request's client is checked right before an attempt begins. The client of a
+// younger request, connected when the request arrived, has disconnected at most 20 ms ago. An attempt may begin up to 0.1 s
+// after its client has disconnected, so no check is needed and a margin is left.
 const disconnectCheckAge = 20 * time.Millisecond
 
 // checkDisconnected reports whether the client has disconnected. It polls the client's connection if a disconnect
@@ -99,8 +99,9 @@
 	return r.ID
 }
 
-// handleRequest adds a request to the table and gives it to the router. The request stays in the table until its last
-// attempt is over.
+// handleRequest adds a request to the table and gives it to the router. The request stays in the table until it has ended
+// and its last attempt is over. A request that has ended already or is of an unknown class fails at once, and a request whose
+// client has disconnected gets no answer; neither is added to the table.
 func (c *Core) handleRequest(request *Request) {
 	class, ok := c.classIndex[request.Class]
 	if !ok || request.ended {
@@ -124,7 +125,7 @@
 	c.router.Request(c.now, routing.Request{
 		ID:         request.id,
 		Class:      class,
-		Tenant:     -1,
+		Tenant:     -1, // none
 		Session:    request.Session,
 		Group:      request.Group,
 		Retry:      request.Retry,
@@ -142,8 +143,9 @@
 	return max(1, c.now-time.Duration(request.MinPosition)*time.Millisecond)
 }
 
-// handleOverdue fails a request that has no answer by half the answer slack after its deadline. The router has answered by
-// then unless it has a fault.
+// handleOverdue fails a request that has no answer at its deadline plus half the answer slack. The router has answered by
+// then unless it has a fault. The call of the router's ClientDisconnected tells it that the request needs no answer any more;
+// the client itself may still be connected.
 func (c *Core) handleOverdue(request *Request) {
 	if request.ended {
 		return
@@ -157,7 +159,8 @@
 	c.removeIfDone(request)
 }
 
-// handleDisconnect ends a request whose client has disconnected.
+// handleDisconnect ends a request whose client has disconnected. It ignores a request that was never added to the table,
+// which has the id 0.
 func (c *Core) handleDisconnect(request *Request) {
 	if request.ended || request.id == 0 {
 		return
@@ -209,7 +212,7 @@
 }
 
 // removeIfDone removes a request from the table if it has ended and so have all its attempts. A request may end without
-// any attempt.
+// any attempt. Calls for a request that was removed before have no effect.
 func (c *Core) removeIfDone(request *Request) {
 	if request.ended && len(request.attempts) == 0 {
 		delete(c.requests, request.id)
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -82,9 +82,9 @@
 // startDeadline returns the time before which an attempt at a member must start, as it may wait for a
 // connection: the retry deadline or, if that is earlier, the time at which the member's data becomes too old.
 // Only the retry deadline applies if members check reads themselves, or if the class is not bounded and the
-// member's position suffices. It always suffices for writes and ConsistencyAny, as their minPosition is 0. The
-// time until which the data counts as fresh includes the class's StalenessBound, also for strong and session
-// reads. For the presumed primary that time is at least roleValidityPeriod from now.
+// member's position suffices. It always suffices for writes and ConsistencyAny, as their minPosition is 0.
+// The time until which the data counts as fresh includes the class's StalenessBound, also for strong and
+// session reads. For the presumed primary that time is at least roleValidityPeriod from now.
 func (r *Router) startDeadline(req *requestState, member *memberState) time.Duration {
 	class := req.class
 	if r.cfg.StaleReads != StaleReadServed {
