--- a/internal/backend/host.go
+++ b/internal/backend/host.go
@@ -12,13 +12,13 @@
 	"cranegate/routing"
 )
 
-// The bounds on the number of messages in one host's mailbox, and in the mailboxes of all hosts together. The total gives way
-// to minMailboxSize. An actor only passes messages on, so that a small mailbox is enough in a list of hundreds of hosts. Each
-// message takes 16 bytes, allocated when the host is listed.
+// The bounds on the number of messages in one host's mailbox, and in the mailboxes of all hosts together. With more than 1,024
+// hosts the total is exceeded, because each mailbox keeps minMailboxSize. An actor handles each message without waiting, so
+// that a small mailbox is enough in a list of hundreds of hosts. Each message takes 16 bytes, allocated when the host is listed.
 const (
 	maxMailboxSize   = 1024
 	minMailboxSize   = 128
-	totalMailboxSize = 128 << 10
+	totalMailboxSize = 128 << 10 // messages
 )
 
 // mailboxSize returns the size of each host's mailbox for a number of listed hosts: 1,024 up to 128 hosts, 128 from 1,024
@@ -38,18 +38,18 @@
 	ctx             context.Context // ends when the host is removed from the list
 	retire          context.CancelFunc
 
-	idle       []*pooledConn // the most recently used at the end
-	waiting    []connRequest // the oldest first
-	open       int           // connections open or being opened
-	connecting int           // the part of open that is still being opened
-	demand     poolsize.Host // how often attempts arrive
-	trimAt     time.Time     // when idle connections are trimmed next; zero: not scheduled
+	idle       []*pooledConn    // the most recently used at the end
+	waiting    []waitingAttempt // the oldest first
+	open       int              // connections open or being opened
+	connecting int              // the part of open that is still being opened
+	demand     poolsize.Host    // how often attempts arrive
+	trimAt     time.Time        // when idle connections are trimmed next; zero: not scheduled
 
 	connectLogged time.Time // when a failed connect was logged last
 }
 
-// connRequest is an attempt that waits for a connection.
-type connRequest struct {
+// waitingAttempt is an attempt that waits for a connection.
+type waitingAttempt struct {
 	*core.Attempt
 	since time.Time
 }
@@ -84,7 +84,7 @@
 			h.handle(message)
 		case <-retired:
 			retired = nil
-			h.closeIdle(0)
+			h.closeIdle(0) // keeps none
 		}
 	}
 	h.failRemaining()
@@ -132,7 +132,8 @@
 	}
 }
 
-// assign gives an attempt to an idle connection. If there is none for it, assign opens a connection and lets the attempt wait.
+// assign gives an attempt to an idle connection. If there is none for it, assign opens a connection and lets the attempt wait
+// or, if the host is retired, fails the attempt.
 func (h *host) assign(a *core.Attempt) {
 	if !a.Waiting() {
 		return
@@ -146,7 +147,7 @@
 		h.failAttempt(a, routing.ResultConnectFailed, 0)
 		return
 	}
-	h.waiting = append(h.waiting, connRequest{a, time.Now()})
+	h.waiting = append(h.waiting, waitingAttempt{a, time.Now()})
 	h.open++
 	h.connecting++
 	h.pool.group.Go(func() error {
@@ -170,24 +171,25 @@
 	}
 }
 
-// nextRequest removes and returns the oldest attempt that still waits, if it has waited for at least minWait; otherwise it
+// nextWaiting removes and returns the oldest attempt that still waits, if it has waited for at least minWait; otherwise it
 // returns nil.
-func (h *host) nextRequest(minWait time.Duration) *core.Attempt {
+func (h *host) nextWaiting(minWait time.Duration) *core.Attempt {
 	for len(h.waiting) > 0 {
-		request := h.waiting[0]
-		if request.Waiting() && time.Since(request.since) < minWait {
+		oldest := h.waiting[0]
+		if oldest.Waiting() && time.Since(oldest.since) < minWait {
 			return nil
 		}
 		h.waiting = h.waiting[1:]
-		if request.Waiting() {
-			return request.Attempt
+		if oldest.Waiting() {
+			return oldest.Attempt
 		}
 	}
 	return nil
 }
 
-// handleConnectFailed handles a failed connect. It fails the oldest waiting attempt, unless an idle connection can take it or
-// the connections that are still being opened are enough for all waiting attempts.
+// handleConnectFailed handles a failed connect. It fails the oldest waiting attempt, unless there is an idle connection or the
+// connections that are still being opened are enough for all waiting attempts. The attempt takes the idle connection whatever
+// its ConnPolicy.
 func (h *host) handleConnectFailed(err error) {
 	result, delay := routing.ResultConnectFailed, time.Duration(0)
 	switch {
@@ -206,7 +208,7 @@
 	if h.connectsCoverWaiting() {
 		return
 	}
-	a := h.nextRequest(0)
+	a := h.nextWaiting(0)
 	switch {
 	case a == nil:
 	case len(h.idle) > 0:
@@ -218,11 +220,12 @@
 	}
 }
 
-// connectsCoverWaiting reports whether at least as many connections are being opened as attempts wait. This can be so after
-// a failed connect because used connections took other attempts, or other attempts have ended. It returns false if the
-// oldest attempt has waited for the connect timeout: its own connect is over, and it must not wait for another attempt's.
+// connectsCoverWaiting reports whether at least as many connections are being opened as attempts wait. This can be so
+// after a failed connect because used connections took other attempts, or other attempts have ended. Before it counts,
+// connectsCoverWaiting removes the attempts that no longer wait from h.waiting. It returns false if the oldest attempt has
+// waited for the connect timeout: its own connect is over, and it must not wait for another attempt's.
 func (h *host) connectsCoverWaiting() bool {
-	h.waiting = slices.DeleteFunc(h.waiting, func(r connRequest) bool { return !r.Waiting() })
+	h.waiting = slices.DeleteFunc(h.waiting, func(a waitingAttempt) bool { return !a.Waiting() })
 	if len(h.waiting) > h.connecting {
 		return false
 	}
@@ -231,7 +234,8 @@
 
 // failAttempt ends an attempt of which nothing was written, after a delay or as soon as it is abandoned. It does not call
 // Begin, so that the attempt counts as never run even if its deadline passes before the core handles the outcome. A separate
-// goroutine reports the outcome: this actor must not wait for the core, which may be calling the pool.
+// goroutine waits for the delay and reports the outcome, because Done waits while the core's mailbox is full. Meanwhile this
+// actor must empty its own mailbox: the core does not wait for it, and attempts fail while the mailbox is full.
 func (h *host) failAttempt(a *core.Attempt, result routing.Result, delay time.Duration) {
 	if !a.Waiting() {
 		return
@@ -248,8 +252,8 @@
 	})
 }
 
-// recordRejection records that the host rejected a new connection, or rejected its first attempt and closed it. The host is
-// short of capacity for connections.
+// recordRejection records that the host rejected a new connection, or rejected a new connection's first attempt and closed
+// the connection. The host is short of capacity for connections.
 func (h *host) recordRejection() {
 	h.pool.options.Counters.Add("server_connections_no_room", 1)
 	if h.pool.sizer.recordRejection() {
--- a/internal/backend/idle.go
+++ b/internal/backend/idle.go
@@ -59,7 +59,7 @@
 		minWait = 0
 	}
 	c.freedAt, c.firstUse = time.Now(), false
-	if a := h.nextRequest(minWait); a != nil {
+	if a := h.nextWaiting(minWait); a != nil {
 		c.firstUse = isNew
 		c.give(a)
 		return
--- a/internal/backend/postgres/stream.go
+++ b/internal/backend/postgres/stream.go
@@ -16,29 +16,31 @@
 
 const (
 	// maxBufferedRow is the maximum size in bytes of a row that is buffered until the answer is complete. Longer rows are
-	// streamed.
+	// streamed. A value of 64 KiB still fits, with the counts and lengths before it.
 	maxBufferedRow     = 64<<10 + 64
-	maxRow             = 32 << 20         // bytes of a streamed row
+	maxRow             = 32 << 20         // bytes of a streamed row; a longer one makes the answer malformed
 	messageHeadLength  = 5                // kind and length
 	rowHeadLength      = 5 + 2 + 4        // a message's head, the number of columns, and the length of the only column
 	valueOffset        = 2 + 4            // of the only value, in a row's body
 	streamBufferSize   = 32 << 10         // bytes
 	streamStallTimeout = 10 * time.Second // a host that sends nothing for this time in the middle of a row has failed
-	streamStartTimeout = 2 * time.Second  // a client that is still connected begins to take its answer at once
+	streamStartTimeout = 2 * time.Second  // for the client's session to take the stream, which it does at once unless the client left
 )
 
-// ErrAnswerCut reports that the host cut an answer off after a part of it had been forwarded to the client. The request can't
-// be retried: the client gets an incomplete answer.
+// ErrAnswerCut reports that an answer from the host ended early after a part of it had been forwarded to the client: the
+// connection broke or stalled, or the row was followed by an error or by messages that can't be read. The request can't be
+// retried: the client gets an incomplete answer.
 var ErrAnswerCut = errors.New("the database host broke the answer off")
 
-// ErrClientDisconnected reports that the client had disconnected before its answer began.
-var ErrClientDisconnected = errors.New("the client had disconnected")
+// ErrClientDisconnected reports that a streamed answer was not taken: the client had disconnected, another attempt had
+// answered the request, the attempt was over, or the client's session did not take the stream within streamStartTimeout.
+var ErrClientDisconnected = errors.New("the streamed answer was not taken in time")
 
 // Stream is an answer whose row is too long to be buffered. Only its head is buffered; the rest is forwarded from the host's
 // connection to the client as it arrives. It can be written only once.
 type Stream struct {
 	conn  *Conn
-	head  []byte        // the messages before the row, and the row's head
+	head  []byte        // the messages before the row, the row's head, and the part of the row that was already buffered
 	left  int           // bytes of the row that are still to be forwarded
 	taken atomic.Bool   // by the client's session or, to withdraw the stream, by waitTaken
 	begun chan struct{} // closed when the client's session takes the stream
@@ -46,7 +48,9 @@
 	tail  chan []byte   // takes the messages that follow the row; closed without them if the answer was cut off
 }
 
-// longRow reports whether the next message is a row that has to be streamed, and the length of its body in bytes.
+// longRow reports whether the next message is a row that has to be streamed, and the length of its body in bytes. A row over
+// maxRow is not streamed, and neither is a long row of a health check, as no client reads it; readMessage then returns an error
+// if the row is over pgwire.MaxMessage.
 func (c *Conn) longRow() (size int, ok bool, err error) {
 	head, err := c.Need(1)
 	if err != nil || head[0] != messageDataRow {
@@ -91,7 +95,7 @@
 		return ErrClientDisconnected
 	}
 	err = <-s.done
-	c.SetReadDeadline(time.Now().Add(streamStallTimeout))
+	c.SetReadDeadline(time.Now().Add(streamStallTimeout)) // for all messages after the row
 	return err
 }
 
@@ -109,8 +113,8 @@
 }
 
 // WriteTo forwards the answer, except for Ready. It is called once, by the goroutine of the client's session, which owns the
-// reading side of the host's connection meanwhile. It returns ErrClientDisconnected if it is called too late, ErrAnswerCut if
-// the host cut the answer off, or the writer's error.
+// reading side of the host's connection until the row is forwarded. It returns ErrClientDisconnected if it is called after the
+// stream was withdrawn, ErrAnswerCut if the answer from the host ended early, or the writer's error.
 func (s *Stream) WriteTo(w io.Writer) (n int64, err error) {
 	if !s.taken.CompareAndSwap(false, true) {
 		return 0, ErrClientDisconnected
@@ -144,6 +148,7 @@
 	chunk := make([]byte, min(streamBufferSize, s.left))
 	for s.left > 0 {
 		s.conn.SetReadDeadline(time.Now().Add(streamStallTimeout))
+		// Read directly from the socket: the connection's buffer is empty here, and the row need not pass through it.
 		read, readErr := s.conn.Conn.Conn.Read(chunk[:min(len(chunk), s.left)])
 		if s.left -= read; read > 0 {
 			written, err := w.Write(chunk[:read])
@@ -158,8 +163,9 @@
 	return n, nil
 }
 
-// cutOutcome returns the outcome of an attempt whose answer did not reach the client completely. If the host did not cut it
-// off, the client did.
+// cutOutcome returns the outcome of an attempt whose streamed row did not reach the client completely: ResultMalformed if the
+// host stalled during the row, ResultReset if its connection broke then, and otherwise ResultCancelled, as when the stream was
+// not taken or a write to the client failed.
 func (r *reply) cutOutcome(err error) core.Outcome {
 	switch {
 	case errors.Is(err, ErrClientDisconnected) || !errors.Is(err, ErrAnswerCut):
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	stopDelay            = 500 * time.Millisecond // from the end of Run's context until the listener is closed
+	stopDelay            = 500 * time.Millisecond // from the end of Run's context until the drain of the backlog begins
 	acceptRetryDelay     = 20 * time.Millisecond
-	backlogDrainInterval = 10 * time.Millisecond  // the backlog counts as empty after Accept has returned no client for this long
-	backlogDrainTimeout  = 300 * time.Millisecond // the listener is closed after this time even if its backlog is not empty
+	backlogDrainInterval = 10 * time.Millisecond  // the backlog is empty if two Accepts in a row return no client within this time
+	backlogDrainTimeout  = 300 * time.Millisecond // for the drain of the backlog, then for Close, and for the end of acceptLoop
 )
 
-// Run accepts and serves clients until the context ends. Then it drains all clients, still accepts new ones for up to 0.5 s,
-// closes the listener once its backlog is empty, and returns when every request that was read is answered.
+// Run accepts and serves clients until the context ends. Then it drains all clients, and still accepts new ones for stopDelay
+// (0.5 s), or less if Retire is called. After that it accepts the clients in the backlog, for up to backlogDrainTimeout, closes
+// the listener, and returns when every request that was read is answered.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
 	s.checkStart()
 	s.mu.Lock()
@@ -37,14 +38,15 @@
 	return nil
 }
 
-// stopAccepting waits until the listener is closed. It closes it after stopDelay, unless Retire does so earlier.
+// stopAccepting waits until the listener is closed. It drains the backlog and closes the listener after stopDelay, unless
+// Retire closes it earlier.
 func (s *Server) stopAccepting() {
 	s.mu.Lock()
 	s.stopping = true
-	retired := s.nextRetirement()
+	retirement := s.nextRetirement()
 	s.mu.Unlock()
 	select {
-	case <-retired:
+	case <-retirement:
 	case <-time.After(stopDelay):
 	}
 	s.mu.Lock()
@@ -62,7 +64,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listenerDuplicate != nil {
-		s.listenerDuplicate.Close()
+		s.listenerDuplicate.Close() // it was kept for Resume, which has no effect from here on
 	}
 	for s.running > 0 {
 		idle := make(chan struct{})
@@ -109,7 +111,8 @@
 	}
 }
 
-// admit serves a new client, queues it until it gets a slot, or rejects it.
+// admit serves a new client if there is a slot, puts it into the reject queue if that is not full, or rejects it. Clients in
+// the reject queue wait for a slot, and are rejected only if they get none.
 func (s *Server) admit(session *Session) {
 	conn := session.Conn.Conn
 	s.Counters.Add(s.Name+"_clients", 1)
@@ -145,7 +148,7 @@
 // acceptor accepts the clients of one listener.
 type acceptor struct {
 	net.Listener
-	draining  atomic.Bool   // the clients left in the backlog are being accepted, before the listener is closed
+	draining  atomic.Bool   // the backlog is being drained: its clients are accepted before the listener is closed
 	done      chan struct{} // closed when no more clients are accepted
 	closed    chan struct{} // closed when the listener is closed, or will be as soon as a blocked Accept returns
 	closeOnce sync.Once     // shutdown and Retire may both close the listener
@@ -158,12 +161,12 @@
 	return a
 }
 
-// acceptLoop accepts clients until the listener is closed, or until its backlog is empty if it is draining. Every wait for its
-// end has a timeout: if another process has set a shared socket to blocking mode, Accept, and Close with it, may block in the
-// kernel until one more client connects.
+// acceptLoop accepts clients until the listener is closed or, while the backlog is being drained, until the backlog is empty.
+// Every wait for the end of acceptLoop has a timeout: if another process has set a shared socket to blocking mode, Accept, and
+// Close with it, may block in the kernel until one more client connects.
 func (s *Server) acceptLoop(a *acceptor) {
 	defer close(a.done)
-	timedOut := false
+	timedOut := false // the last Accept returned no client before its deadline, which was set for the drain of the backlog
 	for {
 		draining := a.draining.Load()
 		if draining {
@@ -180,7 +183,7 @@
 			if timedOut { // twice in a row, as drainBacklog may have ended the first Accept early
 				return
 			}
-			timedOut = draining
+			timedOut = draining // false if this Accept began before the drain: drainBacklog ended it
 		default:
 			slog.Warn("accept_failed", "front", s.Name, "error", err)
 			time.Sleep(acceptRetryDelay)
@@ -198,7 +201,8 @@
 // a request, so they have to be accepted first.
 func (a *acceptor) drainAndClose() { a.closeOnce.Do(a.drainBacklog) }
 
-// drainBacklog accepts the clients in the backlog, for up to backlogDrainTimeout, and closes the listener.
+// drainBacklog makes acceptLoop accept the clients in the backlog, for up to backlogDrainTimeout, and closes the listener. If
+// the listener does not support deadlines, it is closed at once, and the clients in the backlog are not accepted.
 func (a *acceptor) drainBacklog() {
 	a.draining.Store(true)
 	if a.setDeadline(time.Now()) {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -93,7 +93,7 @@
 	if started {
 		session.startupDeadline = time.Time{}
 	}
-	session.answered = answered
+	session.hadUsableMessage = answered
 	if answered {
 		session.firstRequestDeadline = time.Time{}
 	}
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -16,15 +16,15 @@
 
 const (
 	messageTimeout      = 10 * time.Second        // from the first byte of a message until it is complete
-	stallTimeout        = 2500 * time.Millisecond // without a further byte of a message; a client that stops sending is closed within 3 s
+	stallTimeout        = 2500 * time.Millisecond // of one read; a client that stops sending is closed about 2.5 s to 5 s after its last byte
 	startupTimeout      = 2500 * time.Millisecond // from accept, for the startup, and for a first request that has begun
 	firstRequestTimeout = time.Second             // least time for the first request, even if less of startupTimeout is left
 	finalReadTimeout    = 20 * time.Millisecond   // for reading bytes that arrived before one of these timeouts passed
 	maxFaults           = 16                      // this many unusable messages in a row end the session
 )
 
-// Session is one client's connection. The goroutine that serves it owns all fields but the slot. Conn.Wake interrupts its
-// waits when there is an answer, an eviction or a change of the drain schedule.
+// Session is one client's connection. The goroutine that serves it owns all fields but the slot, which the limiter uses, too.
+// Conn.Wake interrupts its waits when there is an answer, an eviction or a change of the drain schedule.
 type Session struct {
 	*framebuf.Conn
 	// Transferable is set by the protocol while another process could continue the session, because the connection has
@@ -32,10 +32,10 @@
 	Transferable bool
 
 	server               *Server
-	slot                 *connlimit.Slot
+	slot                 *connlimit.Slot // the connection's slot of the server's Limiter, which may evict the client
 	acceptedAt           time.Time
-	drainSlot            int       // selects the time of the drain at which the connection is closed if idle
-	answered             bool      // a message was usable: a request was submitted, or another message answered
+	drainSlot            int       // from 0 to drain.Slots-1: selects the time of the drain at which the connection is closed if idle
+	hadUsableMessage     bool      // a message was usable: a request was submitted, or another message was answered
 	resumed              bool      // the startup took place in another process
 	startupDeadline      time.Time // zero once the startup is complete
 	firstRequestDeadline time.Time // zero once a request was usable
@@ -57,10 +57,11 @@
 // Counters returns the program's counters.
 func (s *Session) Counters() *metrics.Counters { return s.server.Counters }
 
-// Resumed reports whether the client has completed the startup in another process.
+// Resumed reports whether the client completed the startup in another process, which then transferred the connection. The
+// protocol asks this in order to skip the startup.
 func (s *Session) Resumed() bool { return s.resumed }
 
-// Started records that the client has completed the startup.
+// Started records that the client has completed the startup here, so that the startup's deadline no longer applies.
 func (s *Session) Started() { s.startupDeadline = time.Time{} }
 
 // RecordFault counts an unusable message. It returns ErrTooManyFaults after too many in a row.
@@ -75,7 +76,7 @@
 // RecordSuccess records that a message was usable.
 func (s *Session) RecordSuccess() {
 	s.faults = 0
-	s.answered = true
+	s.hadUsableMessage = true
 }
 
 // Next waits for a message and calls read, which must read one complete message. It returns an error if the client has
@@ -104,7 +105,7 @@
 func (s *Session) awaitMessage() error {
 	// Evaluated once, right after an answer: a connection that has been idle since is not closed at once when a drain
 	// begins, because its client may be about to send a request.
-	closeNow := s.answered && s.schedule().CloseAfterAnswer(time.Now())
+	closeNow := s.hadUsableMessage && s.schedule().CloseAfterAnswer(time.Now())
 	for s.Buffered() == 0 {
 		schedule := s.schedule()
 		if s.transfer(schedule) {
@@ -142,30 +143,31 @@
 	if !schedule.TransfersConnections() || !s.Transferable || s.server.Transfer == nil {
 		return false
 	}
-	if !s.server.Transfer(s.Conn.Conn, s.startupDeadline.IsZero(), s.answered) {
+	if !s.server.Transfer(s.Conn.Conn, s.startupDeadline.IsZero(), s.hadUsableMessage) {
 		return false
 	}
-	s.server.Counters.Add(s.server.Name+"_clients_passed", 1)
+	s.server.Counters.Add(s.server.Name+"_clients_passed", 1) // transferred to another process
 	return true
 }
 
 // endIdle returns the error that ends an idle session. It returns nil if the client has sent something meanwhile or has
-// disconnected, which the next read shows.
+// disconnected, which the next read shows. A session that is evicted during a drain ends like any other of the drain.
 func (s *Session) endIdle() error {
 	if !s.Alive() {
 		return nil
 	}
 	if !s.Draining() {
-		s.server.Counters.Add(s.server.Name+"_clients_let_go", 1)
+		s.server.Counters.Add(s.server.Name+"_clients_let_go", 1) // evicted while idle, to free its slot
 		s.server.Limiter.SetClosing(s.slot)
 		return errIdleEvicted
 	}
-	s.server.Counters.Add(s.server.Name+"_clients_sent_away", 1)
+	s.server.Counters.Add(s.server.Name+"_clients_sent_away", 1) // closed between two messages by a drain
 	return errDraining
 }
 
-// readMessage calls read until the message is complete, its deadline has passed, or no further byte of it has arrived for
-// stallTimeout.
+// readMessage calls read until the message is complete, its deadline has passed, or no further byte of it has arrived during
+// a call. Each call lasts stallTimeout at most, and a byte does not extend it. A client that sends its last byte at the
+// beginning of a call is therefore closed only after the next call, about 5 s later.
 func (s *Session) readMessage(read func() error) error {
 	deadline := s.schedule().ReadDeadline(time.Now(), s.messageDeadline())
 	for {
@@ -188,8 +190,9 @@
 	}
 }
 
-// messageDeadline returns the time by which a message that begins now has to be complete. Clients that have sent a usable
-// request get more time, as they may be on a slow network.
+// messageDeadline returns the time by which a message that begins now has to be complete. A client that has sent a usable
+// request gets messageTimeout, as it may be on a slow network. Any other client gets less time, because it may hold its slot
+// without ever sending a request.
 func (s *Session) messageDeadline() time.Time {
 	if !s.startupDeadline.IsZero() {
 		return s.startupDeadline
