--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package discovery follows the endpoint list of the discovery service. A Watcher makes one long-polling call after another and passes
-// each complete list and each patch to the core.
+// Package discovery follows the endpoint list of the discovery service. The service's agent, a process on this machine, answers the
+// calls. A Watcher makes one long-polling call after another and passes each complete list and each patch to the core.
 package discovery
 
 import (
@@ -24,12 +24,13 @@
 )
 
 // A change must be known within 6 s after discovery has it and can be reached, regardless of the calls before. With these times any
-// two consecutive calls may fail, in any way, and the third is still made early enough; docs/standing.md has the sums.
+// two consecutive calls may fail in any way, and the third is still made early enough; docs/standing.md has the sums. The exception is
+// two calls for the first list that time out.
 const (
 	watchWait        = 1500 * time.Millisecond // the wait that a watch call asks for; the agent answers sooner when there is a change
 	answerGrace      = 600 * time.Millisecond  // added to watchWait before the call is abandoned and repeated on a new connection
-	firstWatchWait   = 50 * time.Millisecond   // the wait of a first call, which is short to show soon that the agent answers
-	firstAnswerGrace = 2150 * time.Millisecond // added to firstWatchWait: a service with too many calls takes up to 2 s to reject one
+	firstWatchWait   = 50 * time.Millisecond   // the wait of a first call: at the start, after a failure and after a change of address
+	firstAnswerGrace = 2150 * time.Millisecond // added to firstWatchWait: an agent with too many calls takes up to 2 s to reject one
 	firstListTimeout = 4500 * time.Millisecond // for the first list; no request can be sent until a list is known
 	dialTimeout      = 400 * time.Millisecond  // the agent runs on this machine
 )
@@ -41,7 +42,7 @@
 // goroutine at a time.
 type Watcher struct {
 	address   string
-	rev       int64
+	rev       int64 // of the last answer; only Run uses it
 	notify    func(core.EndpointList)
 	counters  *metrics.Counters
 	backoff   *backoff.Backoff
@@ -53,8 +54,8 @@
 	firstCallOnce   sync.Once
 
 	mu         sync.Mutex
-	entries    map[string]Target // the list as last notified, by UID; after NewWatcher only Run changes it
-	entriesRev int64
+	entries    map[string]Target // the list as given to NewWatcher or as last notified, by UID; after NewWatcher only Run changes it
+	entriesRev int64             // the revision of entries, for Snapshot; unlike rev, it is guarded by mu
 }
 
 // NewWatcher returns a Watcher that starts from the list in known. If no list is known, known is empty and has the revision -1. Run
@@ -75,7 +76,8 @@
 	return w
 }
 
-// Snapshot returns the complete list as last notified, with its revision and sorted by UID. It has no targets until a list is known.
+// Snapshot returns the complete list as given to NewWatcher or as last notified, with its revision and sorted by UID. It has no
+// targets until a list is known.
 func (w *Watcher) Snapshot() Snapshot {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -112,7 +114,8 @@
 }
 
 // SetAddress makes Run continue at another address at once. The known list and its revision are kept, so the new address sends only
-// later changes. One goroutine at a time may call it. It never blocks.
+// later changes. If the address is the same, the current call is still abandoned and a new one made. One goroutine at a time may call
+// SetAddress. It never blocks.
 func (w *Watcher) SetAddress(address string) {
 	select {
 	case <-w.addresses:
@@ -140,7 +143,8 @@
 			return nil
 		case addressChanged:
 			delay, firstCall = 0, true
-		case errors.Is(err, errConnectionClosed): // not a failure: the list is current up to the last answer
+		case errors.Is(err, errConnectionClosed):
+			// Not a failure, as the list is current up to the last answer. The delay is the same as after one failure.
 			delay, firstCall = backoff.MaxFailureDelay(1), false
 		default:
 			w.recordFailure(err)
@@ -184,7 +188,7 @@
 	}
 }
 
-// failureDelay returns the time to wait after a failed call.
+// failureDelay records a failed call in the backoff and returns the time to wait after it.
 func (w *Watcher) failureDelay(err error) time.Duration {
 	var rejected rejectedError
 	if errors.As(err, &rejected) {
@@ -194,7 +198,8 @@
 }
 
 // follow connects to an address and makes calls until one fails, each immediately after the answer to the one before. If firstCall is
-// set, the first call waits for firstWatchWait only. It returns nil only for an empty address, when ctx ends.
+// set, the first call waits for firstWatchWait only, in order to show soon that the agent answers. It returns nil only
+// for an empty address, when ctx ends.
 func (w *Watcher) follow(ctx context.Context, address string, firstCall bool) error {
 	defer w.markFirstCallDone()
 	if address == "" {
--- a/internal/hotrestart/apply.go
+++ b/internal/hotrestart/apply.go
@@ -10,22 +10,28 @@
 )
 
 // Apply makes every live process of the gateway apply a change, and writes it to the file for later processes. After it has returned
-// nil none of them sends to a detached host. It takes at most 1 s, or less if ctx ends.
+// nil none of them sends to a detached host. Its waits for the file's lock and for other processes take at most 1 s in all its attempts
+// together, or less if ctx ends.
 //
-// An error does not undo the change: a host stays detached in every process that has applied the change. Errors: the errors of
-// state.Registers.Prepare, and ErrClosed if Close was called before, when nothing was changed; ErrUnacknowledged (as a *PeerError),
-// ErrNotApplied, ErrNotPersisted, ErrUnverified, and ErrClosed if Close is called meanwhile, which may be joined; and ErrOverruled.
+// Before anything was changed, Apply returns the errors of state.Registers.Prepare, the error of ctx if it has ended, and ErrClosed if
+// Close was called before.
+//
+// Later errors do not undo the change: a host stays detached in every process that has applied the change. They are ErrUnacknowledged
+// (as a *PeerError), ErrNotApplied, ErrNotPersisted, ErrUnverified, and ErrClosed if Close is called meanwhile, which may be joined, and
+// the error of ctx or of the registers' merge.
+//
+// ErrOverruled means that opposite changes, made by other processes, have won in all attempts. An attach may have undone the detach.
 func (c *Coordinator) Apply(ctx context.Context, change state.Change) error {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	maxAttempts := maxAttachAttempts
-	if change.Restricts() {
+	if change.Restricts() { // a detach, or lameduck on
 		maxAttempts = maxDetachAttempts
 	}
 	for range maxAttempts {
 		overruled, err := c.attempt(ctx, change)
 		if err != nil || !overruled {
-			c.opt.Counters.Add("handover_sets", 1)
+			c.opt.Counters.Add("handover_sets", 1) // without calls that were overruled in every attempt
 			if err != nil {
 				c.opt.Counters.Add("handover_sets_failed", 1)
 			}
@@ -36,7 +42,8 @@
 }
 
 // attempt carries out the change once. overruled reports that another process made the opposite change with a later stamp, before this
-// call or during it. The clock of this process is then past that stamp, so that a further attempt gets a later one.
+// call or during it. The clock of this process's registers, a sequence number, is then at least the stamp's, so that a further attempt
+// gets a later one.
 func (c *Coordinator) attempt(ctx context.Context, change state.Change) (overruled bool, err error) {
 	if err := ctx.Err(); err != nil {
 		return false, err
@@ -51,7 +58,7 @@
 			beforeStep(step.String())
 		}
 		err := c.updateStep(ctx, step, delta)
-		if err != nil && step == state.ApplyLocal {
+		if err != nil && step == state.ApplyLocal { // this process does not hold the change, so there is nothing to acknowledge
 			return false, err
 		}
 		if err != nil {
@@ -127,7 +134,8 @@
 	return nil
 }
 
-// awaitAcks waits until this process's program and every live peer have applied the change in delta.
+// awaitAcks waits until this process and every live peer have applied the change in delta. Once Run was called, this process has applied
+// it as soon as Options.OnState has returned nil for it; otherwise it counts as applied.
 // Errors: ErrNotApplied and a *PeerError with ErrUnacknowledged, which may be joined, and ErrClosed.
 func (c *Coordinator) awaitAcks(ctx context.Context, delta state.Registers) error {
 	ctx, cancel := context.WithTimeout(ctx, ackTimeout)
