--- a/routing/admission.go
+++ b/routing/admission.go
@@ -15,9 +15,10 @@
 )
 
 // admit reports whether the first attempt of a request is admitted. It sheds a random share of the requests
-// whose answers would likely be late: requests over quota first, and fewer of those whose priority weight is
-// high for their expected latency. The random draw is not repeated for a request that the client marked as a
-// retry: it is admitted only while no request of its class and group is shed.
+// whose expected value is below sheddingThreshold, as their answers would likely be late, but always admits
+// minAdmittedShare of them. Requests over quota are devalued and so shed first. A request that the client
+// marked as a retry is admitted only if its value is at least sheddingThreshold and no request of its class
+// and group was shed within the last latency objective; minAdmittedShare does not apply to it.
 func (r *Router) admit(req *requestState, member *memberState) bool {
 	value := r.expectedValue(req, member)
 	if req.overQuota && value < overQuotaThreshold {
@@ -33,18 +34,20 @@
 	return !shed
 }
 
-// expectedValue returns the score of a member, raised for requests whose priority weight for their expected
-// latency is above the mean.
+// expectedValue returns the score of a member. For a request whose priority weight divided by its expected
+// latency is above the quotient of the two means, the loss (1 - score) is reduced in proportion, so that
+// fewer such requests are shed.
 func (r *Router) expectedValue(req *requestState, member *memberState) float64 {
 	weight := max(req.class.PriorityWeight, minPriorityWeight)
 	relativeCost := r.meanPriorityWeight / r.meanExpectedLatency * req.expectedLatency.Seconds() / weight
 	return 1 - (1-r.score(req, member))*min(1, relativeCost)
 }
 
-// overQuota decides at random whether a request counts as over its tenant's quota. The probability is the
-// fraction of the tenant's share of this gateway's traffic that lies above its share of all quotas. The
-// traffic of all gateways together is not known.
-func (r *Router) overQuota(tenant int) bool {
+// drawOverQuota counts a request of a tenant with a quota, and decides at random whether it is over that
+// quota. The tenant's share of this gateway's requests is compared with its share of all quotas; requests of
+// tenants without a quota are not counted. The probability is the fraction of the former share that lies
+// above the latter. The traffic of all gateways together is not known.
+func (r *Router) drawOverQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(r.tenantRequests) || r.cfg.Tenants[tenant].Quota <= 0 {
 		return false
 	}
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -10,7 +10,7 @@
 const (
 	tieMargin         = 0.1  // scores that differ by less than this share of the best one are equal
 	minPrimaryScore   = 0.85 // reads avoid a primary with a lower score
-	maxTierLoadExcess = 1.0  // local load above the lowest one, up to which a member's tier counts
+	maxTierLoadExcess = 1.0  // local load above the lowest; a member with more is dropped before the draw
 
 	minLoadCapacity = 0.1 // lower capacities count as this
 	crossZoneLoad   = 0.5 // load added to members in other zones if Config.CrossZoneCost is set
@@ -24,9 +24,10 @@
 	bestScore float64      // the best score of the healthy ones
 }
 
-// chooseMember returns the member for a request, or nil if the request has to wait. A read goes to a random
-// one of the best members that are fresh enough. If no member is, it goes to the most advanced member that
-// may have caught up.
+// chooseMember returns the member for a request, or nil if the request has to wait. Without a healthy
+// candidate, a read goes to the lagging member, if there is one. Otherwise it goes to the trial member if a
+// trial is allowed, to the primary if no other member's score ties with the best, and else to one of the
+// tied members (see preferTier and pickTied).
 func (r *Router) chooseMember(req *requestState) *memberState {
 	if req.needsPrimary {
 		return r.choosePrimary(req)
@@ -50,8 +51,8 @@
 	return r.pickTied(req, r.preferTier(req.group, primary, tied))
 }
 
-// findCandidates scores the eligible members of a read's group. The primary is a candidate only while it
-// has capacity left for writes.
+// findCandidates scores the eligible members of a read's group. A healthy primary is a candidate only if its
+// score is at least minPrimaryScore, so that it has capacity left for writes.
 func (r *Router) findCandidates(req *requestState, primary *memberState) candidates {
 	var found candidates
 	for _, member := range req.group.members {
@@ -76,14 +77,15 @@
 	return found
 }
 
-// pickTied picks the less loaded of two random members. A read that accepts data of any age goes to a replica
-// that lags far, if there is one, because that replica can serve no other reads.
+// pickTied picks the less loaded of two random members. A read that accepts data of any age goes instead to
+// the member with the lowest position if that lagged by more than maxReplicaLagMillis at its last report,
+// because it can serve few other reads.
 func (r *Router) pickTied(req *requestState, tied []*memberState) *memberState {
 	byPosition := func(a, b *memberState) int { return cmp.Compare(a.position, b.position) }
-	oldest := slices.MinFunc(tied, byPosition)
-	lagsFar := r.positionAt(oldest.positionAt)-oldest.position > maxReplicaLagMillis
+	furthestBehind := slices.MinFunc(tied, byPosition)
+	lagsFar := r.positionAt(furthestBehind.positionAt)-furthestBehind.position > maxReplicaLagMillis
 	if req.class.Consistency == ConsistencyAny && lagsFar {
-		return oldest
+		return furthestBehind
 	}
 	first := tied[r.rng.IntN(len(tied))]
 	second := tied[r.rng.IntN(len(tied))]
@@ -93,9 +95,9 @@
 	return first
 }
 
-// preferTier draws a tier by weight and returns the tied members of that tier. Before the draw it drops
-// members that are much busier than the least loaded one, so that reads of a tier without spare capacity
-// spill over to other tiers.
+// preferTier draws a tier by weight and returns the tied members of that tier, or those of all tiers if it
+// has none. Before the draw it drops members whose local load exceeds the lowest one by more than
+// maxTierLoadExcess, so that reads of a tier without spare capacity spill over to other tiers.
 func (r *Router) preferTier(group *groupState, primary *memberState, tied []*memberState) []*memberState {
 	if r.zones == nil || !r.zones.SpilloverEnabled() {
 		return tied
--- a/routing/events.go
+++ b/routing/events.go
@@ -33,7 +33,7 @@
 		class:           class,
 		expectedLatency: &r.expectedLatency[in.Class],
 		group:           r.findGroup(in.Group),
-		overQuota:       r.overQuota(in.Tenant),
+		overQuota:       r.drawOverQuota(in.Tenant),
 		needsPrimary:    class.Consistency == ConsistencyWrite || class.Consistency == ConsistencyStrong,
 		deadline:        r.now + in.Remaining,
 		minPosition:     r.sessionPosition(class, in),
--- a/routing/request.go
+++ b/routing/request.go
@@ -24,7 +24,7 @@
 	inFlight      []*attemptState
 	attempts      int            // sent so far
 	missedMembers []*memberState // answered it with ResultMissed
-	reachedMember bool           // a member has received it, even if the member rejected it
+	reachedMember bool           // a member has received it, or has rejected it or a connection for it
 
 	mayHaveRun      bool          // an attempt that is in flight or has ended may have run
 	endedMayHaveRun bool          // an attempt that has ended may have run
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -9,13 +9,16 @@
 	hedgeLatencyFactor = 3.0                   // in expected latencies; 1 in 20 answers takes longer
 	overCapacityDelay  = 25 * time.Millisecond // before a retry at a primary over capacity
 
-	// unreachableThreshold is a share of a group's requests. If more than that end unanswered, requests wait
-	// only for 1/unreachableWaitDivisor of their time while the primary is unreachable.
+	// unreachableThreshold is a limit of a group's unansweredShare. Above it, requests wait only for
+	// 1/unreachableWaitDivisor of their time while the primary is unreachable. The share moves by
+	// unansweredGain of its distance: towards 1 with each request that abandonReason ends before an attempt
+	// that may have run has ended, and towards 0 with each successful attempt.
 	unreachableThreshold   = 0.5
 	unreachableWaitDivisor = 8
 )
 
-// attemptFailed decides how a request continues after an attempt that did not yield the final answer.
+// attemptFailed decides how an open request continues after an attempt that has not brought its final answer.
+// ResultInvalidStatement fails the request at once.
 func (r *Router) attemptFailed(req *requestState, attempt *attemptState, result Result) {
 	switch result {
 	case ResultMissed:
@@ -41,7 +44,7 @@
 }
 
 // spendRetryToken spends a token for the retry of a request that may have run. Without a token the request is
-// abandoned.
+// abandoned. For a cancelled attempt hedgeOrCancel has spent the token already.
 func (r *Router) spendRetryToken(req *requestState, attempt *attemptState) {
 	if !req.endedMayHaveRun || attempt.cancelled || len(req.inFlight) > 0 {
 		return
@@ -56,7 +59,7 @@
 // abandonReason returns why a request without an attempt in flight must be abandoned, or "" if it may
 // continue.
 func (r *Router) abandonReason(req *requestState) Reason {
-	waited := r.now - req.deadline + req.Remaining
+	sinceArrival := r.now - req.deadline + req.Remaining // Remaining is as of the arrival
 	switch {
 	case r.now+max(*req.expectedLatency/2, requestSweepInterval) > req.usefulUntil:
 		return ReasonHopeless
@@ -66,14 +69,15 @@
 		return ReasonWindowOver
 	case r.now >= req.unsentDeadline && !req.reachedMember:
 		return ReasonUnsent
-	case r.mostlyUnanswered(req) && waited > req.Remaining/unreachableWaitDivisor:
+	case r.mostlyUnanswered(req) && sinceArrival > req.Remaining/unreachableWaitDivisor:
 		return ReasonUnreachable
 	}
 	return ""
 }
 
-// mostlyUnanswered reports whether a request waits for an unreachable primary while most requests of its
-// group end unanswered.
+// mostlyUnanswered reports whether most requests of a request's group end unanswered while the group has no
+// healthy primary. This also holds for reads, which a replica could serve. It returns false if an attempt of
+// the request that has ended may have run.
 func (r *Router) mostlyUnanswered(req *requestState) bool {
 	if req.group.unansweredShare <= unreachableThreshold || req.endedMayHaveRun {
 		return false
@@ -103,7 +107,7 @@
 	if member == nil {
 		return
 	}
-	isSearch := req.needsPrimary && member != req.group.primary()
+	isSearch := req.needsPrimary && member != req.group.primary() // a write that looks for the new primary
 	if req.attempts == 0 && !isSearch && !r.admit(req, member) {
 		r.abandonRequest(req, ReasonShed)
 		return
@@ -148,7 +152,8 @@
 	return r.retryTokens >= 1 && r.now+*req.expectedLatency <= req.usefulUntil
 }
 
-// hasAlternative reports whether another healthy member can serve a request.
+// hasAlternative reports whether another healthy member has the role and the freshness that a request needs.
+// It checks less than eligible, so that the retry may still have to wait.
 func (r *Router) hasAlternative(req *requestState, current *memberState) bool {
 	primary := req.group.primary()
 	return slices.ContainsFunc(req.group.members, func(m *memberState) bool {
