--- a/internal/backend/idle.go
+++ b/internal/backend/idle.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	reuseDelay        = 100 * time.Millisecond // idle time before a connection is reused: surplus bytes may follow an answer
+	reuseDelay        = 100 * time.Millisecond // idle time before reuse, so that surplus bytes of the last answer arrive before it
 	maxConnsForDelay  = 12                     // with this many connections open to a host, reuseDelay does not apply
 	trimRetryInterval = 50 * time.Millisecond  // until a trim is posted again to a mailbox that was full
-	newConnWait       = 10 * time.Millisecond  // after this wait for a new connection an attempt takes a used one, too
+	newConnWait       = 10 * time.Millisecond  // after it an attempt that waits for a new connection also takes a used one
 )
 
 // takeIdle removes and returns an idle connection that a policy allows an attempt to use, or returns nil if the attempt
-// needs a new connection.
+// needs a new connection. With ConnOldest neither reuseDelay nor the estimated idle timeout applies.
 func (h *host) takeIdle(policy routing.ConnPolicy) *pooledConn {
 	switch {
 	case policy == routing.ConnNew:
@@ -31,11 +31,11 @@
 
 // takeRecent removes and returns the most recently used connection that has been idle for reuseDelay, so that surplus
 // connections stay idle until they are closed. If there is none and connections are scarce, it takes the one that has been
-// idle longest. Before that it closes the connections that have been idle for too long.
+// idle longest. First it closes the connections that have been idle for the estimated idle timeout.
 func (h *host) takeRecent() *pooledConn {
 	limit := h.pool.idleTimeout.estimate(h.pool.options.IdleTimeout)
 	for len(h.idle) > 0 && time.Since(h.idle[0].freedAt) >= limit {
-		h.closeIdle(len(h.idle) - 1)
+		h.closeIdle(len(h.idle) - 1) // closes the least recently used one
 	}
 	for i := len(h.idle) - 1; i >= 0; i-- {
 		c := h.idle[i]
@@ -66,21 +66,24 @@
 	}
 	h.idle = append(h.idle, c)
 	if h.ctx.Err() != nil {
-		h.closeIdle(0)
+		h.closeIdle(0) // keeps none
 	} else {
 		h.trimIdle()
 	}
 }
 
-// trimIdle closes the idle connections whose idle time is over, and schedules the next trim. The least recently used ones
-// have the least time left.
+// trimIdle closes the idle connections whose idle time by the sizer is over, and schedules the next trim. The least recently
+// used one always has the least time left: it has been idle longest, and the sizer gives it the shortest time.
+//
+// An idle connection is closed by the earliest of three limits: Options.IdleTimeout, the estimated idle timeout, which is
+// never longer and which the connection's goroutine applies, and the time that the sizer gives it.
 func (h *host) trimIdle() {
 	now := time.Now()
 	for len(h.idle) > 0 {
 		if h.pool.sizer.idleTimeLeft(&h.demand, h.idle[0].freedAt, now, len(h.idle)-1) > 0 {
 			break
 		}
-		h.closeIdle(len(h.idle) - 1)
+		h.closeIdle(len(h.idle) - 1) // closes the least recently used one
 	}
 	next := time.Duration(math.MaxInt64)
 	for i, c := range h.idle {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,10 +1,10 @@
 // Package core drives the routing module. It deals in requests, attempts and outcomes and is independent of the
 // database protocols.
 //
-// One goroutine, the actor, runs Core.Run. It owns the router, its clock and timers, and the table of open requests, and
-// it is the only place where a request gets its final answer, exactly once. It never waits for another actor: the calls
-// that start work at the database hosts return at once and may decline it, and the calls that reply to clients must not
-// block.
+// One goroutine, the actor, runs Core.Run. It owns the router, its clock and timers, and the table of open requests. It
+// alone answers the requests that were submitted to it, each at most once; a request whose client has disconnected gets no
+// answer. The actor never waits for another actor: the calls that start work at the database hosts return at once and may
+// decline it, and the calls that reply to clients must not block.
 package core
 
 import (
@@ -18,7 +18,8 @@
 	"cranegate/routing"
 )
 
-// Host is a database host as discovery lists it.
+// Host is a database host as discovery lists it. The backend connects to Address; Endpoint is what the router gets, which
+// calls the host a member and identifies it by Endpoint.Member.
 type Host struct {
 	Address  string
 	Endpoint routing.Endpoint
@@ -36,7 +37,7 @@
 	Update(EndpointList)
 	// Start gives an attempt to a host to run. It returns false if the host declines it; the attempt has then not run.
 	Start(*Attempt) bool
-	// CloseIdle closes idle connections to a host.
+	// CloseIdle closes all idle connections to a host. A busy backend may ignore the call.
 	CloseIdle(member string)
 }
 
@@ -106,7 +107,7 @@
 	return ok
 }
 
-// Ready returns a channel that is closed once the router has an endpoint list and can serve.
+// Ready returns a channel that is closed once the router has received an endpoint list. The list may name no hosts.
 func (c *Core) Ready() <-chan struct{} { return c.ready }
 
 // Timeout returns how long a request waits for its answer: the client's own timeout, but no longer than its class's deadline.
@@ -164,8 +165,8 @@
 	}
 }
 
-// deliverOutcomes passes to the router the outcomes of attempts that ended during the current event. They wait until then
-// because the router must not be called from within one of its own actions.
+// deliverOutcomes passes to the router the outcomes of attempts that ended during the current event. They are passed only
+// after the event, because the router must not be called from within one of its own actions.
 func (c *Core) deliverOutcomes() {
 	for len(c.pendingOutcomes) > 0 {
 		ended := c.pendingOutcomes[0]
@@ -174,10 +175,11 @@
 	}
 }
 
-// zoneCountInterval is how often the reads of each zone tier are added to the counters.
+// zoneCountInterval is the minimum time between two additions of the zone tiers' reads to the counters.
 const zoneCountInterval = time.Second
 
-// countZoneReads adds to the counters how many reads each zone tier received, and how many it should have received.
+// countZoneReads adds to the counters how many reads each zone tier received (tier_N_reads), and how many it should have
+// received (tier_N_stated): the sum of the tier's weights in the draws for all reads.
 func (c *Core) countZoneReads() {
 	zones := c.router.Zones()
 	if zones == nil || c.now < c.nextZoneCount {
@@ -208,7 +210,8 @@
 }
 
 // applyEndpoints gives the router an endpoint list with the manual overrides applied, and withdraws the attempts that wait
-// for a connection to a host that no longer serves. This prevents sends to a host after it was listed as draining.
+// for a connection to a host that no longer serves. This prevents sends to a host after it was listed as draining. A list of
+// the kind EndpointListFailed, which package discovery does not send, withdraws all attempts that wait for a connection.
 func (c *Core) applyEndpoints(list routing.EndpointList) {
 	serving := map[string]bool{}
 	for _, endpoint := range list.Endpoints {
--- a/internal/frontend/connlimit/limiter.go
+++ b/internal/frontend/connlimit/limiter.go
@@ -22,7 +22,7 @@
 	maxAcquireWait        = 300 * time.Millisecond // a client rejected by then has time left to try another gateway
 	evictionRetryInterval = 10 * time.Millisecond  // wait before evicting another client if the evicted one became active again
 	maxSurplusEvictions   = 4                      // per client that becomes idle
-	maxRejectQueue        = 8                      // a limiter of 32 slots or more has a queue of this size
+	maxRejectQueue        = 8                      // clients that wait for a slot or are being rejected; below 32 slots a quarter of them
 )
 
 // Limiter hands out slots for client connections. It is safe for concurrent use.
@@ -33,14 +33,14 @@
 	schedule atomic.Pointer[drain.Schedule] // nil while not draining
 
 	mu          sync.Mutex
-	clientLimit int            // slots for clients while nothing is reserved
+	clientLimit int            // most slots for clients; capacity less reserved applies if that is smaller
 	reserved    int            // number of granted and pending reservations
 	released    chan struct{}  // closed on the next release; nil if no goroutine waits for one
 	waiting     int            // number of Acquire calls in progress
 	maxDeadline time.Duration  // the longest deadline of all request classes
 	minDeadline time.Duration  // the shortest deadline of all request classes, zero if none is known
 	slots       map[*Slot]bool // slots in use by clients
-	closing     int            // number of these slots whose clients are evicted and being disconnected
+	closing     int            // number of these slots in stateClosing
 	keepIdle    bool           // idle clients are evicted only if no slot is free
 }
 
@@ -93,8 +93,8 @@
 	l.keepIdle = !on
 }
 
-// Resize sets the number of slots for clients. If more are in use, no client is evicted at once. Idle clients are
-// evicted later, each time that a client becomes idle.
+// Resize sets the number of slots for clients. If more are in use, no client is evicted at once. Idle clients are evicted
+// later, each time that a client becomes idle, within the limits of evictSurplusIdle.
 func (l *Limiter) Resize(clientLimit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,8 +112,9 @@
 	return true
 }
 
-// Acquire waits for a slot and evicts an idle client if needed. It returns false if no slot will be free soon: every
-// client is active, or none reaches its idle timeout within 0.3 s or half of the shortest deadline.
+// Acquire waits for a slot and evicts an idle client if needed. It returns false if no slot will be free soon: no client is
+// idle, or none reaches its idle timeout within 0.3 s or, if that is shorter, half of the shortest deadline less
+// EvictionCloseTimeout. It also returns false if no evicted client has freed its slot EvictionCloseTimeout after that.
 func (l *Limiter) Acquire(s *Slot) bool {
 	l.mu.Lock()
 	l.waiting++
@@ -158,7 +159,8 @@
 
 // acquireOrEvict takes a slot if one is free. Otherwise it evicts the client whose idle timeout ends first, once that has
 // ended, unless already as many evicted clients are being disconnected as there are calls of Acquire. It returns the time
-// at which the next client may be evicted, zero if no client is idle, and a channel that is closed on the next release.
+// at which the next client may be evicted, and a channel that is closed on the next release. The time is zero if no client
+// is idle, and now if an evicted client's slot is awaited: the caller has to call again after a release or a short wait.
 func (l *Limiter) acquireOrEvict(s *Slot, now time.Time) (acquired bool, evictableAt time.Time, released <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -189,7 +191,7 @@
 
 // ForceAcquire takes a slot for a client that another process has transferred, even if none is free. If that exceeds the
 // limit, it evicts the client that has been idle longest, so that the idle clients of two processes do not use up the
-// descriptors.
+// descriptors. It evicts none if the evicted clients that still have slots are enough to return below the limit.
 func (l *Limiter) ForceAcquire(s *Slot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -237,7 +239,10 @@
 	l.transition(s, stateClosing)
 }
 
-// evictSurplusIdle evicts the clients that have been idle longest if idle clients use more than half of the slots.
+// evictSurplusIdle evicts the clients that have been idle longest, maxSurplusEvictions at most, while idle clients use more
+// than half of the slots. It counts and evicts only clients that have sent a request, evicts only those that have been idle
+// for idleTimeout, and evicts none if keepIdle is set.
+//
 // Waiting for new connections to evict them is not enough: client programs limit their own connections, and a program
 // whose idle connections here have reached its limit opens no new one. l.mu is held.
 func (l *Limiter) evictSurplusIdle(now time.Time) {
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -16,22 +16,25 @@
 // request, and size is about how many bytes of memory the request uses until it is answered. Do sets the request's ID,
 // Arrived, Timeout, Disconnected and Reply.
 //
-// Do returns ErrDuplicateID, without running the request, if another request with this id is open. If the client
-// disconnects before the answer, the id stays open until the request's timeout has passed, as an attempt may still be
-// running. If the memory budget is exhausted, the answer is Rejected and the request has not run.
+// Do returns ErrDuplicateID, without running the request, if another request with this id is open. If the memory budget is
+// exhausted, the answer is Rejected, and if the core has ended, it is Failed; in both cases the request has not run.
+//
+// Otherwise the id stays open and the memory reserved until Do returns or, if the client disconnects after the request was
+// submitted, until the request's timeout has passed, as an attempt may still be running.
 //
 // Do returns ErrDisconnected once the client has closed its connection, even if it has closed only its sending side: the two
 // look the same on the wire until an answer is written. Messages that the client sent after the request are then not served.
+// An answer that has already arrived is returned even if the client has disconnected.
 func (s *Session) Do(request *core.Request, id string, size int) (core.Answer, error) {
 	s.lastRequestID = id
 	if !s.server.openRequest(id) {
 		return core.Answer{}, ErrDuplicateID
 	}
 	release := func() { s.server.closeRequest(id) }
-	defer func() { release() }()
-	s.RecordSuccess()
+	defer func() { release() }() // calls the function that release holds at the end
+	s.RecordSuccess()            // the message was usable, whatever becomes of the request
 	s.firstRequestDeadline = time.Time{}
-	if !s.server.Budget.Reserve(size) {
+	if !s.server.Budget.Reserve(size) { // no_room counts requests for which there is no memory
 		s.server.Counters.Add(s.server.Name+"_no_room", 1)
 		return core.Answer{Status: core.Rejected}, nil
 	}
@@ -40,6 +43,7 @@
 		s.server.Budget.Release(size)
 	}
 	// The client may have disconnected some time ago, if this process was busy or the request has waited for earlier ones.
+	// ReadAvailable reports whether it has.
 	if s.ReadAvailable() {
 		s.server.Counters.Add(s.server.Name+"_clients_gone_before", 1)
 		return core.Answer{}, ErrDisconnected
@@ -72,7 +76,8 @@
 	}
 }
 
-// awaitAnswer waits for a request's answer. It returns ErrDisconnected if the client disconnects before the answer.
+// awaitAnswer waits for a request's answer. It returns ErrDisconnected if the client disconnects before the answer. Any error
+// of Park counts as a disconnect, except the two errors that only mean that no more bytes can be read for now.
 func (s *Session) awaitAnswer(answers <-chan core.Answer) (core.Answer, error) {
 	for {
 		err := s.Park(time.Time{}, func() bool { return len(answers) > 0 })
@@ -100,7 +105,7 @@
 // see a disconnect, because the read buffer is full or there is no memory to enlarge it. The unread bytes are read and
 // answered later, in order.
 func (s *Session) awaitAnswerUnread(answers <-chan core.Answer) (answer core.Answer, ok bool) {
-	s.server.Counters.Add(s.server.Name+"_looks_past_unread", 1)
+	s.server.Counters.Add(s.server.Name+"_looks_past_unread", 1) // counts waits without a read
 	poll := time.NewTimer(unreadPollInterval)
 	defer poll.Stop()
 	select {
