--- a/internal/poolsize/poolsize.go
+++ b/internal/poolsize/poolsize.go
@@ -30,14 +30,14 @@
 	rateWindow      = 10 * time.Second // the attempt rate is averaged over it; each gateway of a large fleet has few attempts
 	halvingInterval = time.Second      // rejections within it count as one, as they have the same cause
 
-	// Numbers of accepted connections after which the share doubles. About one rejection in as many connections is therefore
-	// tolerated, as it halves the share.
+	// Numbers of accepted connections after which the share doubles. A rejection halves the share, so that with about one
+	// rejection in as many connections a share that is not above the initial one stays level.
 	connectsPerDoubling               = 50.0
 	connectsPerDoublingAfterRejection = 150.0 // a host's capacity hardly ever grows
 
 	maxShareFactor = 4.0        // with more, nearly all idle connections are reused anyway
-	minShareFactor = 1.0 / 64   // a host that rejects every connection lacks more than what our idle connections use
-	minHostRate    = 1.0 / 1000 // attempts a second; keeps the idle timeout finite for a host without attempts
+	minShareFactor = 1.0 / 64   // lower bound; a host that still rejects connections lacks more than what our idle connections use
+	minHostRate    = 1.0 / 1000 // attempts a second; lower bound of Host.rate that keeps the idle timeout finite for a host without attempts
 )
 
 // Sizer computes the idle timeouts of one gateway's connections to all its hosts. It is not safe for use by several goroutines at once.
@@ -47,7 +47,7 @@
 	attempts            float64 // that needed a connection to any host, with exponential decay, as of attemptsAt
 	attemptsAt          time.Time
 	startedAt           time.Time
-	shareFactor         float64 // by which the assumed capacity is multiplied
+	shareFactor         float64 // by which the assumed capacity of every host is multiplied
 	halvedAt            time.Time
 	connectsPerDoubling float64 // of shareFactor
 }
@@ -77,7 +77,7 @@
 type Host struct {
 	attempts   float64 // with exponential decay, as of attemptsAt
 	attemptsAt time.Time
-	rate       float64 // attempts a second, as of attemptsAt
+	rate       float64 // attempts a second, as of attemptsAt; not updated without an attempt
 }
 
 // RecordAttempt records an attempt that needs a connection to a host. hosts is the number of hosts in the endpoint list.
@@ -90,7 +90,8 @@
 	h.attempts++
 	h.attemptsAt = now
 	// A gateway of a large fleet has sent the host only one or two attempts within rateWindow, and the count always includes
-	// the attempt that is being recorded. Adding one mean interval between the attempts to a host corrects for that bias.
+	// the attempt that is being recorded. Adding one mean interval between the attempts to a host (1/meanRate) to the window
+	// corrects for that bias.
 	meanRate := s.attemptRate(now) / float64(max(1, hosts))
 	h.rate = h.attempts / (rateWindow.Seconds()*(1-decay(now.Sub(s.startedAt))) + 1/meanRate)
 }
@@ -101,8 +102,10 @@
 	s.shareFactor = min(maxShareFactor, s.shareFactor*math.Exp2(1/s.connectsPerDoubling))
 }
 
-// RecordRejection records that a host had no capacity for a new connection. It reports whether the share was reduced: the caller must then
-// check the idle connections to all hosts against IdleTimeout again.
+// RecordRejection records that a host had no capacity for a new connection. This reduces the share at all hosts, to half of
+// it or of the initial share, whichever is less, but not below minShareFactor. A rejection within halvingInterval of the last
+// reduction, or of New, has no effect. RecordRejection reports whether it had one: the caller must then check the idle
+// connections to all hosts against IdleTimeout again.
 func (s *Sizer) RecordRejection(now time.Time) (reduced bool) {
 	if now.Sub(s.halvedAt) < halvingInterval {
 		return false
@@ -115,15 +118,15 @@
 	return true
 }
 
-// IdleTimeout returns how long a connection to a host may be idle if usedLater other idle connections to the host were used
-// after it.
-func (s *Sizer) IdleTimeout(now time.Time, h *Host, usedLater int) time.Duration {
+// IdleTimeout returns how long a connection to a host may be idle if usedLaterCount other idle connections to the host were
+// used after it.
+func (s *Sizer) IdleTimeout(now time.Time, h *Host, usedLaterCount int) time.Duration {
 	share := s.shareFactor * DefaultHostCapacity / s.gateways
 	whole := math.Floor(share)
 	switch {
-	case usedLater >= MaxIdle || float64(usedLater) > whole:
+	case usedLaterCount >= MaxIdle || float64(usedLaterCount) > whole:
 		return 0
-	case float64(usedLater) < whole:
+	case float64(usedLaterCount) < whole:
 		return s.maxIdleTimeout
 	default:
 		seconds := -math.Log(1-(share-whole)) / max(h.rate, minHostRate)
@@ -131,7 +134,8 @@
 	}
 }
 
-// attemptRate returns the number of attempts a second that need a connection to any host.
+// attemptRate returns the number of attempts a second that need a connection to any host. One attempt in one second is added
+// to those observed, so that the rate is finite right after New and never 0.
 func (s *Sizer) attemptRate(now time.Time) float64 {
 	observed := 1 - decay(now.Sub(s.startedAt)) // share of rateWindow that has been observed: less than 1 for a Sizer that has just started
 	return (s.attempts*decay(now.Sub(s.attemptsAt)) + 1) / (rateWindow.Seconds()*observed + 1)
--- a/internal/zones/detection.go
+++ b/internal/zones/detection.go
@@ -9,12 +9,12 @@
 // Parameters of the detection of zone outages. Silences are multiples of a member's expected latency.
 const (
 	minSilence         = 1.5                    // a member counts as silent from this silence on
-	maxSilence         = 5.0                    // the most that one member contributes to the joint silence
+	maxSilence         = 5.0                    // the most that one member contributes to the joint silence; not the limit of package routing
 	brokenSilence      = 4.5                    // a broken or refused connection counts as this silence
-	downThreshold      = 9.0                    // joint silence at which a zone is down: two broken members or three silent ones
+	downThreshold      = 9.0                    // joint silence at which a zone is down: two broken members, or two at 4.5, three at 3, six at 1.5
 	silentMemberShare  = 0.6                    // share of the pending members that must be silent
 	minExpectedLatency = 25 * time.Millisecond  // lower bound for the expected latency of a health check
-	recentlyHeardGrace = 250 * time.Millisecond // a zone that answered this recently is up: other members answered health checks
+	recentlyHeardGrace = 250 * time.Millisecond // a zone is up if any member answered a request or a health check this recently
 	flapMemory         = time.Minute            // how long an outage slows down later recoveries
 )
 
@@ -66,7 +66,7 @@
 		return
 	}
 	r.pending++
-	if o.Broken {
+	if o.Broken { // connections broke after the last answer, so the bound above does not apply
 		silence = max(silence, brokenSilence)
 	}
 	if silence >= minSilence {
@@ -75,8 +75,9 @@
 	}
 }
 
-// EndRound ends a round and moves zones between states. If all zones look down at once, the gateway itself is assumed to
-// be cut off or to have been suspended, and no zone is declared down.
+// EndRound ends a round and moves zones between states. If every zone with members is down already or looks down now, the
+// gateway itself is assumed to be cut off or to have been suspended, and no zone is declared down. The last zone that is up
+// is therefore never declared down. The zone without a name never looks down, and counts as up if it has members.
 func (z *Zones) EndRound() {
 	alive := 0
 	for _, zone := range z.zones {
@@ -94,7 +95,8 @@
 	}
 }
 
-// isDown reports whether the current round shows a zone outage: a joint silence of at least two members that reaches
+// isDown reports whether the current round shows a zone outage: at least two members are silent, they are at least
+// silentMemberShare of the pending ones, no member has answered within recentlyHeardGrace, and the joint silence reaches
 // downThreshold. Silence counts only since the last answer from any member of the zone.
 func (z *Zone) isDown(now time.Duration) bool {
 	r := &z.round
@@ -118,14 +120,16 @@
 	return z != nil && (z.state == Down || z.state == Recovering) && heard <= z.downAt
 }
 
-// advance moves one zone to its next state. othersUp is false if every zone looks down.
-func (z *Zones) advance(zone *Zone, othersUp bool) {
+// advance moves one zone to its next state. anyUp is false if every zone with members is down or looks down.
+//
+// The evidence in the reasons has other names than the fields: suspect is unhealthy, asked is pending, and heard is recovered.
+func (z *Zones) advance(zone *Zone, anyUp bool) {
 	switch {
 	case zone.round.members == 0:
 		if zone.state != Healthy {
-			z.setState(zone, Healthy, "it has no members")
+			z.setState(zone, Healthy, "it has no members") // in words, as there is no evidence
 		}
-	case zone.state != Down && othersUp && zone.isDown(z.now):
+	case zone.state != Down && anyUp && zone.isDown(z.now):
 		z.markDown(zone)
 	case zone.state == Down:
 		z.checkRecovery(zone)
