--- a/cmd/cranegate/hotrestart.go
+++ b/cmd/cranegate/hotrestart.go
@@ -26,16 +26,16 @@
 
 	lameduckMu sync.Mutex // serializes changes of the limiter's draining
 
-	mu            sync.Mutex       // guards the fields below
-	detached      map[string]bool  // hosts that are detached in the cores; nil before the first applyState
-	applied       chan struct{}    // closed when applyState has succeeded for the first time
-	olderAlive    bool             // an older process is running
-	newerAlive    bool             // a newer process is running
-	newerServing  bool             // the newer process serves
-	serving       bool             // this process serves
-	receiver      *fdpass.Receiver // accepts connections from an older process; nil: none
-	sender        *fdpass.Sender   // hands connections to the newer process; nil: none
-	reservedBytes int              // part of the budget that is left to the other process
+	mu                sync.Mutex       // guards the fields below
+	detached          map[string]bool  // hosts that are detached in the cores; nil before the first applyState
+	applied           chan struct{}    // closed when applyState has succeeded for the first time
+	olderAlive        bool             // an older process is running
+	newerAlive        bool             // a newer process is running
+	newerServing      bool             // the newer process serves
+	serving           bool             // this process serves
+	receiver          *fdpass.Receiver // accepts connections from an older process; nil: none
+	sender            *fdpass.Sender   // hands connections to the newer process; nil: none
+	otherProcessBytes int              // part of the budget that is left to the other process
 }
 
 // openHotRestart reads the state that older processes of this gateway hand over. If the folder can't be used, it logs that hot restart
--- a/cmd/cranegate/sharedlimits.go
+++ b/cmd/cranegate/sharedlimits.go
@@ -2,35 +2,36 @@
 
 import "runtime/debug"
 
-// updateLimits applies this process's share of the gateway's limits.
+// updateLimits applies the limits of this process, which depend on whether another process of the gateway runs.
 func (g *gateway) updateLimits() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.updateLimitsLocked()
 }
 
-// updateLimitsLocked applies this process's share of the gateway's limits; g.mu is held. While another process runs, each has half of
-// the memory and of the connections to hosts, and no idle client is evicted: a request that its client sends during the eviction would
-// be lost, although two processes could serve it.
+// updateLimitsLocked does the work of updateLimits; g.mu is held. While another process runs, each has half of the memory and of the
+// connections to hosts, and no idle client is evicted while slots are free. A request that the client sends during its eviction would
+// be lost, although two processes are there to serve it.
 func (g *gateway) updateLimitsLocked() {
 	shared := g.olderAlive || g.newerAlive
 	memoryBytes := runtimeMemoryBytes(g.limits)
-	reservedConns := 0
+	otherProcessConns := 0
 	if shared {
 		memoryBytes /= 2
-		reservedConns = g.maxBackendConns / 2
+		otherProcessConns = g.maxBackendConns / 2
 	}
 	g.limiter.SetEvictIdle(!shared)
 	g.limiter.Resize(g.clientSlotsLocked())
 	debug.SetMemoryLimit(memoryBytes)
 	for _, f := range g.fleets {
-		f.pool.ReserveDescriptors(reservedConns)
+		f.pool.ReserveDescriptors(otherProcessConns)
 	}
 	g.reserveBudgetLocked(shared)
 }
 
-// clientSlotsLocked returns this process's share of the limit on client connections. Once the newer process serves, clients move to it
-// from the older one, and so does most of the limit.
+// clientSlotsLocked returns the limit on this process's client connections. Until the newer process serves, each of the two has half of
+// the gateway's limit. Then clients move to the newer one, which has the whole limit; the older one keeps a quarter of it until it ends.
+// A process that has both an older and a newer one is limited as the older of two.
 func (g *gateway) clientSlotsLocked() int {
 	switch {
 	case g.newerAlive && g.newerServing:
@@ -43,15 +44,15 @@
 	return g.maxClients
 }
 
-// reserveBudgetLocked leaves half of the budget for buffered client bytes to the other process while there is one. If less than that is
-// free, it is tried again at the next change of the limits.
+// reserveBudgetLocked leaves half of the budget for buffered client bytes to the other process while there is one. The budget is a
+// quarter of the memory limit, half of it an eighth. If less than that is free, the next call of updateLimitsLocked tries again.
 func (g *gateway) reserveBudgetLocked(shared bool) {
 	bytes := g.limits.MemoryMB << 20 / 8
 	switch {
-	case shared && g.reservedBytes == 0 && g.budget.Reserve(bytes):
-		g.reservedBytes = bytes
-	case !shared && g.reservedBytes > 0:
-		g.budget.Release(g.reservedBytes)
-		g.reservedBytes = 0
+	case shared && g.otherProcessBytes == 0 && g.budget.Reserve(bytes):
+		g.otherProcessBytes = bytes
+	case !shared && g.otherProcessBytes > 0:
+		g.budget.Release(g.otherProcessBytes)
+		g.otherProcessBytes = 0
 	}
 }
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -10,7 +10,7 @@
 	"cranegate/internal/hotrestart/state"
 )
 
-// messageSet is a set of kinds of messages that a link still has to send. A message is built when it is sent, from the state at that
+// messageSet is a set of kinds of messages. A message is built when it is sent, from the state at that
 // time, so that no queue grows while a peer is slow.
 type messageSet int
 
@@ -29,7 +29,7 @@
 	peer        *peer
 	conn        net.Conn
 	wake        chan struct{}
-	pending     messageSet // guarded by coordinator.mu
+	pending     messageSet // the messages still to send; guarded by coordinator.mu
 }
 
 func newLink(c *Coordinator, p *peer, conn net.Conn) *link {
@@ -83,7 +83,7 @@
 	}
 }
 
-// pendingMessages removes messages from pending and builds them, in the order in which they are to be sent.
+// pendingMessages removes messages from pending and builds them. They are sent in the order hello, blob, rest.
 func (l *link) pendingMessages() []frame.Message {
 	c := l.coordinator
 	c.mu.Lock()
@@ -97,7 +97,7 @@
 	defer c.mu.Unlock()
 	sending := l.pending
 	if sending&sendBlob != 0 && !blobPending {
-		sending &= sendHello // the blob was queued meanwhile: the next call returns it, with the messages that follow it
+		sending &= sendHello // the blob was queued after blobPending was read: send only the hello now, and the rest with the next call
 	}
 	l.pending &^= sending
 	if l.pending != 0 {
@@ -133,7 +133,8 @@
 	return frame.Message{Kind: kind, Registers: &snapshot}
 }
 
-// exportBlob returns the blob of Options.Export, or nil if it is too large.
+// exportBlob returns the blob of Options.Export. It returns nil if there is no Options.Export or if the blob is too large; the link
+// then sends an empty blob.
 func (c *Coordinator) exportBlob() []byte {
 	if c.opt.Export == nil {
 		return nil
@@ -196,8 +197,10 @@
 		if err := c.mergeFromPeer(registers); err != nil {
 			return err
 		}
+		// Acknowledgements are merged, because with two links to a peer the later message may be the older one. If the result
+		// would exceed the bounds, the latest message, which is within them, replaces what the peer acknowledged before.
 		var err error
-		if p.applied, err = p.applied.Merge(registers); err != nil { // merged, because one of two links may be behind the other
+		if p.applied, err = p.applied.Merge(registers); err != nil {
 			p.applied = registers
 		}
 	}
@@ -205,7 +208,7 @@
 	return nil
 }
 
-// handleHello handles a peer's first message. The coordinator's mu is held.
+// handleHello handles the Hello message that a peer sends first on each link. The coordinator's mu is held.
 func (l *link) handleHello(m frame.Message) {
 	l.peer.ready = l.peer.ready || m.Ready
 	if m.WantBlob {
@@ -213,7 +216,8 @@
 	}
 }
 
-// mergeFromPeer merges registers that a peer sent. The peer writes them to the file itself. c.mu is held.
+// mergeFromPeer merges registers that a peer sent. The peer is to write them to the file first; persistLoop writes them after
+// applyTimeout. c.mu is held.
 func (c *Coordinator) mergeFromPeer(registers state.Registers) error {
 	changed, err := c.merge(registers)
 	if err != nil {
--- a/internal/hotrestart/run.go
+++ b/internal/hotrestart/run.go
@@ -10,8 +10,8 @@
 )
 
 // Run makes the program apply changes by Options.OnState, calls the other On functions, and writes pending changes to the file, until
-// ctx ends or Close is called. Call it once, and let it run as long as the process sends to hosts. After it has returned this process
-// neither applies changes nor acknowledges them to other processes. It returns nil.
+// ctx ends or Close is called. Call it once, and let it run as long as the process sends to hosts. After it has returned, this process
+// applies no further changes, and acknowledges to other processes only what it has applied. It returns nil.
 func (c *Coordinator) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -62,8 +62,8 @@
 	olderEnded bool
 }
 
-// summarize returns the current summary, and a channel that is closed when it may have changed. Once true,
-// olderEnded stays true.
+// summarize returns the current summary, and a channel that is closed when it may have changed. It needs the previous summary because
+// olderEnded, once true, stays true.
 func (c *Coordinator) summarize(previous peerSummary) (peerSummary, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +74,8 @@
 	}, c.changed
 }
 
-// notifyLoop calls OnNewerExists, OnSuperseded and OnRestored at each change, and OnOlderEnded at most once.
+// notifyLoop calls OnNewerExists, OnSuperseded and OnRestored when the summary differs from the last one that it read, and OnOlderEnded
+// at most once. It misses a change that is reverted before it reads the summary again.
 func (c *Coordinator) notifyLoop(ctx context.Context) {
 	for previous := (peerSummary{}); ctx.Err() == nil; {
 		current, changed := c.summarize(previous)
@@ -95,10 +96,11 @@
 	}
 }
 
-// persistLoop retries failed writes of the file, and merges the last changes that an ended process wrote to it. Changes from a live
-// peer are left for that peer to write: on a slow disk this process would hold the lock for as long as the peer's call waits for it.
-// This process writes them after the peer has ended, or after applyTimeout without further changes, which is the longest that a call
-// takes.
+// persistLoop retries failed writes of the file. After a peer has ended it also merges the file's content into this process's registers,
+// because it may contain the peer's last changes. Changes from a live peer are left for that peer to write. If this process wrote them
+// at the same time, it would on a slow disk hold the file's lock while the peer's call waits for it, so that the call would time out.
+// This process writes them after the peer has ended, or after applyTimeout without further changes from peers. applyTimeout is the
+// longest that a call takes.
 func (c *Coordinator) persistLoop(ctx context.Context) {
 	var peerWriteDeadline <-chan time.Time // nil: no changes are left for a peer to write
 	for delay := minRetryDelay; ctx.Err() == nil; {
@@ -110,7 +112,7 @@
 			peerWriteDeadline = time.After(applyTimeout)
 		}
 		if pending {
-			if err := c.persist(ctx, state.Registers{}); err != nil { // persist has set writePending again
+			if err := c.persist(ctx, state.Registers{}); err != nil { // if the file was not written, writePending is set again
 				c.opt.Counters.Add("handover_writes_failed", 1)
 				sleep(ctx, delay)
 				delay = min(2*delay, maxPersistDelay)
--- a/internal/hotrestart/statefile/statefile.go
+++ b/internal/hotrestart/statefile/statefile.go
@@ -1,7 +1,9 @@
-// Package statefile stores the registers in a file that all processes of the gateway read and update.
+// Package statefile stores the registers in a file that all processes of the gateway read and update. The registers record which hosts
+// are detached by hand, and whether the gateway is in lameduck.
 //
 // The file is JSON with a format, a version, a sequence number and a checksum. An update merges registers into the content and
-// replaces the file atomically, while it holds a lock on a separate file. An invalid file is renamed to InvalidName.
+// replaces the file atomically, while it holds a lock on a separate file. An invalid file, or one of
+// another version of the format, is renamed to InvalidName.
 package statefile
 
 import (
@@ -65,14 +67,15 @@
 // Unwrap returns the cause.
 func (e *UnreadableFileError) Unwrap() error { return e.Cause }
 
-// Causes of an InvalidFileError.
+// Causes of an InvalidFileError. Update also returns ErrTooLarge if the registers to write are too large.
 var (
 	ErrCorrupt        = errors.New("incomplete, or not JSON of this format")
 	ErrUnknownVersion = errors.New("of a version that this program does not support")
 	ErrTooLarge       = errors.New("larger than 1 MiB")
 )
 
-// fileContent is the JSON form of the file. Processes of other versions read and write it too.
+// fileContent is the JSON form of the file. Processes of other versions of the program read and write it too. A file with another
+// Version of the format is rejected as invalid.
 type fileContent struct {
 	Format   string          `json:"format"`
 	Version  int             `json:"version"`
@@ -91,8 +94,8 @@
 func New(dir string) *File { return &File{dir: dir, semaphore: make(chan struct{}, 1)} }
 
 // Read returns the registers in the file; they are empty if there is no file. With an *InvalidFileError they are empty too, and
-// the file has been renamed to InvalidName, unless the lock could not be acquired before ctx ended: then the file is still in
-// place. After any other error, such as an *UnreadableFileError, the content of the file is unknown.
+// the file has been renamed to InvalidName. It is still in place if the lock could not be acquired before ctx ended, or if the
+// rename failed. After any other error, such as an *UnreadableFileError, the content of the file is unknown.
 func (f *File) Read(ctx context.Context) (state.Registers, error) {
 	registers, _, err := f.load()
 	var invalid *InvalidFileError
@@ -112,8 +115,8 @@
 }
 
 // Update merges registers into the file and returns the merged registers. ctx bounds the wait for the lock. With an
-// *InvalidFileError the update was written, and the previous file was renamed to InvalidName. With any other error the update was
-// not written.
+// *InvalidFileError the update was written, and the previous file was renamed to InvalidName, or overwritten if that rename failed.
+// With any other error the update was not written.
 func (f *File) Update(ctx context.Context, registers state.Registers) (state.Registers, error) {
 	unlock, err := f.lock(ctx)
 	if err != nil {
@@ -176,8 +179,8 @@
 	return regs, sequence, nil
 }
 
-// readFile reads a file, but at most MaxBytes+1 bytes. Errors: fs.ErrNotExist, also if another process has just renamed the file,
-// *InvalidFileError, *UnreadableFileError, and other errors of the operating system.
+// readFile reads a file, but at most MaxBytes+1 bytes. Errors: fs.ErrNotExist, also if another process has just renamed the file;
+// *InvalidFileError if it is not a regular file; *UnreadableFileError if it can't be opened or read; other errors of os.Lstat.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Lstat(path)
 	if err != nil {
@@ -201,7 +204,7 @@
 	return text, nil
 }
 
-// quarantine renames an invalid file to InvalidName.
+// quarantine renames an invalid file to InvalidName, and updates the error's path. If the rename fails, both stay as they are.
 func (f *File) quarantine(invalid *InvalidFileError) {
 	path := filepath.Join(f.dir, InvalidName)
 	if os.Rename(invalid.Path, path) == nil {
