--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -2,8 +2,8 @@
 // datagrams, and full state exchanges over streams. Messages are sealed with the fleet's keys.
 //
 // One goroutine, the actor, owns the node. Readers pass messages to it through a bounded mailbox. They drop a message when
-// the mailbox is full, because the protocol tolerates lost messages. Requests of clients never wait for this package:
-// Options.OnSizeChange reports changes.
+// the mailbox is full, because the protocol tolerates lost messages. No client's request waits for this package:
+// Options.OnSizeChange passes the number of gateways and the budget share on when they change.
 package gossip
 
 import (
@@ -27,7 +27,7 @@
 	mailboxSize     = 256
 	maxQueued       = 1024                 // datagrams that wait to be sent
 	burstSize       = 32                   // datagrams sent at once
-	burstInterval   = 2 * time.Millisecond // between two bursts: at most 16,000 datagrams a second
+	burstInterval   = 2 * time.Millisecond // between two bursts from a queue that is not empty: 16,000 datagrams a second
 	maxStreamsIn    = 16                   // handled at a time
 	maxStreamsOut   = 8
 	dialTimeout     = time.Second
@@ -43,8 +43,8 @@
 	Keys     Keys               // without keys, messages are not sealed
 	Counters *metrics.Counters
 
-	// OnSizeChange is called by the actor when the number of gateways to assume, or this gateway's share of fleet-wide
-	// budgets (see membership.Node.BudgetShare), has changed. It must not block.
+	// OnSizeChange is called by the actor when the number of gateways to assume has changed, and also when only this
+	// gateway's share of fleet-wide budgets (see membership.Node.BudgetShare) has. It must not block.
 	OnSizeChange func(gateways int, budgetShare float64)
 }
 
@@ -170,7 +170,7 @@
 // now returns the node's clock. It is monotonic, so that steps of the wall clock change nothing.
 func (t *Transport) now() time.Duration { return time.Since(t.startedAt) }
 
-// collect sends the node's messages and reports its changes.
+// collect queues the node's datagrams, starts its full state exchanges, and reports its changes.
 func (t *Transport) collect() {
 	messages, changes := t.node.Ready()
 	for _, change := range changes {
@@ -208,7 +208,9 @@
 }
 
 // FleetFullError reports that a gateway was not added to the view because the view is full.
-type FleetFullError struct{ Gateways int }
+type FleetFullError struct {
+	Gateways int // in the view
+}
 
 // Error states the limit and what an operator can do.
 func (e FleetFullError) Error() string {
@@ -256,7 +258,8 @@
 	}
 }
 
-// Reload replaces the join addresses and the keys. If a key is invalid, it changes nothing.
+// Reload replaces the keys and then the join addresses. If a key is invalid, it changes nothing. After any other error the keys are
+// replaced, although the actor may not have taken over the join addresses.
 func (t *Transport) Reload(ctx context.Context, join []string, keys Keys) error {
 	if err := t.sealer.replace(keys); err != nil {
 		return err
@@ -271,7 +274,8 @@
 	t.callActor(ctx, t.node.Drain) // an error means that Run has ended, or that the actor did not answer within leaveTimeout
 }
 
-// Leave announces that this gateway stops, and returns when the announcement is sent. It takes at most leaveTimeout.
+// Leave announces that this gateway stops, and returns when the announcement is sent. If the actor has not sent it within leaveTimeout,
+// Leave returns without it.
 func (t *Transport) Leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
--- a/internal/membership/failuredetector.go
+++ b/internal/membership/failuredetector.go
@@ -8,19 +8,19 @@
 
 // suspicion records this node's attempts to reach a member that left a probe unanswered.
 type suspicion struct {
-	since          time.Duration // when the first probe went unanswered
+	since          time.Duration // start of the suspicion, or the last time at which earlier evidence was discarded
 	nextAttempt    time.Duration
 	attempts       int
 	confirmedBy    map[Incarnation]bool // helpers that reported Unreachable
 	othersAnswered int                  // answers from other members since then
 }
 
-// relay tracks the pings to a member on behalf of another member.
+// relay is the work on one PingRequest: this node pings the subject on behalf of the requester.
 type relay struct {
-	seq          uint64 // of the pings
-	requesterSeq uint64 // of the PingRequest
-	requester    string // address of the member that sent the PingRequest
-	subject      Incarnation
+	seq          uint64      // of the pings
+	requesterSeq uint64      // of the PingRequest
+	requester    string      // address of the member that sent the PingRequest
+	subject      Incarnation // the member to ping
 	subjectAddr  string
 	attempts     int
 	nextAttempt  time.Duration // time of the next ping or, after the last one, of the report
@@ -28,7 +28,7 @@
 
 // advance moves the clock. A jump by more than stallThreshold means that this process was suspended, so that missing answers
 // are no evidence against other members: suspicions start over, and no member is declared failed until the others have had
-// time to send messages.
+// time to send messages. Options.PlainSWIM switches this rule off.
 func (n *Node) advance(now time.Duration) {
 	gap := now - n.now
 	n.now = max(n.now, now)
@@ -103,8 +103,7 @@
 	n.relays = remaining
 }
 
-// probe pings the next member in turn. A member that did not answer the probe of the previous interval becomes a
-// suspect.
+// probe pings the next member in turn. A member that has not answered a probe within two intervals becomes a suspect.
 func (n *Node) probe() {
 	for _, seq := range slices.Sorted(maps.Keys(n.previousProbes)) {
 		if e := n.table[n.previousProbes[seq]]; e != nil && e.State < Failed && e.suspicion == nil {
@@ -139,7 +138,8 @@
 }
 
 // checkSuspect probes a suspect again and declares it failed when its suspicion has expired. A node that gets no answers
-// from other members, or was suspended, declares no member failed.
+// from other members, or was suspended shortly before, declares no member failed. Options.PlainSWIM switches this rule and the repeated
+// probes off.
 func (n *Node) checkSuspect(member *entry) {
 	suspicion := member.suspicion
 	if n.now >= suspicion.nextAttempt {
@@ -160,7 +160,8 @@
 	}
 }
 
-// probeSuspect pings a suspect directly and through helpers in different zones.
+// probeSuspect pings a suspect directly and through helpers, which are in different zones if possible. After widenAfterAttempts
+// attempts it asks twice as many helpers, whose zones may repeat.
 func (n *Node) probeSuspect(member *entry) {
 	n.ping(member)
 	probes := indirectProbes
@@ -201,7 +202,7 @@
 	case n.liveMembers() > 2:
 		return s.othersAnswered > 0 // without an answer, this node itself may be the one that is cut off
 	}
-	return lasted >= 2*maxSuspicionTimeout // in a fleet of two, no other member can answer
+	return lasted >= 2*maxSuspicionTimeout // the suspect is the only other live member, so no other one can answer
 }
 
 // reconnect pings one failed member and one of the join addresses. Live members only probe members that they consider
