--- a/internal/admin/limiter.go
+++ b/internal/admin/limiter.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// limiter is a listener with a bounded number of connections. While all slots are in use, new connections wait in the system's queue.
-// They are accepted when calls end, or when callers that don't finish their call are evicted. The caller whose grace period ended first
-// is evicted first.
+// limiter is a listener with a bounded number of connections. While all slots are in use, one accepted connection waits in Accept, and
+// the others in the system's queue. They get slots when calls end, or when callers that don't finish their call are evicted. The caller
+// whose grace period ended first is evicted first.
 type limiter struct {
 	net.Listener
-	ctx      context.Context // of all actions
+	ctx      context.Context // parent of the contexts of all actions; also ends the wait for a slot
 	maxSlots int
 	freed    chan struct{} // signals that a slot was released; has a capacity of one
 
@@ -24,7 +24,8 @@
 	return &limiter{Listener: l, ctx: ctx, maxSlots: maxSlots, freed: make(chan struct{}, 1), slots: map[*slot]struct{}{}}
 }
 
-// Accept returns the next connection, once it has a slot. It returns net.ErrClosed when the context ends.
+// Accept returns the next connection, once it has a slot. It returns net.ErrClosed if the context ends while the connection waits for
+// a slot.
 func (l *limiter) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -57,7 +58,7 @@
 	if len(l.slots) >= l.maxSlots {
 		candidate, at := l.evictionCandidate(now)
 		if candidate == nil {
-			return nil, readGrace // or until a slot is released
+			return nil, readGrace // the shortest grace period; Accept tries earlier if a slot is released
 		}
 		if at.After(now) {
 			return nil, at.Sub(now)
@@ -71,9 +72,9 @@
 	return evicted, 0
 }
 
-// evictionCandidate returns the connection that may be evicted first, and the time from which on it may be. While a caller delays the
-// end of its answer, connections without a complete header get contentionGrace more, so that a caller which has its answer is evicted
-// before them.
+// evictionCandidate returns the connection that may be evicted first, and the time from which on it may be. While a connection
+// whose answer is being written or has been written can be evicted, now or later, connections without a complete header (phaseReading)
+// get contentionGrace more, so that a caller which has its answer is evicted before them.
 func (l *limiter) evictionCandidate(now time.Time) (candidate *slot, at time.Time) {
 	consider := func(s *slot, evictableAt time.Time) {
 		if candidate == nil || evictableAt.Before(at) {
--- a/internal/admin/slot.go
+++ b/internal/admin/slot.go
@@ -11,41 +11,41 @@
 // is running is not evicted.
 const (
 	readGrace       = 20 * time.Millisecond  // to send the request's header; also to send the rest of the body after the answer
-	unreadGrace     = 500 * time.Millisecond // for the header, while bytes have arrived that this process, on part of a core, has not read yet
+	unreadGrace     = 500 * time.Millisecond // for the header, while this process, short of processor time, has not read bytes that have arrived
 	contentionGrace = 250 * time.Millisecond // added for the header while other callers delay the end of their answers
 	writeGrace      = 30 * time.Millisecond  // to read the part of the answer that the system's buffers can't hold
 )
 
-// socketBufferBytes is a number of bytes that a new socket accepts before its peer reads any. The send buffer of such a socket is larger.
+// socketBufferBytes is a size up to which a Write to a new socket never blocks, because the send buffer of such a socket is larger.
 const socketBufferBytes = 8 << 10
 
 // slotPhase is the phase of the call on a connection.
 type slotPhase int
 
 const (
-	phaseReading slotPhase = iota
-	phaseActing
-	phaseAnswering
-	phaseAnswered
-	phaseClosed
+	phaseReading   slotPhase = iota // the request's header is not complete
+	phaseActing                     // the action is running
+	phaseAnswering                  // the answer is being written
+	phaseAnswered                   // the answer has been written, and the connection is not closed yet
+	phaseClosed                     // the connection is closed or was evicted
 )
 
 // slotKey is the key of a connection's slot in the context of its request.
 type slotKey struct{}
 
-// slot is a connection that takes one of the limiter's slots.
+// slot is an accepted connection, which waits for one of the limiter's slots, has one or has released it.
 type slot struct {
 	net.Conn
 	limiter    *limiter
 	phase      slotPhase // guarded by limiter.mu
 	phaseSince time.Time // guarded by limiter.mu
 
-	reading      atomic.Bool  // the server waits in Read for the caller
-	writingSince atomic.Int64 // when a long Write began, in Unix ns; 0 if none runs
+	reading      atomic.Bool  // net/http waits in Read for the caller
+	writingSince atomic.Int64 // when a Write of more than socketBufferBytes began, in Unix ns; 0 if none runs
 }
 
-// Read marks the slot while the server waits for the caller. It does not mark it for a read of one byte: with such a read net/http
-// detects that the caller disconnects. The read begins once the header is complete, shortly before the handler runs.
+// Read marks the slot while net/http waits for the caller. It does not mark it during net/http's background read of
+// one byte. That read detects that the caller disconnects. It begins once the header is complete, shortly before the handler runs.
 func (s *slot) Read(b []byte) (int, error) {
 	if len(b) > 1 {
 		s.reading.Store(true)
@@ -54,7 +54,7 @@
 	return s.Conn.Read(b)
 }
 
-// Write marks the slot while it writes more than the system's buffers may accept at once.
+// Write marks the slot while it writes more than socketBufferBytes, because such a write may block.
 func (s *slot) Write(b []byte) (int, error) {
 	if len(b) > socketBufferBytes {
 		s.writingSince.Store(time.Now().UnixNano())
@@ -82,7 +82,8 @@
 	return err
 }
 
-// CloseWrite closes the sending side of the connection. net/http then discards what the caller still sends.
+// CloseWrite closes the sending side of the connection. net/http calls it if it has not read the whole request, and closes the connection
+// some time later, so that the caller can read the answer before the connection is reset.
 func (s *slot) CloseWrite() error {
 	if c, ok := s.Conn.(interface{ CloseWrite() error }); ok {
 		return c.CloseWrite()
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -21,7 +21,7 @@
 	reportColumns []string
 }
 
-// Reader reads batches.
+// Reader reads batches: a batch holds the events of one clock time, and each event is for one instance, which has its own settings.
 type Reader struct {
 	in            *bufio.Reader
 	line          int                        // lines read so far
@@ -34,7 +34,7 @@
 	return &Reader{in: bufio.NewReaderSize(in, 1<<20), endpointLists: map[int][]routing.Endpoint{}, vocabularies: map[string]*vocabulary{}}
 }
 
-// readLine returns the next line without its end.
+// readLine returns the next line without its end. A last line without an end is an error, because it may have been cut off.
 func (r *Reader) readLine() (string, error) {
 	line, err := r.in.ReadString('\n')
 	if err == io.EOF && line != "" {
@@ -47,8 +47,9 @@
 	return strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r"), nil
 }
 
-// Batch reads one batch. It returns io.EOF if the input ends between batches, and io.ErrUnexpectedEOF if it ends within one. An error in
-// a line includes the line's number.
+// Batch reads one batch. It returns io.EOF if the input ends between batches, and io.ErrUnexpectedEOF if it ends where an event or the
+// batch's end is expected. The error for an invalid line, a line that is cut short or an incomplete endpoint list includes a line number;
+// other errors do not.
 func (r *Reader) Batch() (*Batch, error) {
 	line, err := r.readLine()
 	if err != nil {
@@ -77,7 +78,7 @@
 		if err != nil {
 			return nil, r.lineError(line, err)
 		}
-		if event != nil {
+		if event != nil { // nil: the line began an endpoint list
 			batch.Events = append(batch.Events, *event)
 		}
 	}
@@ -105,7 +106,7 @@
 	var err error
 	event.Payload, err = r.payload(name, event.Instance, f)
 	if err == nil {
-		err = f.err
+		err = f.err // the first field that could not be read; an error of payload itself takes precedence
 	}
 	if err != nil {
 		return nil, err
