--- a/routing/choose.go
+++ b/routing/choose.go
@@ -83,7 +83,7 @@
 func (r *Router) pickTied(req *requestState, tied []*memberState) *memberState {
 	byPosition := func(a, b *memberState) int { return cmp.Compare(a.position, b.position) }
 	furthestBehind := slices.MinFunc(tied, byPosition)
-	lagsFar := r.positionAt(furthestBehind.positionAt)-furthestBehind.position > maxReplicaLagMillis
+	lagsFar := r.positionAt(furthestBehind.positionReportedAt)-furthestBehind.position > maxReplicaLagMillis
 	if req.class.Consistency == ConsistencyAny && lagsFar {
 		return furthestBehind
 	}
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -7,8 +7,8 @@
 	// up to half of Config.MaxPollInterval.
 	minSubscribeBackoff = 500 * time.Millisecond
 
-	// unlistedMemberTTL is how long after its last answer a removed member may be used though it is
-	// unhealthy.
+	// unlistedMemberTTL is how long after its last answer an unhealthy member is kept though the endpoint
+	// list no longer contains it. This is checked only when a message of the list arrives.
 	unlistedMemberTTL = 60 * time.Second
 )
 
@@ -77,7 +77,8 @@
 	return member
 }
 
-// resetForNewProcess clears the observations of a member's previous process.
+// resetForNewProcess clears what was observed of a member's previous process: failures, silence, latencies,
+// slow-start tokens and being down. The role and position stay, and connectFailures stays until an answer.
 func (m *memberState) resetForNewProcess() {
 	m.failures = 0
 	m.endedSilence = 0
@@ -87,8 +88,8 @@
 }
 
 // observeListedRole takes the primary from the endpoint list. Answers and reports are more recent than the
-// list. The list therefore counts only if it has changed, if it names the current primary, and while no
-// healthy primary is known.
+// list. The list therefore counts only if it newly names the member, if listFollowsRole allows it, and while
+// no healthy primary is known. If no primary is known at all, the member's own role must be unknown too.
 func (r *Router) observeListedRole(member *memberState, isPrimary bool, kind EndpointListKind) {
 	changed := isPrimary && !member.listedPrimary
 	member.listedPrimary = isPrimary
@@ -103,7 +104,9 @@
 	}
 }
 
-// listFollowsRole reports whether a message of the endpoint list names the current primary.
+// listFollowsRole reports whether the primaries in a message of the endpoint list may be current. With
+// RoleSourceInitial, the list names the primaries at the start of the deployment. They are used only from a
+// stale list, such as the one that a gateway has at its own start.
 func (r *Router) listFollowsRole(kind EndpointListKind) bool {
 	switch r.cfg.RoleSource {
 	case RoleSourceDelayed:
@@ -115,7 +118,7 @@
 }
 
 // removeEndpoint removes a member. With Config.UseRemovedMembers, a member that was not draining is kept
-// while it is responsive.
+// if it is responsive. This is tested again only when a further message omits or removes the member.
 func (r *Router) removeEndpoint(member *memberState) {
 	if member == nil || r.cfg.UseRemovedMembers && !member.draining && r.isResponsive(member) {
 		return
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -26,7 +26,7 @@
 	if member.position == 0 {
 		return r.positionAt(r.now) // no report yet: treated no worse than a member whose report is old
 	}
-	return member.position + (r.now - member.positionAt).Milliseconds()
+	return member.position + (r.now - member.positionReportedAt).Milliseconds()
 }
 
 // freshEnough reports whether a member may serve a read: its position suffices, or it is the primary.
@@ -42,6 +42,6 @@
 	if r.cfg.StaleReads == StaleReadServed {
 		return false
 	}
-	caughtUp := (r.now - member.positionAt + r.cfg.CatchUpTimeout).Milliseconds()
+	caughtUp := (r.now - member.positionReportedAt + r.cfg.CatchUpTimeout).Milliseconds()
 	return r.presumedPosition(member)+caughtUp >= r.requiredPosition(req)
 }
--- a/routing/group.go
+++ b/routing/group.go
@@ -7,14 +7,17 @@
 
 // groupState is the state of a replication group: a primary and its replicas.
 type groupState struct {
-	number          int
-	members         []*memberState // sorted by id
-	openRequests    int
-	inEmptyGroups   bool
-	searchIndex     int             // index of the member that the search for the primary tries next
-	searchAttempt   *attemptState   // the search's attempt that is in flight
-	nextSearchAt    time.Duration   // when the next round of the search may begin
-	primaryWantedAt time.Duration   // when a request last found no member
+	number        int
+	members       []*memberState // sorted by id
+	openRequests  int
+	inEmptyGroups bool
+	searchIndex   int           // index of the member that the search for the primary tries next
+	searchAttempt *attemptState // the search's attempt that is in flight
+	nextSearchAt  time.Duration // when the next round of the search may begin
+
+	// primaryWantedAt is when a request that needs the primary last could not be sent to it, or when a read
+	// last found no healthy member that could serve it.
+	primaryWantedAt time.Duration
 	shedUntil       []time.Duration // by class: one latency objective after the last request that was shed
 	unansweredShare float64         // share of the latest requests that ended unanswered
 }
--- a/routing/healthcheck.go
+++ b/routing/healthcheck.go
@@ -3,14 +3,20 @@
 import "time"
 
 const (
-	healthCheckInterval       = 300 * time.Millisecond // of a member that has not answered in between
-	searchHealthCheckInterval = 100 * time.Millisecond // of a member in doubt, see healthCheckDue
+	healthCheckInterval = 300 * time.Millisecond // of a member that has not answered in between
+
+	// searchHealthCheckInterval is the least interval of a member in doubt. The interval grows with the time
+	// since the member's last answer, see healthCheckDue.
+	searchHealthCheckInterval = 100 * time.Millisecond
 
 	healthCheckTokensPerRequest = 0.25 // health checks earned by each request
 	fullRateMembers             = 12.0 // with more members a request earns less, as each member matters less
-	maxHealthCheckTokens        = 30.0 // health checks that can be saved up, for a start or a search
+	// maxHealthCheckTokens is the number of health checks that can be saved up, for a start or a search. The
+	// debt from checks beyond the budget is at most twice that. It also limits the sum of members and
+	// gateways up to which all initial checks are sent outside the budget.
+	maxHealthCheckTokens = 30.0
 
-	maxDoubtfulChecks = 8 // health checks per sweep of members in doubtful zones
+	maxDoubtfulChecks = 8 // health checks of members in doubtful zones per call of sendHealthChecks
 
 	silenceBackoffDivisor = 8 // the interval for a member in doubt is its time without an answer over this
 )
@@ -24,7 +30,9 @@
 	r.healthCheckTokens = min(maxHealthCheckTokens, r.healthCheckTokens+earned)
 }
 
-// sendHealthChecks sends a health check to each member for which one is due, in rotation.
+// sendHealthChecks sends a health check to each member for which one is due, in rotation. A member that has
+// answered after an outage of its zone is checked on its oldest connection even if no check is due, because
+// this shows whether its process has survived and needs no slow start.
 func (r *Router) sendHealthChecks() {
 	if !r.cfg.AllowHealthChecks {
 		return
@@ -61,7 +69,7 @@
 // about it. That is so if members and gateways are few, or if members do not check reads, so that their
 // positions are needed.
 func (r *Router) initialCheckDue(member *memberState) bool {
-	if member.healthCheckSentAt != 0 || member.positionAt != 0 {
+	if member.healthCheckSentAt != 0 || member.positionReportedAt != 0 {
 		return false
 	}
 	few := len(r.sortedMembers)+r.cfg.Gateways <= maxHealthCheckTokens
@@ -76,7 +84,7 @@
 	if r.unhealthy(member) || r.groupNeedsHealthChecks(member.group) {
 		interval = max(searchHealthCheckInterval, (r.now-member.answeredAt)/silenceBackoffDivisor)
 		minTokens = -maxHealthCheckTokens
-	} else if r.positionAt(member.positionAt)-member.position > maxReplicaLagMillis {
+	} else if r.positionAt(member.positionReportedAt)-member.position > maxReplicaLagMillis {
 		minTokens = 1
 	}
 	return r.now-member.answeredAt >= interval && r.now-member.healthCheckSentAt >= interval &&
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -6,13 +6,16 @@
 	latencyWindowSize = 40              // samples kept of each member
 	latencyWindowAge  = 4 * time.Second // age at which a sample no longer counts
 
-	priorWeight = 2.0 // weight of the pool of all members of the same role, in samples of one member
+	// priorWeight is the weight of a starting value, in samples. The pool of all members of the same role
+	// starts with all on time. The pool's share on time is in turn the starting value of each member.
+	priorWeight = 2.0
 
 	assumedConcurrency = 2 // attempts that any member processes at once; further ones may be queued
 )
 
-// latencySample is a round trip divided by the expected latency of its class. A censored sample is a lower
-// bound: the attempt ended without an answer.
+// latencySample is a round trip divided by the expected latency of its class and, once recorded, by the
+// queueing factor as well. Errors and rejections for lack of capacity have lateRatio instead. A censored
+// sample is a lower bound: the attempt ended without an answer.
 type latencySample struct {
 	at       time.Duration
 	ratio    float64
@@ -40,8 +43,9 @@
 
 // onTimeProbability estimates the probability that a member answers within a time, from its recent
 // latencies. Attempts that have been in flight for longer count as late at once, so that a member that stops
-// answering is avoided before any timeout. The parameter extra is the number of further attempts to assume
-// in flight.
+// answering is avoided before any timeout. They are compared with the whole target, as their time includes
+// queueing, and the samples with the target without queueing. The parameter extra is the number of further
+// attempts to assume in flight.
 func (r *Router) onTimeProbability(member *memberState, within, expected time.Duration, extra int) float64 {
 	target := float64(within) / float64(expected)
 	unqueued := target / queueingFactor(len(member.inFlight)+1+extra)
@@ -57,8 +61,8 @@
 }
 
 // countOnTime adds a window's samples to the weighted numbers of samples on time and of all samples. The
-// newest weigh most. A censored sample within the target is not counted, as the attempt might have been on
-// time or late.
+// newest weigh most: 2, which falls to 0 at latencyWindowAge, so that the mean weight over that time is 1. A
+// censored sample within the target is not counted, as the attempt might have been on time or late.
 func (r *Router) countOnTime(window []latencySample, target, onTime, total float64) (float64, float64) {
 	for _, sample := range window {
 		weight := 2 * (1 - float64(r.now-sample.at)/float64(latencyWindowAge))
@@ -75,7 +79,9 @@
 	return onTime, total
 }
 
-// score returns the expected value of a member's answer, as a share of the request's priority weight.
+// score returns the expected value of a member's answer, as a share of the request's priority weight. An
+// answer within the latency objective is worth 1, and one only within the deadline the class's LateShare. The
+// higher of the two expected values counts.
 func (r *Router) score(req *requestState, member *memberState) float64 {
 	extra := 0
 	if member == req.group.primary() && !req.needsPrimary {
--- a/routing/member.go
+++ b/routing/member.go
@@ -19,10 +19,10 @@
 	draining      bool
 	listedPrimary bool // the endpoint list names it as the primary
 
-	role         Role
-	rolePosition int64         // the position as of which the role is known
-	position     int64         // the highest that it has reported
-	positionAt   time.Duration // when it reported position
+	role               Role
+	rolePosition       int64         // the position as of which the role is known
+	position           int64         // the highest that it has reported
+	positionReportedAt time.Duration // when it reported position
 
 	startedAt       time.Duration
 	answeredAt      time.Duration // its last answer
@@ -40,7 +40,7 @@
 	healthCheckAnsweredAt time.Duration // when one was last answered
 	unansweredCheckAt     time.Duration // when the first one since its last answer was sent
 
-	previousStartedAt      time.Duration // startedAt before its zone went down
+	previousStartedAt      time.Duration // startedAt before its zone went down, or a later start on the list
 	answeredBeforeZoneLoss time.Duration // its last answer before its zone went down; 0: no outage
 
 	tokens   float64       // slow start: seconds of work that it may be sent, as of tokensAt
--- a/routing/observations.go
+++ b/routing/observations.go
@@ -7,12 +7,17 @@
 
 const (
 	latencyGain     = 0.03 // weight of one answer in its class's expected latency
-	maxLatencyRatio = 4.0  // an answer counts as at most this multiple of the expected latency
+	maxLatencyRatio = 4.0  // the most that an answer's latency ratio counts in the expected latency
 
-	workGain         = 0.25        // weight of an answer that took less than the expected work
-	workGrowthPeriod = time.Minute // without such answers the expected work doubles in about this time
+	workGain = 0.25 // weight of an answer that took less than the expected work
 
-	unansweredGain = 0.1 // weight of one request in its group's share of unanswered requests
+	// workGrowthPeriod is the time in which the expected work doubles without such answers. The growth
+	// compounds with each answer, to a factor of about e in this time if answers are frequent.
+	workGrowthPeriod = time.Minute
+
+	// unansweredGain is the weight of one request in its group's share of unanswered requests, which
+	// observeSuccess lowers and advanceRequest raises.
+	unansweredGain = 0.1
 
 	// lateRatio is a latency ratio that is too long for any request.
 	lateRatio = 1e9
@@ -34,11 +39,13 @@
 	case ResultError:
 		r.observeAnswer(member, outcome.ConnectedAt)
 		r.recordLatency(member, latencySample{at: r.now, ratio: lateRatio})
-	case ResultTimeout, ResultCancelled: // the request's retry must not be a trial of this member
+	case ResultTimeout, ResultCancelled:
 		member.endedSilence = max(member.endedSilence, r.attemptSilence(attempt))
-		member.nextTrialAt = r.now + trialInterval/2
+		member.nextTrialAt = r.now + trialInterval/2 // the request's retry must not be a trial of this member
 		r.recordLatency(member, latencySample{at: r.now, ratio: ratio, censored: true})
-	case ResultOverCapacity: // a sign of load, but not of health: an unresponsive member fills up too
+	case ResultOverCapacity:
+		// This is a sign of load, but not of health: an unresponsive member fills up too. Therefore it does
+		// not count as an answer, which would clear failures and silence.
 		r.recordLatency(member, latencySample{at: r.now, ratio: lateRatio})
 	case ResultConnectFailed: // no sign of load: it must not cause load shedding
 		member.failures++
@@ -102,12 +109,13 @@
 	}
 	if report.Position > member.position {
 		member.position = report.Position
-		member.positionAt = r.now
+		member.positionReportedAt = r.now
 	}
 }
 
 // observeRole records a member's role as of a position. If two members of a group are reported as the
-// primary, the one with the higher position counts as the primary.
+// primary, the one with the higher position counts as the primary. At equal positions it is the one reported
+// last.
 func (r *Router) observeRole(member *memberState, role Role, position int64) {
 	for _, other := range member.group.members {
 		if role != RolePrimary || other == member || other.role != RolePrimary {
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -101,7 +101,7 @@
 		Role:                   member.role,
 		RolePosition:           member.rolePosition,
 		Position:               member.position,
-		PositionAt:             member.positionAt,
+		PositionAt:             member.positionReportedAt,
 		AnsweredAt:             member.answeredAt,
 		NextTrialAt:            member.nextTrialAt,
 		Failures:               member.failures,
@@ -178,7 +178,7 @@
 	m.unansweredCheckAt = learned.UnansweredCheckAt
 	if learned.Position > m.position {
 		m.position = learned.Position
-		m.positionAt = learned.PositionAt
+		m.positionReportedAt = learned.PositionAt
 	}
 	m.role = learned.Role
 	m.rolePosition = learned.RolePosition
--- a/routing/zones_test.go
+++ b/routing/zones_test.go
@@ -130,7 +130,7 @@
 		h.advanceAnswering(10 * ms)
 		for _, name := range []string{"b1", "b2"} {
 			h.router.members[name].position = h.router.positionAt(h.now - 5*time.Second)
-			h.router.members[name].positionAt = h.now
+			h.router.members[name].positionReportedAt = h.now
 		}
 		id := h.request(boundedRead)
 		if tried := h.membersTried(id); len(tried) > 0 && h.router.members[tried[0]].zone == "b" {
