--- a/internal/backend/idletimeout.go
+++ b/internal/backend/idletimeout.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	idleBuckets         = 9                      // of idle times: under 0.2 s, under 0.4 s, and so on
+	idleBuckets         = 9                      // of idle times: under 0.2 s, under 0.4 s, and so on; the last has no upper bound
 	firstIdleBucket     = 200 * time.Millisecond // the first bucket's upper bound
 	minBreaks           = 4.0                    // in a bucket; fewer are no evidence
 	breakShareMargin    = 0.1                    // by which a bucket's share of breaks has to exceed the first bucket's
-	breakDeviations     = 2.0                    // standard deviations of the breaks by chance, on top of the margin
-	breakCountsHalfLife = 30 * time.Second       // an observation of this age counts half
-	immediateBreak      = 50 * time.Millisecond  // a connection that breaks this soon after a write was broken before it
+	breakDeviations     = 2.0                    // also on top of the first bucket's share: standard deviations of the breaks by chance
+	breakCountsHalfLife = 30 * time.Second       // all counts are halved this often
+	immediateBreak      = 50 * time.Millisecond  // a connection that breaks this soon after a write was presumably broken before it
 )
 
 // idleTimeoutEstimator estimates how long idle connections stay usable. A host, or a middlebox in front of it, may drop idle
@@ -59,7 +59,8 @@
 	}
 }
 
-// estimate returns how long a connection may be idle and still be reused, limit at most.
+// estimate returns how long a connection may be idle and still be reused: at most limit, and otherwise at least 0.2 s, the end of
+// the first bucket.
 func (e *idleTimeoutEstimator) estimate(limit time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -68,8 +69,8 @@
 	end := firstIdleBucket
 	for bucket := 1; bucket < idleBuckets && end < limit; bucket++ {
 		deviation := math.Sqrt(e.uses[bucket] * baseline * (1 - baseline))
-		significant := (baseline+breakShareMargin)*e.uses[bucket] + breakDeviations*deviation
-		if e.breaks[bucket] >= minBreaks && e.breaks[bucket] > significant {
+		threshold := (baseline+breakShareMargin)*e.uses[bucket] + breakDeviations*deviation
+		if e.breaks[bucket] >= minBreaks && e.breaks[bucket] > threshold {
 			return end
 		}
 		end *= 2
--- a/internal/backend/mysql/prepared.go
+++ b/internal/backend/mysql/prepared.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	maxStatements    = 256         // prepared on one connection; the oldest is closed to prepare another
+	maxStatements    = 256         // prepared on one connection; the one prepared first is closed to prepare another
 	latePrepareGrace = time.Second // how long after its deadline a prepare may still be answered
 )
 
@@ -52,6 +52,7 @@
 // execute runs a prepared statement. It prepares the statement on this connection first if necessary, and prepares it again,
 // once, if the host does not know it any more.
 func (c *Conn) execute(a *core.Attempt, command *mysqlwire.Command) (core.Outcome, bool) {
+	// This stop is a placeholder until CloseOnAbandon returns the real one.
 	begun, stop := false, func() bool { return true }
 	for {
 		statement, wasPrepared := c.statements[command.Statement]
@@ -63,7 +64,7 @@
 				return backend.NotSent, false
 			}
 			serverError, err := c.prepare(command.Statement, c.account.PrepareTimeout)
-			if err != nil { // the execute was never written
+			if err != nil { // the execute was not written, or the host did not know the statement: it may be retried elsewhere
 				return core.Outcome{Result: routing.ResultConnectFailed}, false
 			} else if serverError != nil {
 				return core.Outcome{Result: resultOf(serverError, nil)}, stop()
@@ -73,10 +74,11 @@
 		buffered := len(c.w.B)
 		c.appendExecute(statement.id, command, time.Until(a.Deadline))
 		if !c.Alive() {
-			if wasPrepared { // the bytes or the close arrived while the connection was idle
+			if wasPrepared { // while the connection was idle, it was closed or unexpected bytes arrived
 				return backend.NotSent, false
 			}
-			return core.Outcome{Result: routing.ResultConnectFailed}, false // they arrived after the prepare's answer
+			// The close or the bytes arrived after the prepare's answer. The execute has not run, and may be retried elsewhere.
+			return core.Outcome{Result: routing.ResultConnectFailed}, false
 		}
 		if !begun {
 			if !a.Begin() {
@@ -84,7 +86,7 @@
 			}
 			begun, stop = true, backend.CloseOnAbandon(a, c)
 		}
-		if err := c.flush(); err != nil {
+		if err := c.flush(); err != nil { // the execute was not written completely: it has not run, and may be retried elsewhere
 			return core.Outcome{Result: routing.ResultConnectFailed}, false
 		}
 		c.SetReadDeadline(time.Time{})
@@ -162,7 +164,8 @@
 	return nil
 }
 
-// closeDropped closes, with the next write, each statement that its client has closed or whose client has disconnected.
+// closeDropped closes, with the next write, each statement that was dropped: its client has closed it, has reset its session
+// or has disconnected, or the client's prepare has failed.
 func (c *Conn) closeDropped() {
 	for _, statement := range slices.Clone(c.order) {
 		if statement.Dropped() {
--- a/internal/core/control.go
+++ b/internal/core/control.go
@@ -10,7 +10,7 @@
 	"cranegate/routing"
 )
 
-// ErrStopped is returned by calls after the actor has ended: the program is about to exit, and nothing is sent any more.
+// ErrStopped is returned by calls after the core's goroutine has ended: the program is about to exit, and nothing is sent any more.
 var ErrStopped = errors.New("the gateway has ended")
 
 // Override is a manual change of a host's use.
@@ -24,8 +24,8 @@
 )
 
 // SetOverride takes a host out of use or returns it to use. It returns once the router has applied the change: after
-// a nil error no attempt begins at a detached host. It returns ErrStopped, the context's error, or an error of package
-// override.
+// a nil error no attempt begins at a detached host. An error of package override means that nothing has changed. After
+// ErrStopped or the context's error, the change may or may not have been made; after the latter it may still be made later.
 func (c *Core) SetOverride(ctx context.Context, id string, override Override) error {
 	var overrideErr error
 	err := c.call(ctx, func() {
@@ -45,8 +45,8 @@
 	return overrideErr
 }
 
-// call runs a function on the actor's goroutine and returns once it has run. It returns ErrStopped or the context's error
-// if the function may not have run.
+// call runs a function on the core's goroutine and returns once it has run. If it returns ErrStopped or the context's
+// error, the function may or may not have run; after the latter it may still run later.
 func (c *Core) call(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	run := actorCall(func() {
@@ -70,7 +70,7 @@
 	}
 }
 
-// Known reports whether a host with this id is in the endpoint list, was removed from it recently, or is detached.
+// Known reports whether a host with this id is in the endpoint list, was removed from it within the last minute, or is detached.
 func (c *Core) Known(ctx context.Context, id string) (bool, error) {
 	known := false // may be written after a return with an error, and is read only after one without
 	if err := c.call(ctx, func() { known = c.overrides.Known(c.now, id) }); err != nil {
@@ -103,13 +103,13 @@
 }
 
 // Learn restores in the router what the router of the previous process had observed. It must be called after the first
-// endpoint list.
+// endpoint list, because the router skips hosts that it does not have yet.
 func (c *Core) Learn(learned routing.Snapshot) {
 	c.post(actorCall(func() { c.router.Restore(learned) }))
 }
 
 // SetStartTimes sets start times of hosts that another process has recorded. It must be called before the first endpoint
-// list.
+// list, because the router gets the start times as part of a list's endpoints.
 func (c *Core) SetStartTimes(ctx context.Context, starts map[string]time.Time) error {
 	return c.call(ctx, func() {
 		for id, at := range starts {
@@ -118,8 +118,8 @@
 	})
 }
 
-// ConfigureZones replaces the options by which the health of zones is determined and reads are distributed among them. The
-// options must be valid. If the core was started without zones nothing changes.
+// ConfigureZones replaces the options by which the health of zones is determined and reads are distributed among them. If the
+// options are invalid, or the core was started without zones, this is logged and nothing changes.
 func (c *Core) ConfigureZones(options zones.Options) {
 	c.post(actorCall(func() {
 		if z := c.router.Zones(); z == nil {
--- a/internal/frontend/drain/drain.go
+++ b/internal/frontend/drain/drain.go
@@ -13,15 +13,15 @@
 const (
 	noticeDelay        = 400 * time.Millisecond  // the platform notices a drain within 0.1 s, and clients still connect for another 0.2 s
 	minIdleDelay       = time.Second             // from the start of a drain until the first idle connections are closed
-	idleSpread         = 800 * time.Millisecond  // from the first to the last close of idle connections
+	idleSpread         = 800 * time.Millisecond  // over which idle connections are closed; the last slot is at 15/16 of it
 	newClientTimeout   = 500 * time.Millisecond  // how long a connection accepted during the drain may be idle
-	readTimeout        = 1900 * time.Millisecond // to complete a message that has begun; one that arrives at 2 s must not be held at 4 s
-	answerTimeout      = 3300 * time.Millisecond // for all answers: after every request's deadline, and before the process is killed
-	maxDeadline        = 3 * time.Second         // the longest request deadline the times above assume; a shorter one scales them
-	shutdownDelay      = 500 * time.Millisecond  // from the longest deadline until a shutdown has answered all, 0.2 s before the kill
+	readTimeout        = 1900 * time.Millisecond // for a message, from the start of a drain; one that arrives at 2 s must not be held at 4 s
+	answerTimeout      = 3300 * time.Millisecond // for all answers: after a request deadline of maxDeadline, and before the process is killed
+	maxDeadline        = 3 * time.Second         // longest request deadline that is allowed for; a shorter one shortens a drain, see Start
+	shutdownDelay      = 500 * time.Millisecond  // from the longest deadline until all requests are to be answered, 0.2 s before the kill
 	finalAnswerTimeout = 150 * time.Millisecond  // part of shutdownDelay, left for answering the last message read
-	minReadTimeout     = 50 * time.Millisecond   // least time to complete a message that has begun
-	minRequestTimeout  = 50 * time.Millisecond   // least time to answer a request
+	minReadTimeout     = 50 * time.Millisecond   // least time to complete a message that has begun, even past shutdownDeadline
+	minRequestTimeout  = 50 * time.Millisecond   // least time to answer a request, even past shutdownDeadline
 )
 
 // Schedule holds the times of a drain: when connections are closed, and until when requests are read and answered. A nil
@@ -29,10 +29,10 @@
 type Schedule struct {
 	startedAt        time.Time     // when the drain began
 	idleCloseAt      time.Time     // when the first idle connections are closed
-	idleSpread       time.Duration // from idleCloseAt until the last idle connections are closed
+	idleSpread       time.Duration // idle connections are closed over this time, in Slots steps from idleCloseAt
 	readDeadline     time.Time     // for messages that have begun; zero: same as without a drain
 	answerDeadline   time.Time     // for all answers; zero: only the requests' own deadlines apply
-	shutdownDeadline time.Time     // for all answers, even to requests that arrive late; zero unless the process ends
+	shutdownDeadline time.Time     // for all answers, but see minRequestTimeout; zero unless the process ends
 	shuttingDown     bool          // the process ends, and the drain cannot be undone
 	superseded       bool          // another process accepts the clients, until it ends
 	transfers        bool          // open connections are transferred to that process
@@ -40,7 +40,8 @@
 
 // Start returns the schedule of a drain that starts now and lasts until it is undone. The times fit a process that may be killed
 // once the longest request deadline plus 0.7 s have passed, or 3.7 s if that deadline is over 3 s. A deadline of zero is unknown,
-// and counts as 3 s.
+// and counts as 3 s. With a shorter deadline, the time for all answers is shorter by the difference, but at least noticeDelay. The
+// other times from the start of the drain are scaled in proportion; noticeDelay, newClientTimeout and the times of a shutdown are not.
 func Start(now time.Time, longestDeadline time.Duration) *Schedule {
 	total := max(answerTimeout-maxDeadline+boundedDeadline(longestDeadline), noticeDelay)
 	scaled := func(d time.Duration) time.Duration {
@@ -140,7 +141,7 @@
 }
 
 // ReadDeadline returns the time by which a message that begins now has to be complete. The given deadline is the one that applies
-// without a drain.
+// without a drain. A message gets at least noticeDelay, or less shortly before the process ends: then at least minReadTimeout.
 func (s *Schedule) ReadDeadline(now, deadline time.Time) time.Time {
 	if s == nil || s.readDeadline.IsZero() || deadline.Before(s.readDeadline) {
 		return deadline
@@ -160,7 +161,7 @@
 func (s *Schedule) lastReadDeadline() time.Time { return s.shutdownDeadline.Add(-finalAnswerTimeout) }
 
 // RequestTimeout returns how long a request that arrived at arrivedAt may take. The given timeout is the one that applies without a
-// drain.
+// drain. The timeout is not reduced below noticeDelay, or, shortly before the process ends, below minRequestTimeout.
 func (s *Schedule) RequestTimeout(arrivedAt time.Time, timeout time.Duration) time.Duration {
 	if s == nil || s.answerDeadline.IsZero() {
 		return timeout
--- a/internal/frontend/mysql/command.go
+++ b/internal/frontend/mysql/command.go
@@ -36,7 +36,7 @@
 	case mysqlwire.ComStmtExecute:
 		return c.execute(body)
 	case mysqlwire.ComStmtLongData:
-		c.longData(body)
+		c.storeLongData(body)
 	case mysqlwire.ComStmtReset:
 		if s := c.statement(&mysqlwire.Cursor{B: body}); s != nil {
 			c.dropLongData(s)
--- a/internal/frontend/mysql/statement.go
+++ b/internal/frontend/mysql/statement.go
@@ -23,7 +23,7 @@
 	boundTypes      []uint16       // parameter types of the last execute; the client may omit them next time
 	longData        map[int][]byte // parameter values that were sent in advance for the next execute, by parameter
 	longDataBytes   int            // size of longData, reserved in the budget
-	longDataInvalid bool           // some long data was dropped, so that the next execute must fail
+	longDataInvalid bool           // long data was dropped or is for no parameter, so that the next execute must fail
 }
 
 // prepare has a member of the statement's group prepare it, and answers with the parameters and columns that the member
@@ -49,7 +49,7 @@
 	command := &mysqlwire.Command{Kind: mysqlwire.ComStmtPrepare, Statement: s.Statement}
 	answer, err := c.Do(&core.Request{Class: PrepareClass, Group: meta.Group, Payload: command}, "", 0)
 	if err != nil || answer.Status != core.Served {
-		c.drop(s) // if a member still answers the prepare, its connection closes the statement there
+		c.drop(s) // if a member still answers the prepare, the connection to it closes the statement there
 		if err == nil {
 			c.writeUnserved(answer)
 		}
@@ -73,7 +73,7 @@
 	longData, invalid := s.longData, s.longDataInvalid
 	params := cursor.Execute(c.capabilities, s.Params, s.boundTypes, longData)
 	defer c.Budget().Release(s.longDataBytes) // only after the answer, as the request uses the long data
-	s.longDataBytes = 0
+	s.longDataBytes = 0                       // dropLongData must not release these bytes as well
 	c.dropLongData(s)
 	if cursor.Err != nil || invalid {
 		c.writeError(errParameters)
@@ -84,7 +84,7 @@
 	for _, value := range values {
 		s.boundTypes = append(s.boundTypes, value.Type)
 	}
-	meta := *s.Meta
+	meta := *s.Meta // a copy, because the query attributes of this execute override its fields
 	command := &mysqlwire.Command{
 		Kind:       mysqlwire.ComStmtExecute,
 		Statement:  s.Statement,
@@ -95,8 +95,9 @@
 	return c.submit(&meta, command, len(body))
 }
 
-// longData stores a part of a parameter's value for the next execute. The protocol has no answer to this command.
-func (c *client) longData(body []byte) {
+// storeLongData stores a part of a parameter's value for the next execute. The protocol has no answer to this command: an unknown
+// statement is ignored, and if the part can't be stored, the next execute fails.
+func (c *client) storeLongData(body []byte) {
 	cursor := mysqlwire.Cursor{B: body}
 	id := cursor.U32()
 	param := int(cursor.U16())
@@ -146,7 +147,8 @@
 	}
 }
 
-// drop releases a statement's memory. The connections to database hosts then close the statement at their hosts.
+// drop releases a statement's memory. Each connection on which the statement is prepared closes it at its
+// database host with the connection's next use.
 func (c *client) drop(s *prepared) {
 	s.Drop()
 	c.dropLongData(s)
